--- a/gateway/call.go
+++ b/gateway/call.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Call is what a caller says about its request.
-type Call struct {
+// RequestInfo is what a caller says about its request.
+type RequestInfo struct {
 	// ID names this try of the caller.
 	ID string
 	// Key is the caller's key; empty if it sent none.
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -9,7 +9,7 @@
 // for concurrent use.
 type Dialect interface {
 	// Call reads what the caller says; an error names the header.
-	Call(h http.Header) (Call, error)
+	Call(h http.Header) (RequestInfo, error)
 	// Prepare changes the caller's headers into those for a backend server.
 	Prepare(h http.Header, d Dispatch)
 	// Reply reads what a backend server says.
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -20,7 +20,7 @@
 	http    *http.Request
 	// ctx ends when the caller leaves or its time is over.
 	ctx   context.Context
-	call  Call
+	call  RequestInfo
 	table *serving.Table
 	route *serving.Route
 	team  *serving.Team
