--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -13,7 +13,7 @@
 	// Prepare changes the caller's headers into those for a backend server.
 	Prepare(h http.Header, d Dispatch)
 	// Reply reads what a backend server says.
-	Reply(status int, h http.Header) Reply
+	Reply(status int, h http.Header) ResponseInfo
 	// Refuse marks an answer of the gateway's own. after is when the caller may
 	// come back; zero gives no time.
 	Refuse(h http.Header, id string, after time.Duration)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -140,7 +140,7 @@
 	return r.whole(lease, resp, reply)
 }
 
-func (r *request) noteReply(lease *placement.Lease, reply Reply, opened time.Time) {
+func (r *request) noteReply(lease *placement.Lease, reply ResponseInfo, opened time.Time) {
 	g := r.gateway
 	g.mu.Lock()
 	now := g.now()
@@ -165,7 +165,7 @@
 
 // whole passes on an answer that is not a stream. It is read to its end first,
 // so that a broken one can be replaced.
-func (r *request) whole(lease *placement.Lease, resp *http.Response, reply Reply) ending {
+func (r *request) whole(lease *placement.Lease, resp *http.Response, reply ResponseInfo) ending {
 	body, release, err := r.gateway.bodies.ReadAll(resp, answerLimit)
 	if err != nil {
 		r.noteInterrupted(lease, err)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -14,7 +14,7 @@
 
 // relay passes a stream on, event by event. The head is sent with the first
 // event, so that a stream which breaks before it can begin anew elsewhere.
-func (r *request) relay(lease *placement.Lease, x *upstream.Exchange, resp *http.Response, reply Reply) ending {
+func (r *request) relay(lease *placement.Lease, x *upstream.Exchange, resp *http.Response, reply ResponseInfo) ending {
 	if r.stream.begun && r.stream.version > 0 && reply.Version != r.stream.version {
 		return r.unknown("continuation on other weights")
 	}
@@ -84,7 +84,7 @@
 	return 0
 }
 
-func (r *request) beginStream(resp *http.Response, reply Reply) {
+func (r *request) beginStream(resp *http.Response, reply ResponseInfo) {
 	if r.stream.begun {
 		return
 	}
--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Reply is what a backend server says about its answer.
-type Reply struct {
+// ResponseInfo is what a backend server says about its answer.
+type ResponseInfo struct {
 	// ID is the request that the answer belongs to.
 	ID string
 	// Signed tells that the backend server made the answer.
--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -11,7 +11,7 @@
 
 // noteSignals takes what a server says about further requests. It reports whether it
 // is news that the server leaves. The caller holds mu.
-func (g *Gateway) noteSignals(server *directory.Server, reply Reply, now time.Time) (leaves bool) {
+func (g *Gateway) noteSignals(server *directory.Server, reply ResponseInfo, now time.Time) (leaves bool) {
 	if reply.Pause > 0 && g.picker.Pause(server.Key(), now.Add(reply.Pause), now) {
 		g.config.Log.Log(eventlog.ServerPaused, "server", server.ID, "born", server.Born, "service", server.Service, "for_ms", reply.Pause.Milliseconds())
 	}
