--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -11,7 +11,7 @@
 	// Call reads what the caller says; an error names the header.
 	Call(h http.Header) (RequestInfo, error)
 	// Prepare changes the caller's headers into those for a backend server.
-	Prepare(h http.Header, d Dispatch)
+	Prepare(h http.Header, d AttemptInfo)
 	// Reply reads what a backend server says.
 	Reply(status int, h http.Header) ResponseInfo
 	// Refuse marks an answer of the gateway's own. after is when the caller may
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -6,9 +6,9 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// Dispatch is what a backend server is told about a request besides what its
+// AttemptInfo is what a backend server is told about a request besides what its
 // caller sent.
-type Dispatch struct {
+type AttemptInfo struct {
 	// Server is the only one that may run it.
 	Server *directory.Server
 	// Team holds the caller's key; empty on public routes without a key.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -95,9 +95,9 @@
 	return r.gateway.now().Add(max(firstAnswerTargets*r.route.TargetLatency, firstAnswerPredictions*lease.Predicted))
 }
 
-func (r *request) dispatch(lease *placement.Lease) Dispatch {
+func (r *request) dispatch(lease *placement.Lease) AttemptInfo {
 	now := r.gateway.now()
-	d := Dispatch{Server: lease.Server, Left: r.left(now), LastEvent: -1}
+	d := AttemptInfo{Server: lease.Server, Left: r.left(now), LastEvent: -1}
 	if r.team != nil {
 		d.Team = r.team.Name
 	}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -105,7 +105,7 @@
 	return d
 }
 
-func (r *request) upstreamRequest(d Dispatch) *upstream.Request {
+func (r *request) upstreamRequest(d AttemptInfo) *upstream.Request {
 	header := forwardedHeader(r.http.Header)
 	r.gateway.config.Dialect.Prepare(header, d)
 	return &upstream.Request{
