--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -8,8 +8,8 @@
 // Dialect translates between headers and the types of this package. It is safe
 // for concurrent use.
 type Dialect interface {
-	// Call reads what the caller says; an error names the header.
-	Call(h http.Header) (RequestInfo, error)
+	// ParseRequest reads what the caller says; an error names the header.
+	ParseRequest(h http.Header) (RequestInfo, error)
 	// Prepare changes the caller's headers into those for a backend server.
 	Prepare(h http.Header, d AttemptInfo)
 	// Reply reads what a backend server says.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -53,7 +53,7 @@
 // answers requests that it does not accept.
 func (r *request) accept() bool {
 	g := r.gateway
-	call, err := g.config.Dialect.Call(r.http.Header)
+	call, err := g.config.Dialect.ParseRequest(r.http.Header)
 	r.call = call
 	r.seen.ID = call.ID
 	if err != nil {
