--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -10,8 +10,8 @@
 type Dialect interface {
 	// ParseRequest reads what the caller says; an error names the header.
 	ParseRequest(h http.Header) (RequestInfo, error)
-	// Prepare changes the caller's headers into those for a backend server.
-	Prepare(h http.Header, d AttemptInfo)
+	// PrepareAttempt changes the caller's headers into those for a backend server.
+	PrepareAttempt(h http.Header, d AttemptInfo)
 	// Reply reads what a backend server says.
 	Reply(status int, h http.Header) ResponseInfo
 	// Refuse marks an answer of the gateway's own. after is when the caller may
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -107,7 +107,7 @@
 
 func (r *request) upstreamRequest(d AttemptInfo) *upstream.Request {
 	header := forwardedHeader(r.http.Header)
-	r.gateway.config.Dialect.Prepare(header, d)
+	r.gateway.config.Dialect.PrepareAttempt(header, d)
 	return &upstream.Request{
 		Method: r.http.Method, Target: r.http.RequestURI, Host: r.http.Host,
 		Header: header, Body: r.body,
