--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -12,8 +12,8 @@
 	ParseRequest(h http.Header) (RequestInfo, error)
 	// PrepareAttempt changes the caller's headers into those for a backend server.
 	PrepareAttempt(h http.Header, d AttemptInfo)
-	// Reply reads what a backend server says.
-	Reply(status int, h http.Header) ResponseInfo
+	// ParseResponse reads what a backend server says.
+	ParseResponse(status int, h http.Header) ResponseInfo
 	// Refuse marks an answer of the gateway's own. after is when the caller may
 	// come back; zero gives no time.
 	Refuse(h http.Header, id string, after time.Duration)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -119,7 +119,7 @@
 // moment.
 func (r *request) answered(lease *placement.Lease, x *upstream.Exchange, resp *http.Response, opened time.Time) ending {
 	g := r.gateway
-	reply := g.config.Dialect.Reply(resp.StatusCode, resp.Header)
+	reply := g.config.Dialect.ParseResponse(resp.StatusCode, resp.Header)
 	r.noteReply(lease, reply, opened)
 	switch {
 	case reply.NotRun || reply.Elsewhere:
