--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -14,7 +14,7 @@
 	PrepareAttempt(h http.Header, d AttemptInfo)
 	// ParseResponse reads what a backend server says.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// Refuse marks an answer of the gateway's own. after is when the caller may
+	// PrepareRefusal marks an answer of the gateway's own. after is when the caller may
 	// come back; zero gives no time.
-	Refuse(h http.Header, id string, after time.Duration)
+	PrepareRefusal(h http.Header, id string, after time.Duration)
 }
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -16,7 +16,7 @@
 	r.seen.Outcome, r.seen.Reason, r.seen.Status, r.seen.RetryAfter = string(o), reason, status, after
 	h := r.writer.Header()
 	h["Content-Type"] = nil
-	r.gateway.config.Dialect.Refuse(h, r.call.ID, after)
+	r.gateway.config.Dialect.PrepareRefusal(h, r.call.ID, after)
 	r.writer.WriteHeader(status)
 }
 
