--- a/gateway/call.go
+++ b/gateway/call.go
@@ -6,8 +6,8 @@
 type RequestInfo struct {
 	// ID names this try of the caller.
 	ID string
-	// Key is the caller's key; empty if it sent none.
-	Key string
+	// APIKey is the caller's key; empty if it sent none.
+	APIKey string
 	// Deadline is how long the caller waits; zero if it did not say.
 	Deadline time.Duration
 	// Model is the wanted model; empty for plain services.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	r.seen.Route = r.route.Name
-	r.team = r.table.Team(call.Key)
+	r.team = r.table.Team(call.APIKey)
 	if r.team == nil && !r.route.Public && len(r.table.Config().Teams) > 0 {
 		r.refuse(http.StatusUnauthorized, outcomeInvalid, "unknown key", 0)
 		return false
