--- a/gateway/call.go
+++ b/gateway/call.go
@@ -8,8 +8,8 @@
 	ID string
 	// APIKey is the caller's key; empty if it sent none.
 	APIKey string
-	// Deadline is how long the caller waits; zero if it did not say.
-	Deadline time.Duration
+	// Timeout is how long the caller waits; zero if it did not say.
+	Timeout time.Duration
 	// Model is the wanted model; empty for plain services.
 	Model string
 	// PromptTokens and MaxTokens are the length of the prompt and the bound of
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -91,7 +91,7 @@
 
 // setDeadline takes the earlier one of the caller's limit and the route's.
 func (r *request) setDeadline() {
-	limit := r.call.Deadline
+	limit := r.call.Timeout
 	if t := r.route.Timeout; t > 0 && (limit <= 0 || t < limit) {
 		limit = t
 	}
