--- a/gateway/call.go
+++ b/gateway/call.go
@@ -18,7 +18,7 @@
 	// ExpectedTokens is the caller's own estimate of the answer; zero if it gave
 	// none.
 	ExpectedTokens int
-	// LastEvent is the last event that the caller has; negative if it resumes
+	// LastEventID is the last event that the caller has; negative if it resumes
 	// nothing.
-	LastEvent int64
+	LastEventID int64
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -15,8 +15,8 @@
 	Team string
 	// Left is the time until nobody waits any more; zero sets no limit.
 	Left time.Duration
-	// LastEvent is the event after which the stream goes on; negative starts it.
-	LastEvent int64
+	// LastEventID is the event after which the stream goes on; negative starts it.
+	LastEventID int64
 	// Version is the only version of the weights that may run it; zero accepts
 	// any.
 	Version int
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -97,15 +97,15 @@
 
 func (r *request) dispatch(lease *placement.Lease) AttemptInfo {
 	now := r.gateway.now()
-	d := AttemptInfo{Server: lease.Server, Left: r.left(now), LastEvent: -1}
+	d := AttemptInfo{Server: lease.Server, Left: r.left(now), LastEventID: -1}
 	if r.team != nil {
 		d.Team = r.team.Name
 	}
-	if r.call.LastEvent >= 0 {
-		d.LastEvent = r.call.LastEvent
+	if r.call.LastEventID >= 0 {
+		d.LastEventID = r.call.LastEventID
 	}
 	if r.stream.last >= 0 {
-		d.LastEvent = r.stream.last
+		d.LastEventID = r.stream.last
 	}
 	if w, ok := lease.Server.Weights[r.call.Model]; ok && r.call.Model != "" {
 		// The server may have changed its weights since it told of them. An
