--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -13,8 +13,8 @@
 	Server *directory.Server
 	// Team holds the caller's key; empty on public routes without a key.
 	Team string
-	// Left is the time until nobody waits any more; zero sets no limit.
-	Left time.Duration
+	// Remaining is the time until nobody waits any more; zero sets no limit.
+	Remaining time.Duration
 	// LastEventID is the event after which the stream goes on; negative starts it.
 	LastEventID int64
 	// Version is the only version of the weights that may run it; zero accepts
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -97,7 +97,7 @@
 
 func (r *request) dispatch(lease *placement.Lease) AttemptInfo {
 	now := r.gateway.now()
-	d := AttemptInfo{Server: lease.Server, Left: r.left(now), LastEventID: -1}
+	d := AttemptInfo{Server: lease.Server, Remaining: r.left(now), LastEventID: -1}
 	if r.team != nil {
 		d.Team = r.team.Name
 	}
