--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -128,7 +128,7 @@
 			end.result, end.reason = placement.Mismatched, "another server or other weights at the address"
 		}
 		return end
-	case reply.ID != r.call.ID:
+	case reply.RequestID != r.call.ID:
 		return r.unknown("answer of another request")
 	case !reply.Signed && resp.StatusCode < 300:
 		return r.unknown("answer without a signature")
@@ -151,7 +151,7 @@
 	spread := func() {}
 	leaves := false
 	// A rejection need not name the request; the connection is its own.
-	if (reply.ID == r.call.ID || reply.ID == "" && reply.NotRun) && !reply.Elsewhere {
+	if (reply.RequestID == r.call.ID || reply.RequestID == "" && reply.NotRun) && !reply.Elsewhere {
 		spread = g.alive(lease.Server.Key(), opened)
 		leaves = g.noteSignals(lease.Server, reply, now)
 	}
--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -4,8 +4,8 @@
 
 // ResponseInfo is what a backend server says about its answer.
 type ResponseInfo struct {
-	// ID is the request that the answer belongs to.
-	ID string
+	// RequestID is the request that the answer belongs to.
+	RequestID string
 	// Signed tells that the backend server made the answer.
 	Signed bool
 	// NotRun tells that the request was not run there.
