--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -8,8 +8,8 @@
 	RequestID string
 	// Signed tells that the backend server made the answer.
 	Signed bool
-	// NotRun tells that the request was not run there.
-	NotRun bool
+	// NotExecuted tells that the request was not run there.
+	NotExecuted bool
 	// Elsewhere tells that the address belongs to another server by now.
 	Elsewhere bool
 	// Version is the version of the weights that made the answer; zero if it is
