--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -122,9 +122,9 @@
 	reply := g.config.Dialect.ParseResponse(resp.StatusCode, resp.Header)
 	r.noteReply(lease, reply, opened)
 	switch {
-	case reply.NotExecuted || reply.Elsewhere:
+	case reply.NotExecuted || reply.Misdirected:
 		end := ending{result: placement.Rejected, sent: true, reason: "rejected by the server"}
-		if reply.Elsewhere {
+		if reply.Misdirected {
 			end.result, end.reason = placement.Mismatched, "another server or other weights at the address"
 		}
 		return end
@@ -151,7 +151,7 @@
 	spread := func() {}
 	leaves := false
 	// A rejection need not name the request; the connection is its own.
-	if (reply.RequestID == r.call.ID || reply.RequestID == "" && reply.NotExecuted) && !reply.Elsewhere {
+	if (reply.RequestID == r.call.ID || reply.RequestID == "" && reply.NotExecuted) && !reply.Misdirected {
 		spread = g.alive(lease.Server.Key(), opened)
 		leaves = g.noteSignals(lease.Server, reply, now)
 	}
--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -10,8 +10,8 @@
 	Signed bool
 	// NotExecuted tells that the request was not run there.
 	NotExecuted bool
-	// Elsewhere tells that the address belongs to another server by now.
-	Elsewhere bool
+	// Misdirected tells that the address belongs to another server by now.
+	Misdirected bool
 	// Version is the version of the weights that made the answer; zero if it is
 	// not known.
 	Version int
