--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -15,8 +15,8 @@
 	// Version is the version of the weights that made the answer; zero if it is
 	// not known.
 	Version int
-	// Leaving tells that the server leaves and wants no further requests.
-	Leaving bool
+	// Draining tells that the server leaves and wants no further requests.
+	Draining bool
 	// Pause is how long the server wants nothing from this entry; zero for none.
 	Pause time.Duration
 	// Load is the server's load; nil if it did not tell.
