--- a/gateway/reply.go
+++ b/gateway/reply.go
@@ -25,5 +25,5 @@
 
 // Load is the load of a backend server at the time of an answer.
 type Load struct {
-	Running, Waiting, Slots int
+	Running, Queued, Slots int
 }
