--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -88,7 +88,7 @@
 // deliver passes on a backend server's whole answer.
 func (r *request) deliver(a *answer) {
 	r.seen.Outcome, r.seen.Status = string(outcomeAnswered), a.status
-	r.seen.First = r.gateway.now().Sub(r.arrived)
+	r.seen.TimeToFirstByte = r.gateway.now().Sub(r.arrived)
 	copyAnswerHeader(r.writer.Header(), a.header)
 	r.writer.WriteHeader(a.status)
 	if len(a.body) > 0 {
--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -32,8 +32,8 @@
 	Attempts int
 	// ConfigVersion is the configuration that decided.
 	ConfigVersion int64
-	// First is the time to the first byte of the answer, Total the whole time.
-	First, Total time.Duration
+	// TimeToFirstByte is the time to the first byte of the answer, Total the whole time.
+	TimeToFirstByte, Total time.Duration
 	// LongestGap is the longest pause between events of a stream.
 	LongestGap time.Duration
 	Events     int
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -90,7 +90,7 @@
 	}
 	r.stream.begun = true
 	r.stream.version = reply.Version
-	r.seen.First = r.gateway.now().Sub(r.arrived)
+	r.seen.TimeToFirstByte = r.gateway.now().Sub(r.arrived)
 	r.seen.Status = resp.StatusCode
 	copyAnswerHeader(r.writer.Header(), resp.Header)
 	r.writer.WriteHeader(resp.StatusCode)
