--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -108,7 +108,7 @@
 	if r.seen.Outcome == OutcomeAnswered {
 		r.gateway.noteAnswered(r.fingerprint())
 	}
-	r.seen.Total = r.gateway.now().Sub(r.arrived)
+	r.seen.TotalTime = r.gateway.now().Sub(r.arrived)
 	if r.gateway.config.Observe != nil {
 		r.gateway.config.Observe(r.seen)
 	}
--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -33,7 +33,7 @@
 	// ConfigVersion is the configuration that decided.
 	ConfigVersion int64
 	// TimeToFirstByte is the time to the first byte of the answer, Total the whole time.
-	TimeToFirstByte, Total time.Duration
+	TimeToFirstByte, TotalTime time.Duration
 	// LongestGap is the longest pause between events of a stream.
 	LongestGap time.Duration
 	Events     int
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -88,7 +88,7 @@
 	}
 	labels := metric.WithAttributes(attribute.String("team", o.Team), attribute.String("route", o.Route))
 	m.first.Record(ctx, o.TimeToFirstByte.Seconds(), labels)
-	m.total.Record(ctx, o.Total.Seconds(), labels)
+	m.total.Record(ctx, o.TotalTime.Seconds(), labels)
 	if o.Events > 1 {
 		m.gap.Record(ctx, o.LongestGap.Seconds(), labels)
 	}
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -47,7 +47,7 @@
 		"route", o.Route, "service", o.Service, "team", o.Team, "content", o.Content, "server", o.Server, "attempts", o.Attempts,
 		"predicted_ms", o.Predicted.Milliseconds(), "occupancy", o.Occupancy, "retry_after_ms", o.RetryAfter.Milliseconds(), "load_age_ms", o.LoadAge.Milliseconds(), "placed_by", o.PlacedBy, "left_out", o.LeftOut,
 		"config", o.ConfigVersion, "events", o.Events, "limit_ms", o.Limit.Milliseconds(),
-		"first_ms", o.TimeToFirstByte.Milliseconds(), "total_ms", o.Total.Milliseconds(), "gap_ms", o.LongestGap.Milliseconds())
+		"first_ms", o.TimeToFirstByte.Milliseconds(), "total_ms", o.TotalTime.Milliseconds(), "gap_ms", o.LongestGap.Milliseconds())
 }
 
 // admit reports whether there is room for another line, and first logs how
