--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -25,9 +25,9 @@
 	LeftOut string
 	// RetryAfter is when a refused caller was told to come back.
 	RetryAfter time.Duration
-	// Limit is the earlier one of the caller's limit and the route's timeout; zero
+	// Timeout is the earlier one of the caller's limit and the route's timeout; zero
 	// for none.
-	Limit time.Duration
+	Timeout time.Duration
 	// Attempts counts the backend servers that had the request.
 	Attempts int
 	// ConfigVersion is the configuration that decided.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -95,7 +95,7 @@
 	if t := r.route.Timeout; t > 0 && (limit <= 0 || t < limit) {
 		limit = t
 	}
-	r.seen.Limit = limit
+	r.seen.Timeout = limit
 	if limit > 0 {
 		r.deadline = r.arrived.Add(limit)
 	}
