--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -20,9 +20,9 @@
 	// PlacedBy is the address of the entry that chose the server, or refused the
 	// request; empty for this one.
 	PlacedBy string
-	// LeftOut names servers that a refused request did not get because they leave or
+	// ExcludedServers names servers that a refused request did not get because they leave or
 	// want a pause.
-	LeftOut string
+	ExcludedServers string
 	// RetryAfter is when a refused caller was told to come back.
 	RetryAfter time.Duration
 	// Timeout is the earlier one of the caller's limit and the route's timeout; zero
