--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -103,7 +103,7 @@
 		release()
 	}
 	if r.hashed {
-		r.seen.Content = r.content.String()
+		r.seen.ContentFingerprint = r.content.String()
 	}
 	if r.seen.Outcome == OutcomeAnswered {
 		r.gateway.noteAnswered(r.fingerprint())
--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -9,9 +9,9 @@
 	// Reason tells more about outcomes other than answered.
 	Reason string
 	Status int
-	// Content is the fingerprint of the request's content if it was needed; empty
+	// ContentFingerprint is the fingerprint of the request's content if it was needed; empty
 	// otherwise.
-	Content string
+	ContentFingerprint string
 	// Server is the last backend server; empty if none had the request.
 	Server string
 	// Predicted, Occupancy and LoadAge are what the last placement rested on.
