--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -32,8 +32,8 @@
 	Seed uint64
 	// Placement configures the choice of backend servers.
 	Placement placement.Config
-	// VersionTime is the time in which new weights must serve everywhere.
-	VersionTime time.Duration
+	// MaxRolloutTime is the time in which new weights must serve everywhere.
+	MaxRolloutTime time.Duration
 	// BodyMemory bounds the memory in bytes of the answers that are read whole; zero
 	// takes a default.
 	BodyMemory int64
@@ -87,7 +87,7 @@
 		picker:    picker,
 		granted:   placement.NewGranted(picker),
 		budget:    retry.New(config.Retry, config.Entries),
-		versions:  versions.NewWanted(config.VersionTime),
+		versions:  versions.NewWanted(config.MaxRolloutTime),
 		suspects:  newSuspects(),
 	}
 }
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -54,7 +54,7 @@
 	g := gateway.New(gateway.Config{
 		Dialect: platform.Dialect{}, Clock: clock.System{}, Log: p.Log, Observe: requests.observe,
 		Retry:   retryBounds(&s.Bounds),
-		Entries: assumedEntries, Seed: rand.Uint64(), VersionTime: s.Bounds.VersionTime,
+		Entries: assumedEntries, Seed: rand.Uint64(), MaxRolloutTime: s.Bounds.VersionTime,
 		BodyMemory: s.MemoryLimit / bodyMemoryPart,
 		Placement:  placement.Config{Domain: s.Domain, Regions: s.Regions},
 	})
