--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -34,9 +34,9 @@
 	Placement placement.Config
 	// MaxRolloutTime is the time in which new weights must serve everywhere.
 	MaxRolloutTime time.Duration
-	// BodyMemory bounds the memory in bytes of the answers that are read whole; zero
+	// MaxBufferedBytes bounds the memory in bytes of the answers that are read whole; zero
 	// takes a default.
-	BodyMemory int64
+	MaxBufferedBytes int64
 }
 
 // defaultBodyMemory is an eighth of the memory of a small instance.
@@ -77,12 +77,12 @@
 		config.Log.Log(eventlog.ServerEjected, "server", s.ID, "service", s.Service, "address", s.Address, "while_ms", while.Milliseconds(), "reason", because)
 	}
 	picker := placement.New(config.Placement, d, rand.New(rand.NewPCG(config.Seed, config.Seed)))
-	if config.BodyMemory <= 0 {
-		config.BodyMemory = defaultBodyMemory
+	if config.MaxBufferedBytes <= 0 {
+		config.MaxBufferedBytes = defaultBodyMemory
 	}
 	return &Gateway{
 		config:    config,
-		bodies:    upstream.NewBodyMemory(config.BodyMemory),
+		bodies:    upstream.NewBodyMemory(config.MaxBufferedBytes),
 		directory: d,
 		picker:    picker,
 		granted:   placement.NewGranted(picker),
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -55,8 +55,8 @@
 		Dialect: platform.Dialect{}, Clock: clock.System{}, Log: p.Log, Observe: requests.observe,
 		Retry:   retryBounds(&s.Bounds),
 		Entries: assumedEntries, Seed: rand.Uint64(), MaxRolloutTime: s.Bounds.VersionTime,
-		BodyMemory: s.MemoryLimit / bodyMemoryPart,
-		Placement:  placement.Config{Domain: s.Domain, Regions: s.Regions},
+		MaxBufferedBytes: s.MemoryLimit / bodyMemoryPart,
+		Placement:        placement.Config{Domain: s.Domain, Regions: s.Regions},
 	})
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
