--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -164,9 +164,9 @@
 	g.announceTargets()
 }
 
-// Want takes the version of a model that must serve. fresh tells that it was
+// SetWantedVersion takes the version of a model that must serve. fresh tells that it was
 // declared just now.
-func (g *Gateway) Want(model string, version int, fresh bool) {
+func (g *Gateway) SetWantedVersion(model string, version int, fresh bool) {
 	defer g.announceTargets()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -29,7 +29,7 @@
 }
 
 func (o *gatewayOperator) Wanted(w platform.WantedVersion, fresh bool) {
-	o.gateway.Want(w.Model, w.Version, fresh)
+	o.gateway.SetWantedVersion(w.Model, w.Version, fresh)
 	o.log.Log(eventlog.VersionDeclared, "model", w.Model, "version", w.Version, "fresh", fresh)
 }
 
