--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -118,8 +118,8 @@
 // Draining reports whether Drain was called. It is safe for concurrent use.
 func (g *Gateway) Draining() bool { return g.draining.Load() }
 
-// Open returns the number of requests that are being served.
-func (g *Gateway) Open() int { return int(g.open.Load()) }
+// OpenRequests returns the number of requests that are being served.
+func (g *Gateway) OpenRequests() int { return int(g.open.Load()) }
 
 // SetBounds changes the bounds on repeats and the time in which new weights must
 // serve everywhere.
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -20,8 +20,8 @@
 	// RepeatsLeft is the part of the retry budget that is left to this entry, by
 	// service.
 	RepeatsLeft map[string]float64
-	// Open is the number of requests that are being served.
-	Open int
+	// OpenRequests is the number of requests that are being served.
+	OpenRequests int
 	// Quarantined is the number of contents that are refused because backend servers
 	// ended while they ran them.
 	Quarantined int
@@ -46,7 +46,7 @@
 func (g *Gateway) State() State {
 	s := State{
 		Servers: make(map[ServerGroup]int), Engines: make(map[ModelVersion]int), RepeatsLeft: make(map[string]float64),
-		Open: g.Open(),
+		OpenRequests: g.OpenRequests(),
 	}
 	table := g.table.Load()
 	g.mu.Lock()
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -119,13 +119,13 @@
 	}
 	stopping := time.Now()
 	g.Drain()
-	p.Log.Log(eventlog.ProcessStopping, "open", g.Open())
+	p.Log.Log(eventlog.ProcessStopping, "open", g.OpenRequests())
 	time.Sleep(balancerNotice)
 	limit := max(time.Duration(stopTime.Load())-stopReserve, balancerNotice)
 	drainCtx, cancel := context.WithDeadline(context.Background(), stopping.Add(limit))
 	defer cancel()
 	if err := callers.Shutdown(drainCtx); err != nil {
-		p.Log.Log(eventlog.DrainUnfinished, "open", g.Open(), "err", err)
+		p.Log.Log(eventlog.DrainUnfinished, "open", g.OpenRequests(), "err", err)
 	}
 	return nil
 }
--- a/internal/node/state_metrics.go
+++ b/internal/node/state_metrics.go
@@ -38,7 +38,7 @@
 		s := g.State()
 		o.ObserveFloat64(config, float64(s.ConfigVersion))
 		o.ObserveFloat64(age, s.ConfigAge.Seconds())
-		o.ObserveFloat64(open, float64(s.Open))
+		o.ObserveFloat64(open, float64(s.OpenRequests))
 		o.ObserveFloat64(granted, float64(s.Granted))
 		o.ObserveFloat64(quarantined, float64(s.Quarantined))
 		o.ObserveFloat64(store, boolValue(!storeLost.Load()))
