--- a/gateway/state.go
+++ b/gateway/state.go
@@ -25,9 +25,9 @@
 	// Quarantined is the number of contents that are refused because backend servers
 	// ended while they ran them.
 	Quarantined int
-	// Granted is the number of requests of other entries that were placed here and
+	// GrantedLeases is the number of requests of other entries that were placed here and
 	// are being served.
-	Granted int
+	GrantedLeases int
 }
 
 // ServerGroup is a service and a condition.
@@ -52,7 +52,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	s.Granted = g.granted.Len()
+	s.GrantedLeases = g.granted.Len()
 	s.Quarantined = len(g.suspects.logged)
 	if table != nil {
 		config := table.Config()
--- a/internal/node/state_metrics.go
+++ b/internal/node/state_metrics.go
@@ -39,7 +39,7 @@
 		o.ObserveFloat64(config, float64(s.ConfigVersion))
 		o.ObserveFloat64(age, s.ConfigAge.Seconds())
 		o.ObserveFloat64(open, float64(s.OpenRequests))
-		o.ObserveFloat64(granted, float64(s.Granted))
+		o.ObserveFloat64(granted, float64(s.GrantedLeases))
 		o.ObserveFloat64(quarantined, float64(s.Quarantined))
 		o.ObserveFloat64(store, boolValue(!storeLost.Load()))
 		for group, n := range s.Servers {
