--- a/gateway/state.go
+++ b/gateway/state.go
@@ -17,9 +17,9 @@
 	Servers map[ServerGroup]int
 	// Engines counts the engines by model and the version that they serve.
 	Engines map[ModelVersion]int
-	// RepeatsLeft is the part of the retry budget that is left to this entry, by
+	// RetriesLeft is the part of the retry budget that is left to this entry, by
 	// service.
-	RepeatsLeft map[string]float64
+	RetriesLeft map[string]float64
 	// OpenRequests is the number of requests that are being served.
 	OpenRequests int
 	// Quarantined is the number of contents that are refused because backend servers
@@ -45,7 +45,7 @@
 // State returns what the entry believes now.
 func (g *Gateway) State() State {
 	s := State{
-		Servers: make(map[ServerGroup]int), Engines: make(map[ModelVersion]int), RepeatsLeft: make(map[string]float64),
+		Servers: make(map[ServerGroup]int), Engines: make(map[ModelVersion]int), RetriesLeft: make(map[string]float64),
 		OpenRequests: g.OpenRequests(),
 	}
 	table := g.table.Load()
@@ -59,7 +59,7 @@
 		s.ConfigVersion, s.ConfigAge = config.Version, now.Sub(g.configAt)
 		for i := range config.Services {
 			name := config.Services[i].Name
-			s.RepeatsLeft[name] = g.budget.Left(name, now)
+			s.RetriesLeft[name] = g.budget.Left(name, now)
 		}
 	}
 	g.directory.All(func(server *directory.Server) {
--- a/internal/node/state_metrics.go
+++ b/internal/node/state_metrics.go
@@ -50,7 +50,7 @@
 			o.ObserveFloat64(engines, float64(n), metric.WithAttributes(
 				attribute.String("model", version.Model), attribute.String("version", strconv.Itoa(version.Version))))
 		}
-		for service, left := range s.RepeatsLeft {
+		for service, left := range s.RetriesLeft {
 			o.ObserveFloat64(repeats, left, metric.WithAttributes(attribute.String("service", service)))
 		}
 		return nil
