--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -62,7 +62,7 @@
 
 	// loads is the link to agents and other entries; nil if there is none. It is set
 	// before the first request.
-	loads *Loads
+	loads *PeerLink
 
 	draining atomic.Bool
 	open     atomic.Int64
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -25,10 +25,10 @@
 	reorderWindow = 50
 )
 
-// Loads exchanges datagrams with the agents of model engines and with the other
+// PeerLink exchanges datagrams with the agents of model engines and with the other
 // entries of the region. Agents report the load of their engines and name the
 // entries of the region; two of these place the requests of all.
-type Loads struct {
+type PeerLink struct {
 	gateway *Gateway
 	name    string
 	region  string
@@ -55,13 +55,13 @@
 
 // NewLoads listens on an IP address and port. Agents and other entries listen on
 // the same port. start differs between the starts of this entry.
-func NewLoads(g *Gateway, name, region, address string, port int, start uint64) (*Loads, error) {
+func NewLoads(g *Gateway, name, region, address string, port int, start uint64) (*PeerLink, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(address), Port: port})
 	if err != nil {
 		return nil, err
 	}
 	self := conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	l := &Loads{
+	l := &PeerLink{
 		gateway: g, name: name, region: region, conn: conn, self: self,
 		sequences: make(map[string]uint64), members: newMembers(self),
 		queries: newQueries(start), wake: make(chan struct{}, 1), learned: make(chan struct{}),
@@ -71,7 +71,7 @@
 }
 
 // announceTargets makes Run announce targets at once.
-func (l *Loads) announceTargets() {
+func (l *PeerLink) announceTargets() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -79,7 +79,7 @@
 }
 
 // Run asks for reports and takes them until ctx ends.
-func (l *Loads) Run(ctx context.Context) {
+func (l *PeerLink) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = l.conn.Close() })
 	// The function does not run if this goroutine is the first to see the end of ctx.
 	defer func() {
@@ -102,7 +102,7 @@
 }
 
 // subscribe asks the agents for reports and announces what they must serve.
-func (l *Loads) subscribe() {
+func (l *PeerLink) subscribe() {
 	table := l.gateway.table.Load()
 	if table == nil {
 		return
@@ -128,7 +128,7 @@
 }
 
 // notePlacer logs when another entry becomes the first one to place requests.
-func (l *Loads) notePlacer() {
+func (l *PeerLink) notePlacer() {
 	ranked := l.Rank(placing)
 	if ranked[0] == l.placer {
 		return
@@ -146,10 +146,10 @@
 }
 
 // send sends a datagram. A lost one is replaced by the next one.
-func (l *Loads) send(data []byte, to netip.AddrPort) { _, _ = l.conn.WriteToUDPAddrPort(data, to) }
+func (l *PeerLink) send(data []byte, to netip.AddrPort) { _, _ = l.conn.WriteToUDPAddrPort(data, to) }
 
 // tellUsage tells an engine's agent what this entry has placed there.
-func (l *Loads) tellUsage(server string, u placement.Usage) {
+func (l *PeerLink) tellUsage(server string, u placement.Usage) {
 	address, err := netip.ParseAddrPort(server)
 	if err != nil {
 		return
@@ -163,7 +163,7 @@
 	}}), netip.AddrPortFrom(address.Addr(), l.self.Port()))
 }
 
-func (l *Loads) receive(ctx context.Context) {
+func (l *PeerLink) receive(ctx context.Context) {
 	buf := make([]byte, maxDatagram)
 	for ctx.Err() == nil {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
@@ -181,7 +181,7 @@
 	}
 }
 
-func (l *Loads) take(d *peerlink.Datagram, from netip.AddrPort) {
+func (l *PeerLink) take(d *peerlink.Datagram, from netip.AddrPort) {
 	switch {
 	case d.Status != nil && l.newest(d.Status.Address, d.Status.Sequence):
 		l.learn()
@@ -200,7 +200,7 @@
 
 // newest reports whether a message is newer than those seen: datagrams may
 // overtake each other.
-func (l *Loads) newest(sender string, sequence uint64) bool {
+func (l *PeerLink) newest(sender string, sequence uint64) bool {
 	if last := l.sequences[sender]; sequence <= last && last-sequence < reorderWindow {
 		return false
 	}
@@ -211,7 +211,7 @@
 // learnMembers takes the entries of this region that an agent names. The slack of
 // the retry budget is divided evenly between regions, and within a region between
 // its entries, so that the shares of all add up to it.
-func (l *Loads) learnMembers(status *peerlink.Status) {
+func (l *PeerLink) learnMembers(status *peerlink.Status) {
 	if status.Region != l.region || len(status.Neighbours) == 0 {
 		return
 	}
@@ -225,11 +225,11 @@
 // Rank returns the entries of the region that serve, this one among them, in an
 // order for a duty on which all of them agree. It is safe for concurrent use. The
 // slice must not be changed.
-func (l *Loads) Rank(duty string) []netip.AddrPort {
+func (l *PeerLink) Rank(duty string) []netip.AddrPort {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.members.rank(duty, l.gateway.now())
 }
 
 // Self returns the address of this entry in a rank.
-func (l *Loads) Self() netip.AddrPort { return l.self }
+func (l *PeerLink) Self() netip.AddrPort { return l.self }
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -23,7 +23,7 @@
 
 // awaitAgents ends the wait for agents: at once if backend servers are known and no
 // engine is among them, else after a time.
-func (l *Loads) awaitAgents(engines int) {
+func (l *PeerLink) awaitAgents(engines int) {
 	switch {
 	case l.hasLearned():
 	case l.gateway.knownServers() == 0:
@@ -41,7 +41,7 @@
 }
 
 // hasLearned reports whether the wait for agents is over.
-func (l *Loads) hasLearned() bool {
+func (l *PeerLink) hasLearned() bool {
 	select {
 	case <-l.learned:
 		return true
@@ -50,7 +50,7 @@
 	}
 }
 
-func (l *Loads) learn() { l.learnOnce.Do(func() { close(l.learned) }) }
+func (l *PeerLink) learn() { l.learnOnce.Do(func() { close(l.learned) }) }
 
 // awaitSuspects lets a request wait until an entry that has just started has heard
 // which contents end backend servers.
@@ -93,7 +93,7 @@
 }
 
 // others returns the other entries of the region.
-func (l *Loads) others() []netip.AddrPort {
+func (l *PeerLink) others() []netip.AddrPort {
 	var others []netip.AddrPort
 	for _, entry := range l.Rank(placing) {
 		if entry != l.self {
@@ -104,7 +104,7 @@
 }
 
 // takeNews takes what another entry or an agent tells.
-func (l *Loads) takeNews(n *peerlink.News) {
+func (l *PeerLink) takeNews(n *peerlink.News) {
 	news := &peerlink.News{Leaving: l.gateway.mergeLeaving(n.Leaving)}
 	if suspects := l.gateway.mergeSuspects(&n.Suspects); suspects != nil {
 		news.Suspects = *suspects
@@ -117,7 +117,7 @@
 // repeatNews tells one entry of the region, one of its agents and one agent of
 // another region what matters most: datagrams may have been lost, and entries may
 // have started anew.
-func (l *Loads) repeatNews(table *serving.Table) {
+func (l *PeerLink) repeatNews(table *serving.Table) {
 	news := l.gateway.repeatedNews()
 	if news.Empty() {
 		return
@@ -130,7 +130,7 @@
 	}
 }
 
-func (l *Loads) sendNews(n *peerlink.News, to []netip.AddrPort) {
+func (l *PeerLink) sendNews(n *peerlink.News, to []netip.AddrPort) {
 	if len(to) == 0 {
 		return
 	}
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -115,12 +115,12 @@
 }
 
 // end ends a granted lease.
-func (l *Loads) end(granted *grant, result placement.Result) {
+func (l *PeerLink) end(granted *grant, result placement.Result) {
 	l.queries.ended(granted.lease)
 	l.notify(granted, &peerlink.PlaceNotice{Ended: true, Result: uint8(result)})
 }
 
-func (l *Loads) notify(granted *grant, n *peerlink.PlaceNotice) {
+func (l *PeerLink) notify(granted *grant, n *peerlink.PlaceNotice) {
 	n.Entry, n.Start, n.Lease = l.name, l.queries.start, granted.lease
 	l.send(encode(&peerlink.Datagram{PlaceNotice: n}), granted.by)
 }
@@ -135,7 +135,7 @@
 // ask asks the entries that place requests, in order, until one answers, which it
 // returns. There is neither a grant nor a refusal if this entry has to place the
 // request.
-func (l *Loads) ask(ctx context.Context, d *placement.Demand) (*grant, *placement.Refusal, netip.AddrPort) {
+func (l *PeerLink) ask(ctx context.Context, d *placement.Demand) (*grant, *placement.Refusal, netip.AddrPort) {
 	ranked := l.Rank(placing)
 	for _, to := range ranked[:min(len(ranked), placers)] {
 		if to == l.self {
@@ -157,7 +157,7 @@
 }
 
 // await waits for the answer of one entry. It reports false if there is none.
-func (l *Loads) await(ctx context.Context, to netip.AddrPort, lease uint64, answer <-chan *peerlink.PlaceAnswer) (*grant, *placement.Refusal, bool) {
+func (l *PeerLink) await(ctx context.Context, to netip.AddrPort, lease uint64, answer <-chan *peerlink.PlaceAnswer) (*grant, *placement.Refusal, bool) {
 	timer := time.NewTimer(queryTimeout)
 	defer timer.Stop()
 	reason := "no answer in time"
@@ -192,7 +192,7 @@
 }
 
 // query describes a demand to another entry.
-func (l *Loads) query(d *placement.Demand) *peerlink.PlaceQuery {
+func (l *PeerLink) query(d *placement.Demand) *peerlink.PlaceQuery {
 	g := l.gateway
 	now := g.now()
 	q := &peerlink.PlaceQuery{
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -27,12 +27,12 @@
 	const servers = 6
 
 	// region starts entries that know each other and the engines.
-	region := func(n int) []*Loads {
+	region := func(n int) []*PeerLink {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		port := conn.LocalAddr().(*net.UDPAddr).Port
 		conn.Close()
-		var loads []*Loads
+		var loads []*PeerLink
 		var addresses []string
 		for i := range n {
 			g := New(Config{Clock: clock.System{}, Log: eventlog.Discard(), Placement: placement.Config{Domain: "north", Regions: map[string]string{"north": "n"}}})
@@ -64,7 +64,7 @@
 		return loads
 	}
 	// placer returns the position of an entry in the order of the region.
-	byRank := func(loads []*Loads, rank int) *Loads {
+	byRank := func(loads []*PeerLink, rank int) *PeerLink {
 		address := loads[0].Rank(placing)[rank]
 		for _, l := range loads {
 			if l.self == address {
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -11,7 +11,7 @@
 )
 
 // places reports whether this entry may place requests of other entries.
-func (l *Loads) places() bool {
+func (l *PeerLink) places() bool {
 	if l.gateway.draining.Load() {
 		return false
 	}
@@ -20,7 +20,7 @@
 }
 
 // answer answers an entry that wants a request placed.
-func (l *Loads) answer(q *peerlink.PlaceQuery, from netip.AddrPort) {
+func (l *PeerLink) answer(q *peerlink.PlaceQuery, from netip.AddrPort) {
 	a := &peerlink.PlaceAnswer{Declined: true}
 	if l.places() {
 		a = l.gateway.placeFor(q)
@@ -75,7 +75,7 @@
 }
 
 // takeNotice takes what another entry tells of a lease that it got here.
-func (l *Loads) takeNotice(n *peerlink.PlaceNotice) {
+func (l *PeerLink) takeNotice(n *peerlink.PlaceNotice) {
 	g := l.gateway
 	id := leaseID(n.Entry, n.Start, n.Lease)
 	g.mu.Lock()
--- a/internal/node/tables.go
+++ b/internal/node/tables.go
@@ -17,14 +17,14 @@
 // of the region where that saves calls, and passes them on to others.
 type storeTables struct {
 	gateway *gateway.Gateway
-	loads   *gateway.Loads
+	loads   *gateway.PeerLink
 	store   *platform.Store
 	caches  map[string]*relay.Cache
 	ln      net.Listener
 	log     *eventlog.Logger
 }
 
-func newStoreTables(g *gateway.Gateway, loads *gateway.Loads, s *platform.Settings, log *eventlog.Logger) (*storeTables, error) {
+func newStoreTables(g *gateway.Gateway, loads *gateway.PeerLink, s *platform.Settings, log *eventlog.Logger) (*storeTables, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(s.Address, strconv.Itoa(s.FirstPort)))
 	if err != nil {
 		return nil, err
