--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -53,9 +53,9 @@
 	sequence uint64
 }
 
-// NewLoads listens on an IP address and port. Agents and other entries listen on
+// NewPeerLink listens on an IP address and port. Agents and other entries listen on
 // the same port. start differs between the starts of this entry.
-func NewLoads(g *Gateway, name, region, address string, port int, start uint64) (*PeerLink, error) {
+func NewPeerLink(g *Gateway, name, region, address string, port int, start uint64) (*PeerLink, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(address), Port: port})
 	if err != nil {
 		return nil, err
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -38,7 +38,7 @@
 			g := New(Config{Clock: clock.System{}, Log: eventlog.Discard(), Placement: placement.Config{Domain: "north", Regions: map[string]string{"north": "n"}}})
 			g.SetConfig(&serving.Config{Version: 1, Services: []serving.Service{{Name: "drafts", Engine: engine}}})
 			address := fmt.Sprintf("127.0.0.%d", 10+i)
-			l, err := NewLoads(g, address, "n", address, port, uint64(i+1))
+			l, err := NewPeerLink(g, address, "n", address, port, uint64(i+1))
 			Expect(err).NotTo(HaveOccurred())
 			addresses = append(addresses, l.self.String())
 			loads = append(loads, l)
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -60,7 +60,7 @@
 	})
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	loads, err := gateway.NewLoads(g, s.Instance, s.Region, s.Address, s.FirstPort, rand.Uint64())
+	loads, err := gateway.NewPeerLink(g, s.Instance, s.Region, s.Address, s.FirstPort, rand.Uint64())
 	if err != nil {
 		return err
 	}
