--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -26,7 +26,7 @@
 func (r *request) exchange(lease *placement.Lease) ending {
 	server := lease.Server
 	r.tried = append(r.tried, server.Key())
-	x, err := upstream.Open(r.ctx, server.Address)
+	x, err := upstream.Dial(r.ctx, server.Address)
 	if err != nil {
 		r.gateway.noteUnreachable(server, err)
 		return r.ended(placement.Unreachable, ending{reason: "unreachable"})
--- a/gateway/interrupted.go
+++ b/gateway/interrupted.go
@@ -65,7 +65,7 @@
 func (g *Gateway) checkAlive(server *directory.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), aliveTimeout)
 	defer cancel()
-	x, err := upstream.Open(ctx, server.Address)
+	x, err := upstream.Dial(ctx, server.Address)
 	if err != nil {
 		g.noteUnreachable(server, err)
 		return
--- a/gateway/upstream/exchange.go
+++ b/gateway/upstream/exchange.go
@@ -57,8 +57,8 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// Open connects to a backend server. The connection is closed when ctx ends.
-func Open(ctx context.Context, address string) (*Exchange, error) {
+// Dial connects to a backend server. The connection is closed when ctx ends.
+func Dial(ctx context.Context, address string) (*Exchange, error) {
 	conn, err := sockopt.Dialer(dialTimeout).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, &UnreachableError{Cause: err}
