--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -46,7 +46,7 @@
 type Gateway struct {
 	config Config
 	table  atomic.Pointer[serving.Table]
-	bodies *upstream.BodyMemory
+	bodies *upstream.BodyBudget
 
 	// mu guards what follows.
 	mu        sync.Mutex
--- a/gateway/upstream/body_memory.go
+++ b/gateway/upstream/body_memory.go
@@ -10,19 +10,19 @@
 // readStep is the number of bytes for which memory is taken at a time.
 const readStep = 16 << 10
 
-// BodyMemory bounds the memory of the bodies that are read whole, of all requests
+// BodyBudget bounds the memory of the bodies that are read whole, of all requests
 // together. It is safe for concurrent use.
-type BodyMemory struct {
+type BodyBudget struct {
 	limit int64
 	used  atomic.Int64
 }
 
 // NewBodyMemory returns a BodyMemory of so many bytes.
-func NewBodyMemory(limit int64) *BodyMemory { return &BodyMemory{limit: limit} }
+func NewBodyMemory(limit int64) *BodyBudget { return &BodyBudget{limit: limit} }
 
 // ReadAll reads a body of at most limit bytes. A body that does not end as its
 // head announced is an error. The memory is given back by release.
-func (m *BodyMemory) ReadAll(resp *http.Response, limit int) (body []byte, release func(), err error) {
+func (m *BodyBudget) ReadAll(resp *http.Response, limit int) (body []byte, release func(), err error) {
 	taken := int64(0)
 	giveBack := func() { m.used.Add(-taken) }
 	defer func() {
