--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -82,7 +82,7 @@
 	}
 	return &Gateway{
 		config:    config,
-		bodies:    upstream.NewBodyMemory(config.MaxBufferedBytes),
+		bodies:    upstream.NewBodyBudget(config.MaxBufferedBytes),
 		directory: d,
 		picker:    picker,
 		granted:   placement.NewGranted(picker),
--- a/gateway/upstream/body_memory.go
+++ b/gateway/upstream/body_memory.go
@@ -17,8 +17,8 @@
 	used  atomic.Int64
 }
 
-// NewBodyMemory returns a BodyMemory of so many bytes.
-func NewBodyMemory(limit int64) *BodyBudget { return &BodyBudget{limit: limit} }
+// NewBodyBudget returns a BodyMemory of so many bytes.
+func NewBodyBudget(limit int64) *BodyBudget { return &BodyBudget{limit: limit} }
 
 // ReadAll reads a body of at most limit bytes. A body that does not end as its
 // head announced is an error. The memory is given back by release.
