--- a/gateway/place.go
+++ b/gateway/place.go
@@ -62,7 +62,7 @@
 
 // begin returns what the request needs. Servers from which this entry keeps away
 // are named to others as well.
-func (r *request) begin(now time.Time) placement.Demand {
+func (r *request) begin(now time.Time) placement.Request {
 	g := r.gateway
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -74,7 +74,7 @@
 
 // adopt takes over a granted place. It returns nil if this entry knows that the
 // server must not get the request.
-func (g *Gateway) adopt(granted *grant, d *placement.Demand) *placement.Lease {
+func (g *Gateway) adopt(granted *grant, d *placement.Request) *placement.Lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	listing := g.directory.Server(granted.server)
@@ -135,7 +135,7 @@
 // ask asks the entries that place requests, in order, until one answers, which it
 // returns. There is neither a grant nor a refusal if this entry has to place the
 // request.
-func (l *PeerLink) ask(ctx context.Context, d *placement.Demand) (*grant, *placement.Refusal, netip.AddrPort) {
+func (l *PeerLink) ask(ctx context.Context, d *placement.Request) (*grant, *placement.Refusal, netip.AddrPort) {
 	ranked := l.Rank(placing)
 	for _, to := range ranked[:min(len(ranked), placers)] {
 		if to == l.self {
@@ -192,7 +192,7 @@
 }
 
 // query describes a demand to another entry.
-func (l *PeerLink) query(d *placement.Demand) *peerlink.PlaceQuery {
+func (l *PeerLink) query(d *placement.Request) *peerlink.PlaceQuery {
 	g := l.gateway
 	now := g.now()
 	q := &peerlink.PlaceQuery{
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -20,7 +20,7 @@
 	engine := &serving.Engine{
 		Slots: 8, StepTime: 13 * time.Millisecond, PrefillRate: 12700, StepsPerPass: 5, ChunkTokens: 2048, UsualPrompt: 900, UsualAnswer: 75,
 	}
-	demand := placement.Demand{
+	demand := placement.Request{
 		Service: "drafts", Engine: engine, Model: "m", PromptTokens: 900, AnswerTokens: 75,
 		Target: 800 * time.Millisecond, Limit: 6 * time.Second,
 	}
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -45,7 +45,7 @@
 	if !g.picker.Informed(q.Service, now) {
 		return &peerlink.PlaceAnswer{Declined: true}
 	}
-	d := placement.Demand{
+	d := placement.Request{
 		Service: q.Service, Engine: service.Engine, Domain: q.Domain, Model: q.Model, Version: q.Version,
 		MinVersion:   max(q.MinVersion, g.versions.Least(q.Model, now)),
 		PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens,
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -87,8 +87,8 @@
 // because of another route with a very short one.
 const maxTargetRatio = 2
 
-func (r *request) demand(now time.Time) placement.Demand {
-	d := placement.Demand{
+func (r *request) demand(now time.Time) placement.Request {
+	d := placement.Request{
 		Service: r.service, Engine: r.engine, Model: r.call.Model, Version: r.stream.version, MinVersion: r.gateway.versions.Least(r.call.Model, now),
 		PromptTokens: r.call.PromptTokens, AnswerTokens: r.call.ExpectedTokens,
 		Limit: r.left(now), Exclude: r.tried, Continued: r.stream.begun || r.ran,
--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -47,7 +47,7 @@
 
 // allPaused refuses a request that only servers could run which want nothing from
 // this entry now.
-func (g *Gateway) allPaused(d *placement.Demand, now time.Time) *placement.Refusal {
+func (g *Gateway) allPaused(d *placement.Request, now time.Time) *placement.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.picker.AllPaused(d, now)
--- a/lib/placement/demand.go
+++ b/lib/placement/demand.go
@@ -7,8 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/serving"
 )
 
-// Demand is a request that needs a backend server.
-type Demand struct {
+// Request is a request that needs a backend server.
+type Request struct {
 	Service string
 	// Domain is the failure domain of the entry that has the request, Holder its
 	// name; empty for the entry that places it.
@@ -38,7 +38,7 @@
 	Continued bool
 }
 
-func (d *Demand) excludes(k directory.Key) bool {
+func (d *Request) excludes(k directory.Key) bool {
 	for _, e := range d.Exclude {
 		if e == k {
 			return true
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -22,7 +22,7 @@
 		return placement.LeaseID{Entry: entry, Start: start, Number: number}
 	}
 	grant := func(l placement.LeaseID) *placement.Lease {
-		lease, refusal := g.Grant(l, placement.Demand{
+		lease, refusal := g.Grant(l, placement.Request{
 			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, AnswerTokens: 100, Limit: 6 * time.Second,
 		}, now)
 		Expect(refusal).To(BeNil())
--- a/lib/placement/pause.go
+++ b/lib/placement/pause.go
@@ -40,7 +40,7 @@
 
 // AllPaused refuses a request that only servers could run which want nothing from
 // this entry now. It returns nil if another one may run it, or none at all.
-func (p *Picker) AllPaused(d *Demand, now time.Time) *Refusal {
+func (p *Picker) AllPaused(d *Request, now time.Time) *Refusal {
 	refusal := p.pausing(d, now)
 	if refusal != nil {
 		refusal.LeftOut = p.leftOut(d.Service, now)
@@ -74,7 +74,7 @@
 // pausing refuses a request that could run only on servers which want nothing from
 // this entry now, those that have had it included. It returns nil if there are
 // others, or none that want a pause.
-func (p *Picker) pausing(d *Demand, now time.Time) *Refusal {
+func (p *Picker) pausing(d *Request, now time.Time) *Refusal {
 	if !now.Before(p.pausesUntil) {
 		return nil
 	}
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -23,7 +23,7 @@
 }
 
 // Pick places a request. It returns a lease, or the reason of a refusal.
-func (p *Picker) Pick(d Demand, now time.Time) (*Lease, *Refusal) {
+func (p *Picker) Pick(d Request, now time.Time) (*Lease, *Refusal) {
 	best, estimate, refusal := p.best(&d, now)
 	if refusal == nil {
 		refusal = p.tooLate(&d, best, estimate, now)
@@ -41,11 +41,11 @@
 
 // Adopt returns the lease of a request that another entry has placed on a listed
 // server.
-func (p *Picker) Adopt(listing *directory.Server, d *Demand, now time.Time) *Lease {
+func (p *Picker) Adopt(listing *directory.Server, d *Request, now time.Time) *Lease {
 	return p.lease(p.state(listing), d, now)
 }
 
-func (p *Picker) lease(s *server, d *Demand, now time.Time) *Lease {
+func (p *Picker) lease(s *server, d *Request, now time.Time) *Lease {
 	s.change(1, 1, d.PromptTokens, now)
 	s.lastStart = now
 	return &Lease{Server: s.seen, Usage: s.own, state: s, holder: d.Holder, prompt: d.PromptTokens, started: now}
@@ -60,7 +60,7 @@
 }
 
 // best returns the server with the earliest predicted first answer.
-func (p *Picker) best(d *Demand, now time.Time) (*server, estimate, *Refusal) {
+func (p *Picker) best(d *Request, now time.Time) (*server, estimate, *Refusal) {
 	p.directory.Expire(now)
 	usable, reason := p.usable(d)
 	open := p.open(usable, d, now)
@@ -93,7 +93,7 @@
 
 // expires reports whether a request may still wait on the server when its
 // weights must no longer serve.
-func (s *server) expires(d *Demand, e estimate, now time.Time) bool {
+func (s *server) expires(d *Request, e estimate, now time.Time) bool {
 	if d.NextVersion == 0 || s.seen.Weights[d.Model].Version >= d.NextVersion {
 		return false
 	}
@@ -102,7 +102,7 @@
 
 // usable returns the servers that may run the request at all, and the reason if
 // there are none.
-func (p *Picker) usable(d *Demand) ([]*server, Reason) {
+func (p *Picker) usable(d *Request) ([]*server, Reason) {
 	reason := NoServer
 	var usable []*server
 	for _, listing := range p.directory.Service(d.Service) {
@@ -120,7 +120,7 @@
 // open leaves out the servers that take no requests now, and ejected ones
 // unless too many are ejected to be believed. A pause is between a server and one
 // entry: another entry names the servers that it must not use.
-func (p *Picker) open(usable []*server, d *Demand, now time.Time) []*server {
+func (p *Picker) open(usable []*server, d *Request, now time.Time) []*server {
 	own := d.Holder == ""
 	var open, resuming, ejected []*server
 	for _, s := range usable {
@@ -172,7 +172,7 @@
 }
 
 // holds reports whether a server has the weights that the request needs.
-func holds(s *directory.Server, d *Demand) bool {
+func holds(s *directory.Server, d *Request) bool {
 	if d.Engine == nil || d.Model == "" {
 		return true
 	}
@@ -186,7 +186,7 @@
 // tooLate refuses a request whose first answer is predicted after its target.
 // The request's own prompt does not count, so that long prompts are refused no
 // more often than short ones.
-func (p *Picker) tooLate(d *Demand, s *server, e estimate, now time.Time) *Refusal {
+func (p *Picker) tooLate(d *Request, s *server, e estimate, now time.Time) *Refusal {
 	if d.Target <= 0 || d.Continued {
 		return nil
 	}
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -37,13 +37,13 @@
 		dir.Put(s)
 		return s.Key()
 	}
-	demand := func() placement.Demand {
-		return placement.Demand{
+	demand := func() placement.Request {
+		return placement.Request{
 			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, AnswerTokens: 100,
 			Target: 400 * time.Millisecond, Limit: 6 * time.Second,
 		}
 	}
-	pick := func(d placement.Demand) *placement.Lease {
+	pick := func(d placement.Request) *placement.Lease {
 		lease, refusal := p.Pick(d, now)
 		Expect(refusal).To(BeNil())
 		return lease
--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -18,7 +18,7 @@
 }
 
 // predict estimates a request's course on a server.
-func (s *server) predict(d *Demand, now time.Time) estimate {
+func (s *server) predict(d *Request, now time.Time) estimate {
 	if d.Engine != nil {
 		return s.predictEngine(d, now)
 	}
@@ -45,7 +45,7 @@
 // predictEngine follows the passes of an engine: a request waits for a slot,
 // for the end of the current pass, for the prompts ahead of its own, for its
 // own prompt, and then for the tokens of its first event.
-func (s *server) predictEngine(d *Demand, now time.Time) estimate {
+func (s *server) predictEngine(d *Request, now time.Time) estimate {
 	e := d.Engine
 	occupancy := s.occupancy(now)
 	slots := e.Slots
--- a/lib/placement/refusal.go
+++ b/lib/placement/refusal.go
@@ -38,7 +38,7 @@
 // absent refuses a request that no server may run now. New weights arrive seconds
 // later, so that callers come back as late as they accept: those who came earlier
 // were mostly refused again.
-func absent(d *Demand, reason Reason) *Refusal {
+func absent(d *Request, reason Reason) *Refusal {
 	after := absentRetryAfter
 	if reason == NoWeights && d.Limit > 0 {
 		after = min(maxRetryAfter, d.Limit/longestWait)
