--- a/lib/placement/demand.go
+++ b/lib/placement/demand.go
@@ -12,7 +12,7 @@
 	Service string
 	// Domain is the failure domain of the entry that has the request, Holder its
 	// name; empty for the entry that places it.
-	Domain, Holder string
+	Domain, Entry string
 	// Engine describes the service's model engines; nil for plain services.
 	Engine *serving.Engine
 	// Model is the model that must be loaded; empty for plain services.
--- a/lib/placement/granted.go
+++ b/lib/placement/granted.go
@@ -36,7 +36,7 @@
 
 // Grant places a request of another entry.
 func (g *Granted) Grant(id LeaseID, d Request, now time.Time) (*Lease, *Refusal) {
-	d.Holder = id.Entry
+	d.Entry = id.Entry
 	lease, refusal := g.picker.Pick(d, now)
 	if refusal != nil {
 		return nil, refusal
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -66,7 +66,7 @@
 		setUp("a")
 		p.Pause(key("a"), now.Add(3*time.Second), now)
 		other := demand
-		other.Holder = "entry-2"
+		other.Entry = "entry-2"
 		_, refusal := p.Pick(other, now)
 		Expect(refusal).To(BeNil())
 	})
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -48,7 +48,7 @@
 func (p *Picker) lease(s *server, d *Request, now time.Time) *Lease {
 	s.change(1, 1, d.PromptTokens, now)
 	s.lastStart = now
-	return &Lease{Server: s.seen, Usage: s.own, state: s, holder: d.Holder, prompt: d.PromptTokens, started: now}
+	return &Lease{Server: s.seen, Usage: s.own, state: s, holder: d.Entry, prompt: d.PromptTokens, started: now}
 }
 
 // candidate is a server that may take a request.
@@ -65,7 +65,7 @@
 	usable, reason := p.usable(d)
 	open := p.open(usable, d, now)
 	if len(open) == 0 {
-		if d.Holder == "" {
+		if d.Entry == "" {
 			if refusal := p.pausing(d, now); refusal != nil {
 				return nil, estimate{}, refusal
 			}
@@ -121,7 +121,7 @@
 // unless too many are ejected to be believed. A pause is between a server and one
 // entry: another entry names the servers that it must not use.
 func (p *Picker) open(usable []*server, d *Request, now time.Time) []*server {
-	own := d.Holder == ""
+	own := d.Entry == ""
 	var open, resuming, ejected []*server
 	for _, s := range usable {
 		switch {
