--- a/gateway/request.go
+++ b/gateway/request.go
@@ -100,7 +100,7 @@
 	// are too few. Time that a request has lost at a dead server is no load of the
 	// others, so that it does not count.
 	if own := r.route.TargetLatency; own > 0 {
-		d.Target = max(r.table.LeastTarget(r.service), own/maxTargetRatio)
+		d.LatencyTarget = max(r.table.LeastTarget(r.service), own/maxTargetRatio)
 	}
 	return d
 }
--- a/lib/placement/demand.go
+++ b/lib/placement/demand.go
@@ -26,9 +26,9 @@
 	NextAt      time.Time
 	// PromptTokens and AnswerTokens are the expected work of an engine.
 	PromptTokens, AnswerTokens int
-	// Target is the time until the first answer beyond which a service counts as
+	// LatencyTarget is the time until the first answer beyond which a service counts as
 	// overloaded; zero sets none.
-	Target time.Duration
+	LatencyTarget time.Duration
 	// Limit is the time until nobody waits any more, counted from now.
 	Limit time.Duration
 	// Exclude are servers that have had this request.
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -20,7 +20,7 @@
 		return &directory.Server{ID: id, Born: born, Service: "desk", Address: id, Domain: "north", Slots: 4}
 	}
 	key := func(id string) directory.Key { return directory.Key{ID: id, Born: 1} }
-	demand := placement.Request{Service: "desk", Domain: "north", Target: time.Second}
+	demand := placement.Request{Service: "desk", Domain: "north", LatencyTarget: time.Second}
 	setUp := func(servers ...string) {
 		d = directory.New()
 		for _, id := range servers {
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -187,7 +187,7 @@
 // The request's own prompt does not count, so that long prompts are refused no
 // more often than short ones.
 func (p *Picker) tooLate(d *Request, s *server, e estimate, now time.Time) *Refusal {
-	if d.Target <= 0 || d.Continued {
+	if d.LatencyTarget <= 0 || d.Continued {
 		return nil
 	}
 	if 2*s.occupancy(now) < s.slots() {
@@ -198,7 +198,7 @@
 	if d.Engine != nil {
 		usual = prefillTime(d.Engine, d.Engine.UsualPrompt, 1) + passTime(d.Engine, s.slots())
 	}
-	limit := scale(d.Target, p.config.TargetShare)
+	limit := scale(d.LatencyTarget, p.config.TargetShare)
 	predicted := e.wait + usual
 	if predicted <= limit {
 		return nil
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -40,7 +40,7 @@
 	demand := func() placement.Request {
 		return placement.Request{
 			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, AnswerTokens: 100,
-			Target: 400 * time.Millisecond, Limit: 6 * time.Second,
+			LatencyTarget: 400 * time.Millisecond, Limit: 6 * time.Second,
 		}
 	}
 	pick := func(d placement.Request) *placement.Lease {
@@ -97,7 +97,7 @@
 		d.NextVersion, d.NextAt = 2, now.Add(750*time.Millisecond)
 		pick(d)
 		p.Report(key, placement.Load{Running: 15, ReadingTokens: 8000}, now)
-		d.Target = 2 * time.Second
+		d.LatencyTarget = 2 * time.Second
 		_, refusal := p.Pick(d, now)
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Reason).To(Equal(placement.NoWeights))
@@ -184,7 +184,7 @@
 			// A server that is half empty is not refused; at a busier one the target
 			// is kept.
 			if lease.Occupancy >= engine.Slots/2 {
-				Expect(lease.Predicted).To(BeNumerically("<", demand().Target))
+				Expect(lease.Predicted).To(BeNumerically("<", demand().LatencyTarget))
 			}
 		}
 		Expect(placed).To(BeNumerically(">", 8))
