--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -22,7 +22,7 @@
 	}
 	demand := placement.Request{
 		Service: "drafts", Engine: engine, Model: "m", PromptTokens: 900, AnswerTokens: 75,
-		LatencyTarget: 800 * time.Millisecond, Limit: 6 * time.Second,
+		LatencyTarget: 800 * time.Millisecond, Remaining: 6 * time.Second,
 	}
 	const servers = 6
 
--- a/lib/placement/demand.go
+++ b/lib/placement/demand.go
@@ -29,8 +29,8 @@
 	// LatencyTarget is the time until the first answer beyond which a service counts as
 	// overloaded; zero sets none.
 	LatencyTarget time.Duration
-	// Limit is the time until nobody waits any more, counted from now.
-	Limit time.Duration
+	// Remaining is the time until nobody waits any more, counted from now.
+	Remaining time.Duration
 	// Exclude are servers that have had this request.
 	Exclude []directory.Key
 	// Continued tells that the request has begun elsewhere, so that a refusal
--- a/lib/placement/granted.go
+++ b/lib/placement/granted.go
@@ -44,7 +44,7 @@
 	if g.leases[id.Entry] == nil {
 		g.leases[id.Entry] = make(map[LeaseID]*granted)
 	}
-	g.leases[id.Entry][id] = &granted{Lease: lease, until: now.Add(leaseTime(d.Limit) + endNoticeTime)}
+	g.leases[id.Entry][id] = &granted{Lease: lease, until: now.Add(leaseTime(d.Remaining) + endNoticeTime)}
 	return lease, nil
 }
 
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -40,7 +40,7 @@
 	demand := func() placement.Request {
 		return placement.Request{
 			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, AnswerTokens: 100,
-			LatencyTarget: 400 * time.Millisecond, Limit: 6 * time.Second,
+			LatencyTarget: 400 * time.Millisecond, Remaining: 6 * time.Second,
 		}
 	}
 	pick := func(d placement.Request) *placement.Lease {
@@ -138,7 +138,7 @@
 		_, refusal := p.Pick(d, now)
 		Expect(refusal.Reason).To(Equal(placement.NoWeights))
 		Expect(refusal.After).To(Equal(2 * time.Second))
-		d.Limit = 600 * time.Millisecond
+		d.Remaining = 600 * time.Millisecond
 		_, refusal = p.Pick(d, now)
 		Expect(refusal.After).To(Equal(200 * time.Millisecond))
 	})
--- a/lib/placement/refusal.go
+++ b/lib/placement/refusal.go
@@ -40,8 +40,8 @@
 // were mostly refused again.
 func absent(d *Request, reason Reason) *Refusal {
 	after := absentRetryAfter
-	if reason == NoWeights && d.Limit > 0 {
-		after = min(maxRetryAfter, d.Limit/longestWait)
+	if reason == NoWeights && d.Remaining > 0 {
+		after = min(maxRetryAfter, d.Remaining/longestWait)
 	}
 	return &Refusal{Reason: reason, After: after}
 }
