--- a/gateway/place.go
+++ b/gateway/place.go
@@ -202,7 +202,7 @@
 		TargetMillis: d.LatencyTarget.Milliseconds(), LimitMillis: d.Remaining.Milliseconds(), Continued: d.Continued,
 	}
 	if d.NextVersion != 0 {
-		q.NextMillis = d.NextAt.Sub(now).Milliseconds()
+		q.NextMillis = d.NextVersionAt.Sub(now).Milliseconds()
 	}
 	g.mu.Lock()
 	avoided := g.picker.Avoided(d.Service, now)
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -51,9 +51,9 @@
 		PromptTokens: q.PromptTokens, AnswerTokens: q.AnswerTokens,
 		LatencyTarget: milliseconds(q.TargetMillis), Remaining: milliseconds(q.LimitMillis), Continued: q.Continued,
 	}
-	d.NextVersion, d.NextAt = g.versions.Next(q.Model, now)
-	if due := now.Add(milliseconds(q.NextMillis)); q.NextVersion != 0 && (d.NextVersion == 0 || due.Before(d.NextAt)) {
-		d.NextVersion, d.NextAt = q.NextVersion, due
+	d.NextVersion, d.NextVersionAt = g.versions.Next(q.Model, now)
+	if due := now.Add(milliseconds(q.NextMillis)); q.NextVersion != 0 && (d.NextVersion == 0 || due.Before(d.NextVersionAt)) {
+		d.NextVersion, d.NextVersionAt = q.NextVersion, due
 	}
 	for _, key := range q.Exclude {
 		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, Born: key.Born})
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -93,8 +93,8 @@
 		PromptTokens: r.call.PromptTokens, AnswerTokens: r.call.ExpectedTokens,
 		Remaining: r.left(now), Exclude: r.tried, Continued: r.stream.begun || r.ran,
 	}
-	d.NextVersion, d.NextAt = r.gateway.versions.Next(r.call.Model, now)
-	r.nextVersion, r.nextAt = d.NextVersion, d.NextAt
+	d.NextVersion, d.NextVersionAt = r.gateway.versions.Next(r.call.Model, now)
+	r.nextVersion, r.nextAt = d.NextVersion, d.NextVersionAt
 	// All requests to a service may wait equally long. With their own targets,
 	// those with the longest one would take the places of the others when there
 	// are too few. Time that a request has lost at a dead server is no load of the
--- a/lib/placement/demand.go
+++ b/lib/placement/demand.go
@@ -22,8 +22,8 @@
 	Version, MinVersion int
 	// NextVersion is declared, and from NextAt on no request may begin on an older
 	// one; zero means that none is due.
-	NextVersion int
-	NextAt      time.Time
+	NextVersion   int
+	NextVersionAt time.Time
 	// PromptTokens and AnswerTokens are the expected work of an engine.
 	PromptTokens, AnswerTokens int
 	// LatencyTarget is the time until the first answer beyond which a service counts as
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -97,7 +97,7 @@
 	if d.NextVersion == 0 || s.seen.Weights[d.Model].Version >= d.NextVersion {
 		return false
 	}
-	return now.Add(2*e.wait + expiryMargin).After(d.NextAt)
+	return now.Add(2*e.wait + expiryMargin).After(d.NextVersionAt)
 }
 
 // usable returns the servers that may run the request at all, and the reason if
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -94,7 +94,7 @@
 		// it had waited 620 ms on its server.
 		key := add("a", "north", nil)
 		d := demand()
-		d.NextVersion, d.NextAt = 2, now.Add(750*time.Millisecond)
+		d.NextVersion, d.NextVersionAt = 2, now.Add(750*time.Millisecond)
 		pick(d)
 		p.Report(key, placement.Load{Running: 15, ReadingTokens: 8000}, now)
 		d.LatencyTarget = 2 * time.Second
@@ -148,11 +148,11 @@
 		// prediction was too low: 620 ms were seen where none were predicted.
 		add("a", "north", nil)
 		d := demand()
-		d.NextVersion, d.NextAt = 2, now.Add(690*time.Millisecond)
+		d.NextVersion, d.NextVersionAt = 2, now.Add(690*time.Millisecond)
 		_, refusal := p.Pick(d, now)
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Reason).To(Equal(placement.NoWeights))
-		d.NextAt = now.Add(710 * time.Millisecond)
+		d.NextVersionAt = now.Add(710 * time.Millisecond)
 		pick(d)
 	})
 
