--- a/gateway/place.go
+++ b/gateway/place.go
@@ -199,7 +199,7 @@
 		Entry: l.name, Start: l.queries.start, Domain: g.config.Placement.Domain, Service: d.Service, Model: d.Model,
 		Version: d.Version, MinVersion: d.MinVersion, NextVersion: d.NextVersion,
 		PromptTokens: d.PromptTokens, AnswerTokens: d.AnswerTokens,
-		TargetMillis: d.LatencyTarget.Milliseconds(), LimitMillis: d.Remaining.Milliseconds(), Continued: d.Continued,
+		TargetMillis: d.LatencyTarget.Milliseconds(), LimitMillis: d.Remaining.Milliseconds(), Continued: d.MayHaveRun,
 	}
 	if d.NextVersion != 0 {
 		q.NextMillis = d.NextVersionAt.Sub(now).Milliseconds()
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -91,7 +91,7 @@
 	d := placement.Request{
 		Service: r.service, Engine: r.engine, Model: r.call.Model, Version: r.stream.version, MinVersion: r.gateway.versions.Least(r.call.Model, now),
 		PromptTokens: r.call.PromptTokens, AnswerTokens: r.call.ExpectedTokens,
-		Remaining: r.left(now), Exclude: r.tried, Continued: r.stream.begun || r.ran,
+		Remaining: r.left(now), Exclude: r.tried, MayHaveRun: r.stream.begun || r.ran,
 	}
 	d.NextVersion, d.NextVersionAt = r.gateway.versions.Next(r.call.Model, now)
 	r.nextVersion, r.nextAt = d.NextVersion, d.NextVersionAt
--- a/lib/placement/demand.go
+++ b/lib/placement/demand.go
@@ -33,9 +33,9 @@
 	Remaining time.Duration
 	// Exclude are servers that have had this request.
 	Exclude []directory.Key
-	// Continued tells that the request has begun elsewhere, so that a refusal
+	// MayHaveRun tells that the request has begun elsewhere, so that a refusal
 	// could not promise that it was not run. It is not refused for a missed target.
-	Continued bool
+	MayHaveRun bool
 }
 
 func (d *Request) excludes(k directory.Key) bool {
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -187,7 +187,7 @@
 // The request's own prompt does not count, so that long prompts are refused no
 // more often than short ones.
 func (p *Picker) tooLate(d *Request, s *server, e estimate, now time.Time) *Refusal {
-	if d.LatencyTarget <= 0 || d.Continued {
+	if d.LatencyTarget <= 0 || d.MayHaveRun {
 		return nil
 	}
 	if 2*s.occupancy(now) < s.slots() {
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -207,7 +207,7 @@
 		_, refusal := p.Pick(demand(), now)
 		Expect(refusal).NotTo(BeNil())
 		d := demand()
-		d.Continued = true
+		d.MayHaveRun = true
 		pick(d)
 	})
 
