--- a/lib/placement/server.go
+++ b/lib/placement/server.go
@@ -58,7 +58,7 @@
 // change adds to the usage.
 func (s *server) change(running, reading, tokens int, now time.Time) {
 	s.own.Running += running
-	s.own.Reading += reading
+	s.own.Prefilling += reading
 	s.own.ReadingTokens += tokens
 	if running != 0 {
 		s.running.set(s.own.Running, now)
