--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -159,7 +159,7 @@
 	sequence := l.sequence
 	l.mu.Unlock()
 	l.send(encode(&peerlink.Datagram{Usage: &peerlink.Usage{
-		Entry: l.name, ReadingTokens: u.ReadingTokens, Sequence: sequence,
+		Entry: l.name, ReadingTokens: u.PrefillTokens, Sequence: sequence,
 	}}), netip.AddrPortFrom(address.Addr(), l.self.Port()))
 }
 
--- a/lib/placement/lease.go
+++ b/lib/placement/lease.go
@@ -33,5 +33,5 @@
 type Usage struct {
 	// Running counts its requests, Reading those without a first answer, and
 	// ReadingTokens their prompt tokens.
-	Running, Prefilling, ReadingTokens int
+	Running, Prefilling, PrefillTokens int
 }
--- a/lib/placement/load.go
+++ b/lib/placement/load.go
@@ -6,8 +6,8 @@
 type Load struct {
 	// Running and Waiting count requests.
 	Running, Waiting int
-	// ReadingTokens are the prompts without a first answer, of all entries.
-	ReadingTokens int
+	// PrefillTokens are the prompts without a first answer, of all entries.
+	PrefillTokens int
 	// Pace is how much slower than declared it works; zero means unknown.
 	Pace float64
 	// Lag is the age of the counts when they were reported.
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -17,7 +17,7 @@
 	}
 	s.load, s.loadAt = load, now
 	s.foreign = max(0, load.Running+load.Waiting-s.running.at(now.Add(-load.Lag)))
-	s.foreignTokens = max(0, load.ReadingTokens-s.own.ReadingTokens)
+	s.foreignTokens = max(0, load.PrefillTokens-s.own.PrefillTokens)
 }
 
 // Hint takes the counts that a server adds to its answers. They tell nothing of
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -96,7 +96,7 @@
 		d := demand()
 		d.NextVersion, d.NextVersionAt = 2, now.Add(750*time.Millisecond)
 		pick(d)
-		p.Report(key, placement.Load{Running: 15, ReadingTokens: 8000}, now)
+		p.Report(key, placement.Load{Running: 15, PrefillTokens: 8000}, now)
 		d.LatencyTarget = 2 * time.Second
 		_, refusal := p.Pick(d, now)
 		Expect(refusal).NotTo(BeNil())
--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -80,10 +80,10 @@
 func (s *server) promptsAhead(e *serving.Engine, now time.Time) int {
 	age := now.Sub(s.loadAt)
 	if age > loadAge {
-		return s.own.ReadingTokens
+		return s.own.PrefillTokens
 	}
 	read := int(age.Seconds() * e.PrefillRate)
-	return s.own.ReadingTokens + max(0, s.foreignTokens-read)
+	return s.own.PrefillTokens + max(0, s.foreignTokens-read)
 }
 
 // turnoverTime is the time in which the prompts of new requests are read in one
--- a/lib/placement/server.go
+++ b/lib/placement/server.go
@@ -59,7 +59,7 @@
 func (s *server) change(running, reading, tokens int, now time.Time) {
 	s.own.Running += running
 	s.own.Prefilling += reading
-	s.own.ReadingTokens += tokens
+	s.own.PrefillTokens += tokens
 	if running != 0 {
 		s.running.set(s.own.Running, now)
 	}
