--- a/lib/placement/load.go
+++ b/lib/placement/load.go
@@ -5,7 +5,7 @@
 // Load is what a server reported of itself.
 type Load struct {
 	// Running and Waiting count requests.
-	Running, Waiting int
+	Running, Queued int
 	// PrefillTokens are the prompts without a first answer, of all entries.
 	PrefillTokens int
 	// Pace is how much slower than declared it works; zero means unknown.
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -16,7 +16,7 @@
 		s.openedAt = now
 	}
 	s.load, s.loadAt = load, now
-	s.foreign = max(0, load.Running+load.Waiting-s.running.at(now.Add(-load.Lag)))
+	s.foreign = max(0, load.Running+load.Queued-s.running.at(now.Add(-load.Lag)))
 	s.foreignTokens = max(0, load.PrefillTokens-s.own.PrefillTokens)
 }
 
@@ -24,7 +24,7 @@
 // its pace and of whether it takes requests.
 func (p *Picker) Hint(key directory.Key, running, waiting int, now time.Time) {
 	s := p.server(key)
-	s.load.Running, s.load.Waiting = running, waiting
+	s.load.Running, s.load.Queued = running, waiting
 	s.loadAt = now
 	s.foreign = max(0, running+waiting-s.own.Running)
 }
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -203,7 +203,7 @@
 
 	It("places a stream that has begun whatever its target", func() {
 		key := add("a", "north", nil)
-		p.Report(key, placement.Load{Running: 16, Waiting: 30}, now)
+		p.Report(key, placement.Load{Running: 16, Queued: 30}, now)
 		_, refusal := p.Pick(demand(), now)
 		Expect(refusal).NotTo(BeNil())
 		d := demand()
