--- a/lib/placement/load.go
+++ b/lib/placement/load.go
@@ -8,8 +8,8 @@
 	Running, Queued int
 	// PrefillTokens are the prompts without a first answer, of all entries.
 	PrefillTokens int
-	// Pace is how much slower than declared it works; zero means unknown.
-	Pace float64
+	// Slowdown is how much slower than declared it works; zero means unknown.
+	Slowdown float64
 	// Lag is the age of the counts when they were reported.
 	Lag time.Duration
 	// Closed tells that the server takes no new requests now, as it loads
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -269,7 +269,7 @@
 	It("prefers a server at its declared pace to a slow one", func() {
 		a := add("a", "north", nil)
 		add("b", "north", nil)
-		p.Report(a, placement.Load{Pace: 3.5}, now)
+		p.Report(a, placement.Load{Slowdown: 3.5}, now)
 		for range 3 {
 			Expect(pick(demand()).Server.ID).To(Equal("b"))
 		}
--- a/lib/placement/server.go
+++ b/lib/placement/server.go
@@ -67,10 +67,10 @@
 
 // pace is how much slower than declared the server works.
 func (s *server) pace(now time.Time) float64 {
-	if s.load.Pace <= 0 || now.Sub(s.loadAt) > loadAge {
+	if s.load.Slowdown <= 0 || now.Sub(s.loadAt) > loadAge {
 		return 1
 	}
-	return max(1, s.load.Pace)
+	return max(1, s.load.Slowdown)
 }
 
 // reserved reports whether entries of other regions leave the server alone for
