--- a/lib/placement/load.go
+++ b/lib/placement/load.go
@@ -10,8 +10,8 @@
 	PrefillTokens int
 	// Slowdown is how much slower than declared it works; zero means unknown.
 	Slowdown float64
-	// Lag is the age of the counts when they were reported.
-	Lag time.Duration
+	// Age is the age of the counts when they were reported.
+	Age time.Duration
 	// Closed tells that the server takes no new requests now, as it loads
 	// weights or does not answer its agent.
 	Closed bool
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -16,7 +16,7 @@
 		s.openedAt = now
 	}
 	s.load, s.loadAt = load, now
-	s.foreign = max(0, load.Running+load.Queued-s.running.at(now.Add(-load.Lag)))
+	s.foreign = max(0, load.Running+load.Queued-s.running.at(now.Add(-load.Age)))
 	s.foreignTokens = max(0, load.PrefillTokens-s.own.PrefillTokens)
 }
 
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -220,8 +220,8 @@
 			pick(demand())
 		}
 		now = now.Add(50 * time.Millisecond)
-		p.Report(a, placement.Load{Lag: 80 * time.Millisecond}, now)
-		p.Report(b, placement.Load{Lag: 80 * time.Millisecond}, now)
+		p.Report(a, placement.Load{Age: 80 * time.Millisecond}, now)
+		p.Report(b, placement.Load{Age: 80 * time.Millisecond}, now)
 		Expect(pick(demand()).Occupancy).To(Equal(3))
 	})
 
