--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -96,7 +96,7 @@
 	if status.Born != 0 && server.Born != 0 && status.Born != server.Born {
 		if status.Born > server.Born {
 			// The row of the later start is on its way; the listed one has ended.
-			g.picker.Superseded(server.Key())
+			g.picker.MarkSuperseded(server.Key())
 			spread = g.ended(server.Key(), endedLaterStart)
 		}
 		return
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -6,8 +6,8 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// Superseded takes note that a later start of a server has its address.
-func (p *Picker) Superseded(key directory.Key) { p.server(key).superseded = true }
+// MarkSuperseded takes note that a later start of a server has its address.
+func (p *Picker) MarkSuperseded(key directory.Key) { p.server(key).superseded = true }
 
 // Report takes an agent's report on a server.
 func (p *Picker) Report(key directory.Key, load Load, now time.Time) {
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -125,7 +125,7 @@
 		}
 		add("old", "north", nil)
 		Expect(pick(demand()).Server.ID).To(Equal("old"))
-		p.Superseded(key)
+		p.MarkSuperseded(key)
 		Expect(pick(demand()).Server.ID).To(Equal("good"))
 	})
 
