--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -145,7 +145,7 @@
 	g.mu.Lock()
 	now := g.now()
 	if reply.Load != nil {
-		g.picker.Hint(lease.Server.Key(), reply.Load.Running, reply.Load.Queued, now)
+		g.picker.UpdateCounts(lease.Server.Key(), reply.Load.Running, reply.Load.Queued, now)
 	}
 	usage := g.picker.Answering(lease, now)
 	spread := func() {}
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -20,9 +20,9 @@
 	s.foreignTokens = max(0, load.PrefillTokens-s.own.PrefillTokens)
 }
 
-// Hint takes the counts that a server adds to its answers. They tell nothing of
+// UpdateCounts takes the counts that a server adds to its answers. They tell nothing of
 // its pace and of whether it takes requests.
-func (p *Picker) Hint(key directory.Key, running, waiting int, now time.Time) {
+func (p *Picker) UpdateCounts(key directory.Key, running, waiting int, now time.Time) {
 	s := p.server(key)
 	s.load.Running, s.load.Queued = running, waiting
 	s.loadAt = now
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -161,7 +161,7 @@
 		// earlier requests carry no word on that.
 		key := add("a", "north", nil)
 		p.Report(key, placement.Load{Closed: true}, now)
-		p.Hint(key, 1, 0, now)
+		p.UpdateCounts(key, 1, 0, now)
 		_, refusal := p.Pick(demand(), now)
 		Expect(refusal).NotTo(BeNil())
 	})
