--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -42,7 +42,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if !g.picker.Informed(q.Service, now) {
+	if !g.picker.HasLoadReports(q.Service, now) {
 		return &peerlink.PlaceAnswer{Declined: true}
 	}
 	d := placement.Request{
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -29,9 +29,9 @@
 	s.foreign = max(0, running+waiting-s.own.Running)
 }
 
-// Informed reports whether the load of at least half of a service's servers in
+// HasLoadReports reports whether the load of at least half of a service's servers in
 // this region is known.
-func (p *Picker) Informed(service string, now time.Time) bool {
+func (p *Picker) HasLoadReports(service string, now time.Time) bool {
 	near, known := 0, 0
 	for _, listing := range p.directory.Service(service) {
 		if p.config.Regions[listing.Domain] != p.config.Regions[p.config.Domain] {
