--- a/gateway/place.go
+++ b/gateway/place.go
@@ -78,7 +78,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	listing := g.directory.Server(granted.server)
-	if listing == nil || listing.Draining || granted.version < d.MinVersion || g.picker.Held(granted.server, g.now()) {
+	if listing == nil || listing.Draining || granted.version < d.MinVersion || g.picker.Throttled(granted.server, g.now()) {
 		return nil
 	}
 	if d.Model != "" && listing.Weights[d.Model].Version < granted.version {
--- a/lib/placement/pause.go
+++ b/lib/placement/pause.go
@@ -48,9 +48,9 @@
 	return refusal
 }
 
-// Held reports whether a server gets nothing from this entry now because of a pause
+// Throttled reports whether a server gets nothing from this entry now because of a pause
 // that it wants or has just had.
-func (p *Picker) Held(key directory.Key, now time.Time) bool {
+func (p *Picker) Throttled(key directory.Key, now time.Time) bool {
 	s := p.servers[key]
 	return s != nil && (s.paused(now) || s.resuming(now))
 }
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -83,8 +83,8 @@
 			running[l.Server.ID]++
 		}
 		Expect(running["a"]).To(Equal(2), "half of its slots after half of the return")
-		Expect(p.Held(key("a"), at)).To(BeTrue())
-		Expect(p.Held(key("a"), now.Add(2*time.Second))).To(BeFalse())
+		Expect(p.Throttled(key("a"), at)).To(BeTrue())
+		Expect(p.Throttled(key("a"), now.Add(2*time.Second))).To(BeFalse())
 	})
 
 	It("end with the start that asked", func() {
