--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -147,7 +147,7 @@
 	if reply.Load != nil {
 		g.picker.UpdateCounts(lease.Server.Key(), reply.Load.Running, reply.Load.Queued, now)
 	}
-	usage := g.picker.Answering(lease, now)
+	usage := g.picker.ResponseStarted(lease, now)
 	spread := func() {}
 	leaves := false
 	// A rejection need not name the request; the connection is its own.
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -84,7 +84,7 @@
 	if n.Ended {
 		lease = g.granted.Done(id, placement.Result(n.Result), now)
 	} else {
-		lease = g.granted.Answering(id, now)
+		lease = g.granted.ResponseStarted(id, now)
 	}
 	g.mu.Unlock()
 	if lease != nil {
--- a/lib/placement/granted.go
+++ b/lib/placement/granted.go
@@ -58,14 +58,14 @@
 	return limit
 }
 
-// Answering takes note that a lease's first answer has arrived. It returns the
+// ResponseStarted takes note that a lease's first answer has arrived. It returns the
 // lease, or nil if it is not known.
-func (g *Granted) Answering(id LeaseID, now time.Time) *Lease {
+func (g *Granted) ResponseStarted(id LeaseID, now time.Time) *Lease {
 	l := g.leases[id.Entry][id]
 	if l == nil {
 		return nil
 	}
-	l.Usage = g.picker.Answering(l.Lease, now)
+	l.Usage = g.picker.ResponseStarted(l.Lease, now)
 	return l.Lease
 }
 
--- a/lib/placement/picker_outcome.go
+++ b/lib/placement/picker_outcome.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Answering takes note that the first answer of a request has arrived. It
+// ResponseStarted takes note that the first answer of a request has arrived. It
 // returns what this entry has at the server.
-func (p *Picker) Answering(l *Lease, now time.Time) Usage {
+func (p *Picker) ResponseStarted(l *Lease, now time.Time) Usage {
 	s := l.state
 	if !l.answering && !l.done {
 		l.answering = true
@@ -19,7 +19,7 @@
 		return l.state.own
 	}
 	answered := l.answering
-	p.Answering(l, now)
+	p.ResponseStarted(l, now)
 	l.done = true
 	s := l.state
 	s.change(-1, 0, 0, now)
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -335,7 +335,7 @@
 		add("a", "north", nil)
 		for _, result := range []placement.Result{placement.Answered, placement.Cancelled, placement.Rejected, placement.Mismatched, placement.Unreachable, placement.Failed} {
 			lease := pick(demand())
-			p.Answering(lease, now)
+			p.ResponseStarted(lease, now)
 			usage := p.Done(lease, result, now)
 			Expect(usage).To(Equal(placement.Usage{}))
 			Expect(p.Done(lease, result, now)).To(Equal(placement.Usage{}))
