--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -148,7 +148,7 @@
 func (g *Gateway) UpdateServers(change func(*directory.Directory, time.Time)) {
 	g.mu.Lock()
 	change(g.directory, g.now())
-	g.picker.Forget()
+	g.picker.Prune()
 	spread := g.endUnlisted()
 	g.mu.Unlock()
 	spread()
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -45,8 +45,8 @@
 	return 2*known >= near
 }
 
-// Forget drops the state of servers that are no longer listed and idle.
-func (p *Picker) Forget() {
+// Prune drops the state of servers that are no longer listed and idle.
+func (p *Picker) Prune() {
 	listed := make(map[directory.Key]bool, p.directory.Len())
 	p.directory.All(func(s *directory.Server) { listed[s.Key()] = true })
 	for key, s := range p.servers {
