--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -50,5 +50,5 @@
 func (g *Gateway) allPaused(d *placement.Request, now time.Time) *placement.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.picker.AllPaused(d, now)
+	return g.picker.RefuseIfPaused(d, now)
 }
--- a/lib/placement/pause.go
+++ b/lib/placement/pause.go
@@ -38,9 +38,9 @@
 	return true
 }
 
-// AllPaused refuses a request that only servers could run which want nothing from
+// RefuseIfPaused refuses a request that only servers could run which want nothing from
 // this entry now. It returns nil if another one may run it, or none at all.
-func (p *Picker) AllPaused(d *Request, now time.Time) *Refusal {
+func (p *Picker) RefuseIfPaused(d *Request, now time.Time) *Refusal {
 	refusal := p.pausing(d, now)
 	if refusal != nil {
 		refusal.LeftOut = p.leftOut(d.Service, now)
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -48,9 +48,9 @@
 		// Guards against callers that return before any server takes them, or all together.
 		setUp("a", "b")
 		p.Pause(key("a"), now.Add(3*time.Second), now)
-		Expect(p.AllPaused(&demand, now)).To(BeNil())
+		Expect(p.RefuseIfPaused(&demand, now)).To(BeNil())
 		p.Pause(key("b"), now.Add(2*time.Second), now)
-		Expect(p.AllPaused(&demand, now)).NotTo(BeNil())
+		Expect(p.RefuseIfPaused(&demand, now)).NotTo(BeNil())
 		waits := make(map[time.Duration]bool)
 		for range 20 {
 			_, refusal := p.Pick(demand, now)
