--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,7 +53,7 @@
 	directory *directory.Directory
 	picker    *placement.Picker
 	// granted are the places that other entries have got here.
-	granted  *placement.Granted
+	granted  *placement.LeaseTable
 	budget   *retry.Budget
 	versions *versions.Wanted
 	suspects *suspects
--- a/lib/placement/granted.go
+++ b/lib/placement/granted.go
@@ -16,9 +16,9 @@
 // that its entry no longer names counts as ended after it.
 const endNoticeTime = 200 * time.Millisecond
 
-// Granted keeps the leases that other entries have asked for. Notices of their
+// LeaseTable keeps the leases that other entries have asked for. Notices of their
 // ends may be lost, and entries may end without one.
-type Granted struct {
+type LeaseTable struct {
 	picker *Picker
 	leases map[string]map[LeaseID]*granted
 }
@@ -30,12 +30,12 @@
 }
 
 // NewGranted returns a Granted without leases.
-func NewGranted(p *Picker) *Granted {
-	return &Granted{picker: p, leases: make(map[string]map[LeaseID]*granted)}
+func NewGranted(p *Picker) *LeaseTable {
+	return &LeaseTable{picker: p, leases: make(map[string]map[LeaseID]*granted)}
 }
 
 // Grant places a request of another entry.
-func (g *Granted) Grant(id LeaseID, d Request, now time.Time) (*Lease, *Refusal) {
+func (g *LeaseTable) Grant(id LeaseID, d Request, now time.Time) (*Lease, *Refusal) {
 	d.Entry = id.Entry
 	lease, refusal := g.picker.Pick(d, now)
 	if refusal != nil {
@@ -60,7 +60,7 @@
 
 // ResponseStarted takes note that a lease's first answer has arrived. It returns the
 // lease, or nil if it is not known.
-func (g *Granted) ResponseStarted(id LeaseID, now time.Time) *Lease {
+func (g *LeaseTable) ResponseStarted(id LeaseID, now time.Time) *Lease {
 	l := g.leases[id.Entry][id]
 	if l == nil {
 		return nil
@@ -70,7 +70,7 @@
 }
 
 // Done ends a lease. It returns the lease, or nil if it is not known.
-func (g *Granted) Done(id LeaseID, result Result, now time.Time) *Lease {
+func (g *LeaseTable) Done(id LeaseID, result Result, now time.Time) *Lease {
 	l := g.leases[id.Entry][id]
 	if l == nil {
 		return nil
@@ -79,7 +79,7 @@
 	return l.Lease
 }
 
-func (g *Granted) end(id LeaseID, l *granted, result Result, now time.Time) {
+func (g *LeaseTable) end(id LeaseID, l *granted, result Result, now time.Time) {
 	l.Usage = g.picker.Done(l.Lease, result, now)
 	delete(g.leases[id.Entry], id)
 	if len(g.leases[id.Entry]) == 0 {
@@ -89,7 +89,7 @@
 
 // Keep ends the leases of an entry that it no longer names, as the notices of
 // their ends were lost. open are the numbers of those that it has.
-func (g *Granted) Keep(entry string, start uint64, open []uint64, now time.Time) {
+func (g *LeaseTable) Keep(entry string, start uint64, open []uint64, now time.Time) {
 	named := make(map[uint64]bool, len(open))
 	for _, n := range open {
 		named[n] = true
@@ -102,7 +102,7 @@
 }
 
 // Expire ends the leases whose time is over.
-func (g *Granted) Expire(now time.Time) {
+func (g *LeaseTable) Expire(now time.Time) {
 	for _, leases := range g.leases {
 		for id, l := range leases {
 			if now.After(l.until) {
@@ -113,7 +113,7 @@
 }
 
 // Len returns the number of leases.
-func (g *Granted) Len() int {
+func (g *LeaseTable) Len() int {
 	n := 0
 	for _, leases := range g.leases {
 		n += len(leases)
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -15,7 +15,7 @@
 	var (
 		now time.Time
 		p   *placement.Picker
-		g   *placement.Granted
+		g   *placement.LeaseTable
 		dir *directory.Directory
 	)
 	id := func(entry string, start, number uint64) placement.LeaseID {
