--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -85,7 +85,7 @@
 		bodies:    upstream.NewBodyBudget(config.MaxBufferedBytes),
 		directory: d,
 		picker:    picker,
-		granted:   placement.NewGranted(picker),
+		granted:   placement.NewLeaseTable(picker),
 		budget:    retry.New(config.Retry, config.Entries),
 		versions:  versions.NewWanted(config.MaxRolloutTime),
 		suspects:  newSuspects(),
--- a/lib/placement/granted.go
+++ b/lib/placement/granted.go
@@ -29,8 +29,8 @@
 	until time.Time
 }
 
-// NewGranted returns a Granted without leases.
-func NewGranted(p *Picker) *LeaseTable {
+// NewLeaseTable returns a Granted without leases.
+func NewLeaseTable(p *Picker) *LeaseTable {
 	return &LeaseTable{picker: p, leases: make(map[string]map[LeaseID]*granted)}
 }
 
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -38,7 +38,7 @@
 			})
 		}
 		p = placement.New(placement.Config{Domain: "north", Regions: map[string]string{"north": "n"}}, dir, rand.New(rand.NewPCG(1, 1)))
-		g = placement.NewGranted(p)
+		g = placement.NewLeaseTable(p)
 	})
 
 	It("count as load of their servers until they end", func() {
