--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -59,7 +59,7 @@
 		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, Born: key.Born})
 	}
 	if q.OpenKnown {
-		g.granted.Keep(q.Entry, q.Start, q.Open, now)
+		g.granted.Reconcile(q.Entry, q.Start, q.Open, now)
 	}
 	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Start, q.Lease), d, now)
 	if refusal != nil {
--- a/lib/placement/granted.go
+++ b/lib/placement/granted.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// Keep ends the leases of an entry that it no longer names, as the notices of
+// Reconcile ends the leases of an entry that it no longer names, as the notices of
 // their ends were lost. open are the numbers of those that it has.
-func (g *LeaseTable) Keep(entry string, start uint64, open []uint64, now time.Time) {
+func (g *LeaseTable) Reconcile(entry string, start uint64, open []uint64, now time.Time) {
 	named := make(map[uint64]bool, len(open))
 	for _, n := range open {
 		named[n] = true
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -57,9 +57,9 @@
 		grant(id("e2", 7, 1))
 		now = now.Add(time.Second)
 		grant(id("e1", 1, 3))
-		g.Keep("e1", 1, []uint64{2}, now)
+		g.Reconcile("e1", 1, []uint64{2}, now)
 		Expect(g.Len()).To(Equal(3), "the one that was granted just now stays")
-		g.Keep("e2", 8, nil, now)
+		g.Reconcile("e2", 8, nil, now)
 		Expect(g.Len()).To(Equal(2))
 	})
 
