--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -31,7 +31,7 @@
 	case r.ran:
 		r.refuse(http.StatusBadGateway, outcomeUnknown, string(refusal.Reason), 0)
 	default:
-		r.refuse(http.StatusServiceUnavailable, outcomeRefused, string(refusal.Reason), refusal.After)
+		r.refuse(http.StatusServiceUnavailable, outcomeRefused, string(refusal.Reason), refusal.RetryAfter)
 	}
 }
 
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -64,7 +64,7 @@
 	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Start, q.Lease), d, now)
 	if refusal != nil {
 		return &peerlink.PlaceAnswer{
-			Reason: string(refusal.Reason), AfterMillis: refusal.After.Milliseconds(), PredictedMicros: refusal.Predicted.Microseconds(),
+			Reason: string(refusal.Reason), AfterMillis: refusal.RetryAfter.Milliseconds(), PredictedMicros: refusal.Predicted.Microseconds(),
 		}
 	}
 	g.loads.tellUsage(lease.Server.Address, lease.Usage)
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -87,7 +87,7 @@
 	if crashes < quarantineCrashes {
 		return nil
 	}
-	return &placement.Refusal{Reason: quarantinedReason, After: until.Sub(r.gateway.now())}
+	return &placement.Refusal{Reason: quarantinedReason, RetryAfter: until.Sub(r.gateway.now())}
 }
 
 // crashes returns the number of backend servers that have ended under the request's
--- a/lib/placement/pause.go
+++ b/lib/placement/pause.go
@@ -98,7 +98,7 @@
 	}
 	wait := earliest.Sub(now)
 	spread := max(scale(wait, pauseSpread), minPauseSpread)
-	return &Refusal{Reason: Paused, After: wait + time.Duration(p.rng.Int64N(int64(spread)))}
+	return &Refusal{Reason: Paused, RetryAfter: wait + time.Duration(p.rng.Int64N(int64(spread)))}
 }
 
 // leftOut names servers of a service that get no requests because they leave or
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -55,9 +55,9 @@
 		for range 20 {
 			_, refusal := p.Pick(demand, now)
 			Expect(refusal.Reason).To(Equal(placement.Paused))
-			Expect(refusal.After).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<=", 2500*time.Millisecond)))
+			Expect(refusal.RetryAfter).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<=", 2500*time.Millisecond)))
 			Expect(refusal.LeftOut).To(ConsistOf("a: paused for 3000 ms", "b: paused for 2000 ms"))
-			waits[refusal.After] = true
+			waits[refusal.RetryAfter] = true
 		}
 		Expect(len(waits)).To(BeNumerically(">", 10))
 	})
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -204,7 +204,7 @@
 		return nil
 	}
 	after := min(max(predicted-limit, minRetryAfter), maxRetryAfter)
-	return &Refusal{Reason: Overloaded, After: after, Predicted: predicted}
+	return &Refusal{Reason: Overloaded, RetryAfter: after, Predicted: predicted}
 }
 
 // distance is the delay by which a server in another domain than the caller's is
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -84,7 +84,7 @@
 		d.MinVersion, d.Exclude = 2, []directory.Key{tried}
 		_, refusal := p.Pick(d, now)
 		Expect(refusal).NotTo(BeNil())
-		Expect(refusal.After).To(BeNumerically(">", 0))
+		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 		d.MinVersion = 0
 		Expect(pick(d).Server.ID).To(Equal("old"))
 	})
@@ -137,10 +137,10 @@
 		d.MinVersion = 2
 		_, refusal := p.Pick(d, now)
 		Expect(refusal.Reason).To(Equal(placement.NoWeights))
-		Expect(refusal.After).To(Equal(2 * time.Second))
+		Expect(refusal.RetryAfter).To(Equal(2 * time.Second))
 		d.Remaining = 600 * time.Millisecond
 		_, refusal = p.Pick(d, now)
-		Expect(refusal.After).To(Equal(200 * time.Millisecond))
+		Expect(refusal.RetryAfter).To(Equal(200 * time.Millisecond))
 	})
 
 	It("leaves the margin before a bound also where no wait is predicted", func() {
@@ -177,7 +177,7 @@
 			if refusal != nil {
 				refused++
 				Expect(refusal.Reason).To(Equal(placement.Overloaded))
-				Expect(refusal.After).To(And(BeNumerically(">=", 100*time.Millisecond), BeNumerically("<=", 2*time.Second)))
+				Expect(refusal.RetryAfter).To(And(BeNumerically(">=", 100*time.Millisecond), BeNumerically("<=", 2*time.Second)))
 				continue
 			}
 			placed++
--- a/lib/placement/refusal.go
+++ b/lib/placement/refusal.go
@@ -21,8 +21,8 @@
 // Refusal tells why a request was not placed.
 type Refusal struct {
 	Reason Reason
-	// After is when a place is expected.
-	After time.Duration
+	// RetryAfter is when a place is expected.
+	RetryAfter time.Duration
 	// Predicted is the time to the first answer on the best server; zero if
 	// there is no server.
 	Predicted time.Duration
@@ -43,5 +43,5 @@
 	if reason == NoWeights && d.Remaining > 0 {
 		after = min(maxRetryAfter, d.Remaining/longestWait)
 	}
-	return &Refusal{Reason: reason, After: after}
+	return &Refusal{Reason: reason, RetryAfter: after}
 }
