--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -22,7 +22,7 @@
 
 // giveUp ends a request for which there is no server.
 func (r *request) giveUp(refusal *placement.Refusal) {
-	r.seen.Predicted, r.seen.ExcludedServers = refusal.Predicted, strings.Join(refusal.LeftOut, ", ")
+	r.seen.Predicted, r.seen.ExcludedServers = refusal.Predicted, strings.Join(refusal.ExcludedServers, ", ")
 	switch {
 	case r.stream.begun:
 		r.abort(string(refusal.Reason))
--- a/lib/placement/pause.go
+++ b/lib/placement/pause.go
@@ -43,7 +43,7 @@
 func (p *Picker) RefuseIfPaused(d *Request, now time.Time) *Refusal {
 	refusal := p.pausing(d, now)
 	if refusal != nil {
-		refusal.LeftOut = p.leftOut(d.Service, now)
+		refusal.ExcludedServers = p.leftOut(d.Service, now)
 	}
 	return refusal
 }
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -56,7 +56,7 @@
 			_, refusal := p.Pick(demand, now)
 			Expect(refusal.Reason).To(Equal(placement.Paused))
 			Expect(refusal.RetryAfter).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<=", 2500*time.Millisecond)))
-			Expect(refusal.LeftOut).To(ConsistOf("a: paused for 3000 ms", "b: paused for 2000 ms"))
+			Expect(refusal.ExcludedServers).To(ConsistOf("a: paused for 3000 ms", "b: paused for 2000 ms"))
 			waits[refusal.RetryAfter] = true
 		}
 		Expect(len(waits)).To(BeNumerically(">", 10))
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -29,7 +29,7 @@
 		refusal = p.tooLate(&d, best, estimate, now)
 	}
 	if refusal != nil {
-		refusal.LeftOut = p.leftOut(d.Service, now)
+		refusal.ExcludedServers = p.leftOut(d.Service, now)
 		return nil, refusal
 	}
 	occupancy, age := best.occupancy(now), best.loadAge(now)
--- a/lib/placement/refusal.go
+++ b/lib/placement/refusal.go
@@ -26,9 +26,9 @@
 	// Predicted is the time to the first answer on the best server; zero if
 	// there is no server.
 	Predicted time.Duration
-	// LeftOut names servers that leave or want a pause; some of them if they are
+	// ExcludedServers names servers that leave or want a pause; some of them if they are
 	// many.
-	LeftOut []string
+	ExcludedServers []string
 }
 
 // longestWait is the part of the time that a caller has left up to which it waits
