--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -89,7 +89,7 @@
 		spread()
 	}()
 	now := g.now()
-	server := g.directory.At(status.Address)
+	server := g.directory.ByAddress(status.Address)
 	if server == nil {
 		return
 	}
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -167,7 +167,7 @@
 		switch {
 		case listing == nil:
 			spreads = append(spreads, g.ended(server, endedUnlisted))
-		case g.directory.At(listing.Address) != listing:
+		case g.directory.ByAddress(listing.Address) != listing:
 			spreads = append(spreads, g.ended(server, endedLaterStart))
 		}
 	}
--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -145,9 +145,9 @@
 	return d.byService[name]
 }
 
-// At returns the server at an address, or nil. Of several, it is the one that
+// ByAddress returns the server at an address, or nil. Of several, it is the one that
 // started last.
-func (d *Directory) At(address string) *Server {
+func (d *Directory) ByAddress(address string) *Server {
 	if d.byAddress == nil {
 		d.byAddress = make(map[string]*Server, len(d.servers))
 		for _, s := range d.servers {
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -170,7 +170,7 @@
 		later := server("c")
 		later.Born = 5
 		d.Put(later)
-		Expect(d.At("10.0.0.1:80").ID).To(Equal("c"))
-		Expect(d.At("10.0.0.2:80")).To(BeNil())
+		Expect(d.ByAddress("10.0.0.1:80").ID).To(Equal("c"))
+		Expect(d.ByAddress("10.0.0.2:80")).To(BeNil())
 	})
 })
