--- a/gateway/place.go
+++ b/gateway/place.go
@@ -77,7 +77,7 @@
 func (g *Gateway) adopt(granted *grant, d *placement.Request) *placement.Lease {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	listing := g.directory.Server(granted.server)
+	listing := g.directory.Get(granted.server)
 	if listing == nil || listing.Draining || granted.version < d.MinVersion || g.picker.Throttled(granted.server, g.now()) {
 		return nil
 	}
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -143,7 +143,7 @@
 		granted, _, _ := other.ask(context.Background(), &demand)
 		Expect(granted).NotTo(BeNil())
 		other.gateway.UpdateServers(func(d *directory.Directory, _ time.Time) {
-			left := *d.Server(granted.server)
+			left := *d.Get(granted.server)
 			left.Draining = true
 			d.Put(&left)
 		})
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -163,7 +163,7 @@
 func (g *Gateway) endUnlisted() (spread func()) {
 	var spreads []func()
 	for _, server := range g.suspects.pending(g.now()) {
-		listing := g.directory.Server(server)
+		listing := g.directory.Get(server)
 		switch {
 		case listing == nil:
 			spreads = append(spreads, g.ended(server, endedUnlisted))
--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -159,8 +159,8 @@
 	return d.byAddress[address]
 }
 
-// Server returns the listed start with the key, or nil.
-func (d *Directory) Server(k Key) *Server {
+// Get returns the listed start with the key, or nil.
+func (d *Directory) Get(k Key) *Server {
 	if s := d.servers[k.ID]; s != nil && s.Born == k.Born {
 		return s
 	}
--- a/lib/directory/leaving.go
+++ b/lib/directory/leaving.go
@@ -34,7 +34,7 @@
 		d.forgetLeaving(now)
 	}
 	d.leaving[k] = Evidence{Source: source, At: now}
-	s := d.Server(k)
+	s := d.Get(k)
 	if s == nil || s.Draining {
 		return true
 	}
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -90,9 +90,9 @@
 		for n := range 5 {
 			fail("e1", uint64(n))
 		}
-		Expect(p.Condition(dir.Server(key), now)).To(Equal(placement.Open))
+		Expect(p.Condition(dir.Get(key), now)).To(Equal(placement.Open))
 		fail("e2", 1)
-		Expect(p.Condition(dir.Server(key), now)).To(Equal(placement.Ejected))
+		Expect(p.Condition(dir.Get(key), now)).To(Equal(placement.Ejected))
 		Expect(p.Avoided("drafts", now)).To(ConsistOf(key))
 	})
 })
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -39,8 +39,8 @@
 			Expect(l.Server.ID).To(Equal("b"))
 			p.Done(l, placement.Rejected, now)
 		}
-		Expect(p.Condition(d.Server(key("a")), now)).To(Equal(placement.Pausing))
-		Expect(p.Condition(d.Server(key("a")), now.Add(2*time.Second))).To(Equal(placement.Open))
+		Expect(p.Condition(d.Get(key("a")), now)).To(Equal(placement.Pausing))
+		Expect(p.Condition(d.Get(key("a")), now.Add(2*time.Second))).To(Equal(placement.Open))
 		Expect(p.Avoided("desk", now)).To(ConsistOf(key("a")))
 	})
 
