--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// Service returns the servers of a service, draining ones too. The slice must
+// ByService returns the servers of a service, draining ones too. The slice must
 // not be changed.
-func (d *Directory) Service(name string) []*Server {
+func (d *Directory) ByService(name string) []*Server {
 	if d.byService == nil {
 		d.byService = make(map[string][]*Server)
 		for _, s := range d.servers {
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -18,7 +18,7 @@
 	var d *directory.Directory
 	ids := func() []string {
 		var list []string
-		for _, s := range d.Service("orders") {
+		for _, s := range d.ByService("orders") {
 			list = append(list, s.ID)
 		}
 		return list
@@ -122,7 +122,7 @@
 
 	Describe("of a server that says that it leaves", func() {
 		leaves := func() bool {
-			for _, s := range d.Service("orders") {
+			for _, s := range d.ByService("orders") {
 				if s.ID == "a" {
 					return s.Draining
 				}
--- a/lib/placement/avoided.go
+++ b/lib/placement/avoided.go
@@ -18,7 +18,7 @@
 // and ejected ones unless they are too many to be believed.
 func (p *Picker) Avoided(service string, now time.Time) []directory.Key {
 	var avoided, paused []directory.Key
-	listed := p.directory.Service(service)
+	listed := p.directory.ByService(service)
 	for _, listing := range listed {
 		switch s := p.servers[listing.Key()]; {
 		case s == nil:
--- a/lib/placement/pause.go
+++ b/lib/placement/pause.go
@@ -79,7 +79,7 @@
 		return nil
 	}
 	var earliest time.Time
-	for _, listing := range p.directory.Service(d.Service) {
+	for _, listing := range p.directory.ByService(d.Service) {
 		if listing.Draining || !holds(listing, d) {
 			continue
 		}
@@ -105,7 +105,7 @@
 // want a pause.
 func (p *Picker) leftOut(service string, now time.Time) []string {
 	var out []string
-	for _, listing := range p.directory.Service(service) {
+	for _, listing := range p.directory.ByService(service) {
 		if len(out) == maxLeftOut {
 			break
 		}
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -105,7 +105,7 @@
 func (p *Picker) usable(d *Request) ([]*server, Reason) {
 	reason := NoServer
 	var usable []*server
-	for _, listing := range p.directory.Service(d.Service) {
+	for _, listing := range p.directory.ByService(d.Service) {
 		switch {
 		case listing.Draining || d.excludes(listing.Key()):
 		case !holds(listing, d):
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -33,7 +33,7 @@
 // this region is known.
 func (p *Picker) HasLoadReports(service string, now time.Time) bool {
 	near, known := 0, 0
-	for _, listing := range p.directory.Service(service) {
+	for _, listing := range p.directory.ByService(service) {
 		if p.config.Regions[listing.Domain] != p.config.Regions[p.config.Domain] {
 			continue
 		}
