--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -55,7 +55,7 @@
 	services = make(map[string]string)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.directory.All(func(s *directory.Server) {
+	g.directory.ForEach(func(s *directory.Server) {
 		service := table.Service(s.Service)
 		if service == nil || service.Engine == nil || services[s.Address] != "" {
 			return
--- a/gateway/loads_test.go
+++ b/gateway/loads_test.go
@@ -19,7 +19,7 @@
 	listed := func() (ids []string) {
 		g.UpdateServers(func(d *directory.Directory, now time.Time) {
 			d.Expire(now)
-			d.All(func(s *directory.Server) { ids = append(ids, s.ID) })
+			d.ForEach(func(s *directory.Server) { ids = append(ids, s.ID) })
 		})
 		return ids
 	}
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -147,7 +147,7 @@
 	regions := g.config.Placement.Regions
 	byRegion := make(map[string][]netip.AddrPort)
 	g.mu.Lock()
-	g.directory.All(func(s *directory.Server) {
+	g.directory.ForEach(func(s *directory.Server) {
 		service := table.Service(s.Service)
 		if service == nil || service.Engine == nil {
 			return
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -62,7 +62,7 @@
 			s.RetriesLeft[name] = g.budget.Left(name, now)
 		}
 	}
-	g.directory.All(func(server *directory.Server) {
+	g.directory.ForEach(func(server *directory.Server) {
 		s.Servers[ServerGroup{server.Service, g.picker.Condition(server, now)}]++
 		for model, w := range server.Weights {
 			s.Engines[ModelVersion{model, w.Version}]++
--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// All calls f for each server.
-func (d *Directory) All(f func(*Server)) {
+// ForEach calls f for each server.
+func (d *Directory) ForEach(f func(*Server)) {
 	for _, s := range d.servers {
 		f(s)
 	}
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_news.go
@@ -48,7 +48,7 @@
 // Prune drops the state of servers that are no longer listed and idle.
 func (p *Picker) Prune() {
 	listed := make(map[directory.Key]bool, p.directory.Len())
-	p.directory.All(func(s *directory.Server) { listed[s.Key()] = true })
+	p.directory.ForEach(func(s *directory.Server) { listed[s.Key()] = true })
 	for key, s := range p.servers {
 		if !listed[key] && s.own.Running == 0 {
 			delete(p.servers, key)
