--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -118,6 +118,6 @@
 func (g *Gateway) amendWeights(server *directory.Server, model string, version int) *directory.Server {
 	updated := *server
 	updated.Weights = map[string]directory.Weights{model: {Version: version, Whole: true}}
-	g.directory.Amend(&updated)
+	g.directory.Update(&updated)
 	return &updated
 }
--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -87,9 +87,9 @@
 	d.changed()
 }
 
-// Amend changes what is known of a listed server from another source than its row.
+// Update changes what is known of a listed server from another source than its row.
 // A server whose row is gone is not brought back.
-func (d *Directory) Amend(s *Server) {
+func (d *Directory) Update(s *Server) {
 	if d.servers[s.ID] == nil {
 		return
 	}
