--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -15,7 +15,7 @@
 	if reply.Pause > 0 && g.picker.Pause(server.Key(), now.Add(reply.Pause), now) {
 		g.config.Log.Log(eventlog.ServerPaused, "server", server.ID, "born", server.Born, "service", server.Service, "for_ms", reply.Pause.Milliseconds())
 	}
-	if !reply.Draining || !g.directory.Leave(server.Key(), directory.FromAnswer, now) {
+	if !reply.Draining || !g.directory.MarkDraining(server.Key(), directory.FromAnswer, now) {
 		return false
 	}
 	g.logLeaving(server.Key(), directory.FromAnswer)
@@ -33,7 +33,7 @@
 	var news []peerlink.ServerKey
 	for _, server := range servers {
 		key := directory.Key{ID: server.ID, Born: server.Born}
-		if g.directory.Leave(key, directory.FromPeer, g.now()) {
+		if g.directory.MarkDraining(key, directory.FromPeer, g.now()) {
 			g.logLeaving(key, directory.FromPeer)
 			news = append(news, server)
 		}
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -133,8 +133,8 @@
 		It("believes it whatever rows tell, until another start", func() {
 			// Guards against a late row, a table read through another entry and a listing
 			// that bring a leaving server back.
-			Expect(d.Leave(directory.Key{ID: "a"}, directory.FromAnswer, start)).To(BeTrue())
-			Expect(d.Leave(directory.Key{ID: "a"}, directory.FromPeer, start)).To(BeFalse())
+			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.FromAnswer, start)).To(BeTrue())
+			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.FromPeer, start)).To(BeFalse())
 			Expect(leaves()).To(BeTrue())
 			d.Put(server("a"))
 			d.Replace([]*directory.Server{server("a"), server("b")}, true, start)
@@ -153,13 +153,13 @@
 
 		It("drops it at once if its row has lapsed", func() {
 			d.Replace(nil, true, start)
-			d.Leave(directory.Key{ID: "a"}, directory.FromAnswer, start)
+			d.MarkDraining(directory.Key{ID: "a"}, directory.FromAnswer, start)
 			Expect(ids()).To(ConsistOf("b"))
 		})
 
 		It("bounds what it remembers", func() {
 			for i := range 5000 {
-				d.Leave(directory.Key{ID: fmt.Sprint(i)}, directory.FromPeer, start.Add(time.Duration(i)))
+				d.MarkDraining(directory.Key{ID: fmt.Sprint(i)}, directory.FromPeer, start.Add(time.Duration(i)))
 			}
 			Expect(d.LeavingSince(start, 10_000)).To(HaveLen(4096))
 			Expect(d.LeavingSince(start.Add(4999), 10)).To(ConsistOf(directory.Key{ID: "4999"}))
--- a/lib/directory/leaving.go
+++ b/lib/directory/leaving.go
@@ -23,10 +23,10 @@
 	FromPeer   = "peer"
 )
 
-// Leave takes note that a start of a server leaves. It gets no further requests,
+// MarkDraining takes note that a start of a server leaves. It gets no further requests,
 // whatever a row says that was written or read earlier. It reports whether that is
 // news.
-func (d *Directory) Leave(k Key, source string, now time.Time) bool {
+func (d *Directory) MarkDraining(k Key, source string, now time.Time) bool {
 	if _, known := d.leaving[k]; known {
 		return false
 	}
