--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -146,7 +146,7 @@
 			again.Born = 7
 			d.Put(again)
 			Expect(leaves()).To(BeFalse())
-			e, known := d.Leaving(directory.Key{ID: "a"})
+			e, known := d.DrainEvidence(directory.Key{ID: "a"})
 			Expect(known).To(BeTrue())
 			Expect(e).To(Equal(directory.Evidence{Source: directory.FromAnswer, At: start}))
 		})
--- a/lib/directory/leaving.go
+++ b/lib/directory/leaving.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Leaving returns why a start is believed to leave.
-func (d *Directory) Leaving(k Key) (Evidence, bool) {
+// DrainEvidence returns why a start is believed to leave.
+func (d *Directory) DrainEvidence(k Key) (Evidence, bool) {
 	e, known := d.leaving[k]
 	return e, known
 }
