--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -218,7 +218,7 @@
 	if likely := g.suspects.monitor.Likely(now, quarantineCrashes-1, maxToldAgain); likely != nil {
 		news.Suspects = *likely
 	}
-	for _, server := range g.directory.LeavingSince(now.Add(-leavingToldFor), maxToldAgain) {
+	for _, server := range g.directory.DrainingSince(now.Add(-leavingToldFor), maxToldAgain) {
 		news.Leaving = append(news.Leaving, peerlink.ServerKey{ID: server.ID, Born: server.Born})
 	}
 	return news
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -161,8 +161,8 @@
 			for i := range 5000 {
 				d.MarkDraining(directory.Key{ID: fmt.Sprint(i)}, directory.FromPeer, start.Add(time.Duration(i)))
 			}
-			Expect(d.LeavingSince(start, 10_000)).To(HaveLen(4096))
-			Expect(d.LeavingSince(start.Add(4999), 10)).To(ConsistOf(directory.Key{ID: "4999"}))
+			Expect(d.DrainingSince(start, 10_000)).To(HaveLen(4096))
+			Expect(d.DrainingSince(start.Add(4999), 10)).To(ConsistOf(directory.Key{ID: "4999"}))
 		})
 	})
 
--- a/lib/directory/leaving.go
+++ b/lib/directory/leaving.go
@@ -52,9 +52,9 @@
 	return e, known
 }
 
-// LeavingSince returns the starts that are believed to leave since a moment or
+// DrainingSince returns the starts that are believed to leave since a moment or
 // later, at most limit.
-func (d *Directory) LeavingSince(moment time.Time, limit int) []Key {
+func (d *Directory) DrainingSince(moment time.Time, limit int) []Key {
 	var keys []Key
 	for k, e := range d.leaving {
 		if !e.At.Before(moment) && len(keys) < limit {
