--- a/lib/directory/leaving.go
+++ b/lib/directory/leaving.go
@@ -18,7 +18,7 @@
 
 // Sources of the belief that a server leaves.
 const (
-	FromRow    = "row"
+	SourceRow  = "row"
 	FromAnswer = "answer"
 	FromPeer   = "peer"
 )
