--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -15,10 +15,10 @@
 	if reply.Pause > 0 && g.picker.Pause(server.Key(), now.Add(reply.Pause), now) {
 		g.config.Log.Log(eventlog.ServerPaused, "server", server.ID, "born", server.Born, "service", server.Service, "for_ms", reply.Pause.Milliseconds())
 	}
-	if !reply.Draining || !g.directory.MarkDraining(server.Key(), directory.FromAnswer, now) {
+	if !reply.Draining || !g.directory.MarkDraining(server.Key(), directory.SourceResponse, now) {
 		return false
 	}
-	g.logLeaving(server.Key(), directory.FromAnswer)
+	g.logLeaving(server.Key(), directory.SourceResponse)
 	return true
 }
 
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -133,7 +133,7 @@
 		It("believes it whatever rows tell, until another start", func() {
 			// Guards against a late row, a table read through another entry and a listing
 			// that bring a leaving server back.
-			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.FromAnswer, start)).To(BeTrue())
+			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.SourceResponse, start)).To(BeTrue())
 			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.FromPeer, start)).To(BeFalse())
 			Expect(leaves()).To(BeTrue())
 			d.Put(server("a"))
@@ -148,12 +148,12 @@
 			Expect(leaves()).To(BeFalse())
 			e, known := d.DrainEvidence(directory.Key{ID: "a"})
 			Expect(known).To(BeTrue())
-			Expect(e).To(Equal(directory.Evidence{Source: directory.FromAnswer, At: start}))
+			Expect(e).To(Equal(directory.Evidence{Source: directory.SourceResponse, At: start}))
 		})
 
 		It("drops it at once if its row has lapsed", func() {
 			d.Replace(nil, true, start)
-			d.MarkDraining(directory.Key{ID: "a"}, directory.FromAnswer, start)
+			d.MarkDraining(directory.Key{ID: "a"}, directory.SourceResponse, start)
 			Expect(ids()).To(ConsistOf("b"))
 		})
 
--- a/lib/directory/leaving.go
+++ b/lib/directory/leaving.go
@@ -18,9 +18,9 @@
 
 // Sources of the belief that a server leaves.
 const (
-	SourceRow  = "row"
-	FromAnswer = "answer"
-	FromPeer   = "peer"
+	SourceRow      = "row"
+	SourceResponse = "answer"
+	FromPeer       = "peer"
 )
 
 // MarkDraining takes note that a start of a server leaves. It gets no further requests,
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -116,7 +116,7 @@
 						ends[k] = until
 					}
 				case 1:
-					d.MarkDraining(k, directory.FromAnswer, at)
+					d.MarkDraining(k, directory.SourceResponse, at)
 					leaving[k] = true
 				case 2:
 					born[id]++
