--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -33,8 +33,8 @@
 	var news []peerlink.ServerKey
 	for _, server := range servers {
 		key := directory.Key{ID: server.ID, Born: server.Born}
-		if g.directory.MarkDraining(key, directory.FromPeer, g.now()) {
-			g.logLeaving(key, directory.FromPeer)
+		if g.directory.MarkDraining(key, directory.SourcePeer, g.now()) {
+			g.logLeaving(key, directory.SourcePeer)
 			news = append(news, server)
 		}
 	}
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -134,7 +134,7 @@
 			// Guards against a late row, a table read through another entry and a listing
 			// that bring a leaving server back.
 			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.SourceResponse, start)).To(BeTrue())
-			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.FromPeer, start)).To(BeFalse())
+			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.SourcePeer, start)).To(BeFalse())
 			Expect(leaves()).To(BeTrue())
 			d.Put(server("a"))
 			d.Replace([]*directory.Server{server("a"), server("b")}, true, start)
@@ -159,7 +159,7 @@
 
 		It("bounds what it remembers", func() {
 			for i := range 5000 {
-				d.MarkDraining(directory.Key{ID: fmt.Sprint(i)}, directory.FromPeer, start.Add(time.Duration(i)))
+				d.MarkDraining(directory.Key{ID: fmt.Sprint(i)}, directory.SourcePeer, start.Add(time.Duration(i)))
 			}
 			Expect(d.DrainingSince(start, 10_000)).To(HaveLen(4096))
 			Expect(d.DrainingSince(start.Add(4999), 10)).To(ConsistOf(directory.Key{ID: "4999"}))
--- a/lib/directory/leaving.go
+++ b/lib/directory/leaving.go
@@ -20,7 +20,7 @@
 const (
 	SourceRow      = "row"
 	SourceResponse = "answer"
-	FromPeer       = "peer"
+	SourcePeer     = "peer"
 )
 
 // MarkDraining takes note that a start of a server leaves. It gets no further requests,
