--- a/gateway/loads_test.go
+++ b/gateway/loads_test.go
@@ -43,7 +43,7 @@
 		g.UpdateServers(func(d *directory.Directory, at time.Time) { d.Remove("a", true, at) })
 		report(5, 2)
 		Expect(listed()).To(ConsistOf("a"))
-		now.Advance(directory.LapseGrace)
+		now.Advance(directory.ExpiryGrace)
 		Expect(listed()).To(BeEmpty())
 	})
 
--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// LapseGrace is how long a server whose row vanished while the store was away
+// ExpiryGrace is how long a server whose row vanished while the store was away
 // stays in use after the store's return: rows of live servers are back within
 // about two seconds.
-const LapseGrace = 2 * time.Second
+const ExpiryGrace = 2 * time.Second
 
 // Directory is a view of the registered backend servers. It is not safe for
 // concurrent use.
@@ -111,7 +111,7 @@
 		return
 	}
 	if _, known := d.lapsed[id]; !known {
-		d.lapsed[id] = now.Add(LapseGrace)
+		d.lapsed[id] = now.Add(ExpiryGrace)
 	}
 }
 
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -39,10 +39,10 @@
 		// Guards against an empty directory right after an outage of the store, in
 		// which the rows of living servers lapse.
 		d.Replace(nil, true, start)
-		d.Expire(start.Add(directory.LapseGrace - time.Millisecond))
+		d.Expire(start.Add(directory.ExpiryGrace - time.Millisecond))
 		Expect(ids()).To(ConsistOf("a", "b"))
 		d.Put(server("a"))
-		d.Expire(start.Add(directory.LapseGrace))
+		d.Expire(start.Add(directory.ExpiryGrace))
 		Expect(ids()).To(ConsistOf("a"))
 	})
 
@@ -52,7 +52,7 @@
 		Expect(ids()).To(ConsistOf("a", "b"))
 		d.Apply(both, true, start.Add(time.Second))
 		d.Put(server("b"))
-		d.Expire(start.Add(directory.LapseGrace))
+		d.Expire(start.Add(directory.ExpiryGrace))
 		Expect(ids()).To(ConsistOf("b"))
 	})
 
