--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -93,8 +93,8 @@
 	if server == nil {
 		return
 	}
-	if status.Born != 0 && server.Born != 0 && status.Born != server.Born {
-		if status.Born > server.Born {
+	if status.Born != 0 && server.StartUnixMilli != 0 && status.Born != server.StartUnixMilli {
+		if status.Born > server.StartUnixMilli {
 			// The row of the later start is on its way; the listed one has ended.
 			g.picker.MarkSuperseded(server.Key())
 			spread = g.ended(server.Key(), endedLaterStart)
--- a/gateway/interrupted.go
+++ b/gateway/interrupted.go
@@ -35,7 +35,7 @@
 	content := r.fingerprint()
 	if closed {
 		g.config.Log.Log(eventlog.AttemptCut, "request", r.call.ID, "content", content,
-			"server", server.ID, "born", server.Born, "service", r.service, "err", err)
+			"server", server.ID, "born", server.StartUnixMilli, "service", r.service, "err", err)
 	}
 	g.mu.Lock()
 	now := g.now()
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -74,7 +74,7 @@
 
 // tellLeaving tells others that a server leaves. The caller does not hold mu.
 func (g *Gateway) tellLeaving(server directory.Key) {
-	g.tell(&peerlink.News{Leaving: []peerlink.ServerKey{{ID: server.ID, Born: server.Born}}})
+	g.tell(&peerlink.News{Leaving: []peerlink.ServerKey{{ID: server.ID, Born: server.StartUnixMilli}}})
 }
 
 // tell tells the other entries of the region and some agents of each region.
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -56,7 +56,7 @@
 		d.NextVersion, d.NextVersionAt = q.NextVersion, due
 	}
 	for _, key := range q.Exclude {
-		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, Born: key.Born})
+		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, StartUnixMilli: key.Born})
 	}
 	if q.OpenKnown {
 		g.granted.Reconcile(q.Entry, q.Start, q.Open, now)
@@ -69,7 +69,7 @@
 	}
 	g.loads.tellUsage(lease.Server.Address, lease.Usage)
 	return &peerlink.PlaceAnswer{
-		Server: &peerlink.ServerKey{ID: lease.Server.ID, Born: lease.Server.Born}, Version: lease.Server.Weights[q.Model].Version,
+		Server: &peerlink.ServerKey{ID: lease.Server.ID, Born: lease.Server.StartUnixMilli}, Version: lease.Server.Weights[q.Model].Version,
 		PredictedMicros: lease.Predicted.Microseconds(), Occupancy: lease.Occupancy, LoadAgeMicros: lease.LoadAge.Microseconds(),
 	}
 }
--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -13,7 +13,7 @@
 // is news that the server leaves. The caller holds mu.
 func (g *Gateway) noteSignals(server *directory.Server, reply ResponseInfo, now time.Time) (leaves bool) {
 	if reply.Pause > 0 && g.picker.Pause(server.Key(), now.Add(reply.Pause), now) {
-		g.config.Log.Log(eventlog.ServerPaused, "server", server.ID, "born", server.Born, "service", server.Service, "for_ms", reply.Pause.Milliseconds())
+		g.config.Log.Log(eventlog.ServerPaused, "server", server.ID, "born", server.StartUnixMilli, "service", server.Service, "for_ms", reply.Pause.Milliseconds())
 	}
 	if !reply.Draining || !g.directory.MarkDraining(server.Key(), directory.SourceResponse, now) {
 		return false
@@ -32,7 +32,7 @@
 	defer g.mu.Unlock()
 	var news []peerlink.ServerKey
 	for _, server := range servers {
-		key := directory.Key{ID: server.ID, Born: server.Born}
+		key := directory.Key{ID: server.ID, StartUnixMilli: server.Born}
 		if g.directory.MarkDraining(key, directory.SourcePeer, g.now()) {
 			g.logLeaving(key, directory.SourcePeer)
 			news = append(news, server)
@@ -42,7 +42,7 @@
 }
 
 func (g *Gateway) logLeaving(server directory.Key, source string) {
-	g.config.Log.Log(eventlog.ServerLeaving, "server", server.ID, "born", server.Born, "source", source)
+	g.config.Log.Log(eventlog.ServerLeaving, "server", server.ID, "born", server.StartUnixMilli, "source", source)
 }
 
 // allPaused refuses a request that only servers could run which want nothing from
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -61,7 +61,7 @@
 
 // startID names one start of a backend server, whose id may come back.
 func startID(k directory.Key) model.InstanceID {
-	return model.InstanceID(fmt.Sprintf("%s/%d", k.ID, k.Born))
+	return model.InstanceID(fmt.Sprintf("%s/%d", k.ID, k.StartUnixMilli))
 }
 
 // pending returns the servers whose exchanges wait for a sign, and forgets the
@@ -133,7 +133,7 @@
 	if len(contents) == 0 {
 		return func() {}
 	}
-	g.config.Log.Log(eventlog.ServerEnded, "server", server.ID, "born", server.Born, "sign", sign, "requests", len(contents))
+	g.config.Log.Log(eventlog.ServerEnded, "server", server.ID, "born", server.StartUnixMilli, "sign", sign, "requests", len(contents))
 	return g.crashed(server, contents)
 }
 
@@ -152,7 +152,7 @@
 	if g.suspects.attributor.Ends() == 0 || !g.suspects.attributor.Alive(startID(server), at) {
 		return func() {}
 	}
-	g.config.Log.Log(eventlog.ServerSurvived, "server", server.ID, "born", server.Born)
+	g.config.Log.Log(eventlog.ServerSurvived, "server", server.ID, "born", server.StartUnixMilli)
 	update := g.suspects.monitor.Survived(g.now(), startID(server))
 	return func() { g.spread(update) }
 }
@@ -219,7 +219,7 @@
 		news.Suspects = *likely
 	}
 	for _, server := range g.directory.DrainingSince(now.Add(-leavingToldFor), maxToldAgain) {
-		news.Leaving = append(news.Leaving, peerlink.ServerKey{ID: server.ID, Born: server.Born})
+		news.Leaving = append(news.Leaving, peerlink.ServerKey{ID: server.ID, Born: server.StartUnixMilli})
 	}
 	return news
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -19,7 +19,7 @@
 	start := time.Unix(1000, 0)
 	content := model.FingerprintOf("team", "GET a/x", nil)
 	listing := func(id string, born int64) *directory.Server {
-		return &directory.Server{ID: id, Service: "desk", Address: "10.0.0.1:80", Born: born, Slots: 6}
+		return &directory.Server{ID: id, Service: "desk", Address: "10.0.0.1:80", StartUnixMilli: born, Slots: 6}
 	}
 	var g *Gateway
 	var now *clock.Fake
@@ -74,7 +74,7 @@
 		// Guards against sound requests that are refused because an entry was cut off from
 		// servers that went on.
 		g.mu.Lock()
-		g.ended(directory.Key{ID: "a", Born: 1}, endedRefuses)
+		g.ended(directory.Key{ID: "a", StartUnixMilli: 1}, endedRefuses)
 		g.mu.Unlock()
 		now.Advance(time.Second)
 		g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", Born: 1, AgeMicros: 2_000_000})
--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -151,7 +151,7 @@
 	if d.byAddress == nil {
 		d.byAddress = make(map[string]*Server, len(d.servers))
 		for _, s := range d.servers {
-			if found := d.byAddress[s.Address]; found == nil || s.Born > found.Born {
+			if found := d.byAddress[s.Address]; found == nil || s.StartUnixMilli > found.StartUnixMilli {
 				d.byAddress[s.Address] = s
 			}
 		}
@@ -161,7 +161,7 @@
 
 // Get returns the listed start with the key, or nil.
 func (d *Directory) Get(k Key) *Server {
-	if s := d.servers[k.ID]; s != nil && s.Born == k.Born {
+	if s := d.servers[k.ID]; s != nil && s.StartUnixMilli == k.StartUnixMilli {
 		return s
 	}
 	return nil
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -143,7 +143,7 @@
 			d.Put(server("a"))
 			Expect(leaves()).To(BeTrue())
 			again := server("a")
-			again.Born = 7
+			again.StartUnixMilli = 7
 			d.Put(again)
 			Expect(leaves()).To(BeFalse())
 			e, known := d.DrainEvidence(directory.Key{ID: "a"})
@@ -168,7 +168,7 @@
 
 	It("finds the last server that started at an address", func() {
 		later := server("c")
-		later.Born = 5
+		later.StartUnixMilli = 5
 		d.Put(later)
 		Expect(d.ByAddress("10.0.0.1:80").ID).To(Equal("c"))
 		Expect(d.ByAddress("10.0.0.2:80")).To(BeNil())
--- a/lib/directory/server.go
+++ b/lib/directory/server.go
@@ -15,8 +15,8 @@
 	Draining bool
 	// Slots is the number of requests that run at the same time.
 	Slots int
-	// Born is the Unix time of its start in milliseconds.
-	Born int64
+	// StartUnixMilli is the Unix time of its start in milliseconds.
+	StartUnixMilli int64
 	// Revision is the store's version of its row.
 	Revision int64
 	// Weights are the loaded weights of an engine by model.
@@ -31,10 +31,10 @@
 }
 
 // Key identifies one start of a server.
-func (s *Server) Key() Key { return Key{ID: s.ID, Born: s.Born} }
+func (s *Server) Key() Key { return Key{ID: s.ID, StartUnixMilli: s.StartUnixMilli} }
 
 // Key identifies one start of a server.
 type Key struct {
-	ID   string
-	Born int64
+	ID             string
+	StartUnixMilli int64
 }
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -17,9 +17,9 @@
 	var d *directory.Directory
 	var p *placement.Picker
 	listing := func(id string, born int64) *directory.Server {
-		return &directory.Server{ID: id, Born: born, Service: "desk", Address: id, Domain: "north", Slots: 4}
+		return &directory.Server{ID: id, StartUnixMilli: born, Service: "desk", Address: id, Domain: "north", Slots: 4}
 	}
-	key := func(id string) directory.Key { return directory.Key{ID: id, Born: 1} }
+	key := func(id string) directory.Key { return directory.Key{ID: id, StartUnixMilli: 1} }
 	demand := placement.Request{Service: "desk", Domain: "north", LatencyTarget: time.Second}
 	setUp := func(servers ...string) {
 		d = directory.New()
@@ -107,7 +107,7 @@
 				// Clocks of paused processes stand still and go on.
 				at = at.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 50, 700, 5000}).Draw(t, "ms")) * time.Millisecond)
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "server")
-				k := directory.Key{ID: id, Born: born[id]}
+				k := directory.Key{ID: id, StartUnixMilli: born[id]}
 				switch rapid.IntRange(0, 5).Draw(t, "kind") {
 				case 0:
 					until := at.Add(time.Duration(rapid.IntRange(1, 4).Draw(t, "seconds")) * time.Second)
@@ -128,7 +128,7 @@
 					l, refusal := p.Pick(demand, at)
 					open := false
 					for id, b := range born {
-						k := directory.Key{ID: id, Born: b}
+						k := directory.Key{ID: id, StartUnixMilli: b}
 						open = open || !leaving[k] && !at.Before(ends[k])
 					}
 					if (refusal == nil) != open {
