--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -117,7 +117,7 @@
 // tells. The caller holds mu. It returns the new listing.
 func (g *Gateway) amendWeights(server *directory.Server, model string, version int) *directory.Server {
 	updated := *server
-	updated.Weights = map[string]directory.Weights{model: {Version: version, Whole: true}}
+	updated.Weights = map[string]directory.Weights{model: {Version: version, Complete: true}}
 	g.directory.Update(&updated)
 	return &updated
 }
--- a/gateway/loads_test.go
+++ b/gateway/loads_test.go
@@ -32,7 +32,7 @@
 		now = clock.NewFake(time.Unix(1000, 0))
 		g = New(Config{Clock: now, Log: eventlog.Discard()})
 		g.UpdateServers(func(d *directory.Directory, _ time.Time) {
-			d.Put(&directory.Server{ID: "a", Service: "s", Address: address, StartUnixMilli: 5, Weights: map[string]directory.Weights{"m": {Version: 1, Whole: true}}})
+			d.Put(&directory.Server{ID: "a", Service: "s", Address: address, StartUnixMilli: 5, Weights: map[string]directory.Weights{"m": {Version: 1, Complete: true}}})
 		})
 	})
 
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -46,7 +46,7 @@
 				for s := range servers {
 					d.Put(&directory.Server{
 						ID: fmt.Sprintf("s%d", s), Service: "drafts", Address: fmt.Sprintf("127.0.1.%d:%d", s+1, port), Domain: "north", Slots: 8,
-						Weights: map[string]directory.Weights{"m": {Version: 1, Whole: true}},
+						Weights: map[string]directory.Weights{"m": {Version: 1, Complete: true}},
 					})
 				}
 			})
--- a/internal/node/text.go
+++ b/internal/node/text.go
@@ -12,7 +12,7 @@
 	parts := make([]string, 0, len(weights))
 	for model, w := range weights {
 		text := model + ":" + strconv.Itoa(w.Version)
-		if !w.Whole {
+		if !w.Complete {
 			text += ":part"
 		}
 		parts = append(parts, text)
--- a/lib/directory/server.go
+++ b/lib/directory/server.go
@@ -26,8 +26,8 @@
 // Weights tells which version of a model is loaded, and how much of it.
 type Weights struct {
 	Version int
-	// Whole tells that all layers are loaded.
-	Whole bool
+	// Complete tells that all layers are loaded.
+	Complete bool
 }
 
 // Key identifies one start of a server.
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -34,7 +34,7 @@
 		for _, id := range []string{"a", "b"} {
 			dir.Put(&directory.Server{
 				ID: id, Service: "drafts", Address: id + ":80", Domain: "north", Slots: 16,
-				Weights: map[string]directory.Weights{"m": {Version: 1, Whole: true}},
+				Weights: map[string]directory.Weights{"m": {Version: 1, Complete: true}},
 			})
 		}
 		p = placement.New(placement.Config{Domain: "north", Regions: map[string]string{"north": "n"}}, dir, rand.New(rand.NewPCG(1, 1)))
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -177,7 +177,7 @@
 		return true
 	}
 	w, ok := s.Weights[d.Model]
-	if !ok || !w.Whole || w.Version < d.MinVersion {
+	if !ok || !w.Complete || w.Version < d.MinVersion {
 		return false
 	}
 	return d.Version == 0 || w.Version == d.Version
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -29,7 +29,7 @@
 	add := func(id, domain string, change func(*directory.Server)) directory.Key {
 		s := &directory.Server{
 			ID: id, Service: "drafts", Address: id + ":80", Domain: domain, Slots: 16,
-			Weights: map[string]directory.Weights{"m": {Version: 1, Whole: true}},
+			Weights: map[string]directory.Weights{"m": {Version: 1, Complete: true}},
 		}
 		if change != nil {
 			change(s)
@@ -76,9 +76,9 @@
 		add("draining", "north", func(s *directory.Server) { s.Draining = true })
 		add("part", "north", func(s *directory.Server) { s.Weights["m"] = directory.Weights{Version: 2} })
 		add("empty", "north", func(s *directory.Server) { s.Weights = nil })
-		loading := add("loading", "north", func(s *directory.Server) { s.Weights["m"] = directory.Weights{Version: 2, Whole: true} })
+		loading := add("loading", "north", func(s *directory.Server) { s.Weights["m"] = directory.Weights{Version: 2, Complete: true} })
 		p.Report(loading, placement.Load{Closed: true}, now)
-		tried := add("tried", "north", func(s *directory.Server) { s.Weights["m"] = directory.Weights{Version: 2, Whole: true} })
+		tried := add("tried", "north", func(s *directory.Server) { s.Weights["m"] = directory.Weights{Version: 2, Complete: true} })
 		add("old", "north", nil)
 		d := demand()
 		d.MinVersion, d.Exclude = 2, []directory.Key{tried}
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -255,7 +255,7 @@
 	s.ReadingTokens = b.readingTokens()
 	s.Closed = report.Busy || b.replica.Closed()
 	for model, w := range report.Weights {
-		if w.Whole {
+		if w.Complete {
 			s.Model, s.Version = model, w.Version
 		}
 	}
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -47,5 +47,5 @@
 // serves reports whether the engine serves a version or a newer one.
 func (r *Report) serves(model string, version int) bool {
 	w, ok := r.Weights[model]
-	return ok && w.Whole && w.Version >= version
+	return ok && w.Complete && w.Version >= version
 }
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -90,7 +90,7 @@
 	defer e.mu.Unlock()
 	r := replica.Report{Born: e.born, Waiting: e.waiting, Orders: int64(e.orders)}
 	if e.loaded > 0 {
-		r.Weights = map[string]directory.Weights{"m": {Version: e.loaded, Whole: true}}
+		r.Weights = map[string]directory.Weights{"m": {Version: e.loaded, Complete: true}}
 	}
 	e.waiting = max(0, e.waiting-1)
 	return r, nil
