--- a/lib/poison/config.go
+++ b/lib/poison/config.go
@@ -35,13 +35,13 @@
 
 // Config holds the limits of a Monitor. Zero values take defaults.
 type Config struct {
-	TTL         time.Duration
-	Settle      time.Duration
-	Pause       time.Duration
-	RunTTL      time.Duration
-	LostHold    time.Duration
-	MaxSuspects int
-	MaxProven   int
+	TTL          time.Duration
+	Settle       time.Duration
+	RecheckDelay time.Duration
+	RunTTL       time.Duration
+	LostHold     time.Duration
+	MaxSuspects  int
+	MaxProven    int
 	// Credit bounds the crashes that earlier answers to a fingerprint clear.
 	Credit int
 	// QuarantineCrashes is the number of different backend servers after whose
@@ -57,7 +57,7 @@
 	}
 	set(&c.TTL, defaultTTL)
 	set(&c.Settle, defaultSettle)
-	set(&c.Pause, defaultPause)
+	set(&c.RecheckDelay, defaultPause)
 	set(&c.RunTTL, defaultRunTTL)
 	set(&c.LostHold, defaultLostHold)
 	if c.MaxSuspects <= 0 {
--- a/lib/poison/decide.go
+++ b/lib/poison/decide.go
@@ -26,7 +26,7 @@
 	case contains(crashed, instance) || m.otherSuspectOn(now, finger, instance):
 		return Verdict{Decision: RunElsewhere}
 	case m.inFlight(now, finger, s):
-		return Verdict{Decision: Hold, Until: now.Add(m.config.Pause)}
+		return Verdict{Decision: Hold, Until: now.Add(m.config.RecheckDelay)}
 	}
 	if s.intendsSince.IsZero() {
 		s.intendsSince = now
@@ -37,7 +37,7 @@
 	}
 	for id, r := range s.runs {
 		if r.intends && id.before(m.self) && now.Sub(r.seen) <= m.config.RunTTL {
-			return Verdict{Decision: Hold, Until: now.Add(m.config.Pause)}
+			return Verdict{Decision: Hold, Until: now.Add(m.config.RecheckDelay)}
 		}
 	}
 	return Verdict{Decision: RunAlone}
