--- a/lib/poison/config.go
+++ b/lib/poison/config.go
@@ -41,7 +41,7 @@
 	RunTTL       time.Duration
 	LostHold     time.Duration
 	MaxSuspects  int
-	MaxProven    int
+	MaxKnownGood int
 	// Credit bounds the crashes that earlier answers to a fingerprint clear.
 	Credit int
 	// QuarantineCrashes is the number of different backend servers after whose
@@ -63,8 +63,8 @@
 	if c.MaxSuspects <= 0 {
 		c.MaxSuspects = defaultMaxSuspects
 	}
-	if c.MaxProven <= 0 {
-		c.MaxProven = defaultMaxProven
+	if c.MaxKnownGood <= 0 {
+		c.MaxKnownGood = defaultMaxProven
 	}
 	if c.Credit <= 0 {
 		c.Credit = defaultCredit
--- a/lib/poison/monitor_test.go
+++ b/lib/poison/monitor_test.go
@@ -158,7 +158,7 @@
 	// Guards popular content against two crashes that others caused, and the bound
 	// against content that crashes only at times.
 	It("lets an earlier answer clear one crash", func() {
-		m := New(Config{MaxProven: 2}, "e1", 1)
+		m := New(Config{MaxKnownGood: 2}, "e1", 1)
 		answer := func(f int) {
 			m.Started(now, finger(f), "x")
 			m.Finished(now, finger(f), "x", outcome.Completed)
