--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -54,7 +54,7 @@
 
 func newSuspects() *suspects {
 	return &suspects{
-		monitor:    poison.New(poison.Config{MaxSuspects: maxSuspects, MaxKnownGood: maxProven, Credit: answerCredit, QuarantineCrashes: quarantineCrashes}, "", 0),
+		monitor:    poison.New(poison.Config{MaxSuspects: maxSuspects, MaxKnownGood: maxProven, MaxCredit: answerCredit, QuarantineCrashes: quarantineCrashes}, "", 0),
 		attributor: poison.NewAttributor(), starts: make(map[model.InstanceID]directory.Key), logged: make(map[model.Fingerprint]bool),
 	}
 }
--- a/lib/poison/attributor_test.go
+++ b/lib/poison/attributor_test.go
@@ -89,7 +89,7 @@
 var _ = Describe("Monitor without agents", func() {
 	now := time.Unix(1_800_000_000, 0)
 	three := func() *Monitor {
-		m := New(Config{QuarantineCrashes: 3, Credit: 4}, "", 0)
+		m := New(Config{QuarantineCrashes: 3, MaxCredit: 4}, "", 0)
 		for i, server := range []model.InstanceID{"a/1", "b/1", "c/1"} {
 			m.Crashed(now.Add(time.Duration(i)), server, 0, report(0, 7))
 		}
@@ -125,7 +125,7 @@
 
 	It("counts answers of a content that was a suspect once", func() {
 		// Guards against popular content that is quarantined in the second wave of crashes.
-		m := New(Config{QuarantineCrashes: 3, Credit: 4}, "", 0)
+		m := New(Config{QuarantineCrashes: 3, MaxCredit: 4}, "", 0)
 		m.Crashed(now, "first", 0, report(0, 7))
 		for range 5 {
 			m.Answered(now, finger(7))
@@ -137,7 +137,7 @@
 	})
 
 	It("lets earlier answers clear as many crashes, up to the credit", func() {
-		m := New(Config{QuarantineCrashes: 3, Credit: 4}, "", 0)
+		m := New(Config{QuarantineCrashes: 3, MaxCredit: 4}, "", 0)
 		for range 10 {
 			m.Answered(now, finger(7))
 		}
--- a/lib/poison/config.go
+++ b/lib/poison/config.go
@@ -42,8 +42,8 @@
 	LostHold     time.Duration
 	MaxSuspects  int
 	MaxKnownGood int
-	// Credit bounds the crashes that earlier answers to a fingerprint clear.
-	Credit int
+	// MaxCredit bounds the crashes that earlier answers to a fingerprint clear.
+	MaxCredit int
 	// QuarantineCrashes is the number of different backend servers after whose
 	// crashes a fingerprint is quarantined.
 	QuarantineCrashes int
@@ -66,8 +66,8 @@
 	if c.MaxKnownGood <= 0 {
 		c.MaxKnownGood = defaultMaxProven
 	}
-	if c.Credit <= 0 {
-		c.Credit = defaultCredit
+	if c.MaxCredit <= 0 {
+		c.MaxCredit = defaultCredit
 	}
 	if c.QuarantineCrashes <= 0 {
 		c.QuarantineCrashes = defaultQuarantineCrashes
--- a/lib/poison/monitor.go
+++ b/lib/poison/monitor.go
@@ -23,7 +23,7 @@
 	config = config.applyDefaults()
 	return &Monitor{
 		config:   config,
-		proven:   newProven(config.MaxKnownGood, config.Credit),
+		proven:   newProven(config.MaxKnownGood, config.MaxCredit),
 		self:     entryID{instance, generation},
 		suspects: make(map[model.Fingerprint]*suspect),
 		flights:  make(map[model.Fingerprint]*flight),
