--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -215,7 +215,7 @@
 		}
 	}
 	news := &peerlink.News{}
-	if likely := g.suspects.monitor.Likely(now, quarantineCrashes-1, maxToldAgain); likely != nil {
+	if likely := g.suspects.monitor.TopSuspects(now, quarantineCrashes-1, maxToldAgain); likely != nil {
 		news.Suspects = *likely
 	}
 	for _, server := range g.directory.DrainingSince(now.Add(-leavingToldFor), maxToldAgain) {
--- a/lib/poison/attributor_test.go
+++ b/lib/poison/attributor_test.go
@@ -102,9 +102,9 @@
 
 	It("counts each start of a server once, whoever tells of it", func() {
 		a, b := three(), three()
-		a.Merge(now, *b.Likely(now, 3, 10))
+		a.Merge(now, *b.TopSuspects(now, 3, 10))
 		Expect(crashes(a, 7)).To(Equal(3))
-		Expect(a.Likely(now, 4, 10)).To(BeNil())
+		Expect(a.TopSuspects(now, 4, 10)).To(BeNil())
 	})
 
 	It("clears a content that was answered, and tells so", func() {
--- a/lib/poison/monitor.go
+++ b/lib/poison/monitor.go
@@ -209,10 +209,10 @@
 	return m.updateOf(now, all)
 }
 
-// Likely returns what is known of the fingerprints with at least so many crashes,
+// TopSuspects returns what is known of the fingerprints with at least so many crashes,
 // or nil if there are none. Of more than limit, it returns those that were heard of
 // last.
-func (m *Monitor) Likely(now time.Time, crashes, limit int) *wire.SuspectUpdate {
+func (m *Monitor) TopSuspects(now time.Time, crashes, limit int) *wire.SuspectUpdate {
 	var likely []model.Fingerprint
 	for finger, s := range m.suspects {
 		if crashed, _ := s.crashed(now, m.config.TTL); len(crashed) >= crashes {
--- a/replica/news.go
+++ b/replica/news.go
@@ -58,7 +58,7 @@
 // caller holds mu.
 func (b *Beacon) tellNews(now time.Time, to netip.AddrPort) {
 	news := &peerlink.News{}
-	if likely := b.suspects.Likely(now, likelyCrashes, maxTold); likely != nil {
+	if likely := b.suspects.TopSuspects(now, likelyCrashes, maxTold); likely != nil {
 		news.Suspects = *likely
 	}
 	for server, at := range b.leaving {
