--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -95,7 +95,7 @@
 func (r *request) crashes() (int, time.Time) {
 	g := r.gateway
 	g.mu.Lock()
-	none := g.suspects.monitor.Suspects() == 0
+	none := g.suspects.monitor.SuspectCount() == 0
 	g.mu.Unlock()
 	if none {
 		return 0, time.Time{}
--- a/lib/poison/monitor.go
+++ b/lib/poison/monitor.go
@@ -234,8 +234,8 @@
 	return len(crashed), last.Add(m.config.TTL)
 }
 
-// Suspects returns the number of fingerprints that are remembered.
-func (m *Monitor) Suspects() int { return len(m.suspects) }
+// SuspectCount returns the number of fingerprints that are remembered.
+func (m *Monitor) SuspectCount() int { return len(m.suspects) }
 
 func (m *Monitor) dropFlight(now time.Time, finger model.Fingerprint) {
 	if f, ok := m.flights[finger]; ok && !f.expire(now) {
--- a/lib/poison/monitor_test.go
+++ b/lib/poison/monitor_test.go
@@ -114,7 +114,7 @@
 		Expect(m.Quarantined(settled, finger(7))).To(BeTrue())
 		Expect(m.Verdict(v.Until.Add(time.Second), finger(7), "c").Decision).To(Equal(Run))
 		m.Tick(v.Until.Add(time.Second))
-		Expect(m.Suspects()).To(BeZero())
+		Expect(m.SuspectCount()).To(BeZero())
 	})
 
 	It("runs a suspect alone, elsewhere, after its turn, and clears it by success", func() {
@@ -183,7 +183,7 @@
 		for i := range 100 {
 			m.Crashed(now.Add(time.Duration(i)), "c", 1, report(uint64(i), 1000+i))
 		}
-		Expect(m.Suspects()).To(Equal(10))
+		Expect(m.SuspectCount()).To(Equal(10))
 		Expect(m.Quarantined(settled, finger(7))).To(BeTrue())
 	})
 })
