--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -193,7 +193,7 @@
 		contents = append(contents, s.Finger)
 		for _, in := range s.Incidents {
 			if !in.Cleared {
-				g.suspects.attributor.Learn(now, in.Instance, now.Add(-milliseconds(in.AgeMillis)))
+				g.suspects.attributor.RecordEnd(now, in.Instance, now.Add(-milliseconds(in.AgeMillis)))
 			}
 		}
 	}
--- a/lib/poison/attributor.go
+++ b/lib/poison/attributor.go
@@ -86,7 +86,7 @@
 		return nil
 	}
 	a.expire(now)
-	a.Learn(now, instance, now)
+	a.RecordEnd(now, instance, now)
 	var fingers []model.Fingerprint
 	for _, x := range a.pending[instance] {
 		fingers = append(fingers, x.finger)
@@ -95,8 +95,8 @@
 	return fingers
 }
 
-// Learn takes the end of an instance that others have found.
-func (a *Attributor) Learn(now time.Time, instance model.InstanceID, at time.Time) {
+// RecordEnd takes the end of an instance that others have found.
+func (a *Attributor) RecordEnd(now time.Time, instance model.InstanceID, at time.Time) {
 	if _, known := a.ends[instance]; known {
 		return
 	}
--- a/lib/poison/attributor_test.go
+++ b/lib/poison/attributor_test.go
@@ -42,7 +42,7 @@
 		c := NewAttributor()
 		c.Interrupted(now, "a", finger(1))
 		c.Ended(now, "a")
-		c.Learn(now, "b", now)
+		c.RecordEnd(now, "b", now)
 		Expect(c.Alive("a", now)).To(BeFalse(), "as old as its end")
 		Expect(c.Alive("a", now.Add(1))).To(BeTrue())
 		Expect(c.Alive("a", now.Add(2))).To(BeFalse(), "once")
@@ -79,7 +79,7 @@
 		c := NewAttributor()
 		for i := range 3 * maxPending {
 			c.Interrupted(now, model.InstanceID(fmt.Sprint(i)), finger(i))
-			c.Learn(now, model.InstanceID(fmt.Sprint(i)), now)
+			c.RecordEnd(now, model.InstanceID(fmt.Sprint(i)), now)
 		}
 		Expect(c.Pending(now)).To(HaveLen(maxPending))
 		Expect(c.Ends()).To(Equal(maxEnds))
