--- a/lib/poison/attributor.go
+++ b/lib/poison/attributor.go
@@ -115,9 +115,9 @@
 // Ends returns the number of instances that are believed to have ended.
 func (a *Attributor) Ends() int { return len(a.ends) }
 
-// Alive takes a sign of life that an instance gave at a moment. It reports whether
+// MarkAlive takes a sign of life that an instance gave at a moment. It reports whether
 // the instance was believed to have ended before that.
-func (a *Attributor) Alive(instance model.InstanceID, at time.Time) bool {
+func (a *Attributor) MarkAlive(instance model.InstanceID, at time.Time) bool {
 	end, known := a.ends[instance]
 	if !known || !at.After(end) {
 		return false
--- a/lib/poison/attributor_test.go
+++ b/lib/poison/attributor_test.go
@@ -43,10 +43,10 @@
 		c.Interrupted(now, "a", finger(1))
 		c.Ended(now, "a")
 		c.RecordEnd(now, "b", now)
-		Expect(c.Alive("a", now)).To(BeFalse(), "as old as its end")
-		Expect(c.Alive("a", now.Add(1))).To(BeTrue())
-		Expect(c.Alive("a", now.Add(2))).To(BeFalse(), "once")
-		Expect(c.Alive("b", now.Add(1))).To(BeTrue())
+		Expect(c.MarkAlive("a", now)).To(BeFalse(), "as old as its end")
+		Expect(c.MarkAlive("a", now.Add(1))).To(BeTrue())
+		Expect(c.MarkAlive("a", now.Add(2))).To(BeFalse(), "once")
+		Expect(c.MarkAlive("b", now.Add(1))).To(BeTrue())
 	})
 
 	It("returns each connection once, never one of a living server, and stays bounded", func() {
