--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -149,7 +149,7 @@
 // alive takes note that a backend server was alive at a moment. The caller holds
 // mu, and calls the result without it.
 func (g *Gateway) alive(server directory.Key, at time.Time) (spread func()) {
-	if g.suspects.attributor.Ends() == 0 || !g.suspects.attributor.MarkAlive(startID(server), at) {
+	if g.suspects.attributor.EndCount() == 0 || !g.suspects.attributor.MarkAlive(startID(server), at) {
 		return func() {}
 	}
 	g.config.Log.Log(eventlog.ServerSurvived, "server", server.ID, "born", server.StartUnixMilli)
--- a/lib/poison/attributor.go
+++ b/lib/poison/attributor.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// Ends returns the number of instances that are believed to have ended.
-func (a *Attributor) Ends() int { return len(a.ends) }
+// EndCount returns the number of instances that are believed to have ended.
+func (a *Attributor) EndCount() int { return len(a.ends) }
 
 // MarkAlive takes a sign of life that an instance gave at a moment. It reports whether
 // the instance was believed to have ended before that.
--- a/lib/poison/attributor_test.go
+++ b/lib/poison/attributor_test.go
@@ -82,7 +82,7 @@
 			c.RecordEnd(now, model.InstanceID(fmt.Sprint(i)), now)
 		}
 		Expect(c.Pending(now)).To(HaveLen(maxPending))
-		Expect(c.Ends()).To(Equal(maxEnds))
+		Expect(c.EndCount()).To(Equal(maxEnds))
 	})
 })
 
