--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -29,8 +29,8 @@
 	maxNamed = 40
 )
 
-// Beacon sends the engine's load to the entries that ask for it.
-type Beacon struct {
+// LoadReporter sends the engine's load to the entries that ask for it.
+type LoadReporter struct {
 	replica *Replica
 	conn    *net.UDPConn
 
@@ -70,16 +70,16 @@
 }
 
 // NewBeacon listens for entries on the replica's port.
-func NewBeacon(r *Replica) (*Beacon, error) {
+func NewBeacon(r *Replica) (*LoadReporter, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(r.config.Listen), Port: r.config.PeerPort})
 	if err != nil {
 		return nil, err
 	}
-	return &Beacon{replica: r, conn: conn, subscribers: make(map[netip.AddrPort]subscriber), usages: make(map[string]usage), suspects: poison.New(poison.Config{MaxSuspects: maxSuspects}, "", 0), leaving: make(map[peerlink.ServerKey]time.Time)}, nil
+	return &LoadReporter{replica: r, conn: conn, subscribers: make(map[netip.AddrPort]subscriber), usages: make(map[string]usage), suspects: poison.New(poison.Config{MaxSuspects: maxSuspects}, "", 0), leaving: make(map[peerlink.ServerKey]time.Time)}, nil
 }
 
 // Run serves entries until ctx ends.
-func (b *Beacon) Run(ctx context.Context) {
+func (b *LoadReporter) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = b.conn.Close() })
 	// The function does not run if this goroutine is the first to see the end of ctx.
 	defer func() {
@@ -93,7 +93,7 @@
 	}
 }
 
-func (b *Beacon) receive(ctx context.Context) {
+func (b *LoadReporter) receive(ctx context.Context) {
 	buf := make([]byte, maxDatagram)
 	for ctx.Err() == nil {
 		n, from, err := b.conn.ReadFromUDPAddrPort(buf)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (b *Beacon) take(from netip.AddrPort, d *peerlink.Datagram) {
+func (b *LoadReporter) take(from netip.AddrPort, d *peerlink.Datagram) {
 	if onTarget := b.replica.config.OnTarget; onTarget != nil && d.Subscription != nil && d.Subscription.Target != nil {
 		onTarget(d.Subscription.Target)
 	}
@@ -136,7 +136,7 @@
 
 // readingTokens sums up what the entries told. Entries that have fallen silent
 // do not count.
-func (b *Beacon) readingTokens() int {
+func (b *LoadReporter) readingTokens() int {
 	now := b.replica.config.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -161,7 +161,7 @@
 
 // current returns the entries whose subscription is not over. Those that are added
 // are returned once.
-func (b *Beacon) current() audience {
+func (b *LoadReporter) current() audience {
 	now := b.replica.config.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -185,7 +185,7 @@
 
 // Entries returns entries of this instance's region that go on serving, in random
 // order. It is safe for concurrent use.
-func (b *Beacon) Entries() []netip.AddrPort {
+func (b *LoadReporter) Entries() []netip.AddrPort {
 	var entries []netip.AddrPort
 	now := b.replica.config.Clock.Now()
 	b.mu.Lock()
@@ -201,7 +201,7 @@
 // maxAsked bounds the entries that are asked before the store.
 const maxAsked = 2
 
-func (b *Beacon) send(a audience) {
+func (b *LoadReporter) send(a audience) {
 	to := a.loads
 	status := b.status()
 	now := b.replica.config.Clock.Now()
@@ -243,7 +243,7 @@
 }
 
 // status returns the engine's load. An engine that does not answer is closed.
-func (b *Beacon) status() peerlink.Status {
+func (b *LoadReporter) status() peerlink.Status {
 	s := peerlink.Status{Address: b.replica.config.Self}
 	report := b.replica.report.Load()
 	if report == nil {
