--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -42,7 +42,7 @@
 	})
 	targets.replica = r
 	m.observeReplica(r)
-	beacon, err := replica.NewBeacon(r)
+	beacon, err := replica.NewLoadReporter(r)
 	if err != nil {
 		return err
 	}
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -69,8 +69,8 @@
 	readingTokens int
 }
 
-// NewBeacon listens for entries on the replica's port.
-func NewBeacon(r *Replica) (*LoadReporter, error) {
+// NewLoadReporter listens for entries on the replica's port.
+func NewLoadReporter(r *Replica) (*LoadReporter, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(r.config.Listen), Port: r.config.PeerPort})
 	if err != nil {
 		return nil, err
--- a/replica/beacon_test.go
+++ b/replica/beacon_test.go
@@ -44,7 +44,7 @@
 		// Guards against entries that know nothing of an engine for a second after a
 		// restart, and send requests to starts that have ended.
 		f := newFleet(1)
-		b, err := replica.NewBeacon(f.replicas[0])
+		b, err := replica.NewLoadReporter(f.replicas[0])
 		Expect(err).NotTo(HaveOccurred())
 		go b.Run(f.ctx)
 		first := subscribe(f, true)
@@ -60,7 +60,7 @@
 	It("reports at once to an entry that has started anew at its address", func() {
 		// Guards against an entry that knows nothing for a second after a quick restart.
 		f := newFleet(1)
-		b, err := replica.NewBeacon(f.replicas[0])
+		b, err := replica.NewLoadReporter(f.replicas[0])
 		Expect(err).NotTo(HaveOccurred())
 		go b.Run(f.ctx)
 		conn := subscribe(f, false)
