--- a/replica/engine.go
+++ b/replica/engine.go
@@ -17,7 +17,7 @@
 // use.
 type Engine interface {
 	// Report returns the engine's state.
-	Report(ctx context.Context) (Report, error)
+	Report(ctx context.Context) (EngineState, error)
 	// PutPiece stages a piece. What it holds is not checked by the engine.
 	PutPiece(ctx context.Context, model string, piece int, data []byte) error
 	// Piece returns a staged piece, or ErrMissing.
@@ -28,8 +28,8 @@
 	Start(ctx context.Context, model string, version int, orders int64) error
 }
 
-// Report is the state of an engine.
-type Report struct {
+// EngineState is the state of an engine.
+type EngineState struct {
 	// Born is its start in Unix milliseconds.
 	Born int64
 	// Running and Waiting count requests.
@@ -45,7 +45,7 @@
 }
 
 // serves reports whether the engine serves a version or a newer one.
-func (r *Report) serves(model string, version int) bool {
+func (r *EngineState) serves(model string, version int) bool {
 	w, ok := r.Weights[model]
 	return ok && w.Complete && w.Version >= version
 }
--- a/replica/fetchtarget.go
+++ b/replica/fetchtarget.go
@@ -17,7 +17,7 @@
 // fetch of an older version goes on if it is nearly done: an engine that skips a
 // version keeps the one before until the newer one has arrived, and all engines
 // would then change at the same moment.
-func (r *Replica) fetchTarget(ctx context.Context, t target, report *Report) {
+func (r *Replica) fetchTarget(ctx context.Context, t target, report *EngineState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pending {
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -85,10 +85,10 @@
 	return &fakeEngine{born: 1, staged: make(map[int][]byte), loaded: version}
 }
 
-func (e *fakeEngine) Report(context.Context) (replica.Report, error) {
+func (e *fakeEngine) Report(context.Context) (replica.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := replica.Report{Born: e.born, Waiting: e.waiting, Orders: int64(e.orders)}
+	r := replica.EngineState{Born: e.born, Waiting: e.waiting, Orders: int64(e.orders)}
 	if e.loaded > 0 {
 		r.Weights = map[string]directory.Weights{"m": {Version: e.loaded, Complete: true}}
 	}
--- a/replica/order.go
+++ b/replica/order.go
@@ -9,7 +9,7 @@
 
 // next returns the newest fetched version whose turn has come, and whether any
 // waits. An engine that serves nothing waits for no turn.
-func (r *Replica) next(report *Report) (due *pendingVersion, waiting bool) {
+func (r *Replica) next(report *EngineState) (due *pendingVersion, waiting bool) {
 	now := r.config.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -150,7 +150,7 @@
 
 // timedReport is an engine's state and when it was read.
 type timedReport struct {
-	Report
+	EngineState
 	at time.Time
 }
 
@@ -162,7 +162,7 @@
 	if err != nil {
 		r.report.Store(nil)
 	} else {
-		r.report.Store(&timedReport{Report: report, at: r.config.Clock.Now()})
+		r.report.Store(&timedReport{EngineState: report, at: r.config.Clock.Now()})
 	}
 	r.notifyObserved()
 }
@@ -187,8 +187,8 @@
 		r.phases.fire(triggerServing)
 		return
 	}
-	r.fetchTarget(ctx, t, &report.Report)
-	switch p, waiting := r.next(&report.Report); {
+	r.fetchTarget(ctx, t, &report.EngineState)
+	switch p, waiting := r.next(&report.EngineState); {
 	case report.Busy:
 		r.phases.fire(triggerBusy)
 	case p != nil:
