--- a/replica/engine.go
+++ b/replica/engine.go
@@ -16,8 +16,8 @@
 // Engine is the model engine on the same instance. It is safe for concurrent
 // use.
 type Engine interface {
-	// Report returns the engine's state.
-	Report(ctx context.Context) (EngineState, error)
+	// State returns the engine's state.
+	State(ctx context.Context) (EngineState, error)
 	// PutPiece stages a piece. What it holds is not checked by the engine.
 	PutPiece(ctx context.Context, model string, piece int, data []byte) error
 	// Piece returns a staged piece, or ErrMissing.
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -85,7 +85,7 @@
 	return &fakeEngine{born: 1, staged: make(map[int][]byte), loaded: version}
 }
 
-func (e *fakeEngine) Report(context.Context) (replica.EngineState, error) {
+func (e *fakeEngine) State(context.Context) (replica.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := replica.EngineState{Born: e.born, Waiting: e.waiting, Orders: int64(e.orders)}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -158,7 +158,7 @@
 func (r *Replica) observe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	report, err := r.config.Engine.Report(ctx)
+	report, err := r.config.Engine.State(ctx)
 	if err != nil {
 		r.report.Store(nil)
 	} else {
