--- a/replica/engine.go
+++ b/replica/engine.go
@@ -18,8 +18,8 @@
 type Engine interface {
 	// State returns the engine's state.
 	State(ctx context.Context) (EngineState, error)
-	// PutPiece stages a piece. What it holds is not checked by the engine.
-	PutPiece(ctx context.Context, model string, piece int, data []byte) error
+	// StagePiece stages a piece. What it holds is not checked by the engine.
+	StagePiece(ctx context.Context, model string, piece int, data []byte) error
 	// Piece returns a staged piece, or ErrMissing.
 	Piece(ctx context.Context, model string, piece int) ([]byte, error)
 	// Start orders the engine to load the staged pieces once its running
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -96,7 +96,7 @@
 	return r, nil
 }
 
-func (e *fakeEngine) PutPiece(_ context.Context, _ string, piece int, data []byte) error {
+func (e *fakeEngine) StagePiece(_ context.Context, _ string, piece int, data []byte) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.staged[piece] = data
--- a/replica/holdings.go
+++ b/replica/holdings.go
@@ -114,7 +114,7 @@
 			}
 			continue
 		}
-		if err := h.engine.PutPiece(ctx, h.manifest.Model, piece, data); err != nil {
+		if err := h.engine.StagePiece(ctx, h.manifest.Model, piece, data); err != nil {
 			return false, err
 		}
 	}
