--- a/replica/engine.go
+++ b/replica/engine.go
@@ -22,10 +22,10 @@
 	StagePiece(ctx context.Context, model string, piece int, data []byte) error
 	// Piece returns a staged piece, or ErrMissing.
 	Piece(ctx context.Context, model string, piece int) ([]byte, error)
-	// Start orders the engine to load the staged pieces once its running
+	// StartLoad orders the engine to load the staged pieces once its running
 	// requests have ended, if it has accepted so many orders since its start. Of two
 	// orders that were decided on the same state, only one takes effect.
-	Start(ctx context.Context, model string, version int, orders int64) error
+	StartLoad(ctx context.Context, model string, version int, orders int64) error
 }
 
 // EngineState is the state of an engine.
