--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -251,7 +251,7 @@
 		return s
 	}
 	s.AgeMicros = b.replica.config.Clock.Now().Sub(report.at).Microseconds()
-	s.Born, s.Running, s.Waiting, s.Pace = report.Born, report.Running, report.Waiting, report.Pace
+	s.Born, s.Running, s.Waiting, s.Pace = report.Born, report.Running, report.Waiting, report.Slowdown
 	s.ReadingTokens = b.readingTokens()
 	s.Closed = report.Busy || b.replica.Closed()
 	for model, w := range report.Weights {
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -34,8 +34,8 @@
 	Born int64
 	// Running and Waiting count requests.
 	Running, Waiting int
-	// Pace is how much slower than declared it works; zero if it did not tell.
-	Pace float64
+	// Slowdown is how much slower than declared it works; zero if it did not tell.
+	Slowdown float64
 	// Orders counts the orders that it has accepted since its start.
 	Orders int64
 	// Busy tells that an order is in progress.
