--- a/replica/engine.go
+++ b/replica/engine.go
@@ -36,8 +36,8 @@
 	Running, Waiting int
 	// Slowdown is how much slower than declared it works; zero if it did not tell.
 	Slowdown float64
-	// Orders counts the orders that it has accepted since its start.
-	Orders int64
+	// OrdersAccepted counts the orders that it has accepted since its start.
+	OrdersAccepted int64
 	// Busy tells that an order is in progress.
 	Busy bool
 	// Weights are the loaded weights by model.
