--- a/replica/engine.go
+++ b/replica/engine.go
@@ -7,8 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// ErrMissing reports a piece that is not there.
-var ErrMissing = errors.New("piece is not there")
+// ErrPieceNotFound reports a piece that is not there.
+var ErrPieceNotFound = errors.New("piece is not there")
 
 // ErrNotAccepted reports an order that the engine cannot follow now.
 var ErrNotAccepted = errors.New("order was not accepted")
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -109,7 +109,7 @@
 	if data, ok := e.staged[piece]; ok {
 		return data, nil
 	}
-	return nil, replica.ErrMissing
+	return nil, replica.ErrPieceNotFound
 }
 
 func (e *fakeEngine) StartLoad(_ context.Context, _ string, version int, orders int64) error {
