--- a/replica/engine.go
+++ b/replica/engine.go
@@ -10,8 +10,8 @@
 // ErrPieceNotFound reports a piece that is not there.
 var ErrPieceNotFound = errors.New("piece is not there")
 
-// ErrNotAccepted reports an order that the engine cannot follow now.
-var ErrNotAccepted = errors.New("order was not accepted")
+// ErrOrderRejected reports an order that the engine cannot follow now.
+var ErrOrderRejected = errors.New("order was not accepted")
 
 // Engine is the model engine on the same instance. It is safe for concurrent
 // use.
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -116,7 +116,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if orders != int64(e.orders) {
-		return replica.ErrNotAccepted
+		return replica.ErrOrderRejected
 	}
 	e.orders++
 	e.rejected += e.waiting
--- a/replica/order.go
+++ b/replica/order.go
@@ -46,7 +46,7 @@
 	defer cancel()
 	err = r.config.Engine.StartLoad(callCtx, p.model, p.version, report.OrdersAccepted)
 	r.config.Log.Log(eventlog.ReplicaOrdered, "model", p.model, "version", p.version, "err", err)
-	if err != nil && errors.Is(err, ErrNotAccepted) {
+	if err != nil && errors.Is(err, ErrOrderRejected) {
 		return
 	}
 	// After a lost answer the engine may have accepted the order. If it has not,
