--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -32,7 +32,7 @@
 	targets := &replicaTargets{service: s.EngineService, source: store.Table(platform.TableOperator), log: p.Log}
 	peers := &peerList{settings: s, log: p.Log}
 	r := replica.New(replica.Config{
-		Self: s.EngineAddress, Region: s.Region,
+		EngineAddress: s.EngineAddress, Region: s.Region,
 		Engine: platform.NewEngine(s.EngineAddress), Origin: targets.currentOrigin, OriginTime: targets.originTime,
 		OnTarget: targets.announced,
 		Peers:    peers.read,
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -244,7 +244,7 @@
 
 // status returns the engine's load. An engine that does not answer is closed.
 func (b *LoadReporter) status() peerlink.Status {
-	s := peerlink.Status{Address: b.replica.config.Self}
+	s := peerlink.Status{Address: b.replica.config.EngineAddress}
 	report := b.replica.report.Load()
 	if report == nil {
 		s.Closed = true
--- a/replica/config.go
+++ b/replica/config.go
@@ -12,8 +12,8 @@
 
 // Config holds what a Replica needs from its process.
 type Config struct {
-	// Self is the IP address and port of the engine on this instance.
-	Self string
+	// EngineAddress is the IP address and port of the engine on this instance.
+	EngineAddress string
 	// Region is the region of the instance.
 	Region string
 	Engine Engine
--- a/replica/fetchtarget.go
+++ b/replica/fetchtarget.go
@@ -151,7 +151,7 @@
 	addresses := make(map[string]string, len(peers))
 	for _, p := range peers {
 		host, _, err := net.SplitHostPort(p.Address)
-		if err == nil && p.Address != r.config.Self {
+		if err == nil && p.Address != r.config.EngineAddress {
 			addresses[p.Address] = net.JoinHostPort(host, strconv.Itoa(r.config.PeerPort))
 		}
 	}
@@ -175,7 +175,7 @@
 	for _, p := range peers {
 		members = append(members, spread.Member{ID: p.Address, Region: p.Region})
 	}
-	plan := spread.NewPlan(spread.Member{ID: r.config.Self, Region: r.config.Region}, members, pieces)
+	plan := spread.NewPlan(spread.Member{ID: r.config.EngineAddress, Region: r.config.Region}, members, pieces)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastPlan = plan
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -181,7 +181,7 @@
 
 func (f *fleet) start(i int) *replica.Replica {
 	r := replica.New(replica.Config{
-		Self: f.peers[i].Address, Region: f.peers[i].Region, Engine: f.engines[i],
+		EngineAddress: f.peers[i].Address, Region: f.peers[i].Region, Engine: f.engines[i],
 		Origin:     func() replica.Origin { return f.origin },
 		OriginTime: func() time.Duration { return time.Millisecond },
 		Peers:      f.listed,
--- a/replica/manifest.go
+++ b/replica/manifest.go
@@ -40,7 +40,7 @@
 // last one seemed wrong, so that the origin is asked.
 func (r *Replica) manifest(ctx context.Context, t target, peers []Peer, suspect bool) (*Manifest, error) {
 	ranked := r.manifestRank(t, peers)
-	rank := slices.Index(ranked, r.config.Self)
+	rank := slices.Index(ranked, r.config.EngineAddress)
 	if suspect || rank < manifestReaders {
 		return r.originManifest(ctx, t)
 	}
@@ -62,7 +62,7 @@
 // manifestRank returns the instances of this region in the order in which they
 // read a manifest, on which all of them agree.
 func (r *Replica) manifestRank(t target, peers []Peer) []string {
-	near := []string{r.config.Self}
+	near := []string{r.config.EngineAddress}
 	for _, p := range peers {
 		if p.Region == r.config.Region && !slices.Contains(near, p.Address) {
 			near = append(near, p.Address)
