--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -33,7 +33,7 @@
 	peers := &peerList{settings: s, log: p.Log}
 	r := replica.New(replica.Config{
 		EngineAddress: s.EngineAddress, Region: s.Region,
-		Engine: platform.NewEngine(s.EngineAddress), Origin: targets.currentOrigin, OriginTime: targets.originTime,
+		Engine: platform.NewEngine(s.EngineAddress), Origin: targets.currentOrigin, OriginPieceTime: targets.originTime,
 		OnTarget: targets.announced,
 		Peers:    peers.read,
 		PeerPort: s.FirstPort, Listen: s.Address, VersionTime: s.Bounds.VersionTime,
--- a/replica/config.go
+++ b/replica/config.go
@@ -20,9 +20,9 @@
 	// Origin returns the origin that the live configuration names; nil if there
 	// is none yet.
 	Origin func() Origin
-	// OriginTime returns the time that the origin's link takes for one piece, zero
+	// OriginPieceTime returns the time that the origin's link takes for one piece, zero
 	// if it is not known.
-	OriginTime func() time.Duration
+	OriginPieceTime func() time.Duration
 	// Peers returns the engines of the same service as they are registered now.
 	Peers func() ([]Peer, error)
 	// OnTarget is called with each target that an entry announces; nil ignores them.
--- a/replica/fetchtarget.go
+++ b/replica/fetchtarget.go
@@ -51,7 +51,7 @@
 		return false
 	}
 	bound := float64(r.versionTime.Load())
-	arrives := r.config.Clock.Now().Add(time.Duration(len(h.missing())) * r.config.OriginTime())
+	arrives := r.config.Clock.Now().Add(time.Duration(len(h.missing())) * r.config.OriginPieceTime())
 	return arrives.Before(t.since.Add(time.Duration((1 - finishTime) * bound)))
 }
 
@@ -140,7 +140,7 @@
 func (r *Replica) newFetch(h *holdings, t target, peers []Peer) *fetch {
 	f := &fetch{
 		replica: r, holdings: h, addresses: make(map[string]string),
-		started: r.fetchStart(t), originTime: r.config.OriginTime(),
+		started: r.fetchStart(t), originTime: r.config.OriginPieceTime(),
 	}
 	f.follow(peers)
 	return f
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -182,10 +182,10 @@
 func (f *fleet) start(i int) *replica.Replica {
 	r := replica.New(replica.Config{
 		EngineAddress: f.peers[i].Address, Region: f.peers[i].Region, Engine: f.engines[i],
-		Origin:     func() replica.Origin { return f.origin },
-		OriginTime: func() time.Duration { return time.Millisecond },
-		Peers:      f.listed,
-		PeerPort:   f.port, Listen: f.host(i), VersionTime: time.Second,
+		Origin:          func() replica.Origin { return f.origin },
+		OriginPieceTime: func() time.Duration { return time.Millisecond },
+		Peers:           f.listed,
+		PeerPort:        f.port, Listen: f.host(i), VersionTime: time.Second,
 		Clock: clock.System{}, Log: eventlog.OpenPlain(f.logs, clock.System{}),
 	})
 	go func() {
