--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -100,7 +100,7 @@
 	if newer {
 		t.log.Log(eventlog.VersionDeclared, "model", target.Model, "version", target.Version, "source", source, "config", target.Config)
 	}
-	t.replica.Declare(target.Model, target.Version)
+	t.replica.SetTarget(target.Model, target.Version)
 }
 
 // run reads the store while no entry sends anything, until ctx ends.
@@ -170,7 +170,7 @@
 	if newer {
 		t.log.Log(eventlog.VersionDeclared, "model", w.Model, "version", w.Version, "source", "store")
 	}
-	t.replica.Declare(w.Model, w.Version)
+	t.replica.SetTarget(w.Model, w.Version)
 }
 
 // Unreadable implements platform.OperatorSink.
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -197,7 +197,7 @@
 
 func (f *fleet) declare(version int) {
 	for _, r := range f.replicas {
-		r.Declare("m", version)
+		r.SetTarget("m", version)
 	}
 }
 
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -70,8 +70,8 @@
 	return r
 }
 
-// Declare sets the version that the engine must serve. Older ones are ignored.
-func (r *Replica) Declare(model string, version int) {
+// SetTarget sets the version that the engine must serve. Older ones are ignored.
+func (r *Replica) SetTarget(model string, version int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.target.model == model && r.target.version >= version {
