--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -253,7 +253,7 @@
 	s.AgeMicros = b.replica.config.Clock.Now().Sub(report.at).Microseconds()
 	s.Born, s.Running, s.Waiting, s.Pace = report.Born, report.Running, report.Waiting, report.Slowdown
 	s.ReadingTokens = b.readingTokens()
-	s.Closed = report.Busy || b.replica.Closed()
+	s.Closed = report.Busy || b.replica.Draining()
 	for model, w := range report.Weights {
 		if w.Complete {
 			s.Model, s.Version = model, w.Version
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -92,8 +92,8 @@
 // Phase returns where the instance stands.
 func (r *Replica) Phase() Phase { return r.phases.phase() }
 
-// Closed reports whether the engine should get no more requests.
-func (r *Replica) Closed() bool { return r.closed.Load() }
+// Draining reports whether the engine should get no more requests.
+func (r *Replica) Draining() bool { return r.closed.Load() }
 
 // Stats returns the counters.
 func (r *Replica) Stats() *Stats { return &r.stats }
