--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -108,7 +108,7 @@
 	}
 	counter("weights_origin_bytes", "bytes of pieces from the origin", r.Stats().OriginBytes.Load)
 	counter("weights_peer_bytes", "bytes of pieces from peers", r.Stats().PeerBytes.Load)
-	counter("weights_spoilt_pieces", "pieces that did not match the manifest", r.Stats().Spoilt.Load)
+	counter("weights_spoilt_pieces", "pieces that did not match the manifest", r.Stats().CorruptPieces.Load)
 }
 
 // Close stops the endpoint.
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -217,7 +217,7 @@
 }
 
 func (r *Replica) spoilt(source string, piece int) {
-	r.stats.Spoilt.Add(1)
+	r.stats.CorruptPieces.Add(1)
 	if source == spread.Origin {
 		source = "origin"
 	}
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -81,7 +81,7 @@
 		f.declare(2)
 		Eventually(f.serving(2), soon).Should(BeTrue())
 		f.expectWhole()
-		Expect(f.replicas[0].Stats().Spoilt.Load() + f.replicas[1].Stats().Spoilt.Load()).To(Equal(int64(7)))
+		Expect(f.replicas[0].Stats().CorruptPieces.Load() + f.replicas[1].Stats().CorruptPieces.Load()).To(Equal(int64(7)))
 	})
 
 	It("brings an added engine up from peers while the origin is down", func() {
--- a/replica/versions.go
+++ b/replica/versions.go
@@ -34,5 +34,5 @@
 
 // Stats counts bytes of weights by source.
 type Stats struct {
-	OriginBytes, PeerBytes, Spoilt atomic.Int64
+	OriginBytes, PeerBytes, CorruptPieces atomic.Int64
 }
