--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -7,8 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/rendezvous"
 )
 
-// Ask is a piece that is to be asked of a source.
-type Ask struct {
+// PieceRequest is a piece that is to be asked of a source.
+type PieceRequest struct {
 	Source string
 	Piece  int
 }
@@ -156,7 +156,7 @@
 }
 
 // Next returns what is to be asked now.
-func (s *Scheduler) Next(now time.Time) []Ask {
+func (s *Scheduler) Next(now time.Time) []PieceRequest {
 	asks := s.nextOfOrigin(now)
 	free := s.config.PeerAsks - s.peersAsked(now)
 	for _, number := range s.order {
@@ -177,8 +177,8 @@
 
 // nextOfOrigin asks the origin in the order of the pieces, which is that of
 // their turns.
-func (s *Scheduler) nextOfOrigin(now time.Time) []Ask {
-	var asks []Ask
+func (s *Scheduler) nextOfOrigin(now time.Time) []PieceRequest {
+	var asks []PieceRequest
 	free := s.config.OriginAsks - s.source(Origin).asked
 	for number := 0; number < len(s.known) && free > 0; number++ {
 		p := s.missing[number]
@@ -195,10 +195,10 @@
 	return asks
 }
 
-func (s *Scheduler) ask(number int, p *piece, from string, now time.Time) Ask {
+func (s *Scheduler) ask(number int, p *piece, from string, now time.Time) PieceRequest {
 	p.asks[from] = now
 	s.source(from).asked++
-	return Ask{Source: from, Piece: number}
+	return PieceRequest{Source: from, Piece: number}
 }
 
 // Suspects returns the members that should have brought a piece in by now and
