--- a/lib/spread/config.go
+++ b/lib/spread/config.go
@@ -4,10 +4,10 @@
 
 // Config holds the limits of a Scheduler. Zero fields take the defaults.
 type Config struct {
-	// PeerAsks bounds the pieces that are asked of peers at the same time. All of
+	// PeerRequests bounds the pieces that are asked of peers at the same time. All of
 	// them may arrive at once, and live requests wait behind them on the
 	// instance's link.
-	PeerAsks int
+	PeerRequests int
 	// OriginAsks is the same for the origin.
 	OriginAsks int
 	// AskTimeout is the time after which a piece is asked of another source too.
@@ -54,7 +54,7 @@
 			*v = fallback
 		}
 	}
-	number(&c.PeerAsks, defaultPeerAsks)
+	number(&c.PeerRequests, defaultPeerAsks)
 	number(&c.OriginAsks, defaultOriginAsks)
 	duration(&c.AskTimeout, defaultAskTimeout)
 	duration(&c.Overdue, defaultOverdue)
--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -158,7 +158,7 @@
 // Next returns what is to be asked now.
 func (s *Scheduler) Next(now time.Time) []PieceRequest {
 	asks := s.nextOfOrigin(now)
-	free := s.config.PeerAsks - s.peersAsked(now)
+	free := s.config.PeerRequests - s.peersAsked(now)
 	for _, number := range s.order {
 		if free <= 0 {
 			break
