--- a/lib/spread/config.go
+++ b/lib/spread/config.go
@@ -8,8 +8,8 @@
 	// them may arrive at once, and live requests wait behind them on the
 	// instance's link.
 	PeerRequests int
-	// OriginAsks is the same for the origin.
-	OriginAsks int
+	// OriginRequests is the same for the origin.
+	OriginRequests int
 	// AskTimeout is the time after which a piece is asked of another source too.
 	AskTimeout time.Duration
 	// Overdue is the time after its turn in which a piece must have been seen.
@@ -55,7 +55,7 @@
 		}
 	}
 	number(&c.PeerRequests, defaultPeerAsks)
-	number(&c.OriginAsks, defaultOriginAsks)
+	number(&c.OriginRequests, defaultOriginAsks)
 	duration(&c.AskTimeout, defaultAskTimeout)
 	duration(&c.Overdue, defaultOverdue)
 	duration(&c.Quiet, defaultQuiet)
--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -179,7 +179,7 @@
 // their turns.
 func (s *Scheduler) nextOfOrigin(now time.Time) []PieceRequest {
 	var asks []PieceRequest
-	free := s.config.OriginAsks - s.source(Origin).asked
+	free := s.config.OriginRequests - s.source(Origin).asked
 	for number := 0; number < len(s.known) && free > 0; number++ {
 		p := s.missing[number]
 		if p == nil || s.waiting(p, now) {
