--- a/lib/spread/config.go
+++ b/lib/spread/config.go
@@ -10,8 +10,8 @@
 	PeerRequests int
 	// OriginRequests is the same for the origin.
 	OriginRequests int
-	// AskTimeout is the time after which a piece is asked of another source too.
-	AskTimeout time.Duration
+	// RequestTimeout is the time after which a piece is asked of another source too.
+	RequestTimeout time.Duration
 	// Overdue is the time after its turn in which a piece must have been seen.
 	// After it, the member that should bring it in is looked for.
 	Overdue time.Duration
@@ -56,7 +56,7 @@
 	}
 	number(&c.PeerRequests, defaultPeerAsks)
 	number(&c.OriginRequests, defaultOriginAsks)
-	duration(&c.AskTimeout, defaultAskTimeout)
+	duration(&c.RequestTimeout, defaultAskTimeout)
 	duration(&c.Overdue, defaultOverdue)
 	duration(&c.Quiet, defaultQuiet)
 	duration(&c.Stagger, defaultStagger)
--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -225,7 +225,7 @@
 	n := 0
 	for _, p := range s.missing {
 		for from, at := range p.asks {
-			if from != Origin && now.Sub(at) < s.config.AskTimeout {
+			if from != Origin && now.Sub(at) < s.config.RequestTimeout {
 				n++
 			}
 		}
--- a/lib/spread/scheduler_choice.go
+++ b/lib/spread/scheduler_choice.go
@@ -19,7 +19,7 @@
 // waiting reports whether a piece was asked for recently.
 func (s *Scheduler) waiting(p *piece, now time.Time) bool {
 	for _, at := range p.asks {
-		if now.Sub(at) < s.config.AskTimeout {
+		if now.Sub(at) < s.config.RequestTimeout {
 			return true
 		}
 	}
@@ -49,7 +49,7 @@
 // late reports whether a source that was asked for a piece takes too long.
 func (s *Scheduler) late(p *piece, now time.Time) bool {
 	for _, at := range p.asks {
-		if now.Sub(at) >= s.config.AskTimeout {
+		if now.Sub(at) >= s.config.RequestTimeout {
 			return true
 		}
 	}
