--- a/lib/spread/config.go
+++ b/lib/spread/config.go
@@ -12,9 +12,9 @@
 	OriginRequests int
 	// RequestTimeout is the time after which a piece is asked of another source too.
 	RequestTimeout time.Duration
-	// Overdue is the time after its turn in which a piece must have been seen.
+	// OverdueAfter is the time after its turn in which a piece must have been seen.
 	// After it, the member that should bring it in is looked for.
-	Overdue time.Duration
+	OverdueAfter time.Duration
 	// Quiet is the time without a new piece after which the origin's link counts as
 	// free. Members then bring pieces in that are overdue, one after another.
 	Quiet time.Duration
@@ -57,7 +57,7 @@
 	number(&c.PeerRequests, defaultPeerAsks)
 	number(&c.OriginRequests, defaultOriginAsks)
 	duration(&c.RequestTimeout, defaultAskTimeout)
-	duration(&c.Overdue, defaultOverdue)
+	duration(&c.OverdueAfter, defaultOverdue)
 	duration(&c.Quiet, defaultQuiet)
 	duration(&c.Stagger, defaultStagger)
 	return c
--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -208,7 +208,7 @@
 	var suspects []string
 	for _, number := range s.order {
 		p := s.missing[number]
-		if p == nil || s.known[number] || s.schedule.sinceDue(number, now) < s.config.Overdue {
+		if p == nil || s.known[number] || s.schedule.sinceDue(number, now) < s.config.OverdueAfter {
 			continue
 		}
 		first := s.plan.firstAlive(number, s.dead)
--- a/lib/spread/scheduler_choice.go
+++ b/lib/spread/scheduler_choice.go
@@ -73,7 +73,7 @@
 func (s *Scheduler) mayCross(number int, now time.Time) bool {
 	turn := s.plan.turnAlive(s.plan.rankedNear[number], s.dead)
 	p := s.missing[number]
-	return turn == 0 || !p.knownAt.IsZero() && now.Sub(p.knownAt) >= s.config.Overdue+time.Duration(turn)*s.config.Stagger
+	return turn == 0 || !p.knownAt.IsZero() && now.Sub(p.knownAt) >= s.config.OverdueAfter+time.Duration(turn)*s.config.Stagger
 }
 
 // mayAskOrigin reports whether this instance brings a piece into the
@@ -90,5 +90,5 @@
 		return true
 	}
 	quiet := max(quietPieces*s.config.OriginTime, s.config.Quiet) + time.Duration(turn)*s.config.Stagger
-	return since >= s.config.Overdue && now.Sub(s.news) >= quiet
+	return since >= s.config.OverdueAfter && now.Sub(s.news) >= quiet
 }
