--- a/lib/spread/config.go
+++ b/lib/spread/config.go
@@ -15,9 +15,9 @@
 	// OverdueAfter is the time after its turn in which a piece must have been seen.
 	// After it, the member that should bring it in is looked for.
 	OverdueAfter time.Duration
-	// Quiet is the time without a new piece after which the origin's link counts as
+	// OriginIdleAfter is the time without a new piece after which the origin's link counts as
 	// free. Members then bring pieces in that are overdue, one after another.
-	Quiet time.Duration
+	OriginIdleAfter time.Duration
 	// OriginTime is the time that the origin's link takes for one piece. Pieces
 	// are asked of the origin in turn, so that each of them arrives in that time
 	// and can spread while the next one is on its way. Zero asks at once.
@@ -58,7 +58,7 @@
 	number(&c.OriginRequests, defaultOriginAsks)
 	duration(&c.RequestTimeout, defaultAskTimeout)
 	duration(&c.OverdueAfter, defaultOverdue)
-	duration(&c.Quiet, defaultQuiet)
+	duration(&c.OriginIdleAfter, defaultQuiet)
 	duration(&c.Stagger, defaultStagger)
 	return c
 }
