--- a/lib/spread/config.go
+++ b/lib/spread/config.go
@@ -18,10 +18,10 @@
 	// OriginIdleAfter is the time without a new piece after which the origin's link counts as
 	// free. Members then bring pieces in that are overdue, one after another.
 	OriginIdleAfter time.Duration
-	// OriginTime is the time that the origin's link takes for one piece. Pieces
+	// OriginPieceTime is the time that the origin's link takes for one piece. Pieces
 	// are asked of the origin in turn, so that each of them arrives in that time
 	// and can spread while the next one is on its way. Zero asks at once.
-	OriginTime time.Duration
+	OriginPieceTime time.Duration
 	// Stagger is the time between members that take over from each other.
 	Stagger time.Duration
 }
--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -50,7 +50,7 @@
 		s.known[p] = false
 		s.missing[p] = &piece{asks: make(map[string]time.Time), refused: make(map[string]bool)}
 	}
-	s.schedule = newSchedule(s.config.OriginTime, s.unknown(), started)
+	s.schedule = newSchedule(s.config.OriginPieceTime, s.unknown(), started)
 	s.order = rand.New(rand.NewPCG(rendezvous.Hash(plan.self.ID), 0)).Perm(pieces)
 	return s
 }
--- a/lib/spread/scheduler_choice.go
+++ b/lib/spread/scheduler_choice.go
@@ -89,6 +89,6 @@
 	if turn == 0 {
 		return true
 	}
-	quiet := max(quietPieces*s.config.OriginTime, s.config.OriginIdleAfter) + time.Duration(turn)*s.config.Stagger
+	quiet := max(quietPieces*s.config.OriginPieceTime, s.config.OriginIdleAfter) + time.Duration(turn)*s.config.Stagger
 	return since >= s.config.OverdueAfter && now.Sub(s.news) >= quiet
 }
--- a/lib/spread/swarm_test.go
+++ b/lib/spread/swarm_test.go
@@ -71,7 +71,7 @@
 			}
 		}
 		a.plan = spread.NewPlan(a.member, s.listed(a.member), s.pieces)
-		a.scheduler = spread.NewScheduler(spread.Config{OriginTime: pieceTime}, a.plan, s.pieces, missing, s.now)
+		a.scheduler = spread.NewScheduler(spread.Config{OriginPieceTime: pieceTime}, a.plan, s.pieces, missing, s.now)
 	}
 }
 
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -64,7 +64,7 @@
 	f.asks = make(map[string]chan int)
 	f.spoilt = make(map[int]int)
 	pieces := len(f.holdings.manifest.Digests)
-	f.scheduler = spread.NewScheduler(spread.Config{OriginTime: f.originTime, PeerRequests: f.peerAsks()}, f.plan, pieces, f.holdings.missing(), f.started)
+	f.scheduler = spread.NewScheduler(spread.Config{OriginPieceTime: f.originTime, PeerRequests: f.peerAsks()}, f.plan, pieces, f.holdings.missing(), f.started)
 	f.asks[spread.Origin] = make(chan int, askQueue)
 	go f.askOrigin(ctx, f.asks[spread.Origin])
 	f.connectPlanned(ctx)
