--- a/lib/spread/config.go
+++ b/lib/spread/config.go
@@ -22,8 +22,8 @@
 	// are asked of the origin in turn, so that each of them arrives in that time
 	// and can spread while the next one is on its way. Zero asks at once.
 	OriginPieceTime time.Duration
-	// Stagger is the time between members that take over from each other.
-	Stagger time.Duration
+	// TakeoverStagger is the time between members that take over from each other.
+	TakeoverStagger time.Duration
 }
 
 const (
@@ -59,6 +59,6 @@
 	duration(&c.RequestTimeout, defaultAskTimeout)
 	duration(&c.OverdueAfter, defaultOverdue)
 	duration(&c.OriginIdleAfter, defaultQuiet)
-	duration(&c.Stagger, defaultStagger)
+	duration(&c.TakeoverStagger, defaultStagger)
 	return c
 }
--- a/lib/spread/scheduler_choice.go
+++ b/lib/spread/scheduler_choice.go
@@ -73,7 +73,7 @@
 func (s *Scheduler) mayCross(number int, now time.Time) bool {
 	turn := s.plan.turnAlive(s.plan.rankedNear[number], s.dead)
 	p := s.missing[number]
-	return turn == 0 || !p.knownAt.IsZero() && now.Sub(p.knownAt) >= s.config.OverdueAfter+time.Duration(turn)*s.config.Stagger
+	return turn == 0 || !p.knownAt.IsZero() && now.Sub(p.knownAt) >= s.config.OverdueAfter+time.Duration(turn)*s.config.TakeoverStagger
 }
 
 // mayAskOrigin reports whether this instance brings a piece into the
@@ -89,6 +89,6 @@
 	if turn == 0 {
 		return true
 	}
-	quiet := max(quietPieces*s.config.OriginPieceTime, s.config.OriginIdleAfter) + time.Duration(turn)*s.config.Stagger
+	quiet := max(quietPieces*s.config.OriginPieceTime, s.config.OriginIdleAfter) + time.Duration(turn)*s.config.TakeoverStagger
 	return since >= s.config.OverdueAfter && now.Sub(s.news) >= quiet
 }
