--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -69,8 +69,8 @@
 // Replan takes a plan with other members. What is known of sources stays.
 func (s *Scheduler) Replan(plan *Plan) { s.plan = plan }
 
-// Left returns the number of missing pieces.
-func (s *Scheduler) Left() int { return len(s.missing) }
+// Remaining returns the number of missing pieces.
+func (s *Scheduler) Remaining() int { return len(s.missing) }
 
 // Have takes note that a peer has pieces.
 func (s *Scheduler) Have(peer string, pieces []int, now time.Time) {
--- a/lib/spread/swarm_test.go
+++ b/lib/spread/swarm_test.go
@@ -90,7 +90,7 @@
 		open := 0
 		for _, id := range s.ids() {
 			a := s.agents[id]
-			if a.dead || a.scheduler.Left() == 0 {
+			if a.dead || a.scheduler.Remaining() == 0 {
 				continue
 			}
 			if !a.slow {
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -72,7 +72,7 @@
 	go f.readPeers(ctx)
 	ticker := time.NewTicker(fetchTick)
 	defer ticker.Stop()
-	for f.scheduler.Left() > 0 {
+	for f.scheduler.Remaining() > 0 {
 		f.ask(ctx)
 		select {
 		case <-ctx.Done():
