--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Lost takes note that a peer cannot be reached.
-func (s *Scheduler) Lost(peer string) {
+// PeerLost takes note that a peer cannot be reached.
+func (s *Scheduler) PeerLost(peer string) {
 	s.dead[peer] = true
 	delete(s.sources, peer)
 	for _, p := range s.missing {
--- a/lib/spread/swarm_test.go
+++ b/lib/spread/swarm_test.go
@@ -142,7 +142,7 @@
 	for _, id := range append(a.plan.Peers(), a.scheduler.Suspects(s.now)...) {
 		connected[id] = true
 		if s.agents[id] == nil {
-			a.scheduler.Lost(id)
+			a.scheduler.PeerLost(id)
 		}
 	}
 	for _, id := range s.ids() {
@@ -151,7 +151,7 @@
 			continue
 		}
 		if peer.dead {
-			a.scheduler.Lost(id)
+			a.scheduler.PeerLost(id)
 			continue
 		}
 		var have []int
@@ -180,7 +180,7 @@
 			s.fromOrigin++
 			s.got(a, t)
 		case from.dead:
-			a.scheduler.Lost(t.from)
+			a.scheduler.PeerLost(t.from)
 		case s.spoils[t.from]:
 			a.scheduler.Failed(t.piece, t.from, true, s.now)
 		default:
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -141,7 +141,7 @@
 		return
 	}
 	if f.addresses[id] == "" {
-		f.scheduler.Lost(id)
+		f.scheduler.PeerLost(id)
 		return
 	}
 	f.asks[id] = make(chan int, askQueue)
@@ -168,7 +168,7 @@
 func (f *fetch) take(e fetchEvent) bool {
 	switch {
 	case e.lost:
-		f.scheduler.Lost(e.source)
+		f.scheduler.PeerLost(e.source)
 	case e.piece == peerlink.NoPiece:
 		f.scheduler.Have(e.source, e.have, f.now())
 	case e.err != nil || len(e.data) == 0:
