--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Got takes note that a piece is staged.
-func (s *Scheduler) Got(number int, now time.Time) {
+// Received takes note that a piece is staged.
+func (s *Scheduler) Received(number int, now time.Time) {
 	p := s.missing[number]
 	if p == nil {
 		return
--- a/lib/spread/swarm_test.go
+++ b/lib/spread/swarm_test.go
@@ -195,6 +195,6 @@
 
 func (s *swarm) got(a *agent, t transfer) {
 	a.has[t.piece] = true
-	a.scheduler.Got(t.piece, s.now)
+	a.scheduler.Received(t.piece, s.now)
 	a.doneAt = s.now
 }
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -181,7 +181,7 @@
 	default:
 		f.replica.received(e.source, len(e.data))
 		f.holdings.put(e.piece, e.data)
-		f.scheduler.Got(e.piece, f.now())
+		f.scheduler.Received(e.piece, f.now())
 	}
 	return true
 }
