--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -201,10 +201,10 @@
 	return PieceRequest{Source: from, Piece: number}
 }
 
-// Suspects returns the members that should have brought a piece in by now and
+// OverdueMembers returns the members that should have brought a piece in by now and
 // that are not heard of. Finding out which of them are dead lets the next ones
 // take over at once.
-func (s *Scheduler) Suspects(now time.Time) []string {
+func (s *Scheduler) OverdueMembers(now time.Time) []string {
 	var suspects []string
 	for _, number := range s.order {
 		p := s.missing[number]
--- a/lib/spread/swarm_test.go
+++ b/lib/spread/swarm_test.go
@@ -139,7 +139,7 @@
 
 func (s *swarm) announce(a *agent) {
 	connected := make(map[string]bool)
-	for _, id := range append(a.plan.Peers(), a.scheduler.Suspects(s.now)...) {
+	for _, id := range append(a.plan.Peers(), a.scheduler.OverdueMembers(s.now)...) {
 		connected[id] = true
 		if s.agents[id] == nil {
 			a.scheduler.PeerLost(id)
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -152,7 +152,7 @@
 // ask passes the scheduler's choices on.
 func (f *fetch) ask(ctx context.Context) {
 	now := f.now()
-	for _, id := range f.scheduler.Suspects(now) {
+	for _, id := range f.scheduler.OverdueMembers(now) {
 		f.connect(ctx, id)
 	}
 	for _, a := range f.scheduler.Next(now) {
