--- a/agent/agent.go
+++ b/agent/agent.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	chunks := weights.NewStore(weights.StoreConfig{Sink: sink, MaxBytes: a.cfg.StagingBytes})
+	chunks := weights.NewStore(weights.StoreConfig{Storage: sink, MaxBytes: a.cfg.StagingBytes})
 	a.transfer = transfer.New(transfer.Config{
 		Clock:        a.cfg.Clock,
 		Seed:         a.cfg.Rand.Int63(),
--- a/lib/weights/sink.go
+++ b/lib/weights/sink.go
@@ -2,9 +2,9 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// Sink keeps chunk bytes by digest. Implementations are safe for concurrent
+// Storage keeps chunk bytes by digest. Implementations are safe for concurrent
 // use. They don't verify: Store does.
-type Sink interface {
+type Storage interface {
 	// Put keeps a chunk. A partly written chunk must never become readable.
 	Put(digest model.Digest, data []byte) error
 	// Get returns the bytes of a chunk, which the caller doesn't modify, or an
--- a/lib/weights/store.go
+++ b/lib/weights/store.go
@@ -14,15 +14,15 @@
 
 // StoreConfig holds the settings of a Store.
 type StoreConfig struct {
-	// Sink keeps the bytes; a MemorySink when nil.
-	Sink Sink
+	// Storage keeps the bytes; a MemorySink when nil.
+	Storage Storage
 	// MaxBytes bounds the sum of the chunk sizes.
 	MaxBytes int64
 }
 
 func (c *StoreConfig) applyDefaults() {
-	if c.Sink == nil {
-		c.Sink = NewMemorySink()
+	if c.Storage == nil {
+		c.Storage = NewMemorySink()
 	}
 	if c.MaxBytes <= 0 {
 		c.MaxBytes = DefaultMaxBytes
@@ -83,7 +83,7 @@
 	if err != nil || held {
 		return err
 	}
-	if err := s.cfg.Sink.Put(c.Digest, data); err != nil {
+	if err := s.cfg.Storage.Put(c.Digest, data); err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.bytes -= int64(c.Size)
@@ -128,7 +128,7 @@
 		if _, ok := s.wanted[digest]; ok {
 			continue
 		}
-		if err := s.cfg.Sink.Remove(digest); err != nil {
+		if err := s.cfg.Storage.Remove(digest); err != nil {
 			return err
 		}
 		delete(s.sizes, digest)
@@ -158,7 +158,7 @@
 	if !s.Has(digest) {
 		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessagef("no chunk %s", digest.Short()))
 	}
-	return s.cfg.Sink.Get(digest)
+	return s.cfg.Storage.Get(digest)
 }
 
 // Have returns which chunks of a manifest are held.
@@ -213,6 +213,6 @@
 	if size, ok := s.sizes[digest]; ok {
 		delete(s.sizes, digest)
 		s.bytes -= int64(size)
-		_ = s.cfg.Sink.Remove(digest)
+		_ = s.cfg.Storage.Remove(digest)
 	}
 }
--- a/lib/weights/store_test.go
+++ b/lib/weights/store_test.go
@@ -42,7 +42,7 @@
 		dir := GinkgoT().TempDir()
 		sink, err := weights.NewDirectorySink(dir)
 		Expect(err).NotTo(HaveOccurred())
-		m, s := build(data), weights.NewStore(weights.StoreConfig{Sink: sink})
+		m, s := build(data), weights.NewStore(weights.StoreConfig{Storage: sink})
 		fill(s, m, data)
 		Expect(s.Verify(m)).To(Succeed())
 		name := filepath.Join(dir, m.Chunks[3].Digest.String()+".chunk")
