--- a/lib/weights/sink_memory.go
+++ b/lib/weights/sink_memory.go
@@ -8,19 +8,19 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// MemorySink keeps chunks in memory.
-type MemorySink struct {
+// MemoryStorage keeps chunks in memory.
+type MemoryStorage struct {
 	mu     sync.RWMutex
 	chunks map[model.Digest][]byte
 }
 
 // NewMemorySink returns an empty sink.
-func NewMemorySink() *MemorySink {
-	return &MemorySink{chunks: make(map[model.Digest][]byte)}
+func NewMemorySink() *MemoryStorage {
+	return &MemoryStorage{chunks: make(map[model.Digest][]byte)}
 }
 
 // Put keeps data, which must not be modified afterwards.
-func (s *MemorySink) Put(digest model.Digest, data []byte) error {
+func (s *MemoryStorage) Put(digest model.Digest, data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chunks[digest] = data
@@ -28,7 +28,7 @@
 }
 
 // Get returns the bytes of a chunk.
-func (s *MemorySink) Get(digest model.Digest) ([]byte, error) {
+func (s *MemoryStorage) Get(digest model.Digest) ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	data, ok := s.chunks[digest]
@@ -39,7 +39,7 @@
 }
 
 // Remove frees a chunk.
-func (s *MemorySink) Remove(digest model.Digest) error {
+func (s *MemoryStorage) Remove(digest model.Digest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.chunks, digest)
