--- a/lib/weights/sink_memory.go
+++ b/lib/weights/sink_memory.go
@@ -14,8 +14,8 @@
 	chunks map[model.Digest][]byte
 }
 
-// NewMemorySink returns an empty sink.
-func NewMemorySink() *MemoryStorage {
+// NewMemoryStorage returns an empty sink.
+func NewMemoryStorage() *MemoryStorage {
 	return &MemoryStorage{chunks: make(map[model.Digest][]byte)}
 }
 
--- a/lib/weights/store.go
+++ b/lib/weights/store.go
@@ -22,7 +22,7 @@
 
 func (c *StoreConfig) applyDefaults() {
 	if c.Storage == nil {
-		c.Storage = NewMemorySink()
+		c.Storage = NewMemoryStorage()
 	}
 	if c.MaxBytes <= 0 {
 		c.MaxBytes = DefaultMaxBytes
