--- a/lib/weights/sink_directory.go
+++ b/lib/weights/sink_directory.go
@@ -15,22 +15,22 @@
 // instance may run as another user of the group.
 const stagingMode = 0o640
 
-// DirectorySink keeps one file per chunk in the engine's staging directory.
-type DirectorySink struct {
+// DirectoryStorage keeps one file per chunk in the engine's staging directory.
+type DirectoryStorage struct {
 	path string
 }
 
 // NewDirectorySink returns a sink over an existing or new directory.
-func NewDirectorySink(path string) (*DirectorySink, error) {
+func NewDirectorySink(path string) (*DirectoryStorage, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, merry.Prepend(err, "staging directory")
 	}
-	return &DirectorySink{path: path}, nil
+	return &DirectoryStorage{path: path}, nil
 }
 
 // Put writes the chunk under a temporary name and renames it, so that a
 // process that dies while it writes leaves no chunk with a valid name.
-func (s *DirectorySink) Put(digest model.Digest, data []byte) error {
+func (s *DirectoryStorage) Put(digest model.Digest, data []byte) error {
 	f, err := os.CreateTemp(s.path, "incoming-*")
 	if err != nil {
 		return merry.Prepend(err, "stage chunk")
@@ -48,7 +48,7 @@
 }
 
 // Get reads a chunk.
-func (s *DirectorySink) Get(digest model.Digest) ([]byte, error) {
+func (s *DirectoryStorage) Get(digest model.Digest) ([]byte, error) {
 	data, err := os.ReadFile(s.name(digest))
 	if err != nil {
 		return nil, merry.Wrap(ErrIncomplete, merry.WithCause(err))
@@ -57,7 +57,7 @@
 }
 
 // Remove deletes a chunk.
-func (s *DirectorySink) Remove(digest model.Digest) error {
+func (s *DirectoryStorage) Remove(digest model.Digest) error {
 	err := os.Remove(s.name(digest))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return merry.Wrap(err)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func (s *DirectorySink) name(digest model.Digest) string {
+func (s *DirectoryStorage) name(digest model.Digest) string {
 	return filepath.Join(s.path, ChunkFile(digest))
 }
 
