--- a/agent/agent.go
+++ b/agent/agent.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	sink, err := weights.NewDirectorySink(a.cfg.Staging)
+	sink, err := weights.NewDirectoryStorage(a.cfg.Staging)
 	if err != nil {
 		return err
 	}
--- a/lib/weights/sink_directory.go
+++ b/lib/weights/sink_directory.go
@@ -20,8 +20,8 @@
 	path string
 }
 
-// NewDirectorySink returns a sink over an existing or new directory.
-func NewDirectorySink(path string) (*DirectoryStorage, error) {
+// NewDirectoryStorage returns a sink over an existing or new directory.
+func NewDirectoryStorage(path string) (*DirectoryStorage, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, merry.Prepend(err, "staging directory")
 	}
--- a/lib/weights/store_test.go
+++ b/lib/weights/store_test.go
@@ -40,7 +40,7 @@
 
 	It("finds damage in the staging directory right before a load (guards against bytes that changed after the transfer)", func() {
 		dir := GinkgoT().TempDir()
-		sink, err := weights.NewDirectorySink(dir)
+		sink, err := weights.NewDirectoryStorage(dir)
 		Expect(err).NotTo(HaveOccurred())
 		m, s := build(data), weights.NewStore(weights.StoreConfig{Storage: sink})
 		fill(s, m, data)
