--- a/agent/transfer/seed.go
+++ b/agent/transfer/seed.go
@@ -78,6 +78,6 @@
 		}
 	}
 	s.mu.Unlock()
-	s.cfg.Chunks.Want(keep...)
+	s.cfg.Chunks.SetRetained(keep...)
 	s.partials.clear()
 }
--- a/lib/weights/store.go
+++ b/lib/weights/store.go
@@ -51,10 +51,10 @@
 	}
 }
 
-// Want replaces the set of manifests whose chunks must be kept. Other chunks
+// SetRetained replaces the set of manifests whose chunks must be kept. Other chunks
 // stay until Prune or until their space is needed, so that a version change
 // that is taken back costs no second transfer.
-func (s *Store) Want(manifests ...*Manifest) {
+func (s *Store) SetRetained(manifests ...*Manifest) {
 	wanted := make(map[model.Digest]struct{})
 	for _, m := range manifests {
 		for _, c := range m.Chunks {
