--- a/agent/transfer/step.go
+++ b/agent/transfer/step.go
@@ -86,7 +86,7 @@
 	}
 	r.reported = r.s.cfg.Clock.Now()
 	p := r.s.counters.progress()
-	m.OriginBytes, m.PeerBytes, m.TotalBytes = p.OriginBytes-r.before.OriginBytes, p.PeerBytes-r.before.PeerBytes, r.target.known.manifest.Total()
+	m.OriginBytes, m.PeerBytes, m.TotalBytes = p.OriginBytes-r.before.OriginBytes, p.PeerBytes-r.before.PeerBytes, r.target.known.manifest.TotalSize()
 	_ = r.conn.TrySend(m)
 }
 
--- a/lib/weights/manifest.go
+++ b/lib/weights/manifest.go
@@ -35,8 +35,8 @@
 	Chunks []Chunk      `msgpack:"c"`
 }
 
-// Total returns the sum of the chunk sizes in bytes.
-func (m *Manifest) Total() int64 {
+// TotalSize returns the sum of the chunk sizes in bytes.
+func (m *Manifest) TotalSize() int64 {
 	var total int64
 	for _, c := range m.Chunks {
 		total += int64(c.Size)
--- a/lib/weights/store_test.go
+++ b/lib/weights/store_test.go
@@ -29,7 +29,7 @@
 
 	It("assembles what was built, and refuses an incomplete or corrupt set (guards against partial weights)", func() {
 		m, s := build(data), weights.NewStore(weights.StoreConfig{})
-		Expect(m.Total()).To(BeEquivalentTo(len(data)))
+		Expect(m.TotalSize()).To(BeEquivalentTo(len(data)))
 		Expect(s.Verify(m)).To(MatchError(weights.ErrIncomplete))
 		Expect(s.Put(m.Chunks[0], data[1:1001])).To(MatchError(weights.ErrChunkCorrupt))
 		fill(s, m, data)
--- a/operator/cli/manifest_command.go
+++ b/operator/cli/manifest_command.go
@@ -50,7 +50,7 @@
 				return usagef("--out: %v", err)
 			}
 			p := printer{out: cmd.OutOrStdout()}
-			p.line("manifest = %s\nbytes = %d", model.Sum(data), manifest.Total())
+			p.line("manifest = %s\nbytes = %d", model.Sum(data), manifest.TotalSize())
 			return nil
 		},
 	}
