--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -14,8 +14,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Send sends a message to a peer without blocking.
-type Send func(wire.Message) error
+// SendFunc sends a message to a peer without blocking.
+type SendFunc func(wire.Message) error
 
 // Config sets up a Follower.
 type Config struct {
@@ -34,7 +34,7 @@
 
 	mu       sync.Mutex
 	peers    *config.Peers
-	sends    map[config.PeerID]Send
+	sends    map[config.PeerID]SendFunc
 	watchers []func(*config.View)
 	// stale is set while the configuration is older than staleAfter.
 	stale bool
@@ -51,7 +51,7 @@
 		cfg:     cfg,
 		replica: config.NewReplica(config.ReplicaConfig{}, cfg.Clock.Now()),
 		peers:   config.NewPeers(config.PeersConfig{}, cfg.Rand),
-		sends:   make(map[config.PeerID]Send),
+		sends:   make(map[config.PeerID]SendFunc),
 	}
 }
 
@@ -85,7 +85,7 @@
 
 // Connected adds a peer. Leaf marks a connection between an entry and an agent:
 // agents pass nothing on, so they hear of changes from one entry only.
-func (f *Follower) Connected(id config.PeerID, leaf bool, send Send) {
+func (f *Follower) Connected(id config.PeerID, leaf bool, send SendFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sends[id] = send
@@ -133,7 +133,7 @@
 }
 
 // Answer sends a peer the revisions that it lacks.
-func (f *Follower) Answer(id config.PeerID, m *wire.ConfigFetch, send Send) {
+func (f *Follower) Answer(id config.PeerID, m *wire.ConfigFetch, send SendFunc) {
 	f.mu.Lock()
 	f.peers.Asked(id)
 	revisions, err := f.replica.After(m.After)
