--- a/agent/agent.go
+++ b/agent/agent.go
@@ -55,7 +55,7 @@
 	a.cfg.Gate.Changed = a.sessions.beat
 	a.cfg.Gate.Refused = a.refused
 	a.rank.Store(unknownRank)
-	a.follower = follow.New(follow.Config{Clock: cfg.Clock, Rand: cfg.Rand, Log: cfg.Log, Beat: a.beat})
+	a.follower = follow.New(follow.Config{Clock: cfg.Clock, Rand: cfg.Rand, Log: cfg.Log, Heartbeat: a.beat})
 	var err error
 	if cfg.Kind == settings.BackendPlain {
 		err = a.setUpPlain()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -53,10 +53,10 @@
 	cfg = e.cfg
 	e.store = config.NewStore(cfg.Table, config.StoreConfig{Clock: cfg.Clock})
 	e.follower = follow.New(follow.Config{
-		Clock: cfg.Clock,
-		Rand:  rand.New(rand.NewSource(cfg.Rand.Int64())),
-		Log:   cfg.Log,
-		Beat:  e.beat,
+		Clock:     cfg.Clock,
+		Rand:      rand.New(rand.NewSource(cfg.Rand.Int64())),
+		Log:       cfg.Log,
+		Heartbeat: e.beat,
 	})
 	e.fleet = fleet.New(e.fleetConfig())
 	e.dispatcher = dispatch.New(e.dispatchConfig())
--- a/internal/agenttest/fleet.go
+++ b/internal/agenttest/fleet.go
@@ -36,7 +36,7 @@
 		List: list,
 		Follower: follow.New(follow.Config{
 			Clock: clock.System{}, Rand: rand.New(rand.NewSource(1)), Log: eventlog.Discard(),
-			Beat: func() wire.Heartbeat { return wire.Heartbeat{} },
+			Heartbeat: func() wire.Heartbeat { return wire.Heartbeat{} },
 		}),
 		ListInterval: 50 * time.Millisecond, Tick: 10 * time.Millisecond, CacheFetchInterval: 20 * time.Millisecond,
 		Other:    func(wire.Hello, wire.Message, func(wire.Message) error) {},
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -22,9 +22,9 @@
 	Clock clock.Clock
 	Rand  *rand.Rand
 	Log   *eventlog.Logger
-	// Beat returns a heartbeat of the process without the configuration fields.
+	// Heartbeat returns a heartbeat of the process without the configuration fields.
 	// It is sent out of turn to peers that do not know a new revision yet.
-	Beat func() wire.Heartbeat
+	Heartbeat func() wire.Heartbeat
 }
 
 // Follower is safe for concurrent use.
@@ -201,7 +201,7 @@
 		if send == nil {
 			continue
 		}
-		beat := f.cfg.Beat()
+		beat := f.cfg.Heartbeat()
 		f.stamp(&beat)
 		_ = send(&beat)
 		f.peers.Announced(id, head, now)
--- a/lib/follow/follower_test.go
+++ b/lib/follow/follower_test.go
@@ -26,7 +26,7 @@
 		now := clock.NewFake(time.Unix(1000, 0))
 		f := follow.New(follow.Config{
 			Clock: now, Rand: rand.New(rand.NewSource(1)), Log: eventlog.New(log.NewLogfmtLogger(&lines)),
-			Beat: func() wire.Heartbeat { return wire.Heartbeat{} },
+			Heartbeat: func() wire.Heartbeat { return wire.Heartbeat{} },
 		})
 		pass := func(d time.Duration) {
 			for range d / time.Second {
