--- a/agent/session.go
+++ b/agent/session.go
@@ -101,6 +101,6 @@
 // beat returns a whole heartbeat.
 func (s *session) beat() wire.Heartbeat {
 	beat := s.agent.beat()
-	s.agent.follower.Stamp(&beat)
+	s.agent.follower.SetConfigFields(&beat)
 	return beat
 }
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -191,7 +191,7 @@
 
 func (f *Fleet) heartbeat() wire.Heartbeat {
 	beat := f.Beat()
-	f.cfg.Follower.Stamp(&beat)
+	f.cfg.Follower.SetConfigFields(&beat)
 	return beat
 }
 
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -69,8 +69,8 @@
 // a time. It is called before the first connection.
 func (f *Follower) Watch(fn func(*config.View)) { f.watchers = append(f.watchers, fn) }
 
-// Stamp sets the configuration fields of a heartbeat.
-func (f *Follower) Stamp(beat *wire.Heartbeat) {
+// SetConfigFields sets the configuration fields of a heartbeat.
+func (f *Follower) SetConfigFields(beat *wire.Heartbeat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stamp(beat)
