--- a/agent/session.go
+++ b/agent/session.go
@@ -49,7 +49,7 @@
 	a := s.agent
 	id := config.PeerID{Instance: s.peer.Identity.Instance, Generation: s.peer.Identity.Generation}
 	a.gate.Connect(s.conn)
-	a.follower.Connected(id, true, s.conn.TrySend)
+	a.follower.PeerConnected(id, true, s.conn.TrySend)
 	a.sessions.add(s)
 	defer func() {
 		a.sessions.remove(s)
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -65,7 +65,7 @@
 		_ = c.send(news)
 	}
 	f.mu.Unlock()
-	f.cfg.Follower.Connected(peerID(c.hello), c.hello.Role == wire.RoleAgent, c.send)
+	f.cfg.Follower.PeerConnected(peerID(c.hello), c.hello.Role == wire.RoleAgent, c.send)
 	return nil
 }
 
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -83,9 +83,9 @@
 	beat.ConfigAgeMillis = f.replica.Age(f.cfg.Clock.Now()).Milliseconds()
 }
 
-// Connected adds a peer. Leaf marks a connection between an entry and an agent:
+// PeerConnected adds a peer. Leaf marks a connection between an entry and an agent:
 // agents pass nothing on, so they hear of changes from one entry only.
-func (f *Follower) Connected(id config.PeerID, leaf bool, send SendFunc) {
+func (f *Follower) PeerConnected(id config.PeerID, leaf bool, send SendFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sends[id] = send
