--- a/agent/session.go
+++ b/agent/session.go
@@ -53,7 +53,7 @@
 	a.sessions.add(s)
 	defer func() {
 		a.sessions.remove(s)
-		a.follower.Lost(id)
+		a.follower.PeerLost(id)
 		a.gate.Disconnect(s.conn)
 	}()
 	beats := heartbeat.Sender{Conn: s.conn, Beat: s.beat, InFlight: a.gate.Running, Wake: s.beats}
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -95,7 +95,7 @@
 	f.apply(f.view.Closed(f.cfg.Clock.Now(), id))
 	f.mu.Unlock()
 	if c != nil {
-		f.cfg.Follower.Lost(peerID(c.hello))
+		f.cfg.Follower.PeerLost(peerID(c.hello))
 	}
 }
 
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -92,8 +92,8 @@
 	f.peers.Joined(id, leaf)
 }
 
-// Lost removes a peer whose connection ended.
-func (f *Follower) Lost(id config.PeerID) {
+// PeerLost removes a peer whose connection ended.
+func (f *Follower) PeerLost(id config.PeerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.sends, id)
