--- a/agent/session.go
+++ b/agent/session.go
@@ -77,7 +77,7 @@
 	}
 	switch m := m.(type) {
 	case *wire.Heartbeat:
-		a.follower.Heartbeat(id, m)
+		a.follower.HandleHeartbeat(id, m)
 		if m.Probe {
 			s.wake()
 		}
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -139,7 +139,7 @@
 }
 
 func (f *Fleet) heartbeatFrom(id member.ConnID, peer wire.Hello, beat *wire.Heartbeat) {
-	f.cfg.Follower.Heartbeat(peerID(peer), beat)
+	f.cfg.Follower.HandleHeartbeat(peerID(peer), beat)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -100,8 +100,8 @@
 	f.peers.Lost(id)
 }
 
-// Heartbeat takes the configuration fields of a peer's heartbeat.
-func (f *Follower) Heartbeat(id config.PeerID, beat *wire.Heartbeat) {
+// HandleHeartbeat takes the configuration fields of a peer's heartbeat.
+func (f *Follower) HandleHeartbeat(id config.PeerID, beat *wire.Heartbeat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
--- a/lib/follow/follower_test.go
+++ b/lib/follow/follower_test.go
@@ -44,7 +44,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		f.Applied(accepted.Encoded)
 		confirm := func() {
-			f.Heartbeat(config.PeerID{Instance: "e1"}, &wire.Heartbeat{ConfigRevision: accepted.Head.Number, ConfigDigest: accepted.Head.Digest})
+			f.HandleHeartbeat(config.PeerID{Instance: "e1"}, &wire.Heartbeat{ConfigRevision: accepted.Head.Number, ConfigDigest: accepted.Head.Digest})
 			f.Tick()
 		}
 		confirm()
