--- a/agent/session.go
+++ b/agent/session.go
@@ -82,7 +82,7 @@
 			s.wake()
 		}
 	case *wire.ConfigFetch:
-		a.follower.Answer(id, m, s.conn.TrySend)
+		a.follower.HandleFetch(id, m, s.conn.TrySend)
 	case *wire.ConfigDelta:
 		a.follower.Delta(id, m)
 	case *wire.EntryList:
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -122,7 +122,7 @@
 	case *wire.Heartbeat:
 		f.heartbeatFrom(id, peer, m)
 	case *wire.ConfigFetch:
-		f.cfg.Follower.Answer(peerID(peer), m, reply)
+		f.cfg.Follower.HandleFetch(peerID(peer), m, reply)
 	case *wire.ConfigDelta:
 		f.cfg.Follower.Delta(peerID(peer), m)
 	case *wire.CrashReport:
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// Answer sends a peer the revisions that it lacks.
-func (f *Follower) Answer(id config.PeerID, m *wire.ConfigFetch, send SendFunc) {
+// HandleFetch sends a peer the revisions that it lacks.
+func (f *Follower) HandleFetch(id config.PeerID, m *wire.ConfigFetch, send SendFunc) {
 	f.mu.Lock()
 	f.peers.Asked(id)
 	revisions, err := f.replica.After(m.After)
