--- a/agent/session.go
+++ b/agent/session.go
@@ -84,7 +84,7 @@
 	case *wire.ConfigFetch:
 		a.follower.HandleFetch(id, m, s.conn.TrySend)
 	case *wire.ConfigDelta:
-		a.follower.Delta(id, m)
+		a.follower.HandleDelta(id, m)
 	case *wire.EntryList:
 		// Trackers are per failure domain; an entry of another one names its own.
 		if a.transfer != nil && s.peer.Identity.Location == a.cfg.Identity.Location {
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -124,7 +124,7 @@
 	case *wire.ConfigFetch:
 		f.cfg.Follower.HandleFetch(peerID(peer), m, reply)
 	case *wire.ConfigDelta:
-		f.cfg.Follower.Delta(peerID(peer), m)
+		f.cfg.Follower.HandleDelta(peerID(peer), m)
 	case *wire.CrashReport:
 		f.crashed(peer, m)
 	case *wire.CacheUpdate:
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// Delta takes revisions that a peer sent.
-func (f *Follower) Delta(id config.PeerID, m *wire.ConfigDelta) {
+// HandleDelta takes revisions that a peer sent.
+func (f *Follower) HandleDelta(id config.PeerID, m *wire.ConfigDelta) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
