--- a/entry/status.go
+++ b/entry/status.go
@@ -27,7 +27,7 @@
 }
 
 // Accepted implements operatorrpc.Replica.
-func (s status) Accepted(encoded []byte) { s.entry.follower.Applied(encoded) }
+func (s status) Accepted(encoded []byte) { s.entry.follower.Accepted(encoded) }
 
 // Domains implements operatorrpc.Status.
 func (s status) Domains() []operatorrpc.DomainStatus {
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -73,9 +73,9 @@
 	return err == nil
 }
 
-// Applied hands a revision that this process has just had accepted to the
+// Accepted hands a revision that this process has just had accepted to the
 // replica, so that it need not be polled.
-func (f *Follower) Applied(encoded []byte) {
+func (f *Follower) Accepted(encoded []byte) {
 	if encoded == nil {
 		return
 	}
