--- a/lib/watch/follower.go
+++ b/lib/watch/follower.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Follower follows one table. Run belongs to one goroutine.
-type Follower struct {
+// Watcher follows one table. Run belongs to one goroutine.
+type Watcher struct {
 	config  Config
 	source  Source
 	handler Handler
@@ -27,12 +27,12 @@
 }
 
 // New returns a Follower.
-func New(config Config, source Source, handler Handler) *Follower {
-	return &Follower{config: config.applyDefaults(), source: source, handler: handler, revision: -1}
+func New(config Config, source Source, handler Handler) *Watcher {
+	return &Watcher{config: config.applyDefaults(), source: source, handler: handler, revision: -1}
 }
 
 // Run follows the table until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if pause := f.step(ctx); pause > 0 {
 			select {
@@ -44,7 +44,7 @@
 }
 
 // step makes one call and returns the pause before the next one.
-func (f *Follower) step(ctx context.Context) time.Duration {
+func (f *Watcher) step(ctx context.Context) time.Duration {
 	rows, err := f.call(ctx)
 	switch {
 	case ctx.Err() != nil:
@@ -66,7 +66,7 @@
 	return 0
 }
 
-func (f *Follower) call(ctx context.Context) (Rows, error) {
+func (f *Watcher) call(ctx context.Context) (Rows, error) {
 	wait := f.wait()
 	ctx, cancel := context.WithTimeout(ctx, wait+AnswerTimeout+transferLimit)
 	defer cancel()
@@ -79,14 +79,14 @@
 // wait is how long the next call waits for a change. After a failure it asks
 // for an answer at once: a call that waits cannot be told from one that is lost,
 // and would delay what was missed.
-func (f *Follower) wait() time.Duration {
+func (f *Watcher) wait() time.Duration {
 	if !f.synced || f.lost {
 		return 0
 	}
 	return f.config.Wait - rand.N(f.config.Wait/3+1)
 }
 
-func (f *Follower) deliver(rows Rows) {
+func (f *Watcher) deliver(rows Rows) {
 	recovered := f.lost || rows.AfterOutage
 	f.lost = false
 	f.backoff = 0
@@ -102,7 +102,7 @@
 }
 
 // pause doubles the backoff and spreads it over half of its length.
-func (f *Follower) pause() time.Duration {
+func (f *Watcher) pause() time.Duration {
 	f.backoff = min(max(2*f.backoff, f.config.MinBackoff), f.config.MaxBackoff)
 	return f.backoff/2 + rand.N(f.backoff/2)
 }
