--- a/internal/node/tables.go
+++ b/internal/node/tables.go
@@ -50,7 +50,7 @@
 		t.log.Log(eventlog.StorePathChanged, "table", table, "direct", !through.IsValid(), "entry", through, "err", reason)
 	}
 	source := relay.NewSource(table, t.store.Table(table), t.caches[table], choose, onPath)
-	watch.New(watch.Config{Wait: config.Wait}, source, handler).Run(ctx)
+	watch.New(watch.Config{LongPollTimeout: config.Wait}, source, handler).Run(ctx)
 }
 
 // choose returns whom this entry follows: the first one of the region in the order
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -99,7 +99,7 @@
 			choose = func() Choice { return Choice{Follow: leader.address()} }
 		}
 		go NewServer(map[string]*Cache{"t": i.cache}, i.stopping.Load).Run(ctx, i.ln)
-		go watch.New(watch.Config{Wait: config.Wait}, NewSource("t", i.store, i.cache, choose, i.onPath), i.known).Run(ctx)
+		go watch.New(watch.Config{LongPollTimeout: config.Wait}, NewSource("t", i.store, i.cache, choose, i.onPath), i.known).Run(ctx)
 		Eventually(func() int64 {
 			i.cache.mu.Lock()
 			defer i.cache.mu.Unlock()
--- a/lib/watch/config.go
+++ b/lib/watch/config.go
@@ -13,9 +13,9 @@
 
 // Config holds the timing of a Follower. Zero fields take the defaults.
 type Config struct {
-	// Wait is how long one call waits for a change. It is shortened by up to a
+	// LongPollTimeout is how long one call waits for a change. It is shortened by up to a
 	// third at random, so that the calls of a fleet do not end together.
-	Wait time.Duration
+	LongPollTimeout time.Duration
 	// MinBackoff and MaxBackoff bound the pause after a failed call. The store
 	// limits calls of all instances together, so that pauses are spread.
 	MinBackoff, MaxBackoff time.Duration
@@ -37,7 +37,7 @@
 			*v = fallback
 		}
 	}
-	set(&c.Wait, defaultWait)
+	set(&c.LongPollTimeout, defaultWait)
 	set(&c.MinBackoff, defaultMinBackoff)
 	set(&c.MaxBackoff, defaultMaxBackoff)
 	return c
--- a/lib/watch/follower.go
+++ b/lib/watch/follower.go
@@ -83,7 +83,7 @@
 	if !f.synced || f.lost {
 		return 0
 	}
-	return f.config.Wait - rand.N(f.config.Wait/3+1)
+	return f.config.LongPollTimeout - rand.N(f.config.LongPollTimeout/3+1)
 }
 
 func (f *Watcher) deliver(rows Rows) {
