--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -22,7 +22,7 @@
 // that delivers nothing more is noticed at its end. From its loss on a process
 // has StallTime before bounds hold again, and then the bound itself.
 func storeWait(b *platform.Bounds, bound time.Duration) time.Duration {
-	return max(0, b.StallTime+bound-watch.AnswerTimeout-applyReserve)
+	return max(0, b.StallTime+bound-watch.ResponseTimeout-applyReserve)
 }
 
 func operatorRelay(b *platform.Bounds) relay.Config {
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -19,8 +19,8 @@
 		func(stall, bound time.Duration) {
 			b := platform.Bounds{StallTime: stall, ConfigTime: bound, DrainTime: bound}
 			for _, c := range []relay.Config{operatorRelay(&b), serversRelay(&b)} {
-				Expect(c.Wait + watch.AnswerTimeout).To(BeNumerically("<", stall+bound))
-				Expect(c.Wait + watch.AnswerTimeout).To(BeNumerically(">=", stall+bound-time.Second))
+				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically("<", stall+bound))
+				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically(">=", stall+bound-time.Second))
 				Expect(c.Gather).To(BeNumerically("<=", bound/2))
 			}
 		},
--- a/lib/watch/config.go
+++ b/lib/watch/config.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// AnswerTimeout is the silence after which a source gives a call up, beyond the
+	// ResponseTimeout is the silence after which a source gives a call up, beyond the
 	// time that it waits for a change: it allows for a store that answers slowly.
-	AnswerTimeout = 1500 * time.Millisecond
+	ResponseTimeout = 1500 * time.Millisecond
 	// transferLimit bounds the time of an answer that goes on arriving. A large
 	// configuration takes seconds on links that a whole region shares.
 	transferLimit = 10 * time.Second
--- a/lib/watch/follower.go
+++ b/lib/watch/follower.go
@@ -68,7 +68,7 @@
 
 func (f *Watcher) call(ctx context.Context) (Rows, error) {
 	wait := f.wait()
-	ctx, cancel := context.WithTimeout(ctx, wait+AnswerTimeout+transferLimit)
+	ctx, cancel := context.WithTimeout(ctx, wait+ResponseTimeout+transferLimit)
 	defer cancel()
 	if f.synced {
 		return f.source.Changes(ctx, f.revision, wait)
