--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -3,10 +3,10 @@
 // msgpack, which delimits itself.
 package peerlink
 
-// Query is what an agent sends to a peer. The first one on a connection names
+// PieceRequest is what an agent sends to a peer. The first one on a connection names
 // the version and asks for no piece; the peer then tells which pieces it has,
 // now and whenever that changes.
-type Query struct {
+type PieceRequest struct {
 	Model   string `msgpack:"m,omitempty"`
 	Version int    `msgpack:"v,omitempty"`
 	// Piece is the wanted piece; NoPiece asks for none.
--- a/replica/manifest.go
+++ b/replica/manifest.go
@@ -98,7 +98,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	q := peerlink.Query{Model: t.model, Version: t.version, Piece: peerlink.ManifestOnly}
+	q := peerlink.PieceRequest{Model: t.model, Version: t.version, Piece: peerlink.ManifestOnly}
 	if err := msgstream.Encode(conn, &q); err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 }
 
 // sendManifest answers a peer that wants the manifest only.
-func (r *Replica) sendManifest(ctx context.Context, s *peerSession, q *peerlink.Query) {
+func (r *Replica) sendManifest(ctx context.Context, s *peerSession, q *peerlink.PieceRequest) {
 	if h := r.holdingsFor(ctx, q.Model, q.Version); h != nil {
 		// A peer that has gone asks another one.
 		_ = s.send(&peerlink.Answer{Piece: peerlink.NoPiece, Data: h.manifest.encode()})
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -91,7 +91,7 @@
 
 // write sends the queued asks. A failed write ends the connection.
 func (p *peer) write(ctx context.Context, conn net.Conn, model string, version int) {
-	q := peerlink.Query{Model: model, Version: version, Piece: peerlink.NoPiece}
+	q := peerlink.PieceRequest{Model: model, Version: version, Piece: peerlink.NoPiece}
 	for {
 		if msgstream.Encode(conn, &q) != nil {
 			_ = conn.Close()
@@ -101,7 +101,7 @@
 		case <-ctx.Done():
 			return
 		case piece := <-p.asks:
-			q = peerlink.Query{Piece: piece}
+			q = peerlink.PieceRequest{Piece: piece}
 		}
 	}
 }
--- a/replica/serve.go
+++ b/replica/serve.go
@@ -70,7 +70,7 @@
 		if conn.SetReadDeadline(time.Now().Add(peerIdleTimeout)) != nil {
 			return
 		}
-		var q peerlink.Query
+		var q peerlink.PieceRequest
 		if decode.Decode(&q) != nil {
 			return
 		}
