--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -21,8 +21,8 @@
 	ManifestOnly = -2
 )
 
-// Answer is what a peer sends.
-type Answer struct {
+// PieceResponse is what a peer sends.
+type PieceResponse struct {
 	// Have are pieces that the peer has since the last answer.
 	Have []int `msgpack:"h,omitempty"`
 	// Piece is the piece that was asked for, or NoPiece.
--- a/replica/manifest.go
+++ b/replica/manifest.go
@@ -102,7 +102,7 @@
 	if err := msgstream.Encode(conn, &q); err != nil {
 		return nil, err
 	}
-	var a peerlink.Answer
+	var a peerlink.PieceResponse
 	if err := msgstream.NewDecoder(conn, peerBuffer, answerLimit).Decode(&a); err != nil {
 		return nil, err
 	}
@@ -133,6 +133,6 @@
 func (r *Replica) sendManifest(ctx context.Context, s *peerSession, q *peerlink.PieceRequest) {
 	if h := r.holdingsFor(ctx, q.Model, q.Version); h != nil {
 		// A peer that has gone asks another one.
-		_ = s.send(&peerlink.Answer{Piece: peerlink.NoPiece, Data: h.manifest.encode()})
+		_ = s.send(&peerlink.PieceResponse{Piece: peerlink.NoPiece, Data: h.manifest.encode()})
 	}
 }
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -81,7 +81,7 @@
 		if conn.SetReadDeadline(time.Now().Add(peerIdleTimeout)) != nil {
 			return
 		}
-		var a peerlink.Answer
+		var a peerlink.PieceResponse
 		if decode.Decode(&a) != nil {
 			return
 		}
--- a/replica/serve.go
+++ b/replica/serve.go
@@ -98,7 +98,7 @@
 	return r.awaitHoldings(ctx, model, version)
 }
 
-func (s *peerSession) send(a *peerlink.Answer) bool {
+func (s *peerSession) send(a *peerlink.PieceResponse) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conn.SetWriteDeadline(time.Now().Add(peerIdleTimeout)) == nil && msgstream.Encode(s.conn, a) == nil
@@ -116,7 +116,7 @@
 				fresh = append(fresh, piece)
 			}
 		}
-		if len(fresh) > 0 && !s.send(&peerlink.Answer{Have: fresh, Piece: peerlink.NoPiece}) {
+		if len(fresh) > 0 && !s.send(&peerlink.PieceResponse{Have: fresh, Piece: peerlink.NoPiece}) {
 			_ = s.conn.Close()
 			return
 		}
@@ -127,7 +127,7 @@
 
 // sendPiece sends a piece, or that it is not here.
 func (s *peerSession) sendPiece(ctx context.Context, piece int) bool {
-	a := &peerlink.Answer{Piece: piece}
+	a := &peerlink.PieceResponse{Piece: piece}
 	if piece >= 0 && piece < len(s.holdings.manifest.Digests) {
 		a.Data = s.holdings.get(ctx, piece)
 	}
