--- a/gateway/place.go
+++ b/gateway/place.go
@@ -192,10 +192,10 @@
 }
 
 // query describes a demand to another entry.
-func (l *PeerLink) query(d *placement.Request) *peerlink.PlaceQuery {
+func (l *PeerLink) query(d *placement.Request) *peerlink.PlacementRequest {
 	g := l.gateway
 	now := g.now()
-	q := &peerlink.PlaceQuery{
+	q := &peerlink.PlacementRequest{
 		Entry: l.name, Start: l.queries.start, Domain: g.config.Placement.Domain, Service: d.Service, Model: d.Model,
 		Version: d.Version, MinVersion: d.MinVersion, NextVersion: d.NextVersion,
 		PromptTokens: d.PromptTokens, AnswerTokens: d.AnswerTokens,
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -20,7 +20,7 @@
 }
 
 // answer answers an entry that wants a request placed.
-func (l *PeerLink) answer(q *peerlink.PlaceQuery, from netip.AddrPort) {
+func (l *PeerLink) answer(q *peerlink.PlacementRequest, from netip.AddrPort) {
 	a := &peerlink.PlaceAnswer{Declined: true}
 	if l.places() {
 		a = l.gateway.placeFor(q)
@@ -30,7 +30,7 @@
 }
 
 // placeFor places a request of another entry. It declines what it does not know.
-func (g *Gateway) placeFor(q *peerlink.PlaceQuery) *peerlink.PlaceAnswer {
+func (g *Gateway) placeFor(q *peerlink.PlacementRequest) *peerlink.PlaceAnswer {
 	table := g.table.Load()
 	if table == nil {
 		return &peerlink.PlaceAnswer{Declined: true}
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -1,7 +1,7 @@
 package peerlink
 
-// PlaceQuery asks another entry of the region to place a request on an engine.
-type PlaceQuery struct {
+// PlacementRequest asks another entry of the region to place a request on an engine.
+type PlacementRequest struct {
 	// Entry is the instance that asks, Start a number that differs between its
 	// starts, and Lease the number of the lease.
 	Entry string `msgpack:"e"`
