--- a/gateway/place.go
+++ b/gateway/place.go
@@ -157,7 +157,7 @@
 }
 
 // await waits for the answer of one entry. It reports false if there is none.
-func (l *PeerLink) await(ctx context.Context, to netip.AddrPort, lease uint64, answer <-chan *peerlink.PlaceAnswer) (*grant, *placement.Refusal, bool) {
+func (l *PeerLink) await(ctx context.Context, to netip.AddrPort, lease uint64, answer <-chan *peerlink.PlacementResponse) (*grant, *placement.Refusal, bool) {
 	timer := time.NewTimer(queryTimeout)
 	defer timer.Stop()
 	reason := "no answer in time"
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -21,7 +21,7 @@
 
 // answer answers an entry that wants a request placed.
 func (l *PeerLink) answer(q *peerlink.PlacementRequest, from netip.AddrPort) {
-	a := &peerlink.PlaceAnswer{Declined: true}
+	a := &peerlink.PlacementResponse{Declined: true}
 	if l.places() {
 		a = l.gateway.placeFor(q)
 	}
@@ -30,20 +30,20 @@
 }
 
 // placeFor places a request of another entry. It declines what it does not know.
-func (g *Gateway) placeFor(q *peerlink.PlacementRequest) *peerlink.PlaceAnswer {
+func (g *Gateway) placeFor(q *peerlink.PlacementRequest) *peerlink.PlacementResponse {
 	table := g.table.Load()
 	if table == nil {
-		return &peerlink.PlaceAnswer{Declined: true}
+		return &peerlink.PlacementResponse{Declined: true}
 	}
 	service := table.Service(q.Service)
 	if service == nil || service.Engine == nil {
-		return &peerlink.PlaceAnswer{Declined: true}
+		return &peerlink.PlacementResponse{Declined: true}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	if !g.picker.HasLoadReports(q.Service, now) {
-		return &peerlink.PlaceAnswer{Declined: true}
+		return &peerlink.PlacementResponse{Declined: true}
 	}
 	d := placement.Request{
 		Service: q.Service, Engine: service.Engine, Domain: q.Domain, Model: q.Model, Version: q.Version,
@@ -63,12 +63,12 @@
 	}
 	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Start, q.Lease), d, now)
 	if refusal != nil {
-		return &peerlink.PlaceAnswer{
+		return &peerlink.PlacementResponse{
 			Reason: string(refusal.Reason), AfterMillis: refusal.RetryAfter.Milliseconds(), PredictedMicros: refusal.Predicted.Microseconds(),
 		}
 	}
 	g.loads.tellUsage(lease.Server.Address, lease.Usage)
-	return &peerlink.PlaceAnswer{
+	return &peerlink.PlacementResponse{
 		Server: &peerlink.ServerKey{ID: lease.Server.ID, Born: lease.Server.StartUnixMilli}, Version: lease.Server.Weights[q.Model].Version,
 		PredictedMicros: lease.Predicted.Microseconds(), Occupancy: lease.Occupancy, LoadAgeMicros: lease.LoadAge.Microseconds(),
 	}
--- a/gateway/queries.go
+++ b/gateway/queries.go
@@ -26,7 +26,7 @@
 	mu   sync.Mutex
 	last uint64
 	// waiting gets the answers.
-	waiting map[uint64]chan *peerlink.PlaceAnswer
+	waiting map[uint64]chan *peerlink.PlacementResponse
 	// open are the leases by number, with the entry that granted each.
 	open map[uint64]netip.AddrPort
 	// avoided are entries that do not answer or decline.
@@ -41,28 +41,28 @@
 
 func newQueries(start uint64) *queries {
 	return &queries{
-		start: start, waiting: make(map[uint64]chan *peerlink.PlaceAnswer),
+		start: start, waiting: make(map[uint64]chan *peerlink.PlacementResponse),
 		open: make(map[uint64]netip.AddrPort), avoided: make(map[netip.AddrPort]avoidance),
 	}
 }
 
 // begin returns the number of a new lease and the channel for its answer. It
 // reports false if the entry is not to be asked now.
-func (q *queries) begin(to netip.AddrPort, now time.Time) (lease uint64, answer chan *peerlink.PlaceAnswer, ok bool) {
+func (q *queries) begin(to netip.AddrPort, now time.Time) (lease uint64, answer chan *peerlink.PlacementResponse, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if now.Before(q.avoided[to].until) {
 		return 0, nil, false
 	}
 	q.last++
-	answer = make(chan *peerlink.PlaceAnswer, 1)
+	answer = make(chan *peerlink.PlacementResponse, 1)
 	q.waiting[q.last] = answer
 	return q.last, answer, true
 }
 
 // answered passes an answer on. One that comes too late is dropped: the lease is
 // not named as open any more, so that it ends at the entry that granted it.
-func (q *queries) answered(a *peerlink.PlaceAnswer) {
+func (q *queries) answered(a *peerlink.PlacementResponse) {
 	if a.Start != q.start {
 		return
 	}
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -41,8 +41,8 @@
 	Born int64  `msgpack:"b"`
 }
 
-// PlaceAnswer answers a PlaceQuery.
-type PlaceAnswer struct {
+// PlacementResponse answers a PlaceQuery.
+type PlacementResponse struct {
 	Start uint64 `msgpack:"k"`
 	Lease uint64 `msgpack:"l"`
 	// Declined tells that the receiver places no requests for others.
