--- a/gateway/place.go
+++ b/gateway/place.go
@@ -110,17 +110,17 @@
 	case result != nil:
 		g.loads.end(r.granted, *result)
 	default:
-		g.loads.notify(r.granted, &peerlink.PlaceNotice{})
+		g.loads.notify(r.granted, &peerlink.PlacementNotice{})
 	}
 }
 
 // end ends a granted lease.
 func (l *PeerLink) end(granted *grant, result placement.Result) {
 	l.queries.ended(granted.lease)
-	l.notify(granted, &peerlink.PlaceNotice{Ended: true, Result: uint8(result)})
+	l.notify(granted, &peerlink.PlacementNotice{Ended: true, Result: uint8(result)})
 }
 
-func (l *PeerLink) notify(granted *grant, n *peerlink.PlaceNotice) {
+func (l *PeerLink) notify(granted *grant, n *peerlink.PlacementNotice) {
 	n.Entry, n.Start, n.Lease = l.name, l.queries.start, granted.lease
 	l.send(encode(&peerlink.Datagram{PlaceNotice: n}), granted.by)
 }
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -75,7 +75,7 @@
 }
 
 // takeNotice takes what another entry tells of a lease that it got here.
-func (l *PeerLink) takeNotice(n *peerlink.PlaceNotice) {
+func (l *PeerLink) takeNotice(n *peerlink.PlacementNotice) {
 	g := l.gateway
 	id := leaseID(n.Entry, n.Start, n.Lease)
 	g.mu.Lock()
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -38,7 +38,7 @@
 	Usage        *Usage             `msgpack:"u,omitempty"`
 	PlaceQuery   *PlacementRequest  `msgpack:"q,omitempty"`
 	PlaceAnswer  *PlacementResponse `msgpack:"a,omitempty"`
-	PlaceNotice  *PlaceNotice       `msgpack:"n,omitempty"`
+	PlaceNotice  *PlacementNotice   `msgpack:"n,omitempty"`
 	News         *News              `msgpack:"c,omitempty"`
 }
 
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -62,8 +62,8 @@
 	AfterMillis int64  `msgpack:"f,omitempty"`
 }
 
-// PlaceNotice tells the entry that has placed a request how it goes on.
-type PlaceNotice struct {
+// PlacementNotice tells the entry that has placed a request how it goes on.
+type PlacementNotice struct {
 	Entry string `msgpack:"e"`
 	Start uint64 `msgpack:"k"`
 	Lease uint64 `msgpack:"l"`
