--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -187,8 +187,8 @@
 		l.learn()
 		l.learnMembers(d.Status)
 		l.gateway.takeStatus(*d.Status)
-	case d.PlaceQuery != nil:
-		l.answer(d.PlaceQuery, from)
+	case d.PlacementRequest != nil:
+		l.answer(d.PlacementRequest, from)
 	case d.PlaceNotice != nil:
 		l.takeNotice(d.PlaceNotice)
 	case d.PlaceAnswer != nil:
