--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -191,8 +191,8 @@
 		l.answer(d.PlacementRequest, from)
 	case d.PlaceNotice != nil:
 		l.takeNotice(d.PlaceNotice)
-	case d.PlaceAnswer != nil:
-		l.queries.answered(d.PlaceAnswer)
+	case d.PlacementResponse != nil:
+		l.queries.answered(d.PlacementResponse)
 	case d.News != nil:
 		l.takeNews(d.News)
 	}
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -26,7 +26,7 @@
 		a = l.gateway.placeFor(q)
 	}
 	a.Start, a.Lease = q.Start, q.Lease
-	l.send(encode(&peerlink.Datagram{PlaceAnswer: a}), from)
+	l.send(encode(&peerlink.Datagram{PlacementResponse: a}), from)
 }
 
 // placeFor places a request of another entry. It declines what it does not know.
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -33,13 +33,13 @@
 
 // Datagram is one message without a connection; one field is set.
 type Datagram struct {
-	Subscription     *Subscription      `msgpack:"b,omitempty"`
-	Status           *Status            `msgpack:"s,omitempty"`
-	Usage            *Usage             `msgpack:"u,omitempty"`
-	PlacementRequest *PlacementRequest  `msgpack:"q,omitempty"`
-	PlaceAnswer      *PlacementResponse `msgpack:"a,omitempty"`
-	PlaceNotice      *PlacementNotice   `msgpack:"n,omitempty"`
-	News             *News              `msgpack:"c,omitempty"`
+	Subscription      *Subscription      `msgpack:"b,omitempty"`
+	Status            *Status            `msgpack:"s,omitempty"`
+	Usage             *Usage             `msgpack:"u,omitempty"`
+	PlacementRequest  *PlacementRequest  `msgpack:"q,omitempty"`
+	PlacementResponse *PlacementResponse `msgpack:"a,omitempty"`
+	PlaceNotice       *PlacementNotice   `msgpack:"n,omitempty"`
+	News              *News              `msgpack:"c,omitempty"`
 }
 
 // Subscription asks an agent for load reports for a few seconds.
