--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -189,8 +189,8 @@
 		l.gateway.takeStatus(*d.Status)
 	case d.PlacementRequest != nil:
 		l.answer(d.PlacementRequest, from)
-	case d.PlaceNotice != nil:
-		l.takeNotice(d.PlaceNotice)
+	case d.PlacementNotice != nil:
+		l.takeNotice(d.PlacementNotice)
 	case d.PlacementResponse != nil:
 		l.queries.answered(d.PlacementResponse)
 	case d.News != nil:
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -122,7 +122,7 @@
 
 func (l *PeerLink) notify(granted *grant, n *peerlink.PlacementNotice) {
 	n.Entry, n.Start, n.Lease = l.name, l.queries.start, granted.lease
-	l.send(encode(&peerlink.Datagram{PlaceNotice: n}), granted.by)
+	l.send(encode(&peerlink.Datagram{PlacementNotice: n}), granted.by)
 }
 
 // placing is the duty of placing requests.
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -38,7 +38,7 @@
 	Usage             *Usage             `msgpack:"u,omitempty"`
 	PlacementRequest  *PlacementRequest  `msgpack:"q,omitempty"`
 	PlacementResponse *PlacementResponse `msgpack:"a,omitempty"`
-	PlaceNotice       *PlacementNotice   `msgpack:"n,omitempty"`
+	PlacementNotice   *PlacementNotice   `msgpack:"n,omitempty"`
 	News              *News              `msgpack:"c,omitempty"`
 }
 
