--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -193,8 +193,8 @@
 		l.takeNotice(d.PlacementNotice)
 	case d.PlacementResponse != nil:
 		l.queries.answered(d.PlacementResponse)
-	case d.News != nil:
-		l.takeNews(d.News)
+	case d.Gossip != nil:
+		l.takeNews(d.Gossip)
 	}
 }
 
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -68,17 +68,17 @@
 // spread tells others what is news about suspects. The caller does not hold mu.
 func (g *Gateway) spread(update *wire.SuspectUpdate) {
 	if update != nil {
-		g.tell(&peerlink.News{Suspects: *update})
+		g.tell(&peerlink.Gossip{Suspects: *update})
 	}
 }
 
 // tellLeaving tells others that a server leaves. The caller does not hold mu.
 func (g *Gateway) tellLeaving(server directory.Key) {
-	g.tell(&peerlink.News{Leaving: []peerlink.ServerKey{{ID: server.ID, Born: server.StartUnixMilli}}})
+	g.tell(&peerlink.Gossip{Leaving: []peerlink.ServerKey{{ID: server.ID, Born: server.StartUnixMilli}}})
 }
 
 // tell tells the other entries of the region and some agents of each region.
-func (g *Gateway) tell(n *peerlink.News) {
+func (g *Gateway) tell(n *peerlink.Gossip) {
 	table := g.table.Load()
 	if n.Empty() || g.loads == nil || table == nil {
 		return
@@ -86,7 +86,7 @@
 	g.loads.sendNews(n, g.loads.others())
 	near, far := g.agents(table)
 	g.loads.sendNews(n, sample(near, agentsTold))
-	spread := &peerlink.News{Suspects: n.Suspects, Leaving: n.Leaving, Spread: true}
+	spread := &peerlink.Gossip{Suspects: n.Suspects, Leaving: n.Leaving, Spread: true}
 	for _, agents := range far {
 		g.loads.sendNews(spread, sample(agents, agentsTold))
 	}
@@ -104,8 +104,8 @@
 }
 
 // takeNews takes what another entry or an agent tells.
-func (l *PeerLink) takeNews(n *peerlink.News) {
-	news := &peerlink.News{Leaving: l.gateway.mergeLeaving(n.Leaving)}
+func (l *PeerLink) takeNews(n *peerlink.Gossip) {
+	news := &peerlink.Gossip{Leaving: l.gateway.mergeLeaving(n.Leaving)}
 	if suspects := l.gateway.mergeSuspects(&n.Suspects); suspects != nil {
 		news.Suspects = *suspects
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-func (l *PeerLink) sendNews(n *peerlink.News, to []netip.AddrPort) {
+func (l *PeerLink) sendNews(n *peerlink.Gossip, to []netip.AddrPort) {
 	if len(to) == 0 {
 		return
 	}
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -204,7 +204,7 @@
 // repeatedNews returns what is worth to be told again and again: contents under
 // which two servers or more have ended, and servers that have said not long ago that
 // they leave.
-func (g *Gateway) repeatedNews() *peerlink.News {
+func (g *Gateway) repeatedNews() *peerlink.Gossip {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -214,7 +214,7 @@
 			delete(g.suspects.logged, content)
 		}
 	}
-	news := &peerlink.News{}
+	news := &peerlink.Gossip{}
 	if likely := g.suspects.monitor.TopSuspects(now, quarantineCrashes-1, maxToldAgain); likely != nil {
 		news.Suspects = *likely
 	}
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -39,7 +39,7 @@
 	PlacementRequest  *PlacementRequest  `msgpack:"q,omitempty"`
 	PlacementResponse *PlacementResponse `msgpack:"a,omitempty"`
 	PlacementNotice   *PlacementNotice   `msgpack:"n,omitempty"`
-	News              *News              `msgpack:"c,omitempty"`
+	Gossip            *Gossip            `msgpack:"c,omitempty"`
 }
 
 // Subscription asks an agent for load reports for a few seconds.
--- a/peerlink/news.go
+++ b/peerlink/news.go
@@ -6,9 +6,9 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// News tells what one entry has found out about backend servers and others should
+// Gossip tells what one entry has found out about backend servers and others should
 // know soon.
-type News struct {
+type Gossip struct {
 	// Suspects are contents that have ended backend servers.
 	Suspects wire.SuspectUpdate `msgpack:"u"`
 	// Leaving are starts of servers that have said that they leave.
@@ -19,11 +19,11 @@
 }
 
 // Empty reports whether there is nothing to tell.
-func (n *News) Empty() bool { return len(n.Suspects.Suspects) == 0 && len(n.Leaving) == 0 }
+func (n *Gossip) Empty() bool { return len(n.Suspects.Suspects) == 0 && len(n.Leaving) == 0 }
 
 // Datagrams encodes the news in datagrams of at most limit bytes.
-func (n *News) Datagrams(limit int) [][]byte {
-	data, err := msgpack.Marshal(&Datagram{News: n})
+func (n *Gossip) Datagrams(limit int) [][]byte {
+	data, err := msgpack.Marshal(&Datagram{Gossip: n})
 	if err != nil {
 		panic(err)
 	}
@@ -32,7 +32,7 @@
 		return [][]byte{data}
 	}
 	part := func(s []wire.Suspect, l []ServerKey) [][]byte {
-		return (&News{Suspects: wire.SuspectUpdate{Suspects: s}, Leaving: l, Spread: n.Spread}).Datagrams(limit)
+		return (&Gossip{Suspects: wire.SuspectUpdate{Suspects: s}, Leaving: l, Spread: n.Spread}).Datagrams(limit)
 	}
 	if len(suspects) > 0 && len(leaving) > 0 {
 		return append(part(suspects, nil), part(nil, leaving)...)
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -126,8 +126,8 @@
 			at: now, region: d.Subscription.Region, start: d.Subscription.Start, loads: d.Subscription.Loads, leaving: d.Subscription.Leaving,
 		}
 	}
-	if d.News != nil {
-		b.takeNews(now, d.News)
+	if d.Gossip != nil {
+		b.takeNews(now, d.Gossip)
 	}
 	if u := d.Usage; u != nil && u.Sequence > b.usages[u.Entry].sequence {
 		b.usages[u.Entry] = usage{at: now, sequence: u.Sequence, readingTokens: u.ReadingTokens}
--- a/replica/news.go
+++ b/replica/news.go
@@ -25,7 +25,7 @@
 
 // takeNews keeps what an entry tells of backend servers and passes it on to entries
 // of each region. The caller holds mu.
-func (b *LoadReporter) takeNews(now time.Time, n *peerlink.News) {
+func (b *LoadReporter) takeNews(now time.Time, n *peerlink.Gossip) {
 	b.suspects.Tick(now)
 	b.suspects.Merge(now, n.Suspects)
 	b.keepLeaving(now, n.Leaving)
@@ -57,7 +57,7 @@
 // tellNews tells an entry that has just asked for reports what it should know. The
 // caller holds mu.
 func (b *LoadReporter) tellNews(now time.Time, to netip.AddrPort) {
-	news := &peerlink.News{}
+	news := &peerlink.Gossip{}
 	if likely := b.suspects.TopSuspects(now, likelyCrashes, maxTold); likely != nil {
 		news.Suspects = *likely
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func (b *LoadReporter) sendNews(n *peerlink.News, to netip.AddrPort) {
+func (b *LoadReporter) sendNews(n *peerlink.Gossip, to netip.AddrPort) {
 	for _, data := range n.Datagrams(maxDatagram) {
 		// Entries tell each other again and again, so that a lost datagram is replaced.
 		_, _ = b.conn.WriteToUDPAddrPort(data, to)
