--- a/gateway/news.go
+++ b/gateway/news.go
@@ -86,7 +86,7 @@
 	g.loads.sendNews(n, g.loads.others())
 	near, far := g.agents(table)
 	g.loads.sendNews(n, sample(near, agentsTold))
-	spread := &peerlink.Gossip{Suspects: n.Suspects, Leaving: n.Leaving, Spread: true}
+	spread := &peerlink.Gossip{Suspects: n.Suspects, Leaving: n.Leaving, Forward: true}
 	for _, agents := range far {
 		g.loads.sendNews(spread, sample(agents, agentsTold))
 	}
@@ -109,7 +109,7 @@
 	if suspects := l.gateway.mergeSuspects(&n.Suspects); suspects != nil {
 		news.Suspects = *suspects
 	}
-	if n.Spread && !news.Empty() {
+	if n.Forward && !news.Empty() {
 		l.sendNews(news, l.others())
 	}
 }
@@ -125,7 +125,7 @@
 	near, far := l.gateway.agents(table)
 	l.sendNews(news, append(sample(l.others(), 1), sample(near, 1)...))
 	if len(far) > 0 {
-		news.Spread = true
+		news.Forward = true
 		l.sendNews(news, sample(far[rand.IntN(len(far))], 1))
 	}
 }
--- a/peerlink/news.go
+++ b/peerlink/news.go
@@ -13,9 +13,9 @@
 	Suspects wire.SuspectUpdate `msgpack:"u"`
 	// Leaving are starts of servers that have said that they leave.
 	Leaving []ServerKey `msgpack:"l,omitempty"`
-	// Spread asks an agent to pass it on to entries, and an entry to pass what is news
+	// Forward asks an agent to pass it on to entries, and an entry to pass what is news
 	// to it on to the others of its region.
-	Spread bool `msgpack:"s,omitempty"`
+	Forward bool `msgpack:"s,omitempty"`
 }
 
 // Empty reports whether there is nothing to tell.
@@ -32,7 +32,7 @@
 		return [][]byte{data}
 	}
 	part := func(s []wire.Suspect, l []ServerKey) [][]byte {
-		return (&Gossip{Suspects: wire.SuspectUpdate{Suspects: s}, Leaving: l, Spread: n.Spread}).Datagrams(limit)
+		return (&Gossip{Suspects: wire.SuspectUpdate{Suspects: s}, Leaving: l, Forward: n.Forward}).Datagrams(limit)
 	}
 	if len(suspects) > 0 && len(leaving) > 0 {
 		return append(part(suspects, nil), part(nil, leaving)...)
--- a/peerlink/news_test.go
+++ b/peerlink/news_test.go
@@ -21,7 +21,7 @@
 	}
 	_ = flag.Set("rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
-		n := &peerlink.Gossip{Spread: rapid.Bool().Draw(t, "spread")}
+		n := &peerlink.Gossip{Forward: rapid.Bool().Draw(t, "spread")}
 		for i := range rapid.IntRange(0, 40).Draw(t, "suspects") {
 			s := wire.Suspect{Finger: model.FingerprintOf("t", "s", []byte(fmt.Sprint(i)))}
 			for j := range rapid.IntRange(0, 16).Draw(t, "incidents") {
@@ -41,7 +41,7 @@
 			if err := msgpack.Unmarshal(data, &d); err != nil {
 				t.Fatal(err)
 			}
-			if d.Gossip.Spread != n.Spread {
+			if d.Gossip.Forward != n.Forward {
 				t.Fatal("the mark to spread is lost")
 			}
 			suspects += len(d.Gossip.Suspects.Suspects)
--- a/replica/news.go
+++ b/replica/news.go
@@ -29,7 +29,7 @@
 	b.suspects.Tick(now)
 	b.suspects.Merge(now, n.Suspects)
 	b.keepLeaving(now, n.Leaving)
-	if !n.Spread {
+	if !n.Forward {
 		return
 	}
 	told := make(map[string]int)
