--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -158,7 +158,7 @@
 	l.sequence++
 	sequence := l.sequence
 	l.mu.Unlock()
-	l.send(encode(&peerlink.Datagram{Usage: &peerlink.Usage{
+	l.send(encode(&peerlink.Datagram{EntryLoad: &peerlink.EntryLoad{
 		Entry: l.name, ReadingTokens: u.PrefillTokens, Sequence: sequence,
 	}}), netip.AddrPortFrom(address.Addr(), l.self.Port()))
 }
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -35,7 +35,7 @@
 type Datagram struct {
 	Subscription      *Subscription      `msgpack:"b,omitempty"`
 	Status            *Status            `msgpack:"s,omitempty"`
-	Usage             *Usage             `msgpack:"u,omitempty"`
+	EntryLoad         *EntryLoad         `msgpack:"u,omitempty"`
 	PlacementRequest  *PlacementRequest  `msgpack:"q,omitempty"`
 	PlacementResponse *PlacementResponse `msgpack:"a,omitempty"`
 	PlacementNotice   *PlacementNotice   `msgpack:"n,omitempty"`
@@ -101,9 +101,9 @@
 	Sequence uint64 `msgpack:"s"`
 }
 
-// Usage is what an entry has placed at an engine. It tells the engine's agent at
+// EntryLoad is what an entry has placed at an engine. It tells the engine's agent at
 // each change, as engines do not report the prompts that wait.
-type Usage struct {
+type EntryLoad struct {
 	// Entry is the instance of the sender.
 	Entry string `msgpack:"e"`
 	// ReadingTokens are the prompt tokens of its requests without a first answer.
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -129,7 +129,7 @@
 	if d.Gossip != nil {
 		b.takeNews(now, d.Gossip)
 	}
-	if u := d.Usage; u != nil && u.Sequence > b.usages[u.Entry].sequence {
+	if u := d.EntryLoad; u != nil && u.Sequence > b.usages[u.Entry].sequence {
 		b.usages[u.Entry] = usage{at: now, sequence: u.Sequence, readingTokens: u.ReadingTokens}
 	}
 }
