--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -159,7 +159,7 @@
 	sequence := l.sequence
 	l.mu.Unlock()
 	l.send(encode(&peerlink.Datagram{EntryLoad: &peerlink.EntryLoad{
-		Entry: l.name, ReadingTokens: u.PrefillTokens, Sequence: sequence,
+		Entry: l.name, PrefillTokens: u.PrefillTokens, Sequence: sequence,
 	}}), netip.AddrPortFrom(address.Addr(), l.self.Port()))
 }
 
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -83,9 +83,9 @@
 	Waiting int `msgpack:"w"`
 	// AgeMicros is the age of these counts in microseconds.
 	AgeMicros int64 `msgpack:"k,omitempty"`
-	// ReadingTokens are the prompts without a first answer, of all entries that
+	// PrefillTokens are the prompts without a first answer, of all entries that
 	// tell the agent.
-	ReadingTokens int `msgpack:"t"`
+	PrefillTokens int `msgpack:"t"`
 	// Pace is how much slower than declared the engine works.
 	Pace float64 `msgpack:"p"`
 	// Closed tells that no requests should be sent now.
@@ -106,8 +106,8 @@
 type EntryLoad struct {
 	// Entry is the instance of the sender.
 	Entry string `msgpack:"e"`
-	// ReadingTokens are the prompt tokens of its requests without a first answer.
-	ReadingTokens int `msgpack:"t"`
+	// PrefillTokens are the prompt tokens of its requests without a first answer.
+	PrefillTokens int `msgpack:"t"`
 	// Sequence orders the messages of one entry.
 	Sequence uint64 `msgpack:"s"`
 }
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -130,7 +130,7 @@
 		b.takeNews(now, d.Gossip)
 	}
 	if u := d.EntryLoad; u != nil && u.Sequence > b.usages[u.Entry].sequence {
-		b.usages[u.Entry] = usage{at: now, sequence: u.Sequence, readingTokens: u.ReadingTokens}
+		b.usages[u.Entry] = usage{at: now, sequence: u.Sequence, readingTokens: u.PrefillTokens}
 	}
 }
 
@@ -238,7 +238,7 @@
 }
 
 func sameStatus(a, b *peerlink.Status) bool {
-	return a.Running == b.Running && a.ReadingTokens == b.ReadingTokens && a.Waiting == b.Waiting && a.Pace == b.Pace && a.Closed == b.Closed &&
+	return a.Running == b.Running && a.PrefillTokens == b.PrefillTokens && a.Waiting == b.Waiting && a.Pace == b.Pace && a.Closed == b.Closed &&
 		a.Born == b.Born && a.Model == b.Model && a.Version == b.Version
 }
 
@@ -252,7 +252,7 @@
 	}
 	s.AgeMicros = b.replica.config.Clock.Now().Sub(report.at).Microseconds()
 	s.Born, s.Running, s.Waiting, s.Pace = report.Born, report.Running, report.Waiting, report.Slowdown
-	s.ReadingTokens = b.readingTokens()
+	s.PrefillTokens = b.readingTokens()
 	s.Closed = report.Busy || b.replica.Draining()
 	for model, w := range report.Weights {
 		if w.Complete {
