--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -109,7 +109,7 @@
 	}
 	g.picker.Report(server.Key(), placement.Load{
 		Running: status.Running, Queued: status.Waiting, PrefillTokens: status.PrefillTokens,
-		Age: time.Duration(status.AgeMicros) * time.Microsecond, Slowdown: status.Pace, Closed: status.Closed,
+		Age: time.Duration(status.AgeMicros) * time.Microsecond, Slowdown: status.Slowdown, Closed: status.Closed,
 	}, now)
 }
 
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -86,8 +86,8 @@
 	// PrefillTokens are the prompts without a first answer, of all entries that
 	// tell the agent.
 	PrefillTokens int `msgpack:"t"`
-	// Pace is how much slower than declared the engine works.
-	Pace float64 `msgpack:"p"`
+	// Slowdown is how much slower than declared the engine works.
+	Slowdown float64 `msgpack:"p"`
 	// Closed tells that no requests should be sent now.
 	Closed bool `msgpack:"c"`
 	// Model and Version are the loaded weights; an empty model means none.
