--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -47,8 +47,8 @@
 	// Entry is the instance of the entry that asks, Region its region.
 	Entry  string `msgpack:"e"`
 	Region string `msgpack:"r"`
-	// Start differs between the starts of the entry.
-	Start uint64 `msgpack:"k,omitempty"`
+	// Incarnation differs between the starts of the entry.
+	Incarnation uint64 `msgpack:"k,omitempty"`
 	// Loads asks for each change of the load; otherwise reports come once a second.
 	Loads bool `msgpack:"l,omitempty"`
 	// Leaving tells that the entry is about to stop.
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -117,13 +117,13 @@
 	defer b.mu.Unlock()
 	if d.Subscription != nil {
 		// An entry that has started anew knows nothing, even at the same address.
-		if known, ok := b.subscribers[from]; !ok || known.start != d.Subscription.Start {
+		if known, ok := b.subscribers[from]; !ok || known.start != d.Subscription.Incarnation {
 			b.added = append(b.added, from)
 			b.replica.notifyObserved()
 			b.tellNews(now, from)
 		}
 		b.subscribers[from] = subscriber{
-			at: now, region: d.Subscription.Region, start: d.Subscription.Start, loads: d.Subscription.Loads, leaving: d.Subscription.Leaving,
+			at: now, region: d.Subscription.Region, start: d.Subscription.Incarnation, loads: d.Subscription.Loads, leaving: d.Subscription.Leaving,
 		}
 	}
 	if d.Gossip != nil {
