--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -49,8 +49,8 @@
 	Region string `msgpack:"r"`
 	// Incarnation differs between the starts of the entry.
 	Incarnation uint64 `msgpack:"k,omitempty"`
-	// Loads asks for each change of the load; otherwise reports come once a second.
-	Loads bool `msgpack:"l,omitempty"`
+	// EveryChange asks for each change of the load; otherwise reports come once a second.
+	EveryChange bool `msgpack:"l,omitempty"`
 	// Leaving tells that the entry is about to stop.
 	Leaving bool `msgpack:"x,omitempty"`
 	// Target is nil while the entry does not know it.
--- a/replica/beacon_test.go
+++ b/replica/beacon_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("Beacon", func() {
 	// subscribe asks the first agent of a fleet for reports.
 	ask := func(conn *net.UDPConn, loads bool, start uint64) {
-		data, err := msgpack.Marshal(&peerlink.Datagram{Subscription: &peerlink.Subscription{Entry: "e", Region: "0", Incarnation: start, Loads: loads}})
+		data, err := msgpack.Marshal(&peerlink.Datagram{Subscription: &peerlink.Subscription{Entry: "e", Region: "0", Incarnation: start, EveryChange: loads}})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = conn.Write(data)
 		Expect(err).NotTo(HaveOccurred())
