--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -18,7 +18,7 @@
 	defer g.mu.Unlock()
 	for _, t := range config.WeightsTargets() {
 		targets[t.Service] = &peerlink.Target{
-			Config: config.Version, Model: t.Model, Version: max(serving.FirstVersion, g.versions.Newest(t.Model)),
+			ConfigVersion: config.Version, Model: t.Model, Version: max(serving.FirstVersion, g.versions.Newest(t.Model)),
 			Origin: t.Origin.Address, PieceMicros: t.PieceTime.Microseconds(),
 		}
 	}
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -80,12 +80,12 @@
 // take follows a target. Older configurations and versions change nothing.
 func (t *replicaTargets) take(target *peerlink.Target, source string) {
 	t.mu.Lock()
-	if target.Config < t.config && target.Model != t.model {
+	if target.ConfigVersion < t.config && target.Model != t.model {
 		t.mu.Unlock()
 		return
 	}
-	if target.Config >= t.config {
-		t.config = target.Config
+	if target.ConfigVersion >= t.config {
+		t.config = target.ConfigVersion
 		t.pieceTime = time.Duration(target.PieceMicros) * time.Microsecond
 		if t.origin == nil || t.origin.Address() != target.Origin {
 			t.origin = platform.NewOrigin(target.Origin)
@@ -98,7 +98,7 @@
 	t.version = max(t.version, target.Version)
 	t.mu.Unlock()
 	if newer {
-		t.log.Log(eventlog.VersionDeclared, "model", target.Model, "version", target.Version, "source", source, "config", target.Config)
+		t.log.Log(eventlog.VersionDeclared, "model", target.Model, "version", target.Version, "source", source, "config", target.ConfigVersion)
 	}
 	t.replica.SetTarget(target.Model, target.Version)
 }
@@ -147,7 +147,7 @@
 	for _, target := range c.WeightsTargets() {
 		if target.Service == t.service {
 			t.take(&peerlink.Target{
-				Config: c.Version, Model: target.Model, Version: serving.FirstVersion,
+				ConfigVersion: c.Version, Model: target.Model, Version: serving.FirstVersion,
 				Origin: target.Origin.Address, PieceMicros: target.PieceTime.Microseconds(),
 			}, "store")
 		}
--- a/internal/node/targets_test.go
+++ b/internal/node/targets_test.go
@@ -72,7 +72,7 @@
 		// Guards against agents that read a configuration of half a megabyte each over
 		// a link that their region shares: entries then missed it for seconds.
 		Consistently(func() int64 {
-			targets.announced(&peerlink.Target{Config: 2, Model: "m", Version: 2, Origin: "127.0.0.1:98", PieceMicros: 500})
+			targets.announced(&peerlink.Target{ConfigVersion: 2, Model: "m", Version: 2, Origin: "127.0.0.1:98", PieceMicros: 500})
 			return table.reads.Load()
 		}, 2*firstEntryTimeout, 100*time.Millisecond).Should(BeZero())
 		Expect(version()).To(Equal(2))
@@ -88,8 +88,8 @@
 
 	It("does not fall back to an older configuration or version", func() {
 		// Guards against entries that missed a change.
-		targets.announced(&peerlink.Target{Config: 5, Model: "m", Version: 4, Origin: "127.0.0.1:98"})
-		targets.announced(&peerlink.Target{Config: 4, Model: "m", Version: 3, Origin: "127.0.0.1:97"})
+		targets.announced(&peerlink.Target{ConfigVersion: 5, Model: "m", Version: 4, Origin: "127.0.0.1:98"})
+		targets.announced(&peerlink.Target{ConfigVersion: 4, Model: "m", Version: 3, Origin: "127.0.0.1:97"})
 		Expect(version()).To(Equal(4))
 		Expect(targets.origin.Address()).To(Equal("127.0.0.1:98"))
 	})
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -61,10 +61,10 @@
 // from. Entries announce it, so that agents need not read the configuration,
 // which may be large.
 type Target struct {
-	// Config is the version of the configuration that names the origin.
-	Config  int64  `msgpack:"c"`
-	Model   string `msgpack:"m"`
-	Version int    `msgpack:"v"`
+	// ConfigVersion is the version of the configuration that names the origin.
+	ConfigVersion int64  `msgpack:"c"`
+	Model         string `msgpack:"m"`
+	Version       int    `msgpack:"v"`
 	// Origin is the IP address and port of the origin.
 	Origin string `msgpack:"o"`
 	// PieceMicros is the time in microseconds that the origin's link takes for one
