--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -19,7 +19,7 @@
 	for _, t := range config.WeightsTargets() {
 		targets[t.Service] = &peerlink.Target{
 			ConfigVersion: config.Version, Model: t.Model, Version: max(serving.FirstVersion, g.versions.Newest(t.Model)),
-			Origin: t.Origin.Address, PieceMicros: t.PieceTime.Microseconds(),
+			Origin: t.Origin.Address, OriginPieceMicros: t.PieceTime.Microseconds(),
 		}
 	}
 	return targets
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -86,7 +86,7 @@
 	}
 	if target.ConfigVersion >= t.config {
 		t.config = target.ConfigVersion
-		t.pieceTime = time.Duration(target.PieceMicros) * time.Microsecond
+		t.pieceTime = time.Duration(target.OriginPieceMicros) * time.Microsecond
 		if t.origin == nil || t.origin.Address() != target.Origin {
 			t.origin = platform.NewOrigin(target.Origin)
 		}
@@ -148,7 +148,7 @@
 		if target.Service == t.service {
 			t.take(&peerlink.Target{
 				ConfigVersion: c.Version, Model: target.Model, Version: serving.FirstVersion,
-				Origin: target.Origin.Address, PieceMicros: target.PieceTime.Microseconds(),
+				Origin: target.Origin.Address, OriginPieceMicros: target.PieceTime.Microseconds(),
 			}, "store")
 		}
 	}
--- a/internal/node/targets_test.go
+++ b/internal/node/targets_test.go
@@ -72,7 +72,7 @@
 		// Guards against agents that read a configuration of half a megabyte each over
 		// a link that their region shares: entries then missed it for seconds.
 		Consistently(func() int64 {
-			targets.announced(&peerlink.Target{ConfigVersion: 2, Model: "m", Version: 2, Origin: "127.0.0.1:98", PieceMicros: 500})
+			targets.announced(&peerlink.Target{ConfigVersion: 2, Model: "m", Version: 2, Origin: "127.0.0.1:98", OriginPieceMicros: 500})
 			return table.reads.Load()
 		}, 2*firstEntryTimeout, 100*time.Millisecond).Should(BeZero())
 		Expect(version()).To(Equal(2))
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -67,9 +67,9 @@
 	Version       int    `msgpack:"v"`
 	// Origin is the IP address and port of the origin.
 	Origin string `msgpack:"o"`
-	// PieceMicros is the time in microseconds that the origin's link takes for one
+	// OriginPieceMicros is the time in microseconds that the origin's link takes for one
 	// piece; zero if it is not known.
-	PieceMicros int64 `msgpack:"p"`
+	OriginPieceMicros int64 `msgpack:"p"`
 }
 
 // Status is an agent's report on its backend server.
