--- a/gateway/place.go
+++ b/gateway/place.go
@@ -121,7 +121,7 @@
 }
 
 func (l *PeerLink) notify(granted *grant, n *peerlink.PlacementNotice) {
-	n.Entry, n.Start, n.Lease = l.name, l.queries.start, granted.lease
+	n.Entry, n.Incarnation, n.Lease = l.name, l.queries.start, granted.lease
 	l.send(encode(&peerlink.Datagram{PlacementNotice: n}), granted.by)
 }
 
@@ -196,7 +196,7 @@
 	g := l.gateway
 	now := g.now()
 	q := &peerlink.PlacementRequest{
-		Entry: l.name, Start: l.queries.start, Domain: g.config.Placement.Domain, Service: d.Service, Model: d.Model,
+		Entry: l.name, Incarnation: l.queries.start, Domain: g.config.Placement.Domain, Service: d.Service, Model: d.Model,
 		Version: d.Version, MinVersion: d.MinVersion, NextVersion: d.NextVersion,
 		PromptTokens: d.PromptTokens, AnswerTokens: d.AnswerTokens,
 		TargetMillis: d.LatencyTarget.Milliseconds(), LimitMillis: d.Remaining.Milliseconds(), Continued: d.MayHaveRun,
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -25,7 +25,7 @@
 	if l.places() {
 		a = l.gateway.placeFor(q)
 	}
-	a.Start, a.Lease = q.Start, q.Lease
+	a.Incarnation, a.Lease = q.Incarnation, q.Lease
 	l.send(encode(&peerlink.Datagram{PlacementResponse: a}), from)
 }
 
@@ -59,9 +59,9 @@
 		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, StartUnixMilli: key.Born})
 	}
 	if q.OpenKnown {
-		g.granted.Reconcile(q.Entry, q.Start, q.Open, now)
+		g.granted.Reconcile(q.Entry, q.Incarnation, q.Open, now)
 	}
-	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Start, q.Lease), d, now)
+	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Incarnation, q.Lease), d, now)
 	if refusal != nil {
 		return &peerlink.PlacementResponse{
 			Reason: string(refusal.Reason), AfterMillis: refusal.RetryAfter.Milliseconds(), PredictedMicros: refusal.Predicted.Microseconds(),
@@ -77,7 +77,7 @@
 // takeNotice takes what another entry tells of a lease that it got here.
 func (l *PeerLink) takeNotice(n *peerlink.PlacementNotice) {
 	g := l.gateway
-	id := leaseID(n.Entry, n.Start, n.Lease)
+	id := leaseID(n.Entry, n.Incarnation, n.Lease)
 	g.mu.Lock()
 	now := g.now()
 	var lease *placement.Lease
--- a/gateway/queries.go
+++ b/gateway/queries.go
@@ -63,7 +63,7 @@
 // answered passes an answer on. One that comes too late is dropped: the lease is
 // not named as open any more, so that it ends at the entry that granted it.
 func (q *queries) answered(a *peerlink.PlacementResponse) {
-	if a.Start != q.start {
+	if a.Incarnation != q.start {
 		return
 	}
 	q.mu.Lock()
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -4,9 +4,9 @@
 type PlacementRequest struct {
 	// Entry is the instance that asks, Start a number that differs between its
 	// starts, and Lease the number of the lease.
-	Entry string `msgpack:"e"`
-	Start uint64 `msgpack:"k"`
-	Lease uint64 `msgpack:"l"`
+	Entry       string `msgpack:"e"`
+	Incarnation uint64 `msgpack:"k"`
+	Lease       uint64 `msgpack:"l"`
 	// Domain is the failure domain of the entry.
 	Domain  string `msgpack:"d"`
 	Service string `msgpack:"s"`
@@ -43,8 +43,8 @@
 
 // PlacementResponse answers a PlaceQuery.
 type PlacementResponse struct {
-	Start uint64 `msgpack:"k"`
-	Lease uint64 `msgpack:"l"`
+	Incarnation uint64 `msgpack:"k"`
+	Lease       uint64 `msgpack:"l"`
 	// Declined tells that the receiver places no requests for others.
 	Declined bool `msgpack:"d,omitempty"`
 	// Server is the chosen server and Version what it serves; nil if the request is
@@ -64,9 +64,9 @@
 
 // PlacementNotice tells the entry that has placed a request how it goes on.
 type PlacementNotice struct {
-	Entry string `msgpack:"e"`
-	Start uint64 `msgpack:"k"`
-	Lease uint64 `msgpack:"l"`
+	Entry       string `msgpack:"e"`
+	Incarnation uint64 `msgpack:"k"`
+	Lease       uint64 `msgpack:"l"`
 	// Ended tells that the lease is over with Result; otherwise the first answer has
 	// arrived.
 	Ended  bool  `msgpack:"d,omitempty"`
