--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -20,7 +20,7 @@
 	NextMillis  int64 `msgpack:"y,omitempty"`
 	// PromptTokens and AnswerTokens are the expected work.
 	PromptTokens int `msgpack:"p"`
-	AnswerTokens int `msgpack:"a"`
+	OutputTokens int `msgpack:"a"`
 	// TargetMillis is the time in which the first answer is due, LimitMillis the
 	// time until nobody waits any more; zero sets none.
 	TargetMillis int64 `msgpack:"t,omitempty"`
