--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -21,10 +21,10 @@
 	// PromptTokens and AnswerTokens are the expected work.
 	PromptTokens int `msgpack:"p"`
 	OutputTokens int `msgpack:"a"`
-	// TargetMillis is the time in which the first answer is due, LimitMillis the
+	// LatencyTargetMillis is the time in which the first answer is due, LimitMillis the
 	// time until nobody waits any more; zero sets none.
-	TargetMillis int64 `msgpack:"t,omitempty"`
-	LimitMillis  int64 `msgpack:"i,omitempty"`
+	LatencyTargetMillis int64 `msgpack:"t,omitempty"`
+	LimitMillis         int64 `msgpack:"i,omitempty"`
 	// Continued tells that the request has begun elsewhere.
 	Continued bool `msgpack:"c,omitempty"`
 	// Exclude are servers that must not get it.
