--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -24,7 +24,7 @@
 	// LatencyTargetMillis is the time in which the first answer is due, LimitMillis the
 	// time until nobody waits any more; zero sets none.
 	LatencyTargetMillis int64 `msgpack:"t,omitempty"`
-	LimitMillis         int64 `msgpack:"i,omitempty"`
+	RemainingMillis     int64 `msgpack:"i,omitempty"`
 	// Continued tells that the request has begun elsewhere.
 	Continued bool `msgpack:"c,omitempty"`
 	// Exclude are servers that must not get it.
