--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -59,7 +59,7 @@
 		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, StartUnixMilli: key.Born})
 	}
 	if q.OpenKnown {
-		g.granted.Reconcile(q.Entry, q.Incarnation, q.Open, now)
+		g.granted.Reconcile(q.Entry, q.Incarnation, q.OpenLeases, now)
 	}
 	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Incarnation, q.Lease), d, now)
 	if refusal != nil {
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -29,10 +29,10 @@
 	Continued bool `msgpack:"c,omitempty"`
 	// Exclude are servers that must not get it.
 	Exclude []ServerKey `msgpack:"g,omitempty"`
-	// Open are the numbers of the leases that the entry has from the receiver, if
+	// OpenLeases are the numbers of the leases that the entry has from the receiver, if
 	// OpenKnown.
-	Open      []uint64 `msgpack:"o,omitempty"`
-	OpenKnown bool     `msgpack:"w,omitempty"`
+	OpenLeases []uint64 `msgpack:"o,omitempty"`
+	OpenKnown  bool     `msgpack:"w,omitempty"`
 }
 
 // ServerKey names one start of a backend server.
