--- a/gateway/place.go
+++ b/gateway/place.go
@@ -147,7 +147,7 @@
 		}
 		open, all := l.queries.leases(to)
 		q := l.query(d)
-		q.Lease, q.OpenLeases, q.OpenKnown = lease, open, all
+		q.Lease, q.OpenLeases, q.OpenLeasesKnown = lease, open, all
 		l.send(encode(&peerlink.Datagram{PlacementRequest: q}), to)
 		if granted, refusal, ok := l.await(ctx, to, lease, answer); ok {
 			return granted, refusal, to
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -58,7 +58,7 @@
 	for _, key := range q.Exclude {
 		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, StartUnixMilli: key.Born})
 	}
-	if q.OpenKnown {
+	if q.OpenLeasesKnown {
 		g.granted.Reconcile(q.Entry, q.Incarnation, q.OpenLeases, now)
 	}
 	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Incarnation, q.Lease), d, now)
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -31,8 +31,8 @@
 	Exclude []ServerKey `msgpack:"g,omitempty"`
 	// OpenLeases are the numbers of the leases that the entry has from the receiver, if
 	// OpenKnown.
-	OpenLeases []uint64 `msgpack:"o,omitempty"`
-	OpenKnown  bool     `msgpack:"w,omitempty"`
+	OpenLeases      []uint64 `msgpack:"o,omitempty"`
+	OpenLeasesKnown bool     `msgpack:"w,omitempty"`
 }
 
 // ServerKey names one start of a backend server.
