--- a/gateway/place.go
+++ b/gateway/place.go
@@ -170,7 +170,7 @@
 		l.queries.sound(to)
 		if a.Server == nil {
 			return nil, &placement.Refusal{
-				Reason: placement.Reason(a.Reason), RetryAfter: time.Duration(a.AfterMillis) * time.Millisecond,
+				Reason: placement.Reason(a.Reason), RetryAfter: time.Duration(a.RetryAfterMillis) * time.Millisecond,
 				Predicted: time.Duration(a.PredictedMicros) * time.Microsecond,
 			}, true
 		}
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -64,7 +64,7 @@
 	lease, refusal := g.granted.Grant(leaseID(q.Entry, q.Incarnation, q.Lease), d, now)
 	if refusal != nil {
 		return &peerlink.PlacementResponse{
-			Reason: string(refusal.Reason), AfterMillis: refusal.RetryAfter.Milliseconds(), PredictedMicros: refusal.Predicted.Microseconds(),
+			Reason: string(refusal.Reason), RetryAfterMillis: refusal.RetryAfter.Milliseconds(), PredictedMicros: refusal.Predicted.Microseconds(),
 		}
 	}
 	g.loads.tellUsage(lease.Server.Address, lease.Usage)
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -58,8 +58,8 @@
 	Occupancy       int   `msgpack:"o,omitempty"`
 	LoadAgeMicros   int64 `msgpack:"a,omitempty"`
 	// Reason tells why the request is refused, AfterMillis when a place is expected.
-	Reason      string `msgpack:"r,omitempty"`
-	AfterMillis int64  `msgpack:"f,omitempty"`
+	Reason           string `msgpack:"r,omitempty"`
+	RetryAfterMillis int64  `msgpack:"f,omitempty"`
 }
 
 // PlacementNotice tells the entry that has placed a request how it goes on.
