--- a/lib/eventlog/async.go
+++ b/lib/eventlog/async.go
@@ -15,27 +15,27 @@
 	closeTimeout = 200 * time.Millisecond
 )
 
-// Async writes lines in the background, so that a slow or stuck reader never
+// AsyncWriter writes lines in the background, so that a slow or stuck reader never
 // holds up the caller. Lines that do not fit are counted and dropped. Write is
 // safe for concurrent use.
-type Async struct {
+type AsyncWriter struct {
 	lines   chan []byte
 	done    chan struct{}
 	stopped chan struct{}
 	dropped atomic.Int64
 }
 
-var _ io.Writer = (*Async)(nil)
+var _ io.Writer = (*AsyncWriter)(nil)
 
 // NewAsync returns an Async that writes to w.
-func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, asyncLines), done: make(chan struct{}), stopped: make(chan struct{})}
+func NewAsync(w io.Writer) *AsyncWriter {
+	a := &AsyncWriter{lines: make(chan []byte, asyncLines), done: make(chan struct{}), stopped: make(chan struct{})}
 	go a.run(w)
 	return a
 }
 
 // Write queues one line. It never blocks and never fails.
-func (a *Async) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	kept := append([]byte(nil), line...)
 	select {
 	case a.lines <- kept:
@@ -46,10 +46,10 @@
 }
 
 // Dropped returns the number of lines that were dropped.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 // Close writes what is queued, for a short time at most.
-func (a *Async) Close() {
+func (a *AsyncWriter) Close() {
 	close(a.done)
 	select {
 	case <-a.stopped:
@@ -57,7 +57,7 @@
 	}
 }
 
-func (a *Async) run(w io.Writer) {
+func (a *AsyncWriter) run(w io.Writer) {
 	defer close(a.stopped)
 	batch := make([]byte, 0, 4096)
 	for {
@@ -76,7 +76,7 @@
 }
 
 // collect adds the lines that wait already, which saves system calls.
-func (a *Async) collect(batch []byte) []byte {
+func (a *AsyncWriter) collect(batch []byte) []byte {
 	for len(batch) < asyncBatch {
 		select {
 		case line := <-a.lines:
