--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -95,7 +95,7 @@
 
 func run(ctx context.Context, p Program, path string, settings *platform.Settings, metricsPort int, logs io.Writer) error {
 	limitMemory(settings.MemoryLimit)
-	async := eventlog.NewAsync(logs)
+	async := eventlog.NewAsyncWriter(logs)
 	defer async.Close()
 	log := eventlog.OpenPlain(async, clock.System{}).With("instance", settings.Instance)
 	log.Log(eventlog.ProcessStarted, "program", p.Name, "version", version(), "domain", settings.Domain)
--- a/lib/eventlog/async.go
+++ b/lib/eventlog/async.go
@@ -27,8 +27,8 @@
 
 var _ io.Writer = (*AsyncWriter)(nil)
 
-// NewAsync returns an Async that writes to w.
-func NewAsync(w io.Writer) *AsyncWriter {
+// NewAsyncWriter returns an Async that writes to w.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	a := &AsyncWriter{lines: make(chan []byte, asyncLines), done: make(chan struct{}), stopped: make(chan struct{})}
 	go a.run(w)
 	return a
