--- a/lib/eventlog/open.go
+++ b/lib/eventlog/open.go
@@ -26,6 +26,6 @@
 
 // Quietly returns a Logger that writes an event at most once in each interval
 // and drops the others. It serves events that one fault repeats many times.
-func (l *Logger) Quietly(c clock.Clock, interval time.Duration) *Quiet {
-	return &Quiet{logger: l, clock: c, interval: interval}
+func (l *Logger) Quietly(c clock.Clock, interval time.Duration) *RateLimitedLogger {
+	return &RateLimitedLogger{logger: l, clock: c, interval: interval}
 }
--- a/lib/eventlog/quiet.go
+++ b/lib/eventlog/quiet.go
@@ -7,9 +7,9 @@
 	"github.com/auburnbend/auburnbend/lib/clock"
 )
 
-// Quiet bounds the rate of each event. It is safe for concurrent use if the
+// RateLimitedLogger bounds the rate of each event. It is safe for concurrent use if the
 // logger is.
-type Quiet struct {
+type RateLimitedLogger struct {
 	logger   *Logger
 	clock    clock.Clock
 	interval time.Duration
@@ -21,7 +21,7 @@
 
 // Log writes the event, with the number of dropped ones before it, unless it
 // was written within the interval.
-func (q *Quiet) Log(e Event, keyvals ...any) {
+func (q *RateLimitedLogger) Log(e Event, keyvals ...any) {
 	now := q.clock.Now()
 	q.mu.Lock()
 	if q.last == nil {
