--- a/lib/eventlog/eventlog_test.go
+++ b/lib/eventlog/eventlog_test.go
@@ -71,7 +71,7 @@
 
 	It("bounds the rate of an event that repeats", func() {
 		var b bytes.Buffer
-		q := eventlog.Open(settings.Log{}, &b, now).Quietly(now, time.Minute)
+		q := eventlog.Open(settings.Log{}, &b, now).RateLimited(now, time.Minute)
 		for range 5 {
 			q.Log(eventlog.StoreUnavailable)
 		}
--- a/lib/eventlog/open.go
+++ b/lib/eventlog/open.go
@@ -24,8 +24,8 @@
 	return l
 }
 
-// Quietly returns a Logger that writes an event at most once in each interval
+// RateLimited returns a Logger that writes an event at most once in each interval
 // and drops the others. It serves events that one fault repeats many times.
-func (l *Logger) Quietly(c clock.Clock, interval time.Duration) *RateLimitedLogger {
+func (l *Logger) RateLimited(c clock.Clock, interval time.Duration) *RateLimitedLogger {
 	return &RateLimitedLogger{logger: l, clock: c, interval: interval}
 }
