--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -24,7 +24,7 @@
 
 func (o *gatewayOperator) Config(c *serving.Config) {
 	if o.gateway.SetConfig(c) {
-		o.log.Log(eventlog.LiveConfigInForce, "config", c.Version, "revision", c.Revision, "routes", len(c.Routes), "teams", len(c.Teams))
+		o.log.Log(eventlog.LiveConfigApplied, "config", c.Version, "revision", c.Revision, "routes", len(c.Routes), "teams", len(c.Teams))
 	}
 }
 
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -152,7 +152,7 @@
 			}, "store")
 		}
 	}
-	t.log.Log(eventlog.LiveConfigInForce, "config", c.Version, "revision", c.Revision, "routes", len(c.Routes), "teams", len(c.Teams))
+	t.log.Log(eventlog.LiveConfigApplied, "config", c.Version, "revision", c.Revision, "routes", len(c.Routes), "teams", len(c.Teams))
 }
 
 // Wanted implements platform.OperatorSink. Versions of models of other services
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -2,7 +2,7 @@
 
 // Events 7000 to 7999: daemons on the users' platform.
 var (
-	LiveConfigInForce  = Event{7001, Info, "live configuration is in force", "Nothing."}
+	LiveConfigApplied  = Event{7001, Info, "live configuration is in force", "Nothing."}
 	VersionDeclared    = Event{7002, Info, "operator declared a version of a model's weights", "Nothing."}
 	RowUnreadable      = Event{7003, Warn, "row of the store cannot be used", "Find out who wrote it; the others are used."}
 	StoreLost          = Event{7004, Warn, "store does not answer this instance", "Check the platform; the last known state stays in use."}
@@ -35,7 +35,7 @@
 )
 
 var servingEvents = []Event{
-	LiveConfigInForce, VersionDeclared, RowUnreadable, StoreLost, StoreRegained,
+	LiveConfigApplied, VersionDeclared, RowUnreadable, StoreLost, StoreRegained,
 	ServersRead, ServerRegistered, ServerGone, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
 	RequestEnded, RequestRepeated, LinesDropped, AttemptCut, ServerEnded, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
 	ReplicaPhase, ReplicaOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
