--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -73,5 +73,5 @@
 func (s *gatewayServers) Unreadable(row watch.Row, err error) { logUnreadable(s.log, row, err) }
 
 func logUnreadable(log *eventlog.Logger, row watch.Row, err error) {
-	log.Log(eventlog.RowUnreadable, "key", row.Key, "revision", row.Revision, "err", err)
+	log.Log(eventlog.RowInvalid, "key", row.Key, "revision", row.Revision, "err", err)
 }
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -4,7 +4,7 @@
 var (
 	LiveConfigApplied  = Event{7001, Info, "live configuration is in force", "Nothing."}
 	VersionDeclared    = Event{7002, Info, "operator declared a version of a model's weights", "Nothing."}
-	RowUnreadable      = Event{7003, Warn, "row of the store cannot be used", "Find out who wrote it; the others are used."}
+	RowInvalid         = Event{7003, Warn, "row of the store cannot be used", "Find out who wrote it; the others are used."}
 	StoreLost          = Event{7004, Warn, "store does not answer this instance", "Check the platform; the last known state stays in use."}
 	StoreRegained      = Event{7005, Info, "store answers again", "Nothing."}
 	ServersRead        = Event{7101, Info, "list of backend servers was read in full", "Nothing."}
@@ -35,7 +35,7 @@
 )
 
 var servingEvents = []Event{
-	LiveConfigApplied, VersionDeclared, RowUnreadable, StoreLost, StoreRegained,
+	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
 	ServersRead, ServerRegistered, ServerGone, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
 	RequestEnded, RequestRepeated, LinesDropped, AttemptCut, ServerEnded, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
 	ReplicaPhase, ReplicaOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
