--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -55,7 +55,7 @@
 
 func (s *gatewayServers) Replace(servers []*directory.Server, recovered bool) {
 	s.gateway.ReplaceServers(servers, recovered)
-	s.log.Log(eventlog.ServersRead, "servers", len(servers), "after_outage", recovered)
+	s.log.Log(eventlog.ServerListRead, "servers", len(servers), "after_outage", recovered)
 }
 
 func (s *gatewayServers) Apply(changes []directory.Change, recovered bool) {
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -7,7 +7,7 @@
 	RowInvalid         = Event{7003, Warn, "row of the store cannot be used", "Find out who wrote it; the others are used."}
 	StoreLost          = Event{7004, Warn, "store does not answer this instance", "Check the platform; the last known state stays in use."}
 	StoreRegained      = Event{7005, Info, "store answers again", "Nothing."}
-	ServersRead        = Event{7101, Info, "list of backend servers was read in full", "Nothing."}
+	ServerListRead     = Event{7101, Info, "list of backend servers was read in full", "Nothing."}
 	ServerRegistered   = Event{7102, Info, "backend server registered or changed", "Nothing."}
 	ServerGone         = Event{7103, Info, "row of a backend server is gone", "Nothing unless many go at the same time."}
 	ServerEjected      = Event{7104, Warn, "backend server gets no requests for a while", "Check the server if it repeats."}
@@ -36,7 +36,7 @@
 
 var servingEvents = []Event{
 	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
-	ServersRead, ServerRegistered, ServerGone, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
+	ServerListRead, ServerRegistered, ServerGone, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
 	RequestEnded, RequestRepeated, LinesDropped, AttemptCut, ServerEnded, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
 	ReplicaPhase, ReplicaOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
 }
