--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -62,7 +62,7 @@
 	s.gateway.UpdateServers(func(d *directory.Directory, now time.Time) { d.Apply(changes, recovered, now) })
 	for _, c := range changes {
 		if c.Server == nil {
-			s.log.Log(eventlog.ServerGone, "server", c.ID, "after_outage", recovered)
+			s.log.Log(eventlog.ServerRemoved, "server", c.ID, "after_outage", recovered)
 			continue
 		}
 		s.log.Log(eventlog.ServerRegistered, "server", c.ID, "service", c.Server.Service, "address", c.Server.Address,
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -9,7 +9,7 @@
 	StoreRegained      = Event{7005, Info, "store answers again", "Nothing."}
 	ServerListRead     = Event{7101, Info, "list of backend servers was read in full", "Nothing."}
 	ServerRegistered   = Event{7102, Info, "backend server registered or changed", "Nothing."}
-	ServerGone         = Event{7103, Info, "row of a backend server is gone", "Nothing unless many go at the same time."}
+	ServerRemoved      = Event{7103, Info, "row of a backend server is gone", "Nothing unless many go at the same time."}
 	ServerEjected      = Event{7104, Warn, "backend server gets no requests for a while", "Check the server if it repeats."}
 	PlacerChanged      = Event{7105, Info, "another entry places the requests of the region", "Nothing."}
 	PlacerLost         = Event{7106, Warn, "entry that places requests does not answer this one", "Nothing unless it lasts; then check the named entry and the link to it."}
@@ -36,7 +36,7 @@
 
 var servingEvents = []Event{
 	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
-	ServerListRead, ServerRegistered, ServerGone, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
+	ServerListRead, ServerRegistered, ServerRemoved, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
 	RequestEnded, RequestRepeated, LinesDropped, AttemptCut, ServerEnded, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
 	ReplicaPhase, ReplicaOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
 }
--- a/operator/explain/story.go
+++ b/operator/explain/story.go
@@ -55,7 +55,7 @@
 		if server := met.Get("server"); server != "" && server == l.Get("server") {
 			return true
 		}
-		if met.Instance == l.Instance && l.Event != eventlog.ServerRegistered.Number && l.Event != eventlog.ServerGone.Number {
+		if met.Instance == l.Instance && l.Event != eventlog.ServerRegistered.Number && l.Event != eventlog.ServerRemoved.Number {
 			return true
 		}
 	}
