--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -182,7 +182,7 @@
 			r.fail(end)
 			return
 		}
-		g.config.Log.Log(eventlog.RequestRepeated, "request", r.call.ID, "content", r.fingerprint(), "server", lease.Server.ID, "reason", end.reason,
+		g.config.Log.Log(eventlog.RequestRetried, "request", r.call.ID, "content", r.fingerprint(), "server", lease.Server.ID, "reason", end.reason,
 			"sent", end.sent, "may_have_run", end.mayHaveRun, "last_event", r.stream.last, "config", r.seen.ConfigVersion)
 	}
 }
