--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -69,7 +69,7 @@
 	l.dropped = 0
 	l.mu.Unlock()
 	if dropped > 0 {
-		l.log.Log(eventlog.LinesDropped, "lines", dropped)
+		l.log.Log(eventlog.LogLinesDropped, "lines", dropped)
 	}
 	return true
 }
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -16,7 +16,7 @@
 	StorePathChanged   = Event{7107, Info, "table of the store is read through another entry, or directly", "Nothing unless it changes often; then check the named entry."}
 	RequestEnded       = Event{7201, Info, "request ended", "Nothing; outcome and reason tell how."}
 	RequestRetried     = Event{7202, Info, "request goes to another backend server", "Nothing unless frequent; then check the named server."}
-	LinesDropped       = Event{7203, Warn, "log lines were dropped to keep their volume bounded", "Nothing; the metrics count all requests."}
+	LogLinesDropped    = Event{7203, Warn, "log lines were dropped to keep their volume bounded", "Nothing; the metrics count all requests."}
 	AttemptCut         = Event{7204, Info, "connection to a backend server ended before its answer did", "Nothing unless the same content meets several servers; then find its caller."}
 	ServerEnded        = Event{7205, Warn, "backend server ended while it ran requests", "Nothing unless it repeats; then look for 7206."}
 	ContentQuarantined = Event{7206, Warn, "content is quarantined: backend servers ended while they ran it", "Find its caller by the content in 7201 and tell it."}
@@ -37,6 +37,6 @@
 var servingEvents = []Event{
 	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
 	ServerListRead, ServerRegistered, ServerRemoved, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
-	RequestEnded, RequestRetried, LinesDropped, AttemptCut, ServerEnded, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
+	RequestEnded, RequestRetried, LogLinesDropped, AttemptCut, ServerEnded, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
 	ReplicaPhase, ReplicaOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
 }
