--- a/gateway/interrupted.go
+++ b/gateway/interrupted.go
@@ -34,7 +34,7 @@
 	g, server := r.gateway, lease.Server
 	content := r.fingerprint()
 	if closed {
-		g.config.Log.Log(eventlog.AttemptCut, "request", r.call.ID, "content", content,
+		g.config.Log.Log(eventlog.AttemptAborted, "request", r.call.ID, "content", content,
 			"server", server.ID, "born", server.StartUnixMilli, "service", r.service, "err", err)
 	}
 	g.mu.Lock()
