--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -133,7 +133,7 @@
 	if len(contents) == 0 {
 		return func() {}
 	}
-	g.config.Log.Log(eventlog.ServerEnded, "server", server.ID, "born", server.StartUnixMilli, "sign", sign, "requests", len(contents))
+	g.config.Log.Log(eventlog.ServerCrashed, "server", server.ID, "born", server.StartUnixMilli, "sign", sign, "requests", len(contents))
 	return g.crashed(server, contents)
 }
 
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -18,7 +18,7 @@
 	RequestRetried     = Event{7202, Info, "request goes to another backend server", "Nothing unless frequent; then check the named server."}
 	LogLinesDropped    = Event{7203, Warn, "log lines were dropped to keep their volume bounded", "Nothing; the metrics count all requests."}
 	AttemptAborted     = Event{7204, Info, "connection to a backend server ended before its answer did", "Nothing unless the same content meets several servers; then find its caller."}
-	ServerEnded        = Event{7205, Warn, "backend server ended while it ran requests", "Nothing unless it repeats; then look for 7206."}
+	ServerCrashed      = Event{7205, Warn, "backend server ended while it ran requests", "Nothing unless it repeats; then look for 7206."}
 	ContentQuarantined = Event{7206, Warn, "content is quarantined: backend servers ended while they ran it", "Find its caller by the content in 7201 and tell it."}
 	ServerSurvived     = Event{7207, Info, "backend server that seemed to have ended is alive", "Nothing; what it ran is not held against any content."}
 	ServerLeaving      = Event{7208, Info, "backend server leaves and gets no further requests", "Nothing."}
@@ -37,6 +37,6 @@
 var servingEvents = []Event{
 	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
 	ServerListRead, ServerRegistered, ServerRemoved, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
-	RequestEnded, RequestRetried, LogLinesDropped, AttemptAborted, ServerEnded, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
+	RequestEnded, RequestRetried, LogLinesDropped, AttemptAborted, ServerCrashed, ContentQuarantined, ServerSurvived, ServerLeaving, ServerPaused,
 	ReplicaPhase, ReplicaOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
 }
