--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -152,7 +152,7 @@
 	if g.suspects.attributor.EndCount() == 0 || !g.suspects.attributor.MarkAlive(startID(server), at) {
 		return func() {}
 	}
-	g.config.Log.Log(eventlog.ServerSurvived, "server", server.ID, "born", server.StartUnixMilli)
+	g.config.Log.Log(eventlog.ServerAlive, "server", server.ID, "born", server.StartUnixMilli)
 	update := g.suspects.monitor.Survived(g.now(), startID(server))
 	return func() { g.spread(update) }
 }
