--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -24,7 +24,7 @@
 	ServerLeaving      = Event{7208, Info, "backend server leaves and gets no further requests", "Nothing."}
 	ServerPaused       = Event{7209, Info, "backend server wants nothing from this entry for a while", "Nothing unless it repeats; then add servers of the service."}
 	ReplicaPhase       = Event{7301, Info, "instance takes a step towards the declared version", "Nothing."}
-	ReplicaOrdered     = Event{7302, Info, "engine was ordered to load a version", "Nothing; err tells whether it refused."}
+	LoadOrdered        = Event{7302, Info, "engine was ordered to load a version", "Nothing; err tells whether it refused."}
 	ReplicaFetched     = Event{7306, Info, "all pieces of a version are here", "Nothing."}
 	FetchFailed        = Event{7307, Warn, "version could not be fetched", "Nothing unless it repeats; then check the origin and the peers."}
 	OriginLost         = Event{7308, Warn, "origin of weights does not answer this instance", "Check the origin; pieces that any instance has still spread."}
@@ -38,5 +38,5 @@
 	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
 	ServerListRead, ServerRegistered, ServerRemoved, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
 	RequestEnded, RequestRetried, LogLinesDropped, AttemptAborted, ServerCrashed, ContentQuarantined, ServerAlive, ServerLeaving, ServerPaused,
-	ReplicaPhase, ReplicaOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
+	ReplicaPhase, LoadOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
 }
--- a/replica/order.go
+++ b/replica/order.go
@@ -45,7 +45,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	err = r.config.Engine.StartLoad(callCtx, p.model, p.version, report.OrdersAccepted)
-	r.config.Log.Log(eventlog.ReplicaOrdered, "model", p.model, "version", p.version, "err", err)
+	r.config.Log.Log(eventlog.LoadOrdered, "model", p.model, "version", p.version, "err", err)
 	if err != nil && errors.Is(err, ErrOrderRejected) {
 		return
 	}
