--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -29,7 +29,7 @@
 	FetchFailed        = Event{7307, Warn, "version could not be fetched", "Nothing unless it repeats; then check the origin and the peers."}
 	OriginLost         = Event{7308, Warn, "origin of weights does not answer this instance", "Check the origin; pieces that any instance has still spread."}
 	OriginRegained     = Event{7309, Info, "origin of weights answers again", "Nothing."}
-	PieceSpoilt        = Event{7303, Warn, "piece of weights does not match the manifest", "Check the named source if it repeats."}
+	PieceCorrupt       = Event{7303, Warn, "piece of weights does not match the manifest", "Check the named source if it repeats."}
 	PeersUnknown       = Event{7304, Warn, "list of peers cannot be read", "Check the platform; the origin serves instead."}
 	EngineCallFailed   = Event{7305, Warn, "call of the engine on this instance failed", "Check the engine if it lasts."}
 )
@@ -38,5 +38,5 @@
 	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
 	ServerListRead, ServerRegistered, ServerRemoved, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
 	RequestEnded, RequestRetried, LogLinesDropped, AttemptAborted, ServerCrashed, ContentQuarantined, ServerAlive, ServerLeaving, ServerPaused,
-	ReplicaPhase, LoadOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceSpoilt, PeersUnknown, EngineCallFailed,
+	ReplicaPhase, LoadOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceCorrupt, PeersUnknown, EngineCallFailed,
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -221,7 +221,7 @@
 	if source == spread.Origin {
 		source = "origin"
 	}
-	r.config.Log.Log(eventlog.PieceSpoilt, "source", source, "piece", piece)
+	r.config.Log.Log(eventlog.PieceCorrupt, "source", source, "piece", piece)
 }
 
 func (r *Replica) engineFailed(err error) {
