--- a/replica/fetchtarget.go
+++ b/replica/fetchtarget.go
@@ -132,7 +132,7 @@
 func (r *Replica) peers() ([]Peer, bool) {
 	peers, err := r.config.Peers()
 	if err != nil {
-		r.config.Log.Log(eventlog.PeersUnknown, "err", err)
+		r.config.Log.Log(eventlog.PeerListUnavailable, "err", err)
 	}
 	return peers, err == nil
 }
