--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -111,7 +111,7 @@
 	r.target, r.conn, r.complete, r.checking = t, nil, false, false
 	r.before = r.s.counters.progress()
 	r.reported = time.Time{} // the new version is reported at once
-	r.s.cfg.Log.Log(eventlog.VersionWanted, "manifest", t.digest.Short(), "chunks", len(t.known.manifest.Chunks))
+	r.s.cfg.Log.Log(eventlog.VersionFetchStarted, "manifest", t.digest.Short(), "chunks", len(t.known.manifest.Chunks))
 	r.dropSeed(t.digest)
 	r.s.wanted(t.known.manifest)
 	r.setWindow(t.known.manifest)
