--- a/agent/transfer/step.go
+++ b/agent/transfer/step.go
@@ -19,7 +19,7 @@
 		r.cancel(id)
 	}
 	for _, source := range a.StalledSources {
-		r.s.cfg.Log.Log(eventlog.LinkStalled, "source", source)
+		r.s.cfg.Log.Log(eventlog.TransferStalled, "source", source)
 	}
 	for _, f := range a.Start {
 		r.start(f)
--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -170,7 +170,7 @@
 		s.cfg.Log.Log(eventlog.ChunkCorrupt, "instance", c.identity.Instance, "source", source)
 	}
 	for _, source := range n.Stalled {
-		s.cfg.Log.Log(eventlog.LinkStalled, "instance", c.identity.Instance, "source", source)
+		s.cfg.Log.Log(eventlog.TransferStalled, "instance", c.identity.Instance, "source", source)
 	}
 	if n.Outdated > 0 {
 		s.cfg.Log.Log(eventlog.GrantOutdated, "instance", c.identity.Instance, "count", n.Outdated)
--- a/lib/eventlog/events_weight.go
+++ b/lib/eventlog/events_weight.go
@@ -7,7 +7,7 @@
 	VersionLive         = Event{3003, Info, "instance serves a version", "Nothing."}
 	TransferPeerLost    = Event{3101, Info, "agent was lost during a transfer", "Nothing; its grants expire."}
 	LoadFailed          = Event{3102, Warn, "backend server did not load a version", "Check the backend server; the agent orders the load again."}
-	LinkStalled         = Event{3103, Info, "chunk transfer made no progress before its deadline", "Nothing unless frequent; then check the link of the source."}
+	TransferStalled     = Event{3103, Info, "chunk transfer made no progress before its deadline", "Nothing unless frequent; then check the link of the source."}
 	ChunkCorrupt        = Event{3104, Warn, "chunk does not match its digest", "Check the named source if it repeats."}
 	ManifestCorrupt     = Event{3105, Warn, "manifest does not match its digest", "Check the manifest object at the origin."}
 	VersionReplaced     = Event{3106, Info, "wanted version changed while copies were in flight", "Nothing."}
@@ -24,7 +24,7 @@
 	VersionLive,
 	TransferPeerLost,
 	LoadFailed,
-	LinkStalled,
+	TransferStalled,
 	ChunkCorrupt,
 	ManifestCorrupt,
 	VersionReplaced,
