--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -173,7 +173,7 @@
 		s.cfg.Log.Log(eventlog.TransferStalled, "instance", c.identity.Instance, "source", source)
 	}
 	if n.Outdated > 0 {
-		s.cfg.Log.Log(eventlog.GrantOutdated, "instance", c.identity.Instance, "count", n.Outdated)
+		s.cfg.Log.Log(eventlog.GrantExpired, "instance", c.identity.Instance, "count", n.Outdated)
 	}
 }
 
--- a/lib/eventlog/events_weight.go
+++ b/lib/eventlog/events_weight.go
@@ -11,7 +11,7 @@
 	ChunkCorrupt        = Event{3104, Warn, "chunk does not match its digest", "Check the named source if it repeats."}
 	ManifestCorrupt     = Event{3105, Warn, "manifest does not match its digest", "Check the manifest object at the origin."}
 	VersionReplaced     = Event{3106, Info, "wanted version changed while copies were in flight", "Nothing."}
-	GrantOutdated       = Event{3107, Info, "result arrived for an assignment that had expired", "Nothing."}
+	GrantExpired        = Event{3107, Info, "result arrived for an assignment that had expired", "Nothing."}
 	FencingIgnored      = Event{3108, Info, "backend server does not check fencing numbers", "Nothing; the agent reads its state before and after each order."}
 	SourceThrottled     = Event{3109, Info, "source of weights asked to come back later", "Nothing; check the source limits if a rollout is late."}
 	RoleNotSet          = Event{3111, Warn, "backend server did not take its declared role", "Check the backend server; the agent gives the order again."}
@@ -28,7 +28,7 @@
 	ChunkCorrupt,
 	ManifestCorrupt,
 	VersionReplaced,
-	GrantOutdated,
+	GrantExpired,
 	FencingIgnored,
 	SourceThrottled,
 	TrackerUnreachable,
