--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -62,7 +62,7 @@
 	f.modified, _ = f.stat()
 	settings, err := platform.LoadSettings(f.path)
 	if err != nil {
-		f.log.Log(eventlog.SettingsRefused, "err", err)
+		f.log.Log(eventlog.SettingsRejected, "err", err)
 		return
 	}
 	changed := f.current.Changed(settings)
