--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -36,7 +36,7 @@
 		Engine: platform.NewEngine(s.EngineAddress), Origin: targets.currentOrigin, OriginPieceTime: targets.originTime,
 		OnTarget: targets.announced,
 		Peers:    peers.read,
-		PeerPort: s.FirstPort, Listen: s.Address, VersionTime: s.Bounds.VersionTime,
+		PeerPort: s.FirstPort, Listen: s.Address, MaxRolloutTime: s.Bounds.VersionTime,
 		LinkRate: s.LinkRate,
 		Clock:    clock.System{}, Log: p.Log,
 	})
--- a/replica/config.go
+++ b/replica/config.go
@@ -31,8 +31,8 @@
 	PeerPort int
 	// Listen is the IP address on which this one serves.
 	Listen string
-	// VersionTime is the time in which a declared version must serve everywhere.
-	VersionTime time.Duration
+	// MaxRolloutTime is the time in which a declared version must serve everywhere.
+	MaxRolloutTime time.Duration
 	// LinkRate is the bandwidth of the instance's link in bytes per second, zero
 	// if it is not known.
 	LinkRate float64
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -185,7 +185,7 @@
 		Origin:          func() replica.Origin { return f.origin },
 		OriginPieceTime: func() time.Duration { return time.Millisecond },
 		Peers:           f.listed,
-		PeerPort:        f.port, Listen: f.host(i), VersionTime: time.Second,
+		PeerPort:        f.port, Listen: f.host(i), MaxRolloutTime: time.Second,
 		Clock: clock.System{}, Log: eventlog.OpenPlain(f.logs, clock.System{}),
 	})
 	go func() {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -62,7 +62,7 @@
 		config: config, uploads: newUploads(config.LinkRate),
 		wake: make(chan struct{}, 1), observed: make(chan struct{}, 1), stagedChanged: make(chan struct{}), fetchPauses: newBackoff(retryPause, maxRetryPause),
 	}
-	r.versionTime.Store(int64(config.VersionTime))
+	r.versionTime.Store(int64(config.MaxRolloutTime))
 	r.phases = newPhases(func(from, to Phase) {
 		t := r.currentTarget()
 		config.Log.Log(eventlog.ReplicaPhase, "from", string(from), "to", string(to), "model", t.model, "version", t.version)
