--- a/replica/engine.go
+++ b/replica/engine.go
@@ -30,8 +30,8 @@
 
 // EngineState is the state of an engine.
 type EngineState struct {
-	// Born is its start in Unix milliseconds.
-	Born int64
+	// StartUnixMilli is its start in Unix milliseconds.
+	StartUnixMilli int64
 	// Running and Waiting count requests.
 	Running, Waiting int
 	// Slowdown is how much slower than declared it works; zero if it did not tell.
