--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -251,7 +251,7 @@
 		return s
 	}
 	s.AgeMicros = b.replica.config.Clock.Now().Sub(report.at).Microseconds()
-	s.Born, s.Running, s.Waiting, s.Slowdown = report.StartUnixMilli, report.Running, report.Waiting, report.Slowdown
+	s.Born, s.Running, s.Waiting, s.Slowdown = report.StartUnixMilli, report.Running, report.Queued, report.Slowdown
 	s.PrefillTokens = b.readingTokens()
 	s.Closed = report.Busy || b.replica.Draining()
 	for model, w := range report.Weights {
--- a/replica/engine.go
+++ b/replica/engine.go
@@ -33,7 +33,7 @@
 	// StartUnixMilli is its start in Unix milliseconds.
 	StartUnixMilli int64
 	// Running and Waiting count requests.
-	Running, Waiting int
+	Running, Queued int
 	// Slowdown is how much slower than declared it works; zero if it did not tell.
 	Slowdown float64
 	// OrdersAccepted counts the orders that it has accepted since its start.
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -88,7 +88,7 @@
 func (e *fakeEngine) State(context.Context) (replica.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := replica.EngineState{StartUnixMilli: e.born, Waiting: e.waiting, OrdersAccepted: int64(e.orders)}
+	r := replica.EngineState{StartUnixMilli: e.born, Queued: e.waiting, OrdersAccepted: int64(e.orders)}
 	if e.loaded > 0 {
 		r.Weights = map[string]directory.Weights{"m": {Version: e.loaded, Complete: true}}
 	}
--- a/replica/order.go
+++ b/replica/order.go
@@ -62,7 +62,7 @@
 	for ctx.Err() == nil && r.config.Clock.Now().Before(limit) {
 		wait(ctx, nil, closeBefore)
 		r.observe(ctx)
-		if report := r.report.Load(); report == nil || report.Waiting == 0 {
+		if report := r.report.Load(); report == nil || report.Queued == 0 {
 			return
 		}
 	}
