--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -93,15 +93,15 @@
 	if server == nil {
 		return
 	}
-	if status.Born != 0 && server.StartUnixMilli != 0 && status.Born != server.StartUnixMilli {
-		if status.Born > server.StartUnixMilli {
+	if status.StartUnixMilli != 0 && server.StartUnixMilli != 0 && status.StartUnixMilli != server.StartUnixMilli {
+		if status.StartUnixMilli > server.StartUnixMilli {
 			// The row of the later start is on its way; the listed one has ended.
 			g.picker.MarkSuperseded(server.Key())
 			spread = g.ended(server.Key(), endedLaterStart)
 		}
 		return
 	}
-	if status.Born != 0 {
+	if status.StartUnixMilli != 0 {
 		spread = g.alive(server.Key(), now.Add(-time.Duration(status.AgeMicros)*time.Microsecond))
 	}
 	if status.Model != "" && server.Weights[status.Model].Version < status.Version {
--- a/gateway/loads_test.go
+++ b/gateway/loads_test.go
@@ -24,7 +24,7 @@
 		return ids
 	}
 	report := func(born int64, version int) {
-		g.takeStatus(peerlink.Status{Address: address, Born: born, Model: "m", Version: version})
+		g.takeStatus(peerlink.Status{Address: address, StartUnixMilli: born, Model: "m", Version: version})
 	}
 	var now *clock.Fake
 
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -74,7 +74,7 @@
 
 // tellLeaving tells others that a server leaves. The caller does not hold mu.
 func (g *Gateway) tellLeaving(server directory.Key) {
-	g.tell(&peerlink.Gossip{Leaving: []peerlink.ServerKey{{ID: server.ID, Born: server.StartUnixMilli}}})
+	g.tell(&peerlink.Gossip{Leaving: []peerlink.ServerKey{{ID: server.ID, StartUnixMilli: server.StartUnixMilli}}})
 }
 
 // tell tells the other entries of the region and some agents of each region.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -176,7 +176,7 @@
 		}
 		l.queries.granted(lease, to)
 		return &grant{
-			by: to, lease: lease, server: directory.Key{ID: a.Server.ID, StartUnixMilli: a.Server.Born}, version: a.Version,
+			by: to, lease: lease, server: directory.Key{ID: a.Server.ID, StartUnixMilli: a.Server.StartUnixMilli}, version: a.Version,
 			predicted: time.Duration(a.PredictedMicros) * time.Microsecond, loadAge: time.Duration(a.LoadAgeMicros) * time.Microsecond,
 			occupancy: a.Occupancy,
 		}, nil, true
@@ -209,7 +209,7 @@
 	g.mu.Unlock()
 	for _, keys := range [][]directory.Key{d.Exclude, avoided} {
 		for _, key := range keys {
-			q.Exclude = append(q.Exclude, peerlink.ServerKey{ID: key.ID, Born: key.StartUnixMilli})
+			q.Exclude = append(q.Exclude, peerlink.ServerKey{ID: key.ID, StartUnixMilli: key.StartUnixMilli})
 		}
 	}
 	return q
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -56,7 +56,7 @@
 		d.NextVersion, d.NextVersionAt = q.NextVersion, due
 	}
 	for _, key := range q.Exclude {
-		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, StartUnixMilli: key.Born})
+		d.Exclude = append(d.Exclude, directory.Key{ID: key.ID, StartUnixMilli: key.StartUnixMilli})
 	}
 	if q.OpenLeasesKnown {
 		g.granted.Reconcile(q.Entry, q.Incarnation, q.OpenLeases, now)
@@ -69,7 +69,7 @@
 	}
 	g.loads.tellUsage(lease.Server.Address, lease.Usage)
 	return &peerlink.PlacementResponse{
-		Server: &peerlink.ServerKey{ID: lease.Server.ID, Born: lease.Server.StartUnixMilli}, Version: lease.Server.Weights[q.Model].Version,
+		Server: &peerlink.ServerKey{ID: lease.Server.ID, StartUnixMilli: lease.Server.StartUnixMilli}, Version: lease.Server.Weights[q.Model].Version,
 		PredictedMicros: lease.Predicted.Microseconds(), Occupancy: lease.Occupancy, LoadAgeMicros: lease.LoadAge.Microseconds(),
 	}
 }
--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -32,7 +32,7 @@
 	defer g.mu.Unlock()
 	var news []peerlink.ServerKey
 	for _, server := range servers {
-		key := directory.Key{ID: server.ID, StartUnixMilli: server.Born}
+		key := directory.Key{ID: server.ID, StartUnixMilli: server.StartUnixMilli}
 		if g.directory.MarkDraining(key, directory.SourcePeer, g.now()) {
 			g.logLeaving(key, directory.SourcePeer)
 			news = append(news, server)
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -56,10 +56,10 @@
 			g.UpdateServers(func(d *directory.Directory, _ time.Time) { d.Put(listing("a", 2)) })
 		}, 1),
 		Entry("its agent reports a later start", func() {
-			g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", Born: 2})
+			g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", StartUnixMilli: 2})
 		}, 1),
 		Entry("its agent reports the same start", func() {
-			g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", Born: 1})
+			g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", StartUnixMilli: 1})
 		}, 0),
 		Entry("its row changes", func() {
 			g.UpdateServers(func(d *directory.Directory, _ time.Time) { d.Put(listing("a", 1)) })
@@ -77,9 +77,9 @@
 		g.ended(directory.Key{ID: "a", StartUnixMilli: 1}, endedRefuses)
 		g.mu.Unlock()
 		now.Advance(time.Second)
-		g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", Born: 1, AgeMicros: 2_000_000})
+		g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", StartUnixMilli: 1, AgeMicros: 2_000_000})
 		Expect(crashes()).To(Equal(1))
-		g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", Born: 1, AgeMicros: 1000})
+		g.takeStatus(peerlink.Status{Address: "10.0.0.1:80", StartUnixMilli: 1, AgeMicros: 1000})
 		Expect(crashes()).To(BeZero())
 	})
 })
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -76,8 +76,8 @@
 type Status struct {
 	// Address is the IP address and port of the backend server.
 	Address string `msgpack:"a"`
-	// Born is the start of the backend server in Unix milliseconds.
-	Born int64 `msgpack:"b"`
+	// StartUnixMilli is the start of the backend server in Unix milliseconds.
+	StartUnixMilli int64 `msgpack:"b"`
 	// Running and Waiting count requests.
 	Running int `msgpack:"r"`
 	Waiting int `msgpack:"w"`
--- a/peerlink/news_test.go
+++ b/peerlink/news_test.go
@@ -30,7 +30,7 @@
 			n.Suspects.Suspects = append(n.Suspects.Suspects, s)
 		}
 		for i := range rapid.IntRange(0, 60).Draw(t, "leaving") {
-			n.Leaving = append(n.Leaving, peerlink.ServerKey{ID: fmt.Sprintf("i-%010d", i), Born: 1796383521361})
+			n.Leaving = append(n.Leaving, peerlink.ServerKey{ID: fmt.Sprintf("i-%010d", i), StartUnixMilli: 1796383521361})
 		}
 		suspects, leaving := 0, 0
 		for _, data := range n.Datagrams(limit) {
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -37,8 +37,8 @@
 
 // ServerKey names one start of a backend server.
 type ServerKey struct {
-	ID   string `msgpack:"i"`
-	Born int64  `msgpack:"b"`
+	ID             string `msgpack:"i"`
+	StartUnixMilli int64  `msgpack:"b"`
 }
 
 // PlacementResponse answers a PlaceQuery.
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -207,7 +207,7 @@
 	now := b.replica.config.Clock.Now()
 	status.Sequence = b.last.Sequence
 	refresh := now.Sub(b.lastAt) >= beaconRefresh
-	urgent := status.Closed != b.last.Closed || status.Version != b.last.Version || status.Born != b.last.Born
+	urgent := status.Closed != b.last.Closed || status.Version != b.last.Version || status.StartUnixMilli != b.last.StartUnixMilli
 	switch {
 	case refresh || urgent:
 		to = a.all
@@ -239,7 +239,7 @@
 
 func sameStatus(a, b *peerlink.Status) bool {
 	return a.Running == b.Running && a.PrefillTokens == b.PrefillTokens && a.Waiting == b.Waiting && a.Slowdown == b.Slowdown && a.Closed == b.Closed &&
-		a.Born == b.Born && a.Model == b.Model && a.Version == b.Version
+		a.StartUnixMilli == b.StartUnixMilli && a.Model == b.Model && a.Version == b.Version
 }
 
 // status returns the engine's load. An engine that does not answer is closed.
@@ -251,7 +251,7 @@
 		return s
 	}
 	s.AgeMicros = b.replica.config.Clock.Now().Sub(report.at).Microseconds()
-	s.Born, s.Running, s.Waiting, s.Slowdown = report.StartUnixMilli, report.Running, report.Queued, report.Slowdown
+	s.StartUnixMilli, s.Running, s.Waiting, s.Slowdown = report.StartUnixMilli, report.Running, report.Queued, report.Slowdown
 	s.PrefillTokens = b.readingTokens()
 	s.Closed = report.Busy || b.replica.Draining()
 	for model, w := range report.Weights {
