--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -108,7 +108,7 @@
 		g.amendWeights(server, status.Model, status.Version)
 	}
 	g.picker.Report(server.Key(), placement.Load{
-		Running: status.Running, Queued: status.Waiting, PrefillTokens: status.PrefillTokens,
+		Running: status.Running, Queued: status.Queued, PrefillTokens: status.PrefillTokens,
 		Age: time.Duration(status.AgeMicros) * time.Microsecond, Slowdown: status.Slowdown, Closed: status.Closed,
 	}, now)
 }
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -80,7 +80,7 @@
 	StartUnixMilli int64 `msgpack:"b"`
 	// Running and Waiting count requests.
 	Running int `msgpack:"r"`
-	Waiting int `msgpack:"w"`
+	Queued  int `msgpack:"w"`
 	// AgeMicros is the age of these counts in microseconds.
 	AgeMicros int64 `msgpack:"k,omitempty"`
 	// PrefillTokens are the prompts without a first answer, of all entries that
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -238,7 +238,7 @@
 }
 
 func sameStatus(a, b *peerlink.Status) bool {
-	return a.Running == b.Running && a.PrefillTokens == b.PrefillTokens && a.Waiting == b.Waiting && a.Slowdown == b.Slowdown && a.Closed == b.Closed &&
+	return a.Running == b.Running && a.PrefillTokens == b.PrefillTokens && a.Queued == b.Queued && a.Slowdown == b.Slowdown && a.Closed == b.Closed &&
 		a.StartUnixMilli == b.StartUnixMilli && a.Model == b.Model && a.Version == b.Version
 }
 
@@ -251,7 +251,7 @@
 		return s
 	}
 	s.AgeMicros = b.replica.config.Clock.Now().Sub(report.at).Microseconds()
-	s.StartUnixMilli, s.Running, s.Waiting, s.Slowdown = report.StartUnixMilli, report.Running, report.Queued, report.Slowdown
+	s.StartUnixMilli, s.Running, s.Queued, s.Slowdown = report.StartUnixMilli, report.Running, report.Queued, report.Slowdown
 	s.PrefillTokens = b.readingTokens()
 	s.Closed = report.Busy || b.replica.Draining()
 	for model, w := range report.Weights {
