--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -119,7 +119,7 @@
 		ask := asks[engine.service]
 		if ask == nil {
 			ask = encode(&peerlink.Datagram{Subscription: &peerlink.Subscription{
-				Entry: l.name, Region: l.region, Incarnation: l.queries.start, EveryChange: places, Leaving: l.gateway.draining.Load(), Target: targets[engine.service],
+				Entry: l.name, Region: l.region, Incarnation: l.queries.start, EveryChange: places, Draining: l.gateway.draining.Load(), Target: targets[engine.service],
 			}})
 			asks[engine.service] = ask
 		}
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -74,7 +74,7 @@
 
 // tellLeaving tells others that a server leaves. The caller does not hold mu.
 func (g *Gateway) tellLeaving(server directory.Key) {
-	g.tell(&peerlink.Gossip{Leaving: []peerlink.ServerKey{{ID: server.ID, StartUnixMilli: server.StartUnixMilli}}})
+	g.tell(&peerlink.Gossip{Draining: []peerlink.ServerKey{{ID: server.ID, StartUnixMilli: server.StartUnixMilli}}})
 }
 
 // tell tells the other entries of the region and some agents of each region.
@@ -86,7 +86,7 @@
 	g.loads.sendNews(n, g.loads.others())
 	near, far := g.agents(table)
 	g.loads.sendNews(n, sample(near, agentsTold))
-	spread := &peerlink.Gossip{Suspects: n.Suspects, Leaving: n.Leaving, Forward: true}
+	spread := &peerlink.Gossip{Suspects: n.Suspects, Draining: n.Draining, Forward: true}
 	for _, agents := range far {
 		g.loads.sendNews(spread, sample(agents, agentsTold))
 	}
@@ -105,7 +105,7 @@
 
 // takeNews takes what another entry or an agent tells.
 func (l *PeerLink) takeNews(n *peerlink.Gossip) {
-	news := &peerlink.Gossip{Leaving: l.gateway.mergeLeaving(n.Leaving)}
+	news := &peerlink.Gossip{Draining: l.gateway.mergeLeaving(n.Draining)}
 	if suspects := l.gateway.mergeSuspects(&n.Suspects); suspects != nil {
 		news.Suspects = *suspects
 	}
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -219,7 +219,7 @@
 		news.Suspects = *likely
 	}
 	for _, server := range g.directory.DrainingSince(now.Add(-leavingToldFor), maxToldAgain) {
-		news.Leaving = append(news.Leaving, peerlink.ServerKey{ID: server.ID, StartUnixMilli: server.StartUnixMilli})
+		news.Draining = append(news.Draining, peerlink.ServerKey{ID: server.ID, StartUnixMilli: server.StartUnixMilli})
 	}
 	return news
 }
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -51,8 +51,8 @@
 	Incarnation uint64 `msgpack:"k,omitempty"`
 	// EveryChange asks for each change of the load; otherwise reports come once a second.
 	EveryChange bool `msgpack:"l,omitempty"`
-	// Leaving tells that the entry is about to stop.
-	Leaving bool `msgpack:"x,omitempty"`
+	// Draining tells that the entry is about to stop.
+	Draining bool `msgpack:"x,omitempty"`
 	// Target is nil while the entry does not know it.
 	Target *Target `msgpack:"t,omitempty"`
 }
--- a/peerlink/news_test.go
+++ b/peerlink/news_test.go
@@ -30,7 +30,7 @@
 			n.Suspects.Suspects = append(n.Suspects.Suspects, s)
 		}
 		for i := range rapid.IntRange(0, 60).Draw(t, "leaving") {
-			n.Leaving = append(n.Leaving, peerlink.ServerKey{ID: fmt.Sprintf("i-%010d", i), StartUnixMilli: 1796383521361})
+			n.Draining = append(n.Draining, peerlink.ServerKey{ID: fmt.Sprintf("i-%010d", i), StartUnixMilli: 1796383521361})
 		}
 		suspects, leaving := 0, 0
 		for _, data := range n.Datagrams(limit) {
@@ -45,10 +45,10 @@
 				t.Fatal("the mark to spread is lost")
 			}
 			suspects += len(d.Gossip.Suspects.Suspects)
-			leaving += len(d.Gossip.Leaving)
+			leaving += len(d.Gossip.Draining)
 		}
-		if suspects != len(n.Suspects.Suspects) || leaving != len(n.Leaving) {
-			t.Fatalf("%d of %d suspects and %d of %d servers arrive", suspects, len(n.Suspects.Suspects), leaving, len(n.Leaving))
+		if suspects != len(n.Suspects.Suspects) || leaving != len(n.Draining) {
+			t.Fatalf("%d of %d suspects and %d of %d servers arrive", suspects, len(n.Suspects.Suspects), leaving, len(n.Draining))
 		}
 	})
 }
--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -123,7 +123,7 @@
 			b.tellNews(now, from)
 		}
 		b.subscribers[from] = subscriber{
-			at: now, region: d.Subscription.Region, start: d.Subscription.Incarnation, loads: d.Subscription.EveryChange, leaving: d.Subscription.Leaving,
+			at: now, region: d.Subscription.Region, start: d.Subscription.Incarnation, loads: d.Subscription.EveryChange, leaving: d.Subscription.Draining,
 		}
 	}
 	if d.Gossip != nil {
--- a/replica/news.go
+++ b/replica/news.go
@@ -28,7 +28,7 @@
 func (b *LoadReporter) takeNews(now time.Time, n *peerlink.Gossip) {
 	b.suspects.Tick(now)
 	b.suspects.Merge(now, n.Suspects)
-	b.keepLeaving(now, n.Leaving)
+	b.keepLeaving(now, n.Draining)
 	if !n.Forward {
 		return
 	}
@@ -63,7 +63,7 @@
 	}
 	for server, at := range b.leaving {
 		if now.Sub(at) <= leavingTime {
-			news.Leaving = append(news.Leaving, server)
+			news.Draining = append(news.Draining, server)
 		}
 	}
 	if !news.Empty() {
