--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -42,7 +42,7 @@
 }
 
 func (g *Gateway) logLeaving(server directory.Key, source string) {
-	g.config.Log.Log(eventlog.ServerLeaving, "server", server.ID, "born", server.StartUnixMilli, "source", source)
+	g.config.Log.Log(eventlog.ServerDraining, "server", server.ID, "born", server.StartUnixMilli, "source", source)
 }
 
 // allPaused refuses a request that only servers could run which want nothing from
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -21,7 +21,7 @@
 	ServerCrashed       = Event{7205, Warn, "backend server ended while it ran requests", "Nothing unless it repeats; then look for 7206."}
 	ContentQuarantined  = Event{7206, Warn, "content is quarantined: backend servers ended while they ran it", "Find its caller by the content in 7201 and tell it."}
 	ServerAlive         = Event{7207, Info, "backend server that seemed to have ended is alive", "Nothing; what it ran is not held against any content."}
-	ServerLeaving       = Event{7208, Info, "backend server leaves and gets no further requests", "Nothing."}
+	ServerDraining      = Event{7208, Info, "backend server leaves and gets no further requests", "Nothing."}
 	ServerPaused        = Event{7209, Info, "backend server wants nothing from this entry for a while", "Nothing unless it repeats; then add servers of the service."}
 	ReplicaPhase        = Event{7301, Info, "instance takes a step towards the declared version", "Nothing."}
 	LoadOrdered         = Event{7302, Info, "engine was ordered to load a version", "Nothing; err tells whether it refused."}
@@ -37,6 +37,6 @@
 var servingEvents = []Event{
 	LiveConfigApplied, VersionDeclared, RowInvalid, StoreLost, StoreRegained,
 	ServerListRead, ServerRegistered, ServerRemoved, ServerEjected, PlacerChanged, PlacerLost, StorePathChanged,
-	RequestEnded, RequestRetried, LogLinesDropped, AttemptAborted, ServerCrashed, ContentQuarantined, ServerAlive, ServerLeaving, ServerPaused,
+	RequestEnded, RequestRetried, LogLinesDropped, AttemptAborted, ServerCrashed, ContentQuarantined, ServerAlive, ServerDraining, ServerPaused,
 	ReplicaPhase, LoadOrdered, ReplicaFetched, FetchFailed, OriginLost, OriginRegained, PieceCorrupt, PeerListUnavailable, EngineCallFailed,
 }
