--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -49,7 +49,7 @@
 		Service: q.Service, Engine: service.Engine, Domain: q.Domain, Model: q.Model, Version: q.Version,
 		MinVersion:   max(q.MinVersion, g.versions.Least(q.Model, now)),
 		PromptTokens: q.PromptTokens, AnswerTokens: q.OutputTokens,
-		LatencyTarget: milliseconds(q.LatencyTargetMillis), Remaining: milliseconds(q.RemainingMillis), MayHaveRun: q.Continued,
+		LatencyTarget: milliseconds(q.LatencyTargetMillis), Remaining: milliseconds(q.RemainingMillis), MayHaveRun: q.MayHaveRun,
 	}
 	d.NextVersion, d.NextVersionAt = g.versions.Next(q.Model, now)
 	if due := now.Add(milliseconds(q.NextMillis)); q.NextVersion != 0 && (d.NextVersion == 0 || due.Before(d.NextVersionAt)) {
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -25,8 +25,8 @@
 	// time until nobody waits any more; zero sets none.
 	LatencyTargetMillis int64 `msgpack:"t,omitempty"`
 	RemainingMillis     int64 `msgpack:"i,omitempty"`
-	// Continued tells that the request has begun elsewhere.
-	Continued bool `msgpack:"c,omitempty"`
+	// MayHaveRun tells that the request has begun elsewhere.
+	MayHaveRun bool `msgpack:"c,omitempty"`
 	// Exclude are servers that must not get it.
 	Exclude []ServerKey `msgpack:"g,omitempty"`
 	// OpenLeases are the numbers of the leases that the entry has from the receiver, if
