--- a/lib/distribute/notice.go
+++ b/lib/distribute/notice.go
@@ -19,8 +19,8 @@
 	Expired      int
 }
 
-// Directed is a message for one agent, named by its address.
-type Directed struct {
+// AgentAssign is a message for one agent, named by its address.
+type AgentAssign struct {
 	Address string
 	Assign  *wire.Assign
 }
--- a/lib/distribute/tracker_schedule.go
+++ b/lib/distribute/tracker_schedule.go
@@ -13,7 +13,7 @@
 // Schedule returns new assignments for agents that want more. It is called
 // after announcements and ticks. Agents get one assignment per round, in random
 // order, so that none waits while another fills its window.
-func (t *Tracker) Schedule(now time.Time) []Directed {
+func (t *Tracker) Schedule(now time.Time) []AgentAssign {
 	t.expire(now)
 	var hungry []*peer
 	for _, p := range t.sortedPeers() {
@@ -25,7 +25,7 @@
 		t.listFresh()
 	}
 	messages := make(map[*peer]*wire.Assign)
-	var out []Directed
+	var out []AgentAssign
 	for len(hungry) > 0 {
 		t.cfg.Rand.Shuffle(len(hungry), func(i, j int) { hungry[i], hungry[j] = hungry[j], hungry[i] })
 		left := hungry[:0]
@@ -38,7 +38,7 @@
 			if !ok {
 				m = &wire.Assign{Manifest: t.cfg.Digest, RetryMillis: t.cfg.Retry.Milliseconds()}
 				messages[p] = m
-				out = append(out, Directed{Address: p.address, Assign: m})
+				out = append(out, AgentAssign{Address: p.address, Assign: m})
 			}
 			m.Assignments = append(m.Assignments, wire.Assignment{
 				Grant: g.number, Chunk: g.chunk, Source: g.sourceAddress(),
