--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -165,7 +165,7 @@
 	return out
 }
 
-func (s *Service) notice(c *Session, n distribute.Notice) {
+func (s *Service) notice(c *Session, n distribute.AnnounceReport) {
 	for _, source := range n.Corrupt {
 		s.cfg.Log.Log(eventlog.ChunkCorrupt, "instance", c.identity.Instance, "source", source)
 	}
--- a/lib/distribute/notice.go
+++ b/lib/distribute/notice.go
@@ -2,8 +2,8 @@
 
 import "github.com/auburnbend/auburnbend/lib/wire"
 
-// Notice is what an announcement showed that operators may want to know.
-type Notice struct {
+// AnnounceReport is what an announcement showed that operators may want to know.
+type AnnounceReport struct {
 	// Corrupt lists the sources of chunks that did not match their digest.
 	Corrupt []string
 	// Stalled lists the sources of transfers that failed otherwise.
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -75,7 +75,7 @@
 }
 
 // Announce takes an agent's report. Assignments follow from Schedule.
-func (t *Tracker) Announce(now time.Time, from model.Identity, a *wire.Announce) Notice {
+func (t *Tracker) Announce(now time.Time, from model.Identity, a *wire.Announce) AnnounceReport {
 	p, ok := t.peers[from.Address]
 	if ok && p.generation != from.Generation {
 		t.Lost(from.Address) // another process under the same address
@@ -87,7 +87,7 @@
 		t.sorted = nil
 	}
 	p.seen = now
-	var n Notice
+	var n AnnounceReport
 	for _, f := range a.Failed {
 		t.failed(now, p, f, &n)
 	}
@@ -97,7 +97,7 @@
 	return n
 }
 
-func (t *Tracker) failed(now time.Time, p *peer, f wire.GrantFailure, n *Notice) {
+func (t *Tracker) failed(now time.Time, p *peer, f wire.GrantFailure, n *AnnounceReport) {
 	g, ok := t.grants[f.Grant]
 	if !ok || g.to != p {
 		if f.Grant != 0 {
@@ -124,7 +124,7 @@
 
 // update compares the announced bitmap with the known one. A chunk that is no
 // longer held was found damaged in the staging area.
-func (t *Tracker) update(now time.Time, p *peer, have weights.Bitmap, n *Notice) {
+func (t *Tracker) update(now time.Time, p *peer, have weights.Bitmap, n *AnnounceReport) {
 	for i := range t.holders {
 		was, is := p.have.Get(i), have.Get(i)
 		switch {
@@ -141,7 +141,7 @@
 	}
 }
 
-func (t *Tracker) arrived(now time.Time, p *peer, chunk int, n *Notice) {
+func (t *Tracker) arrived(now time.Time, p *peer, chunk int, n *AnnounceReport) {
 	delete(p.bad, chunk)
 	var late []*grant
 	for _, number := range sortedKeys(t.overdue) {
