--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -166,7 +166,7 @@
 }
 
 func (s *Service) notice(c *Session, n distribute.AnnounceReport) {
-	for _, source := range n.Corrupt {
+	for _, source := range n.CorruptSources {
 		s.cfg.Log.Log(eventlog.ChunkCorrupt, "instance", c.identity.Instance, "source", source)
 	}
 	for _, source := range n.Stalled {
--- a/lib/distribute/notice.go
+++ b/lib/distribute/notice.go
@@ -4,8 +4,8 @@
 
 // AnnounceReport is what an announcement showed that operators may want to know.
 type AnnounceReport struct {
-	// Corrupt lists the sources of chunks that did not match their digest.
-	Corrupt []string
+	// CorruptSources lists the sources of chunks that did not match their digest.
+	CorruptSources []string
 	// Stalled lists the sources of transfers that failed otherwise.
 	Stalled []string
 	// Outdated counts results of grants that had expired. They are used: the
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -109,7 +109,7 @@
 	address := g.sourceAddress()
 	switch {
 	case f.Corrupt:
-		n.Corrupt = append(n.Corrupt, address)
+		n.CorruptSources = append(n.CorruptSources, address)
 		if g.from != nil {
 			g.from.sentCorrupt(now, t.cfg.AvoidFor)
 			p.bad[g.chunk] = address
