--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -169,7 +169,7 @@
 	for _, source := range n.CorruptSources {
 		s.cfg.Log.Log(eventlog.ChunkCorrupt, "instance", c.identity.Instance, "source", source)
 	}
-	for _, source := range n.Stalled {
+	for _, source := range n.FailedSources {
 		s.cfg.Log.Log(eventlog.TransferStalled, "instance", c.identity.Instance, "source", source)
 	}
 	if n.Outdated > 0 {
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -100,7 +100,7 @@
 		have.Set(first.Chunk)
 		n := t.Announce(now, agent("a"), &wire.Announce{Have: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
 		Expect(n.Outdated).To(BeNumerically(">=", 1))
-		Expect(n.Stalled).To(BeEmpty(), "a report about an old grant changes nothing")
+		Expect(n.FailedSources).To(BeEmpty(), "a report about an old grant changes nothing")
 	})
 
 	It("avoids a peer after several corrupt chunks (guards against one bad source delaying all)", func() {
--- a/lib/distribute/notice.go
+++ b/lib/distribute/notice.go
@@ -6,8 +6,8 @@
 type AnnounceReport struct {
 	// CorruptSources lists the sources of chunks that did not match their digest.
 	CorruptSources []string
-	// Stalled lists the sources of transfers that failed otherwise.
-	Stalled []string
+	// FailedSources lists the sources of transfers that failed otherwise.
+	FailedSources []string
 	// Outdated counts results of grants that had expired. They are used: the
 	// agent verified the chunk.
 	Outdated int
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -117,7 +117,7 @@
 	case f.Busy:
 		p.block(now, address, t.cfg.Retry)
 	default:
-		n.Stalled = append(n.Stalled, address)
+		n.FailedSources = append(n.FailedSources, address)
 		p.block(now, address, t.cfg.AvoidFor)
 	}
 }
