--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -172,8 +172,8 @@
 	for _, source := range n.FailedSources {
 		s.cfg.Log.Log(eventlog.TransferStalled, "instance", c.identity.Instance, "source", source)
 	}
-	if n.Outdated > 0 {
-		s.cfg.Log.Log(eventlog.GrantExpired, "instance", c.identity.Instance, "count", n.Outdated)
+	if n.OutdatedResults > 0 {
+		s.cfg.Log.Log(eventlog.GrantExpired, "instance", c.identity.Instance, "count", n.OutdatedResults)
 	}
 }
 
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -99,7 +99,7 @@
 		have := weights.NewBitmap(16)
 		have.Set(first.Chunk)
 		n := t.Announce(now, agent("a"), &wire.Announce{Have: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
-		Expect(n.Outdated).To(BeNumerically(">=", 1))
+		Expect(n.OutdatedResults).To(BeNumerically(">=", 1))
 		Expect(n.FailedSources).To(BeEmpty(), "a report about an old grant changes nothing")
 	})
 
--- a/lib/distribute/notice.go
+++ b/lib/distribute/notice.go
@@ -8,9 +8,9 @@
 	CorruptSources []string
 	// FailedSources lists the sources of transfers that failed otherwise.
 	FailedSources []string
-	// Outdated counts results of grants that had expired. They are used: the
+	// OutdatedResults counts results of grants that had expired. They are used: the
 	// agent verified the chunk.
-	Outdated int
+	OutdatedResults int
 }
 
 // Stats counts what a tracker did.
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -101,7 +101,7 @@
 	g, ok := t.grants[f.Grant]
 	if !ok || g.to != p {
 		if f.Grant != 0 {
-			n.Outdated++
+			n.OutdatedResults++
 		}
 		return
 	}
@@ -158,7 +158,7 @@
 	}
 	if len(active) == 0 {
 		for _, g := range late {
-			n.Outdated++
+			n.OutdatedResults++
 			t.delivered(now, g, len(late) == 1) // the next grants get more time
 		}
 	}
