--- a/lib/distribute/notice.go
+++ b/lib/distribute/notice.go
@@ -15,8 +15,8 @@
 
 // Stats counts what a tracker did.
 type Stats struct {
-	OriginGrants int
-	Expired      int
+	OriginGrants  int
+	ExpiredGrants int
 }
 
 // AgentAssign is a message for one agent, named by its address.
--- a/lib/distribute/tracker_grant.go
+++ b/lib/distribute/tracker_grant.go
@@ -96,7 +96,7 @@
 			continue
 		}
 		t.release(g)
-		t.stats.Expired++
+		t.stats.ExpiredGrants++
 		t.overdue[g.number] = g
 		g.to.block(now, g.sourceAddress(), t.cfg.AvoidFor)
 	}
