--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -63,7 +63,7 @@
 		delete(v.members, c.identity.Address)
 		delete(v.pending, c.identity.Address)
 		if v.tracker != nil {
-			v.tracker.Lost(c.identity.Address)
+			v.tracker.RemoveAgent(c.identity.Address)
 			out = append(out, s.schedule(v)...)
 		}
 		// An agent also leaves the tracker of a version that it has, when it stops
@@ -136,7 +136,7 @@
 	v := s.version(a.Manifest)
 	if old, ok := v.members[c.identity.Address]; ok && old != c && v.tracker != nil {
 		// What was granted over the earlier connection may not have arrived.
-		v.tracker.Lost(c.identity.Address)
+		v.tracker.RemoveAgent(c.identity.Address)
 	}
 	v.members[c.identity.Address] = c
 	c.sequence = a.Sequence
--- a/lib/distribute/sim_test.go
+++ b/lib/distribute/sim_test.go
@@ -149,7 +149,7 @@
 func (s *sim) connect(a *simAgent, t *simTracker) {
 	if a.tracker != nil && a.tracker != t {
 		for _, tr := range a.tracker.byVer {
-			tr.Lost(a.identity.Address)
+			tr.RemoveAgent(a.identity.Address)
 		}
 	}
 	a.tracker, a.inbox, a.last, a.switched = t, nil, 0, s.now
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -78,7 +78,7 @@
 func (t *Tracker) Announce(now time.Time, from model.Identity, a *wire.Announce) AnnounceReport {
 	p, ok := t.peers[from.Address]
 	if ok && p.generation != from.Generation {
-		t.Lost(from.Address) // another process under the same address
+		t.RemoveAgent(from.Address) // another process under the same address
 		ok = false
 	}
 	if !ok {
@@ -180,9 +180,9 @@
 	}
 }
 
-// Lost forgets an agent: grants to it are free at once, and so are the slots of
+// RemoveAgent forgets an agent: grants to it are free at once, and so are the slots of
 // grants that name it as source; their holders report the failure.
-func (t *Tracker) Lost(address string) {
+func (t *Tracker) RemoveAgent(address string) {
 	p, ok := t.peers[address]
 	if !ok {
 		return
@@ -207,7 +207,7 @@
 	var lost []string
 	for _, p := range t.sortedPeers() {
 		if now.Sub(p.seen) > t.cfg.PeerTimeout {
-			t.Lost(p.address)
+			t.RemoveAgent(p.address)
 			lost = append(lost, p.address)
 		}
 	}
