--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -234,7 +234,7 @@
 	if !ok || v.tracker == nil {
 		return nil
 	}
-	v.tracker.Remote(s.cfg.Clock.Now(), c.identity.Address, m)
+	v.tracker.UpdateRemote(s.cfg.Clock.Now(), c.identity.Address, m)
 	return s.schedule(v)
 }
 
--- a/lib/distribute/sim_act_test.go
+++ b/lib/distribute/sim_act_test.go
@@ -87,7 +87,7 @@
 				for _, other := range s.domains {
 					for _, o := range other.trackers {
 						if o != t && !o.down && o.byVer[s.digests[v]] != nil {
-							o.byVer[digest].Remote(s.now, t.address, summary)
+							o.byVer[digest].UpdateRemote(s.now, t.address, summary)
 						}
 					}
 				}
--- a/lib/distribute/tracker_remote.go
+++ b/lib/distribute/tracker_remote.go
@@ -90,10 +90,10 @@
 	return n
 }
 
-// Remote takes the summary of the tracker with an address: one of another
+// UpdateRemote takes the summary of the tracker with an address: one of another
 // failure domain, or a second one of the same failure domain while some agents
 // cannot reach the first.
-func (t *Tracker) Remote(now time.Time, tracker string, s *wire.HolderSummary) {
+func (t *Tracker) UpdateRemote(now time.Time, tracker string, s *wire.HolderSummary) {
 	r, ok := t.regions[s.Location.Region]
 	if !ok {
 		r = &remoteRegion{near: s.Location.Region == t.cfg.Location.Region, updated: now}
