--- a/entry/tracker/manifest.go
+++ b/entry/tracker/manifest.go
@@ -43,7 +43,7 @@
 	now := s.cfg.Clock.Now()
 	for address, a := range v.pending {
 		if c, ok := v.members[address]; ok {
-			s.notice(c, v.tracker.Announce(now, c.identity, a))
+			s.notice(c, v.tracker.HandleAnnounce(now, c.identity, a))
 		}
 	}
 	v.pending = make(map[string]*wire.Announce)
--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -145,7 +145,7 @@
 		return []outgoing{{c, &wire.ManifestFetch{Manifest: a.Manifest}}}
 	}
 	now := s.cfg.Clock.Now()
-	n := v.tracker.Announce(now, c.identity, a)
+	n := v.tracker.HandleAnnounce(now, c.identity, a)
 	s.notice(c, n)
 	out := s.schedule(v)
 	reply := &wire.Assign{Manifest: a.Manifest, RetryMillis: v.tracker.Retry().Milliseconds(), Sequence: c.sequence}
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -86,9 +86,9 @@
 	It("grants an expired origin chunk again with a new number and takes the late result (guards against a paused holder)", func() {
 		now := time.Unix(0, 0)
 		t := distribute.NewTracker(now, distribute.TrackerConfig{Manifest: manifest, OriginStreams: 1})
-		t.Announce(now, agent("a"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
+		t.HandleAnnounce(now, agent("a"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
 		first := t.Schedule(now)[0].Assign.Assignments[0]
-		t.Announce(now, agent("b"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
+		t.HandleAnnounce(now, agent("b"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
 		Expect(t.Schedule(now)).To(BeEmpty(), "one origin stream at a time")
 
 		now = now.Add(6 * time.Second)
@@ -98,7 +98,7 @@
 
 		have := weights.NewBitmap(16)
 		have.Set(first.Chunk)
-		n := t.Announce(now, agent("a"), &wire.Announce{Have: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
+		n := t.HandleAnnounce(now, agent("a"), &wire.Announce{Have: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
 		Expect(n.OutdatedResults).To(BeNumerically(">=", 1))
 		Expect(n.FailedSources).To(BeEmpty(), "a report about an old grant changes nothing")
 	})
@@ -110,12 +110,12 @@
 		for i := range 16 {
 			full.Set(i)
 		}
-		t.Announce(now, agent("bad"), &wire.Announce{Have: full})
-		t.Announce(now, agent("good"), &wire.Announce{Have: full})
+		t.HandleAnnounce(now, agent("bad"), &wire.Announce{Have: full})
+		t.HandleAnnounce(now, agent("good"), &wire.Announce{Have: full})
 		var failed []wire.GrantFailure
 		fromBad := 0
 		for range 60 {
-			t.Announce(now, agent("x"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 2, Failed: failed})
+			t.HandleAnnounce(now, agent("x"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 2, Failed: failed})
 			failed, fromBad = nil, 0
 			for _, d := range t.Schedule(now) {
 				for _, a := range d.Assign.Assignments {
--- a/lib/distribute/sim_act_test.go
+++ b/lib/distribute/sim_act_test.go
@@ -36,7 +36,7 @@
 	}
 	if next.Announce != nil && a.tracker != nil && !a.tracker.down && !s.cut(a.identity.Address, a.tracker.address) {
 		tr := s.tracker(a.tracker, a.domain, a.target)
-		tr.Announce(s.now, a.identity, next.Announce)
+		tr.HandleAnnounce(s.now, a.identity, next.Announce)
 		a.last = next.Announce.Sequence
 		s.deliver(a, &wire.Assign{Manifest: s.digests[a.target], RetryMillis: 250, Peers: tr.PeersFor(a.identity.Address)})
 		s.schedule(a.domain, a.tracker, tr)
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -74,8 +74,8 @@
 	return t
 }
 
-// Announce takes an agent's report. Assignments follow from Schedule.
-func (t *Tracker) Announce(now time.Time, from model.Identity, a *wire.Announce) AnnounceReport {
+// HandleAnnounce takes an agent's report. Assignments follow from Schedule.
+func (t *Tracker) HandleAnnounce(now time.Time, from model.Identity, a *wire.Announce) AnnounceReport {
 	p, ok := t.peers[from.Address]
 	if ok && p.generation != from.Generation {
 		t.RemoveAgent(from.Address) // another process under the same address
