--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -157,7 +157,7 @@
 	}
 	// New peers are named soon: an agent that loses its tracker early in a
 	// transfer needs them.
-	known := v.tracker.Peers()
+	known := v.tracker.PeerCount()
 	if since := now.Sub(c.peersSent); since >= s.cfg.PeersEvery || known > c.peersKnown && since >= s.cfg.PeersEvery/10 {
 		c.peersSent, c.peersKnown = now, known
 		reply.Peers = v.tracker.PeersFor(c.identity.Address)
@@ -220,7 +220,7 @@
 	defer s.mu.Unlock()
 	var out []*wire.HolderSummary
 	for _, v := range s.versions {
-		if v.tracker != nil && v.tracker.Peers() > 0 {
+		if v.tracker != nil && v.tracker.PeerCount() > 0 {
 			out = append(out, v.tracker.Summarize())
 		}
 	}
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -220,8 +220,8 @@
 // Retry is the time after which an agent announces again at the latest.
 func (t *Tracker) Retry() time.Duration { return t.cfg.Retry }
 
-// Peers returns the number of known agents.
-func (t *Tracker) Peers() int { return len(t.peers) }
+// PeerCount returns the number of known agents.
+func (t *Tracker) PeerCount() int { return len(t.peers) }
 
 func (t *Tracker) sortedPeers() []*peer {
 	if t.sorted == nil {
