--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -148,7 +148,7 @@
 	n := v.tracker.HandleAnnounce(now, c.identity, a)
 	s.notice(c, n)
 	out := s.schedule(v)
-	reply := &wire.Assign{Manifest: a.Manifest, RetryMillis: v.tracker.Retry().Milliseconds(), Sequence: c.sequence}
+	reply := &wire.Assign{Manifest: a.Manifest, RetryMillis: v.tracker.RetryInterval().Milliseconds(), Sequence: c.sequence}
 	i := slices.IndexFunc(out, func(o outgoing) bool { return o.to == c })
 	if i < 0 {
 		out = append(out, outgoing{c, reply})
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -115,7 +115,7 @@
 			p.bad[g.chunk] = address
 		}
 	case f.Busy:
-		p.block(now, address, t.cfg.Retry)
+		p.block(now, address, t.cfg.RetryInterval)
 	default:
 		n.FailedSources = append(n.FailedSources, address)
 		p.block(now, address, t.cfg.AvoidFor)
@@ -217,8 +217,8 @@
 // Stats returns the counters.
 func (t *Tracker) Stats() Stats { return t.stats }
 
-// Retry is the time after which an agent announces again at the latest.
-func (t *Tracker) Retry() time.Duration { return t.cfg.Retry }
+// RetryInterval is the time after which an agent announces again at the latest.
+func (t *Tracker) RetryInterval() time.Duration { return t.cfg.RetryInterval }
 
 // PeerCount returns the number of known agents.
 func (t *Tracker) PeerCount() int { return len(t.peers) }
--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -36,8 +36,8 @@
 	GrantTimeout time.Duration
 	// MinGrant and MaxGrant bound a grant's lifetime after that.
 	MinGrant, MaxGrant time.Duration
-	// Retry is the time after which an agent announces again at the latest.
-	Retry time.Duration
+	// RetryInterval is the time after which an agent announces again at the latest.
+	RetryInterval time.Duration
 	// AvoidFor is how long a source is avoided: one that sends corrupt chunks by
 	// all agents, one whose transfer failed by the agent that reported it.
 	AvoidFor time.Duration
@@ -62,7 +62,7 @@
 	defaultTo(&c.GrantTimeout, 5*time.Second)
 	defaultTo(&c.MinGrant, time.Second)
 	defaultTo(&c.MaxGrant, time.Minute)
-	defaultTo(&c.Retry, 250*time.Millisecond)
+	defaultTo(&c.RetryInterval, 250*time.Millisecond)
 	defaultTo(&c.AvoidFor, 10*time.Second)
 	defaultTo(&c.PeerTimeout, 3*time.Second)
 	defaultTo(&c.RemoteTimeout, 3*time.Second)
