--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -31,9 +31,9 @@
 	// RemoteRate is this failure domain's share of the link from each other
 	// region, in bytes per second; 0 means that no limit is set.
 	RemoteRate int64
-	// GrantTimeout is the lifetime of a grant until transfer times have been
+	// InitialGrantTimeout is the lifetime of a grant until transfer times have been
 	// observed.
-	GrantTimeout time.Duration
+	InitialGrantTimeout time.Duration
 	// MinGrant and MaxGrant bound a grant's lifetime after that.
 	MinGrant, MaxGrant time.Duration
 	// RetryInterval is the time after which an agent announces again at the latest.
@@ -59,7 +59,7 @@
 	defaultTo(&c.UploadSlots, 6)
 	defaultTo(&c.OriginStreams, 3)
 	defaultTo(&c.RemoteStreams, 4)
-	defaultTo(&c.GrantTimeout, 5*time.Second)
+	defaultTo(&c.InitialGrantTimeout, 5*time.Second)
 	defaultTo(&c.MinGrant, time.Second)
 	defaultTo(&c.MaxGrant, time.Minute)
 	defaultTo(&c.RetryInterval, 250*time.Millisecond)
