--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -34,8 +34,8 @@
 	// InitialGrantTimeout is the lifetime of a grant until transfer times have been
 	// observed.
 	InitialGrantTimeout time.Duration
-	// MinGrant and MaxGrant bound a grant's lifetime after that.
-	MinGrant, MaxGrant time.Duration
+	// MinGrantTimeout and MaxGrant bound a grant's lifetime after that.
+	MinGrantTimeout, MaxGrant time.Duration
 	// RetryInterval is the time after which an agent announces again at the latest.
 	RetryInterval time.Duration
 	// AvoidFor is how long a source is avoided: one that sends corrupt chunks by
@@ -60,7 +60,7 @@
 	defaultTo(&c.OriginStreams, 3)
 	defaultTo(&c.RemoteStreams, 4)
 	defaultTo(&c.InitialGrantTimeout, 5*time.Second)
-	defaultTo(&c.MinGrant, time.Second)
+	defaultTo(&c.MinGrantTimeout, time.Second)
 	defaultTo(&c.MaxGrant, time.Minute)
 	defaultTo(&c.RetryInterval, 250*time.Millisecond)
 	defaultTo(&c.AvoidFor, 10*time.Second)
