--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -35,7 +35,7 @@
 	// observed.
 	InitialGrantTimeout time.Duration
 	// MinGrantTimeout and MaxGrant bound a grant's lifetime after that.
-	MinGrantTimeout, MaxGrant time.Duration
+	MinGrantTimeout, MaxGrantTimeout time.Duration
 	// RetryInterval is the time after which an agent announces again at the latest.
 	RetryInterval time.Duration
 	// AvoidFor is how long a source is avoided: one that sends corrupt chunks by
@@ -61,7 +61,7 @@
 	defaultTo(&c.RemoteStreams, 4)
 	defaultTo(&c.InitialGrantTimeout, 5*time.Second)
 	defaultTo(&c.MinGrantTimeout, time.Second)
-	defaultTo(&c.MaxGrant, time.Minute)
+	defaultTo(&c.MaxGrantTimeout, time.Minute)
 	defaultTo(&c.RetryInterval, 250*time.Millisecond)
 	defaultTo(&c.AvoidFor, 10*time.Second)
 	defaultTo(&c.PeerTimeout, 3*time.Second)
--- a/lib/distribute/tracker_grant.go
+++ b/lib/distribute/tracker_grant.go
@@ -38,7 +38,7 @@
 func (t *Tracker) issue(now time.Time, to *peer, chunk int, from *source, remote *remoteRegion) *grant {
 	t.lastGrant++
 	g := &grant{number: t.lastGrant, chunk: chunk, to: to, from: from, remote: remote, issued: now}
-	g.deadline = now.Add(t.times(g).deadline(t.cfg.MinGrantTimeout, t.cfg.InitialGrantTimeout, t.cfg.MaxGrant))
+	g.deadline = now.Add(t.times(g).deadline(t.cfg.MinGrantTimeout, t.cfg.InitialGrantTimeout, t.cfg.MaxGrantTimeout))
 	t.grants[g.number] = g
 	to.active[chunk] = append(to.active[chunk], g.number)
 	to.grants++
