--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -44,9 +44,9 @@
 	// PeerTimeout is the time without an announcement after which an agent
 	// counts as lost.
 	PeerTimeout time.Duration
-	// RemoteTimeout is the age at which a summary of another failure domain
+	// SummaryTimeout is the age at which a summary of another failure domain
 	// counts as lost.
-	RemoteTimeout time.Duration
+	SummaryTimeout time.Duration
 	// FallbackAfter is the time without any chunk from other failure domains
 	// after which the tracker takes the rest from the origin.
 	FallbackAfter time.Duration
@@ -65,7 +65,7 @@
 	defaultTo(&c.RetryInterval, 250*time.Millisecond)
 	defaultTo(&c.AvoidFor, 10*time.Second)
 	defaultTo(&c.PeerTimeout, 3*time.Second)
-	defaultTo(&c.RemoteTimeout, 3*time.Second)
+	defaultTo(&c.SummaryTimeout, 3*time.Second)
 	defaultTo(&c.FallbackAfter, 6*time.Second)
 	defaultTo(&c.Endgame, 4)
 	if c.Rand == nil {
--- a/lib/distribute/tracker_remote.go
+++ b/lib/distribute/tracker_remote.go
@@ -129,7 +129,7 @@
 		if d.region.near {
 			streams *= nearStreams
 		}
-		if now.Sub(d.seen) > t.cfg.RemoteTimeout || d.region.active >= streams {
+		if now.Sub(d.seen) > t.cfg.SummaryTimeout || d.region.active >= streams {
 			continue
 		}
 		if !d.region.near && t.cfg.RemoteRate > 0 {
