--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -47,9 +47,9 @@
 	// SummaryTimeout is the age at which a summary of another failure domain
 	// counts as lost.
 	SummaryTimeout time.Duration
-	// FallbackAfter is the time without any chunk from other failure domains
+	// OriginFallbackAfter is the time without any chunk from other failure domains
 	// after which the tracker takes the rest from the origin.
-	FallbackAfter time.Duration
+	OriginFallbackAfter time.Duration
 	// Endgame is the number of last chunks of an agent that may be fetched
 	// twice at a time.
 	Endgame int
@@ -66,7 +66,7 @@
 	defaultTo(&c.AvoidFor, 10*time.Second)
 	defaultTo(&c.PeerTimeout, 3*time.Second)
 	defaultTo(&c.SummaryTimeout, 3*time.Second)
-	defaultTo(&c.FallbackAfter, 6*time.Second)
+	defaultTo(&c.OriginFallbackAfter, 6*time.Second)
 	defaultTo(&c.Endgame, 4)
 	if c.Rand == nil {
 		c.Rand = rand.New(rand.NewSource(1))
--- a/lib/distribute/tracker_schedule.go
+++ b/lib/distribute/tracker_schedule.go
@@ -132,7 +132,7 @@
 		if !t.isFresh(chunk) || !p.needs(chunk) {
 			continue
 		}
-		if t.ranks[chunk] < t.cfg.Policy.Copies || now.Sub(t.lastRemote) > t.cfg.FallbackAfter {
+		if t.ranks[chunk] < t.cfg.Policy.Copies || now.Sub(t.lastRemote) > t.cfg.OriginFallbackAfter {
 			return t.issue(now, p, chunk, nil, nil)
 		}
 	}
