--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -50,9 +50,9 @@
 	// OriginFallbackAfter is the time without any chunk from other failure domains
 	// after which the tracker takes the rest from the origin.
 	OriginFallbackAfter time.Duration
-	// Endgame is the number of last chunks of an agent that may be fetched
+	// EndgameChunks is the number of last chunks of an agent that may be fetched
 	// twice at a time.
-	Endgame int
+	EndgameChunks int
 }
 
 func (c *TrackerConfig) applyDefaults() {
@@ -67,7 +67,7 @@
 	defaultTo(&c.PeerTimeout, 3*time.Second)
 	defaultTo(&c.SummaryTimeout, 3*time.Second)
 	defaultTo(&c.OriginFallbackAfter, 6*time.Second)
-	defaultTo(&c.Endgame, 4)
+	defaultTo(&c.EndgameChunks, 4)
 	if c.Rand == nil {
 		c.Rand = rand.New(rand.NewSource(1))
 	}
--- a/lib/distribute/tracker_schedule.go
+++ b/lib/distribute/tracker_schedule.go
@@ -232,7 +232,7 @@
 // no others left to ask for and the first copy is late.
 func (t *Tracker) endgame(now time.Time, p *peer) *grant {
 	missing := len(t.holders) - p.held
-	if missing > t.cfg.Endgame || missing != len(p.active) {
+	if missing > t.cfg.EndgameChunks || missing != len(p.active) {
 		return nil
 	}
 	for _, chunk := range sortedKeys(p.active) {
