--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -177,7 +177,7 @@
 		r.s.counters.tracked.Store(true)
 		r.d.Connected(now)
 	case *wire.Assign:
-		r.d.Assigned(now, m)
+		r.d.HandleAssign(now, m)
 	case *wire.LoadPermit:
 		r.answerPermit(permitAnswer{permit: *m})
 	case *wire.ManifestFetch:
--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -92,10 +92,10 @@
 	return cancel
 }
 
-// Assigned takes a tracker's message. Assignments for another version, for held
+// HandleAssign takes a tracker's message. Assignments for another version, for held
 // chunks and for chunks in flight are dropped; the next announcement tells the
 // tracker.
-func (d *Downloader) Assigned(now time.Time, a *wire.Assign) {
+func (d *Downloader) HandleAssign(now time.Time, a *wire.Assign) {
 	if d.manifest == nil || a.Manifest != d.digest {
 		return
 	}
--- a/lib/distribute/sim_step_test.go
+++ b/lib/distribute/sim_step_test.go
@@ -24,7 +24,7 @@
 		inbox := a.inbox
 		a.inbox = nil
 		for _, m := range inbox {
-			a.d.Assigned(s.now, m)
+			a.d.HandleAssign(s.now, m)
 		}
 		s.finish(a)
 		if err := s.act(a); err != nil {
--- a/lib/distribute/solo_test.go
+++ b/lib/distribute/solo_test.go
@@ -57,7 +57,7 @@
 		d.SetTarget(now, digest, m, weights.NewBitmap(1))
 		d.Connected(now)
 		// One answer, then silence.
-		d.Assigned(now, &wire.Assign{Manifest: digest})
+		d.HandleAssign(now, &wire.Assign{Manifest: digest})
 		d.SetPeers([]string{"peer"})
 		d.PeerHas("peer", digest, have)
 		var starts []time.Duration
