--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -175,7 +175,7 @@
 			return
 		}
 		r.s.counters.tracked.Store(true)
-		r.d.Connected(now)
+		r.d.TrackerConnected(now)
 	case *wire.Assign:
 		r.d.HandleAssign(now, m)
 	case *wire.LoadPermit:
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -125,9 +125,9 @@
 	d.failures, d.dirty, d.announced = nil, false, now
 }
 
-// Connected says that the connection to a tracker is new. The next announcement
+// TrackerConnected says that the connection to a tracker is new. The next announcement
 // is immediate: it needs the whole state.
-func (d *Downloader) Connected(now time.Time) {
+func (d *Downloader) TrackerConnected(now time.Time) {
 	d.dirty, d.announced = true, time.Time{}
 	d.connected, d.answered = now, 0
 }
--- a/lib/distribute/sim_test.go
+++ b/lib/distribute/sim_test.go
@@ -154,7 +154,7 @@
 	}
 	a.tracker, a.inbox, a.last, a.switched = t, nil, 0, s.now
 	if t != nil {
-		a.d.Connected(s.now)
+		a.d.TrackerConnected(s.now)
 	}
 }
 
--- a/lib/distribute/solo_test.go
+++ b/lib/distribute/solo_test.go
@@ -55,7 +55,7 @@
 		have.Set(0)
 		d := distribute.NewDownloader(distribute.DownloaderConfig{Self: "self", Rand: rand.New(rand.NewSource(1))})
 		d.SetTarget(now, digest, m, weights.NewBitmap(1))
-		d.Connected(now)
+		d.TrackerConnected(now)
 		// One answer, then silence.
 		d.HandleAssign(now, &wire.Assign{Manifest: digest})
 		d.SetPeers([]string{"peer"})
