--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -139,9 +139,9 @@
 	d.tracked = false
 }
 
-// Silence is the time for which the tracker of the current connection has not
+// TrackerSilence is the time for which the tracker of the current connection has not
 // answered an announcement.
-func (d *Downloader) Silence(now time.Time) time.Duration {
+func (d *Downloader) TrackerSilence(now time.Time) time.Duration {
 	if d.waiting.IsZero() {
 		return 0
 	}
--- a/lib/distribute/sim_step_test.go
+++ b/lib/distribute/sim_step_test.go
@@ -37,7 +37,7 @@
 // reconnect does what the transfer assembly does: it leaves a silent tracker for
 // the next one and reports when there is none.
 func (s *sim) reconnect(a *simAgent) {
-	if a.tracker != nil && !a.tracker.down && a.d.Silence(s.now) < 1500*time.Millisecond {
+	if a.tracker != nil && !a.tracker.down && a.d.TrackerSilence(s.now) < 1500*time.Millisecond {
 		return
 	}
 	if a.tracker != nil {
