--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -87,7 +87,7 @@
 		case <-ticker.C:
 			now := s.cfg.Clock.Now()
 			for id, w := range r.workers {
-				r.d.Progress(now, id, w.progress())
+				r.d.FetchProgress(now, id, w.progress())
 			}
 		}
 		r.step()
--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -148,8 +148,8 @@
 	return min(now.Sub(d.waiting), now.Sub(d.connected))
 }
 
-// Progress says how many bytes of a fetch have arrived.
-func (d *Downloader) Progress(now time.Time, id uint64, received int64) {
+// FetchProgress says how many bytes of a fetch have arrived.
+func (d *Downloader) FetchProgress(now time.Time, id uint64, received int64) {
 	if f, ok := d.active[id]; ok && received > f.received {
 		f.received, f.progress = received, now
 	}
