--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -193,5 +193,5 @@
 	if res.result == distribute.Throttled {
 		r.s.cfg.Log.Log(eventlog.SourceThrottled, "retry_after", res.retryAfter)
 	}
-	r.d.Finished(r.s.cfg.Clock.Now(), res.fetch.ID, res.fetch.Want.Digest, res.result, res.retryAfter)
+	r.d.FetchFinished(r.s.cfg.Clock.Now(), res.fetch.ID, res.fetch.Want.Digest, res.result, res.retryAfter)
 }
--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// Finished takes the result of a fetch. A delivered chunk counts even if the
+// FetchFinished takes the result of a fetch. A delivered chunk counts even if the
 // fetch is not known any more: its bytes were verified.
-func (d *Downloader) Finished(now time.Time, id uint64, chunk model.Digest, r Result, retryAfter time.Duration) {
+func (d *Downloader) FetchFinished(now time.Time, id uint64, chunk model.Digest, r Result, retryAfter time.Duration) {
 	f, known := d.active[id]
 	if known {
 		d.forget(f)
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -43,7 +43,7 @@
 		}
 		a.Cancel = append(a.Cancel, id)
 		a.StalledSources = append(a.StalledSources, f.Source)
-		d.Finished(now, id, f.Want.Digest, Stalled, 0)
+		d.FetchFinished(now, id, f.Want.Digest, Stalled, 0)
 	}
 }
 
--- a/lib/distribute/sim_step_test.go
+++ b/lib/distribute/sim_step_test.go
@@ -72,7 +72,7 @@
 		} else {
 			s.failed(f)
 		}
-		a.d.Finished(s.now, id, f.Want.Digest, r, retry)
+		a.d.FetchFinished(s.now, id, f.Want.Digest, r, retry)
 	}
 }
 
