--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -81,7 +81,7 @@
 		case res := <-r.results:
 			r.finished(res)
 		case b := <-r.bitmaps:
-			r.d.PeerHas(b.address, b.version, b.have)
+			r.d.SetPeerBitmap(b.address, b.version, b.have)
 		case c := <-r.checked:
 			r.verified(c)
 		case <-ticker.C:
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -91,8 +91,8 @@
 // SetPeers names peers for use without a tracker.
 func (d *Downloader) SetPeers(addresses []string) { d.solo.addPeers(addresses, d.cfg.Self) }
 
-// PeerHas takes the bitmap of a peer for a version, asked for by AskPeers.
-func (d *Downloader) PeerHas(address string, version model.Digest, have weights.Bitmap) {
+// SetPeerBitmap takes the bitmap of a peer for a version, asked for by AskPeers.
+func (d *Downloader) SetPeerBitmap(address string, version model.Digest, have weights.Bitmap) {
 	if p, ok := d.solo.peers[address]; ok && version == d.digest {
 		p.have = have
 	}
--- a/lib/distribute/sim_act_test.go
+++ b/lib/distribute/sim_act_test.go
@@ -31,7 +31,7 @@
 					have.Set(i)
 				}
 			}
-			a.d.PeerHas(address, s.digests[a.target], have)
+			a.d.SetPeerBitmap(address, s.digests[a.target], have)
 		}
 	}
 	if next.Announce != nil && a.tracker != nil && !a.tracker.down && !s.cut(a.identity.Address, a.tracker.address) {
--- a/lib/distribute/solo_test.go
+++ b/lib/distribute/solo_test.go
@@ -34,7 +34,7 @@
 			for p := range 20 {
 				address := fmt.Sprintf("peer-%02d", p)
 				d.SetPeers([]string{address})
-				d.PeerHas(address, digest, have)
+				d.SetPeerBitmap(address, digest, have)
 			}
 			start := d.Next(now).Start
 			Expect(start).To(HaveLen(1))
@@ -59,7 +59,7 @@
 		// One answer, then silence.
 		d.HandleAssign(now, &wire.Assign{Manifest: digest})
 		d.SetPeers([]string{"peer"})
-		d.PeerHas("peer", digest, have)
+		d.SetPeerBitmap("peer", digest, have)
 		var starts []time.Duration
 		begun := now
 		for range 2000 {
