--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -14,9 +14,9 @@
 	// Window is the number of chunks that are fetched at one time. It bounds
 	// memory together with the chunk size.
 	Window int
-	// Ahead is the number of assignments that wait for a free place in the
+	// QueueDepth is the number of assignments that wait for a free place in the
 	// window, so that a place is not empty while the tracker is asked.
-	Ahead int
+	QueueDepth int
 	// AnnounceEvery bounds the frequency of announcements.
 	AnnounceEvery time.Duration
 	// Heartbeat is the time after which an announcement is repeated although
@@ -46,7 +46,7 @@
 
 func (c *DownloaderConfig) applyDefaults() {
 	defaultTo(&c.Window, 5)
-	defaultTo(&c.Ahead, 1)
+	defaultTo(&c.QueueDepth, 1)
 	defaultTo(&c.AnnounceEvery, 20*time.Millisecond)
 	defaultTo(&c.Heartbeat, time.Second)
 	defaultTo(&c.TrackerSilence, 500*time.Millisecond)
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -120,7 +120,7 @@
 		Sequence: d.sequence,
 	}
 	if d.missing > 0 {
-		a.Announce.Slots = max(d.cfg.Window+d.cfg.Ahead-busy, 0)
+		a.Announce.Slots = max(d.cfg.Window+d.cfg.QueueDepth-busy, 0)
 	}
 	d.failures, d.dirty, d.announced = nil, false, now
 }
