--- a/internal/measure/distribute/fleet.go
+++ b/internal/measure/distribute/fleet.go
@@ -192,7 +192,7 @@
 	a.service = transfer.New(transfer.Config{
 		Seed: fl.o.Seed*1000 + int64(i) + 1, Identity: identity, Pool: "pool",
 		Origin: originFor{fl.origin, a.node}, Chunks: a.chunks,
-		Downloader: decide.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.Ahead, AnnounceEvery: 2 * time.Millisecond},
+		Downloader: decide.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.Ahead, MinAnnounceInterval: 2 * time.Millisecond},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 			if err != nil {
--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -17,8 +17,8 @@
 	// QueueDepth is the number of assignments that wait for a free place in the
 	// window, so that a place is not empty while the tracker is asked.
 	QueueDepth int
-	// AnnounceEvery bounds the frequency of announcements.
-	AnnounceEvery time.Duration
+	// MinAnnounceInterval bounds the frequency of announcements.
+	MinAnnounceInterval time.Duration
 	// Heartbeat is the time after which an announcement is repeated although
 	// nothing has changed.
 	Heartbeat time.Duration
@@ -47,7 +47,7 @@
 func (c *DownloaderConfig) applyDefaults() {
 	defaultTo(&c.Window, 5)
 	defaultTo(&c.QueueDepth, 1)
-	defaultTo(&c.AnnounceEvery, 20*time.Millisecond)
+	defaultTo(&c.MinAnnounceInterval, 20*time.Millisecond)
 	defaultTo(&c.Heartbeat, time.Second)
 	defaultTo(&c.TrackerSilence, 500*time.Millisecond)
 	defaultTo(&c.MinStall, 400*time.Millisecond)
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -104,7 +104,7 @@
 	if d.missing > 0 && d.retry > 0 {
 		repeat = min(repeat, d.retry)
 	}
-	if since < d.cfg.AnnounceEvery || !d.dirty && since < repeat {
+	if since < d.cfg.MinAnnounceInterval || !d.dirty && since < repeat {
 		return
 	}
 	busy := len(d.active) + len(d.queue)
