--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -19,9 +19,9 @@
 	QueueDepth int
 	// MinAnnounceInterval bounds the frequency of announcements.
 	MinAnnounceInterval time.Duration
-	// Heartbeat is the time after which an announcement is repeated although
+	// HeartbeatInterval is the time after which an announcement is repeated although
 	// nothing has changed.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// TrackerSilence is the time without an answer of the tracker after which
 	// peers are used directly. It is several announcements long.
 	TrackerSilence time.Duration
@@ -48,7 +48,7 @@
 	defaultTo(&c.Window, 5)
 	defaultTo(&c.QueueDepth, 1)
 	defaultTo(&c.MinAnnounceInterval, 20*time.Millisecond)
-	defaultTo(&c.Heartbeat, time.Second)
+	defaultTo(&c.HeartbeatInterval, time.Second)
 	defaultTo(&c.TrackerSilence, 500*time.Millisecond)
 	defaultTo(&c.MinStall, 400*time.Millisecond)
 	defaultTo(&c.MaxStall, 3*time.Second)
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -100,7 +100,7 @@
 
 func (d *Downloader) announce(now time.Time, a *Actions) {
 	since := now.Sub(d.announced)
-	repeat := d.cfg.Heartbeat
+	repeat := d.cfg.HeartbeatInterval
 	if d.missing > 0 && d.retry > 0 {
 		repeat = min(repeat, d.retry)
 	}
