--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -22,9 +22,9 @@
 	// HeartbeatInterval is the time after which an announcement is repeated although
 	// nothing has changed.
 	HeartbeatInterval time.Duration
-	// TrackerSilence is the time without an answer of the tracker after which
+	// TrackerTimeout is the time without an answer of the tracker after which
 	// peers are used directly. It is several announcements long.
-	TrackerSilence time.Duration
+	TrackerTimeout time.Duration
 	// MinStall is the lower bound of the progress deadline, and MaxStall the
 	// deadline until a rate has been observed.
 	MinStall, MaxStall time.Duration
@@ -49,7 +49,7 @@
 	defaultTo(&c.QueueDepth, 1)
 	defaultTo(&c.MinAnnounceInterval, 20*time.Millisecond)
 	defaultTo(&c.HeartbeatInterval, time.Second)
-	defaultTo(&c.TrackerSilence, 500*time.Millisecond)
+	defaultTo(&c.TrackerTimeout, 500*time.Millisecond)
 	defaultTo(&c.MinStall, 400*time.Millisecond)
 	defaultTo(&c.MaxStall, 3*time.Second)
 	defaultTo(&c.OriginStep, 2*time.Second)
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -19,7 +19,7 @@
 	d.startAssigned(now, &a)
 	// Each announcement is answered. While the answers stay away, peers are used
 	// directly, also while other trackers are tried; the origin only once the tracker counts as lost.
-	if d.missing > 0 && (!d.tracked || !d.waiting.IsZero() && now.Sub(d.waiting) > d.cfg.TrackerSilence) {
+	if d.missing > 0 && (!d.tracked || !d.waiting.IsZero() && now.Sub(d.waiting) > d.cfg.TrackerTimeout) {
 		d.startSolo(now, &a)
 	}
 	d.announce(now, &a)
