--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -25,9 +25,9 @@
 	// TrackerTimeout is the time without an answer of the tracker after which
 	// peers are used directly. It is several announcements long.
 	TrackerTimeout time.Duration
-	// MinStall is the lower bound of the progress deadline, and MaxStall the
+	// MinStallTimeout is the lower bound of the progress deadline, and MaxStall the
 	// deadline until a rate has been observed.
-	MinStall, MaxStall time.Duration
+	MinStallTimeout, MaxStall time.Duration
 	// OriginStep is the wait for each rank in the rendezvous order of a chunk
 	// before an agent without a tracker takes the chunk from the origin.
 	OriginStep time.Duration
@@ -50,7 +50,7 @@
 	defaultTo(&c.MinAnnounceInterval, 20*time.Millisecond)
 	defaultTo(&c.HeartbeatInterval, time.Second)
 	defaultTo(&c.TrackerTimeout, 500*time.Millisecond)
-	defaultTo(&c.MinStall, 400*time.Millisecond)
+	defaultTo(&c.MinStallTimeout, 400*time.Millisecond)
 	defaultTo(&c.MaxStall, 3*time.Second)
 	defaultTo(&c.OriginStep, 2*time.Second)
 	defaultTo(&c.SoloCopies, 1.1)
