--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -27,7 +27,7 @@
 	TrackerTimeout time.Duration
 	// MinStallTimeout is the lower bound of the progress deadline, and MaxStall the
 	// deadline until a rate has been observed.
-	MinStallTimeout, MaxStall time.Duration
+	MinStallTimeout, MaxStallTimeout time.Duration
 	// OriginStep is the wait for each rank in the rendezvous order of a chunk
 	// before an agent without a tracker takes the chunk from the origin.
 	OriginStep time.Duration
@@ -51,7 +51,7 @@
 	defaultTo(&c.HeartbeatInterval, time.Second)
 	defaultTo(&c.TrackerTimeout, 500*time.Millisecond)
 	defaultTo(&c.MinStallTimeout, 400*time.Millisecond)
-	defaultTo(&c.MaxStall, 3*time.Second)
+	defaultTo(&c.MaxStallTimeout, 3*time.Second)
 	defaultTo(&c.OriginStep, 2*time.Second)
 	defaultTo(&c.SoloCopies, 1.1)
 	defaultTo(&c.SoloAgents, 8)
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -31,7 +31,7 @@
 // follows from the observed time for a whole chunk, because the bytes of a
 // chunk arrive unevenly when a link is shared.
 func (d *Downloader) stallAfter() time.Duration {
-	return d.chunkTime.deadline(d.cfg.MinStallTimeout, d.cfg.MaxStall, d.cfg.MaxStall)
+	return d.chunkTime.deadline(d.cfg.MinStallTimeout, d.cfg.MaxStallTimeout, d.cfg.MaxStallTimeout)
 }
 
 func (d *Downloader) cancelStalled(now time.Time, a *Actions) {
