--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -28,9 +28,9 @@
 	// MinStallTimeout is the lower bound of the progress deadline, and MaxStall the
 	// deadline until a rate has been observed.
 	MinStallTimeout, MaxStallTimeout time.Duration
-	// OriginStep is the wait for each rank in the rendezvous order of a chunk
+	// OriginRankDelay is the wait for each rank in the rendezvous order of a chunk
 	// before an agent without a tracker takes the chunk from the origin.
-	OriginStep time.Duration
+	OriginRankDelay time.Duration
 	// SoloCopies is the budget of copies that the agents of a failure domain
 	// without a tracker take from the origin together.
 	SoloCopies float64
@@ -52,7 +52,7 @@
 	defaultTo(&c.TrackerTimeout, 500*time.Millisecond)
 	defaultTo(&c.MinStallTimeout, 400*time.Millisecond)
 	defaultTo(&c.MaxStallTimeout, 3*time.Second)
-	defaultTo(&c.OriginStep, 2*time.Second)
+	defaultTo(&c.OriginRankDelay, 2*time.Second)
 	defaultTo(&c.SoloCopies, 1.1)
 	defaultTo(&c.SoloAgents, 8)
 	defaultTo(&c.SoloPeriod, 2*time.Minute)
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -104,7 +104,7 @@
 	s := &d.solo
 	if !s.drawn {
 		s.drawn = true
-		s.jitter = time.Duration(d.cfg.Rand.Int63n(int64(d.cfg.OriginStep)))
+		s.jitter = time.Duration(d.cfg.Rand.Int63n(int64(d.cfg.OriginRankDelay)))
 	}
 	if s.updated.IsZero() {
 		s.credit, s.updated = d.soloShare(), now
@@ -163,7 +163,7 @@
 		if !p.have.Get(index) || now.Before(p.bad[digest]) {
 			continue
 		}
-		if now.Sub(p.until) < d.cfg.OriginStep {
+		if now.Sub(p.until) < d.cfg.OriginRankDelay {
 			held = true
 		}
 		if now.Before(p.until) {
@@ -188,7 +188,7 @@
 func (d *Downloader) soloOrigin(now time.Time, c weights.Chunk, names []string) bool {
 	s := &d.solo
 	waited := now.Sub(s.since) - s.jitter
-	if now.Before(d.originUntil) || waited < d.cfg.OriginStep {
+	if now.Before(d.originUntil) || waited < d.cfg.OriginRankDelay {
 		return false
 	}
 	share := d.soloShare()
@@ -198,7 +198,7 @@
 		return false
 	}
 	rank := slices.Index(Rendezvous(c.Digest, names), d.cfg.Self)
-	if waited < time.Duration(rank+1)*d.cfg.OriginStep {
+	if waited < time.Duration(rank+1)*d.cfg.OriginRankDelay {
 		return false
 	}
 	s.credit -= float64(c.Size)
