--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -31,9 +31,9 @@
 	// OriginRankDelay is the wait for each rank in the rendezvous order of a chunk
 	// before an agent without a tracker takes the chunk from the origin.
 	OriginRankDelay time.Duration
-	// SoloCopies is the budget of copies that the agents of a failure domain
+	// TrackerlessCopies is the budget of copies that the agents of a failure domain
 	// without a tracker take from the origin together.
-	SoloCopies float64
+	TrackerlessCopies float64
 	// SoloAgents is the number of agents that are expected to share the budget
 	// while fewer peers are known.
 	SoloAgents int
@@ -53,7 +53,7 @@
 	defaultTo(&c.MinStallTimeout, 400*time.Millisecond)
 	defaultTo(&c.MaxStallTimeout, 3*time.Second)
 	defaultTo(&c.OriginRankDelay, 2*time.Second)
-	defaultTo(&c.SoloCopies, 1.1)
+	defaultTo(&c.TrackerlessCopies, 1.1)
 	defaultTo(&c.SoloAgents, 8)
 	defaultTo(&c.SoloPeriod, 2*time.Minute)
 	defaultTo(&c.Backoff, 200*time.Millisecond)
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -180,7 +180,7 @@
 // soloShare is this instance's share of the origin budget in bytes.
 func (d *Downloader) soloShare() float64 {
 	agents := max(len(d.solo.peers)+1, d.cfg.SoloAgents)
-	return float64(d.manifest.TotalSize()) * d.cfg.SoloCopies / float64(agents)
+	return float64(d.manifest.TotalSize()) * d.cfg.TrackerlessCopies / float64(agents)
 }
 
 // soloOrigin reports whether a chunk may be taken from the origin now, and
