--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -34,9 +34,9 @@
 	// TrackerlessCopies is the budget of copies that the agents of a failure domain
 	// without a tracker take from the origin together.
 	TrackerlessCopies float64
-	// SoloAgents is the number of agents that are expected to share the budget
+	// TrackerlessAgents is the number of agents that are expected to share the budget
 	// while fewer peers are known.
-	SoloAgents int
+	TrackerlessAgents int
 	// SoloPeriod is the time over which an agent without a tracker regains its
 	// share of the budget, so that a lone agent completes in the end.
 	SoloPeriod time.Duration
@@ -54,7 +54,7 @@
 	defaultTo(&c.MaxStallTimeout, 3*time.Second)
 	defaultTo(&c.OriginRankDelay, 2*time.Second)
 	defaultTo(&c.TrackerlessCopies, 1.1)
-	defaultTo(&c.SoloAgents, 8)
+	defaultTo(&c.TrackerlessAgents, 8)
 	defaultTo(&c.SoloPeriod, 2*time.Minute)
 	defaultTo(&c.Backoff, 200*time.Millisecond)
 	defaultTo(&c.MaxBackoff, 10*time.Second)
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -179,7 +179,7 @@
 
 // soloShare is this instance's share of the origin budget in bytes.
 func (d *Downloader) soloShare() float64 {
-	agents := max(len(d.solo.peers)+1, d.cfg.SoloAgents)
+	agents := max(len(d.solo.peers)+1, d.cfg.TrackerlessAgents)
 	return float64(d.manifest.TotalSize()) * d.cfg.TrackerlessCopies / float64(agents)
 }
 
--- a/lib/distribute/sim_test.go
+++ b/lib/distribute/sim_test.go
@@ -98,7 +98,7 @@
 			s.agents = append(s.agents, &simAgent{
 				identity: model.Identity{Instance: model.InstanceID(address), Generation: 1, Location: d.location, Address: address},
 				domain:   d, store: make(map[model.Digest]bool), active: make(map[uint64]*simFetch),
-				d: distribute.NewDownloader(distribute.DownloaderConfig{Self: address, Rand: rand.New(rand.NewSource(seed + int64(len(s.agents)))), SoloAgents: perDomain}),
+				d: distribute.NewDownloader(distribute.DownloaderConfig{Self: address, Rand: rand.New(rand.NewSource(seed + int64(len(s.agents)))), TrackerlessAgents: perDomain}),
 			})
 		}
 	}
