--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -37,9 +37,9 @@
 	// TrackerlessAgents is the number of agents that are expected to share the budget
 	// while fewer peers are known.
 	TrackerlessAgents int
-	// SoloPeriod is the time over which an agent without a tracker regains its
+	// TrackerlessRefillTime is the time over which an agent without a tracker regains its
 	// share of the budget, so that a lone agent completes in the end.
-	SoloPeriod time.Duration
+	TrackerlessRefillTime time.Duration
 	// Backoff and MaxBackoff bound the wait for a source that throttles.
 	Backoff, MaxBackoff time.Duration
 }
@@ -55,7 +55,7 @@
 	defaultTo(&c.OriginRankDelay, 2*time.Second)
 	defaultTo(&c.TrackerlessCopies, 1.1)
 	defaultTo(&c.TrackerlessAgents, 8)
-	defaultTo(&c.SoloPeriod, 2*time.Minute)
+	defaultTo(&c.TrackerlessRefillTime, 2*time.Minute)
 	defaultTo(&c.Backoff, 200*time.Millisecond)
 	defaultTo(&c.MaxBackoff, 10*time.Second)
 	if c.Rand == nil {
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -192,7 +192,7 @@
 		return false
 	}
 	share := d.soloShare()
-	s.credit = min(s.credit+share*now.Sub(s.updated).Seconds()/d.cfg.SoloPeriod.Seconds(), max(share, float64(c.Size)))
+	s.credit = min(s.credit+share*now.Sub(s.updated).Seconds()/d.cfg.TrackerlessRefillTime.Seconds(), max(share, float64(c.Size)))
 	s.updated = now
 	if s.credit < float64(c.Size) {
 		return false
