--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -208,7 +208,7 @@
 // throttled backs off from the origin: at least as long as it asked, doubled
 // with each refusal in a row, with jitter so that agents don't return at once.
 func (d *Downloader) throttled(now time.Time, retryAfter time.Duration) {
-	d.backoff = min(max(d.backoff*2, d.cfg.Backoff), d.cfg.MaxBackoff)
+	d.backoff = min(max(d.backoff*2, d.cfg.MinBackoff), d.cfg.MaxBackoff)
 	wait := max(retryAfter, d.backoff)
 	wait += time.Duration(d.cfg.Rand.Int63n(int64(wait)/2 + 1))
 	d.originUntil = now.Add(wait)
--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -40,8 +40,8 @@
 	// TrackerlessRefillTime is the time over which an agent without a tracker regains its
 	// share of the budget, so that a lone agent completes in the end.
 	TrackerlessRefillTime time.Duration
-	// Backoff and MaxBackoff bound the wait for a source that throttles.
-	Backoff, MaxBackoff time.Duration
+	// MinBackoff and MaxBackoff bound the wait for a source that throttles.
+	MinBackoff, MaxBackoff time.Duration
 }
 
 func (c *DownloaderConfig) applyDefaults() {
@@ -56,7 +56,7 @@
 	defaultTo(&c.TrackerlessCopies, 1.1)
 	defaultTo(&c.TrackerlessAgents, 8)
 	defaultTo(&c.TrackerlessRefillTime, 2*time.Minute)
-	defaultTo(&c.Backoff, 200*time.Millisecond)
+	defaultTo(&c.MinBackoff, 200*time.Millisecond)
 	defaultTo(&c.MaxBackoff, 10*time.Second)
 	if c.Rand == nil {
 		c.Rand = rand.New(rand.NewSource(1))
