--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -188,10 +188,10 @@
 func (r *runner) finished(res done) {
 	delete(r.workers, res.fetch.ID)
 	if res.result == distribute.Corrupt {
-		r.s.cfg.Log.Log(eventlog.ChunkCorrupt, "chunk", res.fetch.Want.Digest.Short(), "source", res.fetch.Source)
+		r.s.cfg.Log.Log(eventlog.ChunkCorrupt, "chunk", res.fetch.Chunk.Digest.Short(), "source", res.fetch.Source)
 	}
 	if res.result == distribute.Throttled {
 		r.s.cfg.Log.Log(eventlog.SourceThrottled, "retry_after", res.retryAfter)
 	}
-	r.d.FetchFinished(r.s.cfg.Clock.Now(), res.fetch.ID, res.fetch.Want.Digest, res.result, res.retryAfter)
+	r.d.FetchFinished(r.s.cfg.Clock.Now(), res.fetch.ID, res.fetch.Chunk.Digest, res.result, res.retryAfter)
 }
--- a/agent/transfer/worker.go
+++ b/agent/transfer/worker.go
@@ -62,7 +62,7 @@
 		data, err = w.fromPeer(ctx)
 	}
 	if err == nil {
-		err = w.s.cfg.Chunks.Put(w.fetch.Want, data)
+		err = w.s.cfg.Chunks.Put(w.fetch.Chunk, data)
 	}
 	d := done{fetch: w.fetch, err: err, result: distribute.Broken}
 	var throttled *backing.ThrottledError
@@ -87,7 +87,7 @@
 )
 
 func (w *worker) fromPeer(ctx context.Context) ([]byte, error) {
-	if err := w.s.limits.waitDownload(ctx, int(w.fetch.Want.Size)); err != nil {
+	if err := w.s.limits.waitDownload(ctx, int(w.fetch.Chunk.Size)); err != nil {
 		return nil, err
 	}
 	for {
@@ -113,7 +113,7 @@
 	w.conn.Store(&connMark{conn: conn, start: start})
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if err := conn.Send(&wire.ChunkFetch{Request: w.fetch.ID, Chunk: w.fetch.Want.Digest}); err != nil {
+	if err := conn.Send(&wire.ChunkFetch{Request: w.fetch.ID, Chunk: w.fetch.Chunk.Digest}); err != nil {
 		return nil, err
 	}
 	m, err := conn.Receive()
@@ -140,9 +140,9 @@
 // fromOrigin reads the chunk's range and resumes after reads that end early,
 // also ones of an earlier fetch of the same chunk.
 func (w *worker) fromOrigin(ctx context.Context) ([]byte, error) {
-	size := int(w.fetch.Want.Size)
+	size := int(w.fetch.Chunk.Size)
 	buf := make([]byte, 0, size)
-	buf = append(buf, w.s.partials.take(w.fetch.Want.Digest)...)
+	buf = append(buf, w.s.partials.take(w.fetch.Chunk.Digest)...)
 	empty := 0
 	for attempt := w.fetch.Attempt; len(buf) < size; attempt++ {
 		before := len(buf)
@@ -151,7 +151,7 @@
 		if len(buf) > before {
 			empty = 0
 		} else if empty++; empty >= emptyReads || isThrottled(err) || ctx.Err() != nil {
-			w.s.partials.put(w.fetch.Want.Digest, buf)
+			w.s.partials.put(w.fetch.Chunk.Digest, buf)
 			return nil, err
 		}
 	}
--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -80,7 +80,7 @@
 	for _, id := range sortedKeys(d.active) {
 		f := d.active[id]
 		f.grant = 0 // grants belong to the old version's tracker
-		if _, wanted := d.indexes[f.Want.Digest]; !wanted || d.held[f.Want.Digest] {
+		if _, wanted := d.indexes[f.Chunk.Digest]; !wanted || d.held[f.Chunk.Digest] {
 			cancel = append(cancel, id)
 			d.forget(f)
 		}
@@ -216,8 +216,8 @@
 
 func (d *Downloader) forget(f *fetching) {
 	delete(d.active, f.ID)
-	if d.byChunk[f.Want.Digest]--; d.byChunk[f.Want.Digest] <= 0 {
-		delete(d.byChunk, f.Want.Digest)
+	if d.byChunk[f.Chunk.Digest]--; d.byChunk[f.Chunk.Digest] <= 0 {
+		delete(d.byChunk, f.Chunk.Digest)
 	}
 }
 
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -43,14 +43,14 @@
 		}
 		a.Cancel = append(a.Cancel, id)
 		a.StalledSources = append(a.StalledSources, f.Source)
-		d.FetchFinished(now, id, f.Want.Digest, Stalled, 0)
+		d.FetchFinished(now, id, f.Chunk.Digest, Stalled, 0)
 	}
 }
 
 // cancelHeld ends duplicates of chunks that another source has delivered.
 func (d *Downloader) cancelHeld(a *Actions) {
 	for _, id := range sortedKeys(d.active) {
-		if f := d.active[id]; d.held[f.Want.Digest] {
+		if f := d.active[id]; d.held[f.Chunk.Digest] {
 			a.Cancel = append(a.Cancel, id)
 			d.forget(f)
 		}
@@ -85,7 +85,7 @@
 func (d *Downloader) start(now time.Time, c weights.Chunk, source string, grant uint64) Fetch {
 	d.lastID++
 	f := &fetching{
-		Fetch:   Fetch{ID: d.lastID, Object: d.manifest.Object, Offset: d.offsets[c.Digest], Want: c, Source: source},
+		Fetch:   Fetch{ID: d.lastID, Object: d.manifest.Object, Offset: d.offsets[c.Digest], Chunk: c, Source: source},
 		grant:   grant,
 		started: now, progress: now,
 	}
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -73,7 +73,7 @@
 	}
 	switch r {
 	case Corrupt:
-		p.bad[f.Want.Digest] = now.Add(badFor)
+		p.bad[f.Chunk.Digest] = now.Add(badFor)
 	case Busy:
 		p.until = now.Add(peerBackoff / 4)
 	default:
--- a/lib/distribute/fetch.go
+++ b/lib/distribute/fetch.go
@@ -14,7 +14,7 @@
 	// Object and Offset locate the chunk at the origin, in bytes.
 	Object string
 	Offset int64
-	Want   weights.Chunk
+	Chunk  weights.Chunk
 	// Source is a peer address, or Origin.
 	Source string
 	// Attempt counts the origin fetches of this chunk. The owner alternates
--- a/lib/distribute/sim_step_test.go
+++ b/lib/distribute/sim_step_test.go
@@ -66,13 +66,13 @@
 			continue // no byte ever arrives
 		}
 		delete(a.active, id)
-		r, retry := s.outcome(f.Source, f.Want.Digest)
+		r, retry := s.outcome(f.Source, f.Chunk.Digest)
 		if r == distribute.Delivered {
-			a.store[f.Want.Digest] = true
+			a.store[f.Chunk.Digest] = true
 		} else {
 			s.failed(f)
 		}
-		a.d.FetchFinished(s.now, id, f.Want.Digest, r, retry)
+		a.d.FetchFinished(s.now, id, f.Chunk.Digest, r, retry)
 	}
 }
 
