--- a/agent/transfer/worker.go
+++ b/agent/transfer/worker.go
@@ -64,7 +64,7 @@
 	if err == nil {
 		err = w.s.cfg.Chunks.Put(w.fetch.Chunk, data)
 	}
-	d := done{fetch: w.fetch, err: err, result: distribute.Broken}
+	d := done{fetch: w.fetch, err: err, result: distribute.Failed}
 	var throttled *backing.ThrottledError
 	switch {
 	case err == nil:
--- a/lib/distribute/fetch.go
+++ b/lib/distribute/fetch.go
@@ -35,8 +35,8 @@
 	Absent
 	// Busy means that the source had no free slot.
 	Busy
-	// Broken means that the connection or the read failed.
-	Broken
+	// Failed means that the connection or the read failed.
+	Failed
 	// Throttled means that the source asked to come back later.
 	Throttled
 	// Stalled means that the progress deadline passed. Only the Downloader
--- a/lib/distribute/sim_step_test.go
+++ b/lib/distribute/sim_step_test.go
@@ -84,7 +84,7 @@
 	} else {
 		holder := s.byAddress(source)
 		if holder == nil || holder.dead {
-			return distribute.Broken, 0
+			return distribute.Failed, 0
 		}
 		if !holder.store[chunk] {
 			return distribute.Absent, 0
--- a/lib/distribute/solo_test.go
+++ b/lib/distribute/solo_test.go
@@ -66,7 +66,7 @@
 			now = now.Add(10 * time.Millisecond)
 			for _, f := range d.Next(now).Start {
 				starts = append(starts, now.Sub(begun))
-				d.FetchFinished(now, f.ID, f.Chunk.Digest, distribute.Broken, 0)
+				d.FetchFinished(now, f.ID, f.Chunk.Digest, distribute.Failed, 0)
 			}
 		}
 		Expect(len(starts)).To(BeNumerically(">=", 4))
