--- a/agent/transfer/step.go
+++ b/agent/transfer/step.go
@@ -24,7 +24,7 @@
 	for _, f := range a.Start {
 		r.start(f)
 	}
-	for _, address := range a.AskPeers {
+	for _, address := range a.QueryPeers {
 		r.s.askPeer(address, r.target.digest, r.bitmaps)
 	}
 	if a.Announce != nil && r.conn != nil {
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -138,12 +138,12 @@
 func (d *Downloader) askPeers(now time.Time, a *Actions) {
 	for _, name := range d.shuffledPeers() {
 		p := d.solo.peers[name]
-		if len(a.AskPeers) >= asksAtOnce {
+		if len(a.QueryPeers) >= asksAtOnce {
 			return
 		}
 		if now.Sub(p.asked) >= askEvery {
 			p.asked = now
-			a.AskPeers = append(a.AskPeers, name)
+			a.QueryPeers = append(a.QueryPeers, name)
 		}
 	}
 }
--- a/lib/distribute/fetch.go
+++ b/lib/distribute/fetch.go
@@ -52,8 +52,8 @@
 	Cancel []uint64
 	// Announce is sent to the tracker when it is set.
 	Announce *wire.Announce
-	// AskPeers lists peers whose bitmaps are wanted, without a tracker.
-	AskPeers []string
+	// QueryPeers lists peers whose bitmaps are wanted, without a tracker.
+	QueryPeers []string
 	// StalledSources lists the sources of fetches that just stalled.
 	StalledSources []string
 	Done           bool
--- a/lib/distribute/sim_act_test.go
+++ b/lib/distribute/sim_act_test.go
@@ -22,7 +22,7 @@
 		}
 		a.active[f.ID] = &simFetch{Fetch: f, ends: s.now.Add(simStep * time.Duration(2+s.rng.Intn(6)))}
 	}
-	for _, address := range next.AskPeers {
+	for _, address := range next.QueryPeers {
 		p := s.byAddress(address)
 		if p != nil && !p.dead && !s.cut(address, a.identity.Address) && !s.cut(a.identity.Address, address) {
 			have := weights.NewBitmap(len(s.versions[a.target].Chunks))
