--- a/agent/transfer/service.go
+++ b/agent/transfer/service.go
@@ -38,7 +38,7 @@
 	manifests map[model.Digest]*known
 	keep      []model.Digest
 	partials  *partials
-	share     *distribute.RateShare
+	share     *distribute.LinkShare
 }
 
 // known is a manifest and its encoding.
--- a/lib/distribute/rateshare.go
+++ b/lib/distribute/rateshare.go
@@ -30,23 +30,23 @@
 	defaultTo(&c.Every, time.Second)
 }
 
-// RateShare sets the share of a link that transfers use, so that they yield to
+// LinkShare sets the share of a link that transfers use, so that they yield to
 // live requests.
-type RateShare struct {
+type LinkShare struct {
 	cfg   RateShareConfig
 	share float64
 	last  time.Time
 }
 
 // NewRateShare returns a RateShare that starts at its maximum.
-func NewRateShare(cfg RateShareConfig) *RateShare {
+func NewRateShare(cfg RateShareConfig) *LinkShare {
 	cfg.applyDefaults()
-	return &RateShare{cfg: cfg, share: cfg.Max}
+	return &LinkShare{cfg: cfg, share: cfg.Max}
 }
 
 // Observe takes the recent time to first token, or 0 if no live requests ran,
 // and returns the share to use from now on.
-func (r *RateShare) Observe(now time.Time, firstToken time.Duration) float64 {
+func (r *LinkShare) Observe(now time.Time, firstToken time.Duration) float64 {
 	if !r.last.IsZero() && now.Sub(r.last) < r.cfg.Every {
 		return r.share
 	}
@@ -61,11 +61,11 @@
 
 // SetMax sets the largest share, over 0 and up to 1, which an operator may change
 // while transfers run.
-func (r *RateShare) SetMax(most float64) {
+func (r *LinkShare) SetMax(most float64) {
 	r.cfg.Max = most
 	r.cfg.Min = min(r.cfg.Min, most)
 	r.share = min(r.share, most)
 }
 
 // Share returns the share in use.
-func (r *RateShare) Share() float64 { return r.share }
+func (r *LinkShare) Share() float64 { return r.share }
