--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -44,7 +44,7 @@
 	// per second; 0 means unlimited.
 	UploadRate, DownloadRate float64
 	// Share sets the part of the link that transfers use.
-	Share distribute.RateShareConfig
+	Share distribute.LinkShareConfig
 	// Tick is the time between looks at progress and deadlines.
 	Tick time.Duration
 	// DialTimeout bounds the opening of a connection.
--- a/lib/distribute/rateshare.go
+++ b/lib/distribute/rateshare.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RateShareConfig holds the settings of a RateShare. Zero values get defaults.
-type RateShareConfig struct {
+// LinkShareConfig holds the settings of a RateShare. Zero values get defaults.
+type LinkShareConfig struct {
 	// Min and Max bound the share of the link, over 0 and up to 1. Min keeps a
 	// transfer moving while live requests are slow for another reason.
 	Min, Max float64
@@ -20,7 +20,7 @@
 	Every time.Duration
 }
 
-func (c *RateShareConfig) applyDefaults() {
+func (c *LinkShareConfig) applyDefaults() {
 	defaultTo(&c.Min, 0.05)
 	defaultTo(&c.Max, 0.8)
 	defaultTo(&c.Target, 1400*time.Millisecond)
@@ -33,13 +33,13 @@
 // LinkShare sets the share of a link that transfers use, so that they yield to
 // live requests.
 type LinkShare struct {
-	cfg   RateShareConfig
+	cfg   LinkShareConfig
 	share float64
 	last  time.Time
 }
 
 // NewRateShare returns a RateShare that starts at its maximum.
-func NewRateShare(cfg RateShareConfig) *LinkShare {
+func NewRateShare(cfg LinkShareConfig) *LinkShare {
 	cfg.applyDefaults()
 	return &LinkShare{cfg: cfg, share: cfg.Max}
 }
