--- a/lib/distribute/rateshare.go
+++ b/lib/distribute/rateshare.go
@@ -38,8 +38,8 @@
 	last  time.Time
 }
 
-// NewRateShare returns a RateShare that starts at its maximum.
-func NewRateShare(cfg LinkShareConfig) *LinkShare {
+// NewLinkShare returns a RateShare that starts at its maximum.
+func NewLinkShare(cfg LinkShareConfig) *LinkShare {
 	cfg.applyDefaults()
 	return &LinkShare{cfg: cfg, share: cfg.Max}
 }
