--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -176,14 +176,14 @@
 
 var _ = Describe("RateShare", func() {
 	It("halves the share near the target and regains it slowly (guards against transfers that delay live requests)", func() {
-		r, now := distribute.NewLinkShare(distribute.LinkShareConfig{Target: time.Second}), time.Unix(0, 0)
+		r, now := distribute.NewLinkShare(distribute.LinkShareConfig{TargetFirstToken: time.Second}), time.Unix(0, 0)
 		Expect(r.Observe(now, 900*time.Millisecond)).To(BeNumerically("~", 0.4, 1e-9))
 		Expect(r.Observe(now.Add(time.Millisecond), time.Minute)).To(BeNumerically("~", 0.4, 1e-9))
 		Expect(r.Observe(now.Add(time.Second), 0)).To(BeNumerically("~", 0.45, 1e-9))
 	})
 
 	It("keeps a declared maximum (guards against a setting that has no effect)", func() {
-		r, now := distribute.NewLinkShare(distribute.LinkShareConfig{Target: time.Second}), time.Unix(0, 0)
+		r, now := distribute.NewLinkShare(distribute.LinkShareConfig{TargetFirstToken: time.Second}), time.Unix(0, 0)
 		r.SetMax(0.3)
 		Expect(r.Share()).To(BeNumerically("~", 0.3, 1e-9))
 		for i := range 20 {
--- a/lib/distribute/rateshare.go
+++ b/lib/distribute/rateshare.go
@@ -7,8 +7,8 @@
 	// Min and Max bound the share of the link, over 0 and up to 1. Min keeps a
 	// transfer moving while live requests are slow for another reason.
 	Min, Max float64
-	// Target is the time to first token that live requests must keep.
-	Target time.Duration
+	// TargetFirstToken is the time to first token that live requests must keep.
+	TargetFirstToken time.Duration
 	// Near is the part of Target from which on the share falls.
 	Near float64
 	// Decrease multiplies the share when the target is near.
@@ -23,7 +23,7 @@
 func (c *LinkShareConfig) applyDefaults() {
 	defaultTo(&c.Min, 0.05)
 	defaultTo(&c.Max, 0.8)
-	defaultTo(&c.Target, 1400*time.Millisecond)
+	defaultTo(&c.TargetFirstToken, 1400*time.Millisecond)
 	defaultTo(&c.Near, 0.8)
 	defaultTo(&c.Decrease, 0.5)
 	defaultTo(&c.Increase, 0.05)
@@ -51,7 +51,7 @@
 		return r.share
 	}
 	r.last = now
-	if firstToken >= time.Duration(r.cfg.Near*float64(r.cfg.Target)) {
+	if firstToken >= time.Duration(r.cfg.Near*float64(r.cfg.TargetFirstToken)) {
 		r.share = max(r.share*r.cfg.Decrease, r.cfg.Min)
 	} else {
 		r.share = min(r.share+r.cfg.Increase, r.cfg.Max)
