--- a/lib/distribute/rateshare.go
+++ b/lib/distribute/rateshare.go
@@ -9,8 +9,8 @@
 	Min, Max float64
 	// TargetFirstToken is the time to first token that live requests must keep.
 	TargetFirstToken time.Duration
-	// Near is the part of Target from which on the share falls.
-	Near float64
+	// Threshold is the part of Target from which on the share falls.
+	Threshold float64
 	// Decrease multiplies the share when the target is near.
 	Decrease float64
 	// Increase is added to the share otherwise.
@@ -24,7 +24,7 @@
 	defaultTo(&c.Min, 0.05)
 	defaultTo(&c.Max, 0.8)
 	defaultTo(&c.TargetFirstToken, 1400*time.Millisecond)
-	defaultTo(&c.Near, 0.8)
+	defaultTo(&c.Threshold, 0.8)
 	defaultTo(&c.Decrease, 0.5)
 	defaultTo(&c.Increase, 0.05)
 	defaultTo(&c.Every, time.Second)
@@ -51,7 +51,7 @@
 		return r.share
 	}
 	r.last = now
-	if firstToken >= time.Duration(r.cfg.Near*float64(r.cfg.TargetFirstToken)) {
+	if firstToken >= time.Duration(r.cfg.Threshold*float64(r.cfg.TargetFirstToken)) {
 		r.share = max(r.share*r.cfg.Decrease, r.cfg.Min)
 	} else {
 		r.share = min(r.share+r.cfg.Increase, r.cfg.Max)
