--- a/lib/distribute/rateshare.go
+++ b/lib/distribute/rateshare.go
@@ -15,9 +15,9 @@
 	Decrease float64
 	// Increase is added to the share otherwise.
 	Increase float64
-	// Every is the time between two steps: a step's effect must be visible in
+	// Interval is the time between two steps: a step's effect must be visible in
 	// the observed times before the next one.
-	Every time.Duration
+	Interval time.Duration
 }
 
 func (c *LinkShareConfig) applyDefaults() {
@@ -27,7 +27,7 @@
 	defaultTo(&c.Threshold, 0.8)
 	defaultTo(&c.Decrease, 0.5)
 	defaultTo(&c.Increase, 0.05)
-	defaultTo(&c.Every, time.Second)
+	defaultTo(&c.Interval, time.Second)
 }
 
 // LinkShare sets the share of a link that transfers use, so that they yield to
@@ -47,7 +47,7 @@
 // Observe takes the recent time to first token, or 0 if no live requests ran,
 // and returns the share to use from now on.
 func (r *LinkShare) Observe(now time.Time, firstToken time.Duration) float64 {
-	if !r.last.IsZero() && now.Sub(r.last) < r.cfg.Every {
+	if !r.last.IsZero() && now.Sub(r.last) < r.cfg.Interval {
 		return r.share
 	}
 	r.last = now
