--- a/internal/measure/distribute/fleet.go
+++ b/internal/measure/distribute/fleet.go
@@ -107,7 +107,7 @@
 		BetweenRegions: o.rate(o.InterRegionCopies) * o.LinkShare, TimeWeight: timeWeight,
 	}
 	for d := range o.Domains {
-		in.Domains = append(in.Domains, decide.DomainPlan{
+		in.Domains = append(in.Domains, decide.DomainInput{
 			Location: locationOf(d), Instances: (o.Agents + o.Domains - 1 - d) / o.Domains, Download: link, Upload: link,
 		})
 	}
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -139,7 +139,7 @@
 	input := func(weight float64) distribute.PlanInput {
 		in := distribute.PlanInput{Size: 8 << 20, ChunkSize: 32 << 10, Origin: 4 << 20, BetweenRegions: 400 << 10, TimeWeight: weight}
 		for _, name := range []string{"a", "b", "c"} {
-			in.Domains = append(in.Domains, distribute.DomainPlan{
+			in.Domains = append(in.Domains, distribute.DomainInput{
 				Location:  model.Location{Region: model.Region(name), FailureDomain: model.FailureDomain(name)},
 				Instances: 20, Download: 2 << 20, Upload: 2 << 20,
 			})
--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -7,8 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// DomainPlan describes the instances of one failure domain for a plan.
-type DomainPlan struct {
+// DomainInput describes the instances of one failure domain for a plan.
+type DomainInput struct {
 	Location  model.Location
 	Instances int
 	// Download and Upload are the rates of one instance's link that transfers
@@ -21,7 +21,7 @@
 type PlanInput struct {
 	// Size is the sum of the chunk sizes in bytes, and ChunkSize the largest.
 	Size, ChunkSize int64
-	Domains         []DomainPlan
+	Domains         []DomainInput
 	// Origin is the rate of the origin's link.
 	Origin float64
 	// BetweenRegions is the rate between two regions in each direction.
--- a/operator/cli/plan_instances.go
+++ b/operator/cli/plan_instances.go
@@ -12,9 +12,9 @@
 
 // domainsOf returns the failure domains that get a version, with the number of
 // instances and the rates of their links.
-func (known instances) domainsOf(c *config.Config, m config.Model, links planLinks) []distribute.DomainPlan {
+func (known instances) domainsOf(c *config.Config, m config.Model, links planLinks) []distribute.DomainInput {
 	rate := links.instance * c.Deployment.TransferShare
-	var domains []distribute.DomainPlan
+	var domains []distribute.DomainInput
 	for _, p := range c.Placements {
 		if p.Model != m.Name || p.Version != m.Version {
 			continue
@@ -24,7 +24,7 @@
 			count = p.Replicas
 		}
 		if count > 0 {
-			domains = append(domains, distribute.DomainPlan{
+			domains = append(domains, distribute.DomainInput{
 				Location:  model.Location{Region: region, FailureDomain: p.FailureDomain},
 				Instances: count, Download: rate, Upload: rate,
 			})
