--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -11,9 +11,9 @@
 type DomainInput struct {
 	Location  model.Location
 	Instances int
-	// Download and Upload are the rates of one instance's link that transfers
+	// DownloadRate and Upload are the rates of one instance's link that transfers
 	// may use, in bytes per second.
-	Download, Upload float64
+	DownloadRate, Upload float64
 }
 
 // PlanInput is what a plan is calculated from. All rates are in bytes per
@@ -101,7 +101,7 @@
 		regions[d.Location.Region]++
 		instances += d.Instances
 		uploads += float64(d.Instances) * d.Upload
-		slowest = min(slowest, d.Download)
+		slowest = min(slowest, d.DownloadRate)
 	}
 	size := float64(in.Size)
 	bound := max(size/in.Origin, size/slowest, float64(instances)*size/(in.Origin+uploads))
