--- a/internal/measure/distribute/fleet.go
+++ b/internal/measure/distribute/fleet.go
@@ -108,7 +108,7 @@
 	}
 	for d := range o.Domains {
 		in.Domains = append(in.Domains, decide.DomainInput{
-			Location: locationOf(d), Instances: (o.Agents + o.Domains - 1 - d) / o.Domains, DownloadRate: link, Upload: link,
+			Location: locationOf(d), Instances: (o.Agents + o.Domains - 1 - d) / o.Domains, DownloadRate: link, UploadRate: link,
 		})
 	}
 	return in
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -141,7 +141,7 @@
 		for _, name := range []string{"a", "b", "c"} {
 			in.Domains = append(in.Domains, distribute.DomainInput{
 				Location:  model.Location{Region: model.Region(name), FailureDomain: model.FailureDomain(name)},
-				Instances: 20, DownloadRate: 2 << 20, Upload: 2 << 20,
+				Instances: 20, DownloadRate: 2 << 20, UploadRate: 2 << 20,
 			})
 		}
 		return in
--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -13,7 +13,7 @@
 	Instances int
 	// DownloadRate and Upload are the rates of one instance's link that transfers
 	// may use, in bytes per second.
-	DownloadRate, Upload float64
+	DownloadRate, UploadRate float64
 }
 
 // PlanInput is what a plan is calculated from. All rates are in bytes per
@@ -100,7 +100,7 @@
 		p.Policy.Domains = append(p.Policy.Domains, d.Location)
 		regions[d.Location.Region]++
 		instances += d.Instances
-		uploads += float64(d.Instances) * d.Upload
+		uploads += float64(d.Instances) * d.UploadRate
 		slowest = min(slowest, d.DownloadRate)
 	}
 	size := float64(in.Size)
--- a/operator/cli/plan_instances.go
+++ b/operator/cli/plan_instances.go
@@ -26,7 +26,7 @@
 		if count > 0 {
 			domains = append(domains, distribute.DomainInput{
 				Location:  model.Location{Region: region, FailureDomain: p.FailureDomain},
-				Instances: count, DownloadRate: rate, Upload: rate,
+				Instances: count, DownloadRate: rate, UploadRate: rate,
 			})
 		}
 	}
