--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -22,8 +22,8 @@
 	// Size is the sum of the chunk sizes in bytes, and ChunkSize the largest.
 	Size, ChunkSize int64
 	Domains         []DomainInput
-	// Origin is the rate of the origin's link.
-	Origin float64
+	// OriginRate is the rate of the origin's link.
+	OriginRate float64
 	// BetweenRegions is the rate between two regions in each direction.
 	BetweenRegions float64
 	// MaxCopies is the budget of copies from the origin; 0 means one for each
@@ -104,7 +104,7 @@
 		slowest = min(slowest, d.DownloadRate)
 	}
 	size := float64(in.Size)
-	bound := max(size/in.Origin, size/slowest, float64(instances)*size/(in.Origin+uploads))
+	bound := max(size/in.OriginRate, size/slowest, float64(instances)*size/(in.OriginRate+uploads))
 	p.LowerBound = seconds(bound)
 	p.PerRegion = copies <= len(regions) && len(regions) < len(in.Domains)
 
@@ -116,7 +116,7 @@
 	}
 	inbound := float64(len(regions)-1) * in.BetweenRegions * float64(len(regions)) // all regions together
 	k := float64(copies)
-	external := max(groups*size/(in.Origin+inbound), size/in.Origin)
+	external := max(groups*size/(in.OriginRate+inbound), size/in.OriginRate)
 	if forwarded := (groups - k) * size; forwarded > 0 {
 		if inbound <= 0 {
 			external = math.Inf(1) // the rest cannot be forwarded
@@ -127,7 +127,7 @@
 	fanOut := math.Ceil(math.Log2(float64(instances)/float64(max(len(in.Domains), 1)) + 1))
 	tail := fanOut * float64(in.ChunkSize) / slowest
 	p.Time = seconds(max(bound, external) + tail)
-	p.OriginBytes = int64(min(k*size, max(size, in.Origin*max(bound, external))))
+	p.OriginBytes = int64(min(k*size, max(size, in.OriginRate*max(bound, external))))
 	return p
 }
 
