--- a/internal/measure/distribute/fleet.go
+++ b/internal/measure/distribute/fleet.go
@@ -104,7 +104,7 @@
 	link := o.rate(o.InstanceCopies)
 	in := decide.PlanInput{
 		Size: int64(o.Size), ChunkSize: int64(o.ChunkSize), OriginRate: o.rate(o.OriginCopies),
-		BetweenRegions: o.rate(o.InterRegionCopies) * o.LinkShare, TimeWeight: timeWeight,
+		InterRegionRate: o.rate(o.InterRegionCopies) * o.LinkShare, TimeWeight: timeWeight,
 	}
 	for d := range o.Domains {
 		in.Domains = append(in.Domains, decide.DomainInput{
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -137,7 +137,7 @@
 
 var _ = Describe("MakePlan", func() {
 	input := func(weight float64) distribute.PlanInput {
-		in := distribute.PlanInput{Size: 8 << 20, ChunkSize: 32 << 10, OriginRate: 4 << 20, BetweenRegions: 400 << 10, TimeWeight: weight}
+		in := distribute.PlanInput{Size: 8 << 20, ChunkSize: 32 << 10, OriginRate: 4 << 20, InterRegionRate: 400 << 10, TimeWeight: weight}
 		for _, name := range []string{"a", "b", "c"} {
 			in.Domains = append(in.Domains, distribute.DomainInput{
 				Location:  model.Location{Region: model.Region(name), FailureDomain: model.FailureDomain(name)},
--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -24,8 +24,8 @@
 	Domains         []DomainInput
 	// OriginRate is the rate of the origin's link.
 	OriginRate float64
-	// BetweenRegions is the rate between two regions in each direction.
-	BetweenRegions float64
+	// InterRegionRate is the rate between two regions in each direction.
+	InterRegionRate float64
 	// MaxCopies is the budget of copies from the origin; 0 means one for each
 	// failure domain.
 	MaxCopies int
@@ -114,7 +114,7 @@
 	if !p.PerRegion && copies > len(regions) {
 		groups = float64(len(in.Domains))
 	}
-	inbound := float64(len(regions)-1) * in.BetweenRegions * float64(len(regions)) // all regions together
+	inbound := float64(len(regions)-1) * in.InterRegionRate * float64(len(regions)) // all regions together
 	k := float64(copies)
 	external := max(groups*size/(in.OriginRate+inbound), size/in.OriginRate)
 	if forwarded := (groups - k) * size; forwarded > 0 {
--- a/operator/cli/plan_command.go
+++ b/operator/cli/plan_command.go
@@ -89,7 +89,7 @@
 		}
 		plan := distribute.MakePlan(distribute.PlanInput{
 			Size: m.Bytes, ChunkSize: min(m.Bytes, defaultPlanChunk), Domains: domains,
-			OriginRate: links.origin, BetweenRegions: links.region * c.Deployment.TransferShare,
+			OriginRate: links.origin, InterRegionRate: links.region * c.Deployment.TransferShare,
 			MaxCopies: c.Deployment.OriginCopies, TimeWeight: c.Deployment.TimeWeight, Target: links.target,
 		})
 		v := versionPlan{
