--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -156,7 +156,7 @@
 
 	It("says when the target cannot be met (guards against a promise that the links refute)", func() {
 		in := input(1)
-		in.Target = time.Second
+		in.TargetTime = time.Second
 		Expect(distribute.MakePlan(in).MeetsTarget).To(BeFalse())
 	})
 
--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -31,8 +31,8 @@
 	MaxCopies int
 	// TimeWeight is between 0 (save origin bytes) and 1 (save time).
 	TimeWeight float64
-	// Target is the wanted time to the last instance; 0 means none.
-	Target time.Duration
+	// TargetTime is the wanted time to the last instance; 0 means none.
+	TargetTime time.Duration
 }
 
 // Plan is the outcome of MakePlan.
@@ -84,7 +84,7 @@
 			best, bestCost = p, cost
 		}
 	}
-	best.MeetsTarget = in.Target <= 0 || best.Time <= in.Target
+	best.MeetsTarget = in.TargetTime <= 0 || best.Time <= in.TargetTime
 	return best
 }
 
--- a/operator/cli/plan_command.go
+++ b/operator/cli/plan_command.go
@@ -90,7 +90,7 @@
 		plan := distribute.MakePlan(distribute.PlanInput{
 			Size: m.Bytes, ChunkSize: min(m.Bytes, defaultPlanChunk), Domains: domains,
 			OriginRate: links.origin, InterRegionRate: links.region * c.Deployment.TransferShare,
-			MaxCopies: c.Deployment.OriginCopies, TimeWeight: c.Deployment.TimeWeight, Target: links.target,
+			MaxCopies: c.Deployment.OriginCopies, TimeWeight: c.Deployment.TimeWeight, TargetTime: links.target,
 		})
 		v := versionPlan{
 			Model: m.Name, Version: m.Version, Copies: plan.Policy.Copies, OriginBytes: plan.OriginBytes,
