--- a/internal/measure/distribute/command.go
+++ b/internal/measure/distribute/command.go
@@ -113,10 +113,10 @@
 			return err
 		}
 		e.runs = append(e.runs, r)
-		if err := e.p.Print(figure.Figure{Name: "distribute/bytes_favoured/predicted_time", Value: plan.Time.Seconds(), Unit: "s"}); err != nil {
+		if err := e.p.Print(figure.Figure{Name: "distribute/bytes_favoured/predicted_time", Value: plan.EstimatedTime.Seconds(), Unit: "s"}); err != nil {
 			return err
 		}
-		limits := limit{time: timeFactor * plan.Time.Seconds(), copies: copiesPerDomain * float64(plan.Policy.Copies)}
+		limits := limit{time: timeFactor * plan.EstimatedTime.Seconds(), copies: copiesPerDomain * float64(plan.Policy.Copies)}
 		if err := e.report(r, "bytes_favoured", &limits, fixed); err != nil {
 			return err
 		}
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -150,8 +150,8 @@
 	It("takes one copy when origin bytes are favoured and is never slower when time is", func() {
 		bytes, fast := distribute.MakePlan(input(0)), distribute.MakePlan(input(1))
 		Expect(bytes.Policy.Copies).To(Equal(1))
-		Expect(fast.Time).To(BeNumerically("<", bytes.Time))
-		Expect(fast.Time).To(BeNumerically(">=", fast.LowerBound))
+		Expect(fast.EstimatedTime).To(BeNumerically("<", bytes.EstimatedTime))
+		Expect(fast.EstimatedTime).To(BeNumerically(">=", fast.LowerBound))
 	})
 
 	It("says when the target cannot be met (guards against a promise that the links refute)", func() {
--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -43,8 +43,8 @@
 	PerRegion bool
 	// LowerBound is the time that no plan can beat.
 	LowerBound time.Duration
-	// Time is the estimated time until all instances hold the weights.
-	Time time.Duration
+	// EstimatedTime is the estimated time until all instances hold the weights.
+	EstimatedTime time.Duration
 	// OriginBytes is the estimate of bytes read from the origin.
 	OriginBytes int64
 	// MeetsTarget is false when the target is below the estimated time.
@@ -69,13 +69,13 @@
 	if len(plans) == 0 {
 		return Plan{MeetsTarget: true}
 	}
-	fastest := plans[0].Time
+	fastest := plans[0].EstimatedTime
 	for _, p := range plans {
-		fastest = min(fastest, p.Time)
+		fastest = min(fastest, p.EstimatedTime)
 	}
 	best, bestCost := plans[0], math.Inf(1)
 	for _, p := range plans {
-		slower := float64(p.Time)/float64(fastest) - 1
+		slower := float64(p.EstimatedTime)/float64(fastest) - 1
 		if slower < tieShare {
 			slower = 0
 		}
@@ -84,7 +84,7 @@
 			best, bestCost = p, cost
 		}
 	}
-	best.MeetsTarget = in.TargetTime <= 0 || best.Time <= in.TargetTime
+	best.MeetsTarget = in.TargetTime <= 0 || best.EstimatedTime <= in.TargetTime
 	return best
 }
 
@@ -126,7 +126,7 @@
 	}
 	fanOut := math.Ceil(math.Log2(float64(instances)/float64(max(len(in.Domains), 1)) + 1))
 	tail := fanOut * float64(in.ChunkSize) / slowest
-	p.Time = seconds(max(bound, external) + tail)
+	p.EstimatedTime = seconds(max(bound, external) + tail)
 	p.OriginBytes = int64(min(k*size, max(size, in.OriginRate*max(bound, external))))
 	return p
 }
--- a/operator/cli/plan_command.go
+++ b/operator/cli/plan_command.go
@@ -94,7 +94,7 @@
 		})
 		v := versionPlan{
 			Model: m.Name, Version: m.Version, Copies: plan.Policy.Copies, OriginBytes: plan.OriginBytes,
-			LowerBound: plan.LowerBound, Time: plan.Time, MeetsTarget: plan.MeetsTarget,
+			LowerBound: plan.LowerBound, Time: plan.EstimatedTime, MeetsTarget: plan.MeetsTarget,
 		}
 		for _, d := range domains {
 			v.Instances += d.Instances
