--- a/agent/transfer/link.go
+++ b/agent/transfer/link.go
@@ -10,7 +10,7 @@
 )
 
 func rendezvous(digest model.Digest, addresses []string) []string {
-	return distribute.Rendezvous(digest, addresses)
+	return distribute.RendezvousOrder(digest, addresses)
 }
 
 // linkEvent is what a link tells the run loop. A nil conn means that no tracker
--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -141,7 +141,7 @@
 	for _, m := range entries {
 		addresses = append(addresses, m.Identity.Address)
 	}
-	first := distribute.Rendezvous(manifest, addresses)[0]
+	first := distribute.RendezvousOrder(manifest, addresses)[0]
 	for _, m := range entries {
 		if m.Identity.Address == first {
 			return m.Identity.Instance
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -197,7 +197,7 @@
 	if s.credit < float64(c.Size) {
 		return false
 	}
-	rank := slices.Index(Rendezvous(c.Digest, names), d.cfg.Self)
+	rank := slices.Index(RendezvousOrder(c.Digest, names), d.cfg.Self)
 	if waited < time.Duration(rank+1)*d.cfg.OriginRankDelay {
 		return false
 	}
--- a/lib/distribute/policy.go
+++ b/lib/distribute/policy.go
@@ -25,7 +25,7 @@
 		names = append(names, string(l.FailureDomain))
 		regions[string(l.FailureDomain)] = l.Region
 	}
-	order := Rendezvous(chunk, names)
+	order := RendezvousOrder(chunk, names)
 	seen := make(map[model.Region]bool, len(p.Domains))
 	first, rest := make([]string, 0, len(order)), make([]string, 0, len(order))
 	for _, name := range order {
--- a/lib/distribute/rendezvous.go
+++ b/lib/distribute/rendezvous.go
@@ -10,10 +10,10 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Rendezvous returns names in the order of their hash with a digest. All
+// RendezvousOrder returns names in the order of their hash with a digest. All
 // processes compute the same order, and the loss of one name moves only what
 // was assigned to it.
-func Rendezvous(key model.Digest, names []string) []string {
+func RendezvousOrder(key model.Digest, names []string) []string {
 	type scored struct {
 		name  string
 		score uint64
