--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -20,7 +20,7 @@
 	mu       sync.Mutex
 	rand     *rand.Rand
 	versions map[model.Digest]*version
-	waves    map[string]*rollout.Waves // by pool
+	waves    map[string]*rollout.Coordinator // by pool
 }
 
 // New returns a Service without agents.
@@ -30,7 +30,7 @@
 		cfg:      cfg,
 		rand:     rand.New(rand.NewSource(cfg.Seed)),
 		versions: make(map[model.Digest]*version),
-		waves:    make(map[string]*rollout.Waves),
+		waves:    make(map[string]*rollout.Coordinator),
 	}
 }
 
--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -41,8 +41,8 @@
 	left bool
 }
 
-// Waves gives permits for one failure domain and pool.
-type Waves struct {
+// Coordinator gives permits for one failure domain and pool.
+type Coordinator struct {
 	cfg     Config
 	last    uint64
 	permits map[model.InstanceID]*held
@@ -50,14 +50,14 @@
 
 // New returns Waves without permits. Permit numbers start above first, which
 // the caller draws at random so that numbers of an earlier process differ.
-func New(cfg Config, first uint64) *Waves {
+func New(cfg Config, first uint64) *Coordinator {
 	cfg.applyDefaults()
-	return &Waves{cfg: cfg, last: first, permits: make(map[model.InstanceID]*held)}
+	return &Coordinator{cfg: cfg, last: first, permits: make(map[model.InstanceID]*held)}
 }
 
 // Request asks for a permit for a live instance, or renews its permit. The
 // group is the state right now; refused requests come again after Retry.
-func (w *Waves) Request(now time.Time, instance model.InstanceID, g Group) (Permit, Reason) {
+func (w *Coordinator) Request(now time.Time, instance model.InstanceID, g Group) (Permit, Reason) {
 	w.expire(now)
 	if h, ok := w.permits[instance]; ok {
 		h.Expires = now.Add(w.cfg.Expiry)
@@ -86,7 +86,7 @@
 }
 
 // reason tells a refusal that ends with the current wave from a lasting one.
-func (w *Waves) reason(lasting Reason) Reason {
+func (w *Coordinator) reason(lasting Reason) Reason {
 	if len(w.permits) > 0 {
 		return ReasonWave
 	}
@@ -95,7 +95,7 @@
 
 // Left says that an instance with a permit has stopped serving: it is not
 // counted as live any more. It renews the permit.
-func (w *Waves) Left(now time.Time, instance model.InstanceID) {
+func (w *Coordinator) Left(now time.Time, instance model.InstanceID) {
 	w.expire(now)
 	if h, ok := w.permits[instance]; ok {
 		h.left = true
@@ -105,20 +105,20 @@
 
 // Returned says that an instance serves again, or is gone for good, and ends
 // its permit.
-func (w *Waves) Returned(instance model.InstanceID) { delete(w.permits, instance) }
+func (w *Coordinator) Returned(instance model.InstanceID) { delete(w.permits, instance) }
 
 // Permits returns the number of permits in force.
-func (w *Waves) Permits(now time.Time) int {
+func (w *Coordinator) Permits(now time.Time) int {
 	w.expire(now)
 	return len(w.permits)
 }
 
 // Retry is the time after which a refused instance asks again.
-func (w *Waves) Retry() time.Duration { return w.cfg.Retry }
+func (w *Coordinator) Retry() time.Duration { return w.cfg.Retry }
 
 // expire ends permits that were not renewed. An instance whose permit expired
 // before it left asks again; one that has left is already missing from Live.
-func (w *Waves) expire(now time.Time) {
+func (w *Coordinator) expire(now time.Time) {
 	for instance, h := range w.permits {
 		if !now.Before(h.Expires) {
 			delete(w.permits, instance)
--- a/lib/rollout/waves_test.go
+++ b/lib/rollout/waves_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("Waves", func() {
 	now := time.Unix(0, 0)
-	ask := func(w *rollout.Waves, n int, g rollout.Group) int {
+	ask := func(w *rollout.Coordinator, n int, g rollout.Group) int {
 		granted := 0
 		for i := range n {
 			if p, _ := w.Request(now, model.InstanceID(fmt.Sprint("i", i)), g); p.Valid(now) {
