--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -18,7 +18,7 @@
 	w := s.wave(c.pool)
 	switch m.Phase {
 	case wire.PhaseQuiescing, wire.PhaseLoading:
-		w.Left(s.cfg.Clock.Now(), from.Instance)
+		w.MarkStopped(s.cfg.Clock.Now(), from.Instance)
 	case wire.PhaseLive, wire.PhaseFailed:
 		w.Returned(from.Instance)
 	}
--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -93,9 +93,9 @@
 	return lasting
 }
 
-// Left says that an instance with a permit has stopped serving: it is not
+// MarkStopped says that an instance with a permit has stopped serving: it is not
 // counted as live any more. It renews the permit.
-func (w *Coordinator) Left(now time.Time, instance model.InstanceID) {
+func (w *Coordinator) MarkStopped(now time.Time, instance model.InstanceID) {
 	w.expire(now)
 	if h, ok := w.permits[instance]; ok {
 		h.left = true
--- a/lib/rollout/waves_test.go
+++ b/lib/rollout/waves_test.go
@@ -36,7 +36,7 @@
 			id := model.InstanceID(fmt.Sprint("i", wave))
 			p, _ := w.Request(now, id, rollout.Group{Live: live, MinLive: 3})
 			Expect(p.Valid(now)).To(BeTrue())
-			w.Left(now, id)
+			w.MarkStopped(now, id)
 			live--
 			_, reason := w.Request(now, "other", rollout.Group{Live: live, MinLive: 3})
 			Expect(reason).To(Equal(rollout.ReasonWave))
