--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -20,7 +20,7 @@
 	case wire.PhaseQuiescing, wire.PhaseLoading:
 		w.MarkStopped(s.cfg.Clock.Now(), from.Instance)
 	case wire.PhaseLive, wire.PhaseFailed:
-		w.Returned(from.Instance)
+		w.Release(from.Instance)
 	}
 }
 
--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// Returned says that an instance serves again, or is gone for good, and ends
+// Release says that an instance serves again, or is gone for good, and ends
 // its permit.
-func (w *Coordinator) Returned(instance model.InstanceID) { delete(w.permits, instance) }
+func (w *Coordinator) Release(instance model.InstanceID) { delete(w.permits, instance) }
 
 // Permits returns the number of permits in force.
 func (w *Coordinator) Permits(now time.Time) int {
--- a/lib/rollout/waves_test.go
+++ b/lib/rollout/waves_test.go
@@ -40,7 +40,7 @@
 			live--
 			_, reason := w.Request(now, "other", rollout.Group{Live: live, MinLive: 3})
 			Expect(reason).To(Equal(rollout.ReasonWave))
-			w.Returned(id)
+			w.Release(id)
 			live++
 		}
 		_, reason := w.Request(now, "other", rollout.Group{Live: 3, MinLive: 3})
