--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -107,8 +107,8 @@
 // its permit.
 func (w *Coordinator) Release(instance model.InstanceID) { delete(w.permits, instance) }
 
-// Permits returns the number of permits in force.
-func (w *Coordinator) Permits(now time.Time) int {
+// ActivePermits returns the number of permits in force.
+func (w *Coordinator) ActivePermits(now time.Time) int {
 	w.expire(now)
 	return len(w.permits)
 }
