--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -30,7 +30,7 @@
 	now := s.cfg.Clock.Now()
 	p, reason := w.Request(now, c.identity.Instance, s.cfg.Group(c.pool))
 	if reason != rollout.ReasonNone {
-		return &wire.LoadPermit{Manifest: manifest, RetryMillis: w.Retry().Milliseconds(), Reason: string(reason)}
+		return &wire.LoadPermit{Manifest: manifest, RetryMillis: w.RetryInterval().Milliseconds(), Reason: string(reason)}
 	}
 	return &wire.LoadPermit{
 		Manifest: manifest, Granted: true, Number: p.Number, ExpiryMillis: p.Expires.Sub(now).Milliseconds(),
--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -14,8 +14,8 @@
 	// Expiry is the lifetime of a permit. An instance renews it while it loads;
 	// one that dies gives its place back after this time.
 	Expiry time.Duration
-	// Retry is the time after which a refused instance asks again.
-	Retry time.Duration
+	// RetryInterval is the time after which a refused instance asks again.
+	RetryInterval time.Duration
 	// MaxShare is the largest part of the live instances that one wave takes.
 	MaxShare float64
 }
@@ -27,8 +27,8 @@
 	if c.Expiry <= 0 {
 		c.Expiry = 30 * time.Second
 	}
-	if c.Retry <= 0 {
-		c.Retry = time.Second
+	if c.RetryInterval <= 0 {
+		c.RetryInterval = time.Second
 	}
 	if c.MaxShare <= 0 || c.MaxShare > 1 {
 		c.MaxShare = 0.5
@@ -113,8 +113,8 @@
 	return len(w.permits)
 }
 
-// Retry is the time after which a refused instance asks again.
-func (w *Coordinator) Retry() time.Duration { return w.cfg.Retry }
+// RetryInterval is the time after which a refused instance asks again.
+func (w *Coordinator) RetryInterval() time.Duration { return w.cfg.RetryInterval }
 
 // expire ends permits that were not renewed. An instance whose permit expired
 // before it left asks again; one that has left is already missing from Live.
