--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -8,9 +8,9 @@
 
 // Config holds the settings of Waves. Zero values get defaults.
 type Config struct {
-	// Utilization is the part of the capacity of the remaining instances that
+	// MaxUtilization is the part of the capacity of the remaining instances that
 	// the load may take, over 0 and up to 1.
-	Utilization float64
+	MaxUtilization float64
 	// Expiry is the lifetime of a permit. An instance renews it while it loads;
 	// one that dies gives its place back after this time.
 	Expiry time.Duration
@@ -21,8 +21,8 @@
 }
 
 func (c *Config) applyDefaults() {
-	if c.Utilization <= 0 || c.Utilization > 1 {
-		c.Utilization = 0.8
+	if c.MaxUtilization <= 0 || c.MaxUtilization > 1 {
+		c.MaxUtilization = 0.8
 	}
 	if c.Expiry <= 0 {
 		c.Expiry = 30 * time.Second
@@ -74,7 +74,7 @@
 	switch {
 	case live-1 < g.MinLive:
 		return Permit{}, w.reason(ReasonMinLive)
-	case live-1 < g.needed(w.cfg.Utilization):
+	case live-1 < g.needed(w.cfg.MaxUtilization):
 		return Permit{}, w.reason(ReasonLoad)
 	case len(w.permits) >= max(1, int(w.cfg.MaxShare*float64(g.Live+len(w.permits)-leaving))):
 		return Permit{}, ReasonWave
