--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -11,9 +11,9 @@
 	// MaxUtilization is the part of the capacity of the remaining instances that
 	// the load may take, over 0 and up to 1.
 	MaxUtilization float64
-	// Expiry is the lifetime of a permit. An instance renews it while it loads;
+	// PermitTTL is the lifetime of a permit. An instance renews it while it loads;
 	// one that dies gives its place back after this time.
-	Expiry time.Duration
+	PermitTTL time.Duration
 	// RetryInterval is the time after which a refused instance asks again.
 	RetryInterval time.Duration
 	// MaxShare is the largest part of the live instances that one wave takes.
@@ -24,8 +24,8 @@
 	if c.MaxUtilization <= 0 || c.MaxUtilization > 1 {
 		c.MaxUtilization = 0.8
 	}
-	if c.Expiry <= 0 {
-		c.Expiry = 30 * time.Second
+	if c.PermitTTL <= 0 {
+		c.PermitTTL = 30 * time.Second
 	}
 	if c.RetryInterval <= 0 {
 		c.RetryInterval = time.Second
@@ -60,7 +60,7 @@
 func (w *Coordinator) Request(now time.Time, instance model.InstanceID, g Group) (Permit, Reason) {
 	w.expire(now)
 	if h, ok := w.permits[instance]; ok {
-		h.Expires = now.Add(w.cfg.Expiry)
+		h.Expires = now.Add(w.cfg.PermitTTL)
 		return h.Permit, ReasonNone
 	}
 	// Instances with a permit that are still counted as live are about to leave.
@@ -80,7 +80,7 @@
 		return Permit{}, ReasonWave
 	}
 	w.last++
-	h := &held{Permit: Permit{Number: w.last, Instance: instance, Expires: now.Add(w.cfg.Expiry)}}
+	h := &held{Permit: Permit{Number: w.last, Instance: instance, Expires: now.Add(w.cfg.PermitTTL)}}
 	w.permits[instance] = h
 	return h.Permit, ReasonNone
 }
@@ -99,7 +99,7 @@
 	w.expire(now)
 	if h, ok := w.permits[instance]; ok {
 		h.left = true
-		h.Expires = now.Add(w.cfg.Expiry)
+		h.Expires = now.Add(w.cfg.PermitTTL)
 	}
 }
 
--- a/lib/rollout/waves_test.go
+++ b/lib/rollout/waves_test.go
@@ -48,7 +48,7 @@
 	})
 
 	It("ends permits that are not renewed, and a late holder sees it (guards against a paused holder)", func() {
-		w := rollout.New(rollout.Config{Expiry: time.Second}, 0)
+		w := rollout.New(rollout.Config{PermitTTL: time.Second}, 0)
 		p, _ := w.Request(now, "a", rollout.Group{Live: 2, MinLive: 1})
 		later := now.Add(time.Second)
 		Expect(p.Valid(later)).To(BeFalse())
