--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -16,8 +16,8 @@
 	PermitTTL time.Duration
 	// RetryInterval is the time after which a refused instance asks again.
 	RetryInterval time.Duration
-	// MaxShare is the largest part of the live instances that one wave takes.
-	MaxShare float64
+	// MaxWaveShare is the largest part of the live instances that one wave takes.
+	MaxWaveShare float64
 }
 
 func (c *Config) applyDefaults() {
@@ -30,8 +30,8 @@
 	if c.RetryInterval <= 0 {
 		c.RetryInterval = time.Second
 	}
-	if c.MaxShare <= 0 || c.MaxShare > 1 {
-		c.MaxShare = 0.5
+	if c.MaxWaveShare <= 0 || c.MaxWaveShare > 1 {
+		c.MaxWaveShare = 0.5
 	}
 }
 
@@ -76,7 +76,7 @@
 		return Permit{}, w.reason(ReasonMinLive)
 	case live-1 < g.needed(w.cfg.MaxUtilization):
 		return Permit{}, w.reason(ReasonLoad)
-	case len(w.permits) >= max(1, int(w.cfg.MaxShare*float64(g.Live+len(w.permits)-leaving))):
+	case len(w.permits) >= max(1, int(w.cfg.MaxWaveShare*float64(g.Live+len(w.permits)-leaving))):
 		return Permit{}, ReasonWave
 	}
 	w.last++
