--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -68,7 +68,7 @@
 }
 
 // group returns the state of a pool for load permits.
-func (e *Entry) group(pool string) rollout.Group {
+func (e *Entry) group(pool string) rollout.PoolState {
 	g := e.fleet.Group(pool)
 	if c := e.Current(); c != nil {
 		if p, ok := c.PlacementFor(pool, e.cfg.Identity.Location.FailureDomain); ok {
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -61,10 +61,10 @@
 
 // Group returns the state of a pool in the failure domain of this entry, as far
 // as it is connected to its instances.
-func (f *Fleet) Group(pool string) rollout.Group {
+func (f *Fleet) Group(pool string) rollout.PoolState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var g rollout.Group
+	var g rollout.PoolState
 	for _, m := range f.view.Members(backing.RoleAgent) {
 		if m.Pool != pool || m.State != member.StateLive || m.Identity.Location != f.cfg.Identity.Location {
 			continue
--- a/entry/tracker/config.go
+++ b/entry/tracker/config.go
@@ -38,7 +38,7 @@
 	Policy func(manifest model.Digest) distribute.Policy
 	// Group returns the state of a pool in this failure domain for load permits;
 	// nil refuses all permits.
-	Group func(pool string) rollout.Group
+	Group func(pool string) rollout.PoolState
 	// Waves holds the settings of load permits.
 	Waves rollout.Config
 	// ForgetAfter is the time without an announcement after which the state of
@@ -65,7 +65,7 @@
 		c.Policy = func(model.Digest) distribute.Policy { return distribute.Policy{} }
 	}
 	if c.Group == nil {
-		c.Group = func(string) rollout.Group { return rollout.Group{} }
+		c.Group = func(string) rollout.PoolState { return rollout.PoolState{} }
 	}
 	if c.ForgetAfter <= 0 {
 		c.ForgetAfter = time.Minute
--- a/lib/rollout/group.go
+++ b/lib/rollout/group.go
@@ -12,8 +12,8 @@
 	Pool          string
 }
 
-// Group is what is known about the instances of a Key.
-type Group struct {
+// PoolState is what is known about the instances of a Key.
+type PoolState struct {
 	// Live is the number of instances that serve requests now, of any version.
 	Live int
 	// MinLive is the declared number that keeps serving during a rollout.
@@ -27,7 +27,7 @@
 
 // needed returns the number of live instances that the declared minimum and
 // the current load require.
-func (g Group) needed(utilization float64) int {
+func (g PoolState) needed(utilization float64) int {
 	n := g.MinLive
 	if g.Live > 0 && g.Capacity > 0 {
 		perInstance := float64(g.Capacity) / float64(g.Live)
--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -57,7 +57,7 @@
 
 // Request asks for a permit for a live instance, or renews its permit. The
 // group is the state right now; refused requests come again after Retry.
-func (w *Coordinator) Request(now time.Time, instance model.InstanceID, g Group) (Permit, Reason) {
+func (w *Coordinator) Request(now time.Time, instance model.InstanceID, g PoolState) (Permit, Reason) {
 	w.expire(now)
 	if h, ok := w.permits[instance]; ok {
 		h.Expires = now.Add(w.cfg.PermitTTL)
--- a/lib/rollout/waves_test.go
+++ b/lib/rollout/waves_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("Waves", func() {
 	now := time.Unix(0, 0)
-	ask := func(w *rollout.Coordinator, n int, g rollout.Group) int {
+	ask := func(w *rollout.Coordinator, n int, g rollout.PoolState) int {
 		granted := 0
 		for i := range n {
 			if p, _ := w.Request(now, model.InstanceID(fmt.Sprint("i", i)), g); p.Valid(now) {
@@ -24,9 +24,9 @@
 	}
 
 	It("keeps the declared minimum and enough capacity for the load (guards against overload during a rollout)", func() {
-		Expect(ask(rollout.New(rollout.Config{}, 0), 10, rollout.Group{Live: 10, MinLive: 8})).To(Equal(2))
-		Expect(ask(rollout.New(rollout.Config{}, 0), 10, rollout.Group{Live: 10, Capacity: 100, Running: 56})).To(Equal(3))
-		Expect(ask(rollout.New(rollout.Config{}, 0), 10, rollout.Group{Live: 10})).To(Equal(5), "at most half in one wave")
+		Expect(ask(rollout.New(rollout.Config{}, 0), 10, rollout.PoolState{Live: 10, MinLive: 8})).To(Equal(2))
+		Expect(ask(rollout.New(rollout.Config{}, 0), 10, rollout.PoolState{Live: 10, Capacity: 100, Running: 56})).To(Equal(3))
+		Expect(ask(rollout.New(rollout.Config{}, 0), 10, rollout.PoolState{Live: 10})).To(Equal(5), "at most half in one wave")
 	})
 
 	It("never goes below the minimum while instances leave, return and die", func() {
@@ -34,25 +34,25 @@
 		live := 4
 		for wave := range 4 {
 			id := model.InstanceID(fmt.Sprint("i", wave))
-			p, _ := w.Request(now, id, rollout.Group{Live: live, MinLive: 3})
+			p, _ := w.Request(now, id, rollout.PoolState{Live: live, MinLive: 3})
 			Expect(p.Valid(now)).To(BeTrue())
 			w.MarkStopped(now, id)
 			live--
-			_, reason := w.Request(now, "other", rollout.Group{Live: live, MinLive: 3})
+			_, reason := w.Request(now, "other", rollout.PoolState{Live: live, MinLive: 3})
 			Expect(reason).To(Equal(rollout.ReasonWave))
 			w.Release(id)
 			live++
 		}
-		_, reason := w.Request(now, "other", rollout.Group{Live: 3, MinLive: 3})
+		_, reason := w.Request(now, "other", rollout.PoolState{Live: 3, MinLive: 3})
 		Expect(reason).To(Equal(rollout.ReasonMinLive))
 	})
 
 	It("ends permits that are not renewed, and a late holder sees it (guards against a paused holder)", func() {
 		w := rollout.New(rollout.Config{PermitTTL: time.Second}, 0)
-		p, _ := w.Request(now, "a", rollout.Group{Live: 2, MinLive: 1})
+		p, _ := w.Request(now, "a", rollout.PoolState{Live: 2, MinLive: 1})
 		later := now.Add(time.Second)
 		Expect(p.Valid(later)).To(BeFalse())
-		q, _ := w.Request(later, "b", rollout.Group{Live: 2, MinLive: 1})
+		q, _ := w.Request(later, "b", rollout.PoolState{Live: 2, MinLive: 1})
 		Expect(q.Valid(later)).To(BeTrue())
 		Expect(q.Number).NotTo(Equal(p.Number))
 	})
