--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -55,7 +55,7 @@
 	// granted are the places that other entries have got here.
 	granted  *placement.LeaseTable
 	budget   *retry.Budget
-	versions *versions.Wanted
+	versions *versions.Registry
 	suspects *suspects
 	// configAt is when the configuration came into force.
 	configAt time.Time
--- a/lib/versions/wanted.go
+++ b/lib/versions/wanted.go
@@ -10,9 +10,9 @@
 	adoptedAge = 0.6
 )
 
-// Wanted holds the declared version of each model. It is not safe for
+// Registry holds the declared version of each model. It is not safe for
 // concurrent use.
-type Wanted struct {
+type Registry struct {
 	bound  time.Duration
 	models map[string][]declaration
 }
@@ -24,22 +24,22 @@
 
 // NewWanted returns an empty Wanted. bound is the time after a declaration at
 // which older versions must no longer serve; zero never requires one.
-func NewWanted(bound time.Duration) *Wanted {
-	return &Wanted{bound: bound, models: make(map[string][]declaration)}
+func NewWanted(bound time.Duration) *Registry {
+	return &Registry{bound: bound, models: make(map[string][]declaration)}
 }
 
 // SetBound changes the bound, for what is declared already too.
-func (w *Wanted) SetBound(bound time.Duration) { w.bound = bound }
+func (w *Registry) SetBound(bound time.Duration) { w.bound = bound }
 
 // Declare takes a version that was declared just now. Older ones are ignored.
-func (w *Wanted) Declare(model string, version int, now time.Time) { w.declare(model, version, now) }
+func (w *Registry) Declare(model string, version int, now time.Time) { w.declare(model, version, now) }
 
 // Adopt takes a version of unknown age.
-func (w *Wanted) Adopt(model string, version int, now time.Time) {
+func (w *Registry) Adopt(model string, version int, now time.Time) {
 	w.declare(model, version, now.Add(-time.Duration(adoptedAge*float64(w.bound))))
 }
 
-func (w *Wanted) declare(model string, version int, at time.Time) {
+func (w *Registry) declare(model string, version int, at time.Time) {
 	list := w.models[model]
 	if n := len(list); n > 0 && list[n-1].version >= version {
 		return
@@ -48,7 +48,7 @@
 }
 
 // Newest returns the declared version, or zero if none is known.
-func (w *Wanted) Newest(model string) int {
+func (w *Registry) Newest(model string) int {
 	list := w.models[model]
 	if len(list) == 0 {
 		return 0
@@ -57,7 +57,7 @@
 }
 
 // Least returns the oldest version that may serve, or zero if any may.
-func (w *Wanted) Least(model string, now time.Time) int {
+func (w *Registry) Least(model string, now time.Time) int {
 	if w.bound <= 0 {
 		return 0
 	}
@@ -72,7 +72,7 @@
 
 // Next returns the first version that becomes the oldest one that may serve,
 // and when; zero if none is due.
-func (w *Wanted) Next(model string, now time.Time) (version int, at time.Time) {
+func (w *Registry) Next(model string, now time.Time) (version int, at time.Time) {
 	if w.bound <= 0 {
 		return 0, time.Time{}
 	}
