--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -87,7 +87,7 @@
 		picker:    picker,
 		granted:   placement.NewLeaseTable(picker),
 		budget:    retry.New(config.Retry, config.Entries),
-		versions:  versions.NewWanted(config.MaxRolloutTime),
+		versions:  versions.NewRegistry(config.MaxRolloutTime),
 		suspects:  newSuspects(),
 	}
 }
--- a/lib/versions/wanted.go
+++ b/lib/versions/wanted.go
@@ -22,9 +22,9 @@
 	at      time.Time
 }
 
-// NewWanted returns an empty Wanted. bound is the time after a declaration at
+// NewRegistry returns an empty Wanted. bound is the time after a declaration at
 // which older versions must no longer serve; zero never requires one.
-func NewWanted(bound time.Duration) *Registry {
+func NewRegistry(bound time.Duration) *Registry {
 	return &Registry{bound: bound, models: make(map[string][]declaration)}
 }
 
--- a/lib/versions/wanted_test.go
+++ b/lib/versions/wanted_test.go
@@ -15,7 +15,7 @@
 
 	It("requires a version from its bound on, and tells when", func() {
 		// Guards against requests that begin on weights that must no longer serve.
-		w := versions.NewWanted(bound)
+		w := versions.NewRegistry(bound)
 		w.Declare("m", 2, start)
 		Expect(w.Least("m", start.Add(7999*time.Millisecond))).To(Equal(0))
 		version, at := w.Next("m", start.Add(time.Second))
@@ -28,7 +28,7 @@
 	})
 
 	It("judges each version from its own declaration", func() {
-		w := versions.NewWanted(bound)
+		w := versions.NewRegistry(bound)
 		w.Declare("m", 2, start)
 		w.Declare("m", 3, start.Add(4*time.Second))
 		Expect(w.Newest("m")).To(Equal(3))
@@ -37,7 +37,7 @@
 	})
 
 	It("ignores older and repeated declarations", func() {
-		w := versions.NewWanted(bound)
+		w := versions.NewRegistry(bound)
 		w.Declare("m", 3, start)
 		w.Declare("m", 2, start.Add(time.Second))
 		w.Declare("m", 3, start.Add(2*time.Second))
@@ -47,13 +47,13 @@
 	It("takes a version of unknown age for partly due", func() {
 		// Guards against a restarted process that grants older weights the whole
 		// time once more.
-		w := versions.NewWanted(bound)
+		w := versions.NewRegistry(bound)
 		w.Adopt("m", 2, start)
 		Expect(w.Least("m", start.Add(3500*time.Millisecond))).To(Equal(2))
 	})
 
 	It("requires nothing without a bound", func() {
-		w := versions.NewWanted(0)
+		w := versions.NewRegistry(0)
 		w.Declare("m", 2, start)
 		Expect(w.Least("m", start.Add(time.Hour))).To(Equal(0))
 	})
