--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -127,7 +127,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget.SetConfig(r)
-	g.versions.SetBound(versionTime)
+	g.versions.SetTimeLimit(versionTime)
 }
 
 // SetEntries sets the number of entries that share the retry budget.
--- a/lib/versions/wanted.go
+++ b/lib/versions/wanted.go
@@ -28,8 +28,8 @@
 	return &Registry{bound: bound, models: make(map[string][]declaration)}
 }
 
-// SetBound changes the bound, for what is declared already too.
-func (w *Registry) SetBound(bound time.Duration) { w.bound = bound }
+// SetTimeLimit changes the bound, for what is declared already too.
+func (w *Registry) SetTimeLimit(bound time.Duration) { w.bound = bound }
 
 // Declare takes a version that was declared just now. Older ones are ignored.
 func (w *Registry) Declare(model string, version int, now time.Time) { w.declare(model, version, now) }
