--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -174,7 +174,7 @@
 		g.versions.Declare(model, version, g.now())
 		return
 	}
-	g.versions.Adopt(model, version, g.now())
+	g.versions.DeclareExisting(model, version, g.now())
 }
 
 func (g *Gateway) now() time.Time { return g.config.Clock.Now() }
--- a/lib/versions/wanted.go
+++ b/lib/versions/wanted.go
@@ -34,8 +34,8 @@
 // Declare takes a version that was declared just now. Older ones are ignored.
 func (w *Registry) Declare(model string, version int, now time.Time) { w.declare(model, version, now) }
 
-// Adopt takes a version of unknown age.
-func (w *Registry) Adopt(model string, version int, now time.Time) {
+// DeclareExisting takes a version of unknown age.
+func (w *Registry) DeclareExisting(model string, version int, now time.Time) {
 	w.declare(model, version, now.Add(-time.Duration(adoptedAge*float64(w.bound))))
 }
 
--- a/lib/versions/wanted_test.go
+++ b/lib/versions/wanted_test.go
@@ -48,7 +48,7 @@
 		// Guards against a restarted process that grants older weights the whole
 		// time once more.
 		w := versions.NewRegistry(bound)
-		w.Adopt("m", 2, start)
+		w.DeclareExisting("m", 2, start)
 		Expect(w.Least("m", start.Add(3500*time.Millisecond))).To(Equal(2))
 	})
 
