--- a/lib/versions/wanted.go
+++ b/lib/versions/wanted.go
@@ -56,8 +56,8 @@
 	return list[len(list)-1].version
 }
 
-// Least returns the oldest version that may serve, or zero if any may.
-func (w *Registry) Least(model string, now time.Time) int {
+// MinVersion returns the oldest version that may serve, or zero if any may.
+func (w *Registry) MinVersion(model string, now time.Time) int {
 	if w.bound <= 0 {
 		return 0
 	}
