--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -51,7 +51,7 @@
 		PromptTokens: q.PromptTokens, AnswerTokens: q.OutputTokens,
 		LatencyTarget: milliseconds(q.LatencyTargetMillis), Remaining: milliseconds(q.RemainingMillis), MayHaveRun: q.MayHaveRun,
 	}
-	d.NextVersion, d.NextVersionAt = g.versions.Next(q.Model, now)
+	d.NextVersion, d.NextVersionAt = g.versions.NextMinVersion(q.Model, now)
 	if due := now.Add(milliseconds(q.NextMillis)); q.NextVersion != 0 && (d.NextVersion == 0 || due.Before(d.NextVersionAt)) {
 		d.NextVersion, d.NextVersionAt = q.NextVersion, due
 	}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -93,7 +93,7 @@
 		PromptTokens: r.call.PromptTokens, AnswerTokens: r.call.ExpectedTokens,
 		Remaining: r.left(now), Exclude: r.tried, MayHaveRun: r.stream.begun || r.ran,
 	}
-	d.NextVersion, d.NextVersionAt = r.gateway.versions.Next(r.call.Model, now)
+	d.NextVersion, d.NextVersionAt = r.gateway.versions.NextMinVersion(r.call.Model, now)
 	r.nextVersion, r.nextAt = d.NextVersion, d.NextVersionAt
 	// All requests to a service may wait equally long. With their own targets,
 	// those with the longest one would take the places of the others when there
--- a/lib/versions/wanted.go
+++ b/lib/versions/wanted.go
@@ -70,9 +70,9 @@
 	return least
 }
 
-// Next returns the first version that becomes the oldest one that may serve,
+// NextMinVersion returns the first version that becomes the oldest one that may serve,
 // and when; zero if none is due.
-func (w *Registry) Next(model string, now time.Time) (version int, at time.Time) {
+func (w *Registry) NextMinVersion(model string, now time.Time) (version int, at time.Time) {
 	if w.bound <= 0 {
 		return 0, time.Time{}
 	}
