--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -43,8 +43,8 @@
 	// UploadRate and DownloadRate are the rates of the instance's link in bytes
 	// per second; 0 means unlimited.
 	UploadRate, DownloadRate float64
-	// Share sets the part of the link that transfers use.
-	Share distribute.LinkShareConfig
+	// LinkShare sets the part of the link that transfers use.
+	LinkShare distribute.LinkShareConfig
 	// Tick is the time between looks at progress and deadlines.
 	Tick time.Duration
 	// DialTimeout bounds the opening of a connection.
--- a/agent/transfer/service.go
+++ b/agent/transfer/service.go
@@ -62,7 +62,7 @@
 		changed:   make(chan struct{}),
 		manifests: make(map[model.Digest]*known),
 		partials:  newPartials(cfg.WindowBytes),
-		share:     distribute.NewLinkShare(cfg.Share),
+		share:     distribute.NewLinkShare(cfg.LinkShare),
 	}
 	s.pool = newConnPool(s.dial)
 	s.limits.set(s.share.Share())
