--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -45,8 +45,8 @@
 	UploadRate, DownloadRate float64
 	// LinkShare sets the part of the link that transfers use.
 	LinkShare distribute.LinkShareConfig
-	// Tick is the time between looks at progress and deadlines.
-	Tick time.Duration
+	// TickInterval is the time between looks at progress and deadlines.
+	TickInterval time.Duration
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
 	// SilentAfter is the time without a message after which a tracker counts as
@@ -89,7 +89,7 @@
 		c.UploadSlots = 12 // trackers of this and of other failure domains assign 6 each
 	}
 	setDefault(&c.SlotWait, 100*time.Millisecond)
-	setDefault(&c.Tick, 20*time.Millisecond)
+	setDefault(&c.TickInterval, 20*time.Millisecond)
 	setDefault(&c.DialTimeout, time.Second)
 	setDefault(&c.SilentAfter, 3*time.Second)
 	setDefault(&c.ReturnEvery, 5*time.Second)
--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -61,7 +61,7 @@
 		links: make(chan linkEvent), workers: make(map[uint64]*worker),
 		results: make(chan done), bitmaps: make(chan peerBitmap), checked: make(chan check),
 	}
-	ticker := time.NewTicker(s.cfg.Tick)
+	ticker := time.NewTicker(s.cfg.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
