--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -38,8 +38,8 @@
 	WindowBytes int64
 	// UploadSlots bounds the chunks that are sent at one time.
 	UploadSlots int
-	// SlotWait is how long a peer's request waits for an upload slot.
-	SlotWait time.Duration
+	// UploadSlotTimeout is how long a peer's request waits for an upload slot.
+	UploadSlotTimeout time.Duration
 	// UploadRate and DownloadRate are the rates of the instance's link in bytes
 	// per second; 0 means unlimited.
 	UploadRate, DownloadRate float64
@@ -88,7 +88,7 @@
 	if c.UploadSlots <= 0 {
 		c.UploadSlots = 12 // trackers of this and of other failure domains assign 6 each
 	}
-	setDefault(&c.SlotWait, 100*time.Millisecond)
+	setDefault(&c.UploadSlotTimeout, 100*time.Millisecond)
 	setDefault(&c.TickInterval, 20*time.Millisecond)
 	setDefault(&c.DialTimeout, time.Second)
 	setDefault(&c.SilentAfter, 3*time.Second)
--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -91,7 +91,7 @@
 		return true
 	default:
 	}
-	timer := time.NewTimer(s.cfg.SlotWait)
+	timer := time.NewTimer(s.cfg.UploadSlotTimeout)
 	defer timer.Stop()
 	select {
 	case s.slots <- struct{}{}:
