--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -49,9 +49,9 @@
 	TickInterval time.Duration
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// SilentAfter is the time without a message after which a tracker counts as
+	// TrackerTimeout is the time without a message after which a tracker counts as
 	// dead.
-	SilentAfter time.Duration
+	TrackerTimeout time.Duration
 	// ReturnEvery is the time between attempts to go back to the tracker that
 	// comes first, so that the agents of a failure domain meet at one.
 	ReturnEvery time.Duration
@@ -91,7 +91,7 @@
 	setDefault(&c.UploadSlotTimeout, 100*time.Millisecond)
 	setDefault(&c.TickInterval, 20*time.Millisecond)
 	setDefault(&c.DialTimeout, time.Second)
-	setDefault(&c.SilentAfter, 3*time.Second)
+	setDefault(&c.TrackerTimeout, 3*time.Second)
 	setDefault(&c.ReturnEvery, 5*time.Second)
 	if c.KeepSeeds <= 0 {
 		c.KeepSeeds = 4
--- a/agent/transfer/link.go
+++ b/agent/transfer/link.go
@@ -135,7 +135,7 @@
 	}
 	l.emit(ctx, linkEvent{link: l, conn: conn})
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(l.s.cfg.SilentAfter))
+		_ = conn.SetReadDeadline(time.Now().Add(l.s.cfg.TrackerTimeout))
 		m, err := conn.Receive()
 		if err != nil {
 			break
--- a/agent/transfer/step.go
+++ b/agent/transfer/step.go
@@ -33,7 +33,7 @@
 	}
 	r.s.counters.chunks.Store(int64(len(r.target.known.manifest.Chunks)))
 	r.s.counters.held.Store(int64(len(r.target.known.manifest.Chunks) - r.d.Missing()))
-	if r.conn != nil && r.d.TrackerSilence(now) > r.s.cfg.SilentAfter/2 {
+	if r.conn != nil && r.d.TrackerSilence(now) > r.s.cfg.TrackerTimeout/2 {
 		// Announcements are repeated several times a second and answered. The path
 		// may still carry what the tracker sends.
 		_ = r.conn.Close()
