--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -52,9 +52,9 @@
 	// TrackerTimeout is the time without a message after which a tracker counts as
 	// dead.
 	TrackerTimeout time.Duration
-	// ReturnEvery is the time between attempts to go back to the tracker that
+	// FailbackInterval is the time between attempts to go back to the tracker that
 	// comes first, so that the agents of a failure domain meet at one.
-	ReturnEvery time.Duration
+	FailbackInterval time.Duration
 	// KeepSeeds is the number of earlier versions that are still offered.
 	KeepSeeds int
 }
@@ -92,7 +92,7 @@
 	setDefault(&c.TickInterval, 20*time.Millisecond)
 	setDefault(&c.DialTimeout, time.Second)
 	setDefault(&c.TrackerTimeout, 3*time.Second)
-	setDefault(&c.ReturnEvery, 5*time.Second)
+	setDefault(&c.FailbackInterval, 5*time.Second)
 	if c.KeepSeeds <= 0 {
 		c.KeepSeeds = 4
 	}
--- a/agent/transfer/link.go
+++ b/agent/transfer/link.go
@@ -82,7 +82,7 @@
 			if answered {
 				delete(silent, address)
 			} else {
-				silent[address] = silent[address].again(l.s.cfg.ReturnEvery)
+				silent[address] = silent[address].again(l.s.cfg.FailbackInterval)
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, 0
-		case <-time.After(l.s.jitter(l.s.cfg.ReturnEvery)):
+		case <-time.After(l.s.jitter(l.s.cfg.FailbackInterval)):
 		}
 		conn, rank := l.connect(ctx, order, silent)
 		switch {
@@ -162,7 +162,7 @@
 		case l.answers(conn):
 			return conn, rank
 		default:
-			silent[order[rank]] = silent[order[rank]].again(l.s.cfg.ReturnEvery)
+			silent[order[rank]] = silent[order[rank]].again(l.s.cfg.FailbackInterval)
 		}
 	}
 }
