--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -55,8 +55,8 @@
 	// FailbackInterval is the time between attempts to go back to the tracker that
 	// comes first, so that the agents of a failure domain meet at one.
 	FailbackInterval time.Duration
-	// KeepSeeds is the number of earlier versions that are still offered.
-	KeepSeeds int
+	// MaxSeeds is the number of earlier versions that are still offered.
+	MaxSeeds int
 }
 
 func (c *Config) applyDefaults() {
@@ -93,8 +93,8 @@
 	setDefault(&c.DialTimeout, time.Second)
 	setDefault(&c.TrackerTimeout, 3*time.Second)
 	setDefault(&c.FailbackInterval, 5*time.Second)
-	if c.KeepSeeds <= 0 {
-		c.KeepSeeds = 4
+	if c.MaxSeeds <= 0 {
+		c.MaxSeeds = 4
 	}
 }
 
--- a/agent/transfer/seed.go
+++ b/agent/transfer/seed.go
@@ -19,7 +19,7 @@
 func (r *runner) addSeed(t *target) {
 	ctx, cancel := context.WithCancel(r.s.ctx)
 	r.seeds = append(r.seeds, &seed{digest: t.digest, cancel: cancel})
-	if len(r.seeds) > r.s.cfg.KeepSeeds {
+	if len(r.seeds) > r.s.cfg.MaxSeeds {
 		r.seeds[0].cancel()
 		r.seeds = r.seeds[1:]
 	}
