--- a/agent/host.go
+++ b/agent/host.go
@@ -74,7 +74,7 @@
 	if fetched.Base, err = h.fetch(ctx, w.Base); err != nil || w.Adapter.IsZero() {
 		return fetched, err
 	}
-	t.Keep(w.Base)
+	t.Retain(w.Base)
 	fetched.Adapter, err = h.fetch(ctx, w.Adapter)
 	return fetched, err
 }
--- a/agent/transfer/service.go
+++ b/agent/transfer/service.go
@@ -95,9 +95,9 @@
 	s.peers = append([]string(nil), addresses...)
 }
 
-// Keep names the versions whose chunks stay although another one is wanted:
+// Retain names the versions whose chunks stay although another one is wanted:
 // what the engine has loaded and may have to load again.
-func (s *Service) Keep(manifests ...model.Digest) {
+func (s *Service) Retain(manifests ...model.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keep = append([]model.Digest(nil), manifests...)
