--- a/agent/host.go
+++ b/agent/host.go
@@ -119,7 +119,7 @@
 
 // Permit implements backend.Host.
 func (h host) Permit(ctx context.Context, w model.Weights) (bool, time.Duration, error) {
-	permit, err := h.agent.transfer.Permit(ctx, last(w))
+	permit, err := h.agent.transfer.RequestPermit(ctx, last(w))
 	return permit.Granted, time.Duration(permit.RetryMillis) * time.Millisecond, err
 }
 
--- a/agent/transfer/permit.go
+++ b/agent/transfer/permit.go
@@ -23,10 +23,10 @@
 	err    error
 }
 
-// Permit asks the tracker whether this instance may leave the version that it
+// RequestPermit asks the tracker whether this instance may leave the version that it
 // serves to load another. Without a tracker it returns ErrNoTracker: the
 // instance stays on its version, since nobody knows how many others have left.
-func (s *Service) Permit(ctx context.Context, manifest model.Digest) (wire.LoadPermit, error) {
+func (s *Service) RequestPermit(ctx context.Context, manifest model.Digest) (wire.LoadPermit, error) {
 	request := permitRequest{manifest: manifest, answer: make(chan permitAnswer, 1)}
 	select {
 	case s.permits <- request:
