--- a/agent/host.go
+++ b/agent/host.go
@@ -144,7 +144,7 @@
 	case phase == wire.PhaseLive:
 		log.Log(eventlog.VersionLive, "weights", w)
 	}
-	h.agent.transfer.Report(last(w), phase)
+	h.agent.transfer.ReportPhase(last(w), phase)
 }
 
 // OrderDone implements backend.Host. Beside loads the agent orders roles.
--- a/agent/transfer/service.go
+++ b/agent/transfer/service.go
@@ -128,9 +128,9 @@
 	s.limits.set(s.share.Share())
 }
 
-// Report sends the phase of a version to its tracker, if it is the version that
+// ReportPhase sends the phase of a version to its tracker, if it is the version that
 // Fetch got last.
-func (s *Service) Report(manifest model.Digest, phase wire.Phase) {
+func (s *Service) ReportPhase(manifest model.Digest, phase wire.Phase) {
 	select {
 	case s.status <- &wire.TransferStatus{Manifest: manifest, Phase: phase}:
 	default: // soft state: a later report replaces it
