--- a/agent/host.go
+++ b/agent/host.go
@@ -29,7 +29,7 @@
 	a := h.agent
 	a.cfg.Metrics.Declare(view.Config)
 	if most := view.Config.Deployment.TransferShare; most > 0 {
-		a.transfer.SetMaxShare(most)
+		a.transfer.SetMaxLinkShare(most)
 	}
 	if p, ok := view.Config.PlacementFor(a.cfg.Pool, a.cfg.Identity.Location.FailureDomain); ok {
 		a.roles.declare(p.Role)
--- a/agent/transfer/service.go
+++ b/agent/transfer/service.go
@@ -120,8 +120,8 @@
 	s.limits.set(s.share.Observe(s.cfg.Clock.Now(), d))
 }
 
-// SetMaxShare sets the largest part of the link that transfers use.
-func (s *Service) SetMaxShare(most float64) {
+// SetMaxLinkShare sets the largest part of the link that transfers use.
+func (s *Service) SetMaxLinkShare(most float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.share.SetMax(most)
