--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -20,15 +20,15 @@
 		if err != nil {
 			return err
 		}
-		if _, err := s.HandlePeer(conn, m); err != nil {
+		if _, err := s.HandlePeerMessage(conn, m); err != nil {
 			return err
 		}
 	}
 }
 
-// HandlePeer answers one message of a peer and reports whether it was one that
+// HandlePeerMessage answers one message of a peer and reports whether it was one that
 // belongs to transfers. It blocks while a chunk is sent.
-func (s *Service) HandlePeer(conn *wire.Conn, m wire.Message) (bool, error) {
+func (s *Service) HandlePeerMessage(conn *wire.Conn, m wire.Message) (bool, error) {
 	switch m := m.(type) {
 	case *wire.ChunkFetch:
 		return true, s.serveChunk(conn, m)
