--- a/agent/transfer/service_test.go
+++ b/agent/transfer/service_test.go
@@ -203,7 +203,7 @@
 		delete(origin.objects, "v0")
 		failed := make(chan error, 1)
 		go func() { failed <- a.Fetch(ctx, digests[0], "v0/manifest") }()
-		Eventually(func() int { return a.Progress().Chunks }, 5*time.Second).Should(Equal(40))
+		Eventually(func() int { return a.Progress().TotalChunks }, 5*time.Second).Should(Equal(40))
 		Expect(a.Fetch(ctx, digests[1], "v1/manifest")).To(Succeed())
 		Expect(<-failed).To(MatchError(transfer.ErrReplaced))
 	}, SpecTimeout(20*time.Second))
