--- a/agent/transfer/status.go
+++ b/agent/transfer/status.go
@@ -5,11 +5,11 @@
 // Progress reports the transfer of the wanted version. Bytes count since the
 // service started; bytes of corrupt and abandoned transfers are included.
 type Progress struct {
-	TotalChunks, Held int
-	OriginBytes       int64
-	StoreBytes        int64
-	PeerBytes         int64
-	UploadBytes       int64
+	TotalChunks, HeldChunks int
+	OriginBytes             int64
+	StoreBytes              int64
+	PeerBytes               int64
+	UploadBytes             int64
 	// Share is the part of the instance's link that transfers use now.
 	Share float64
 	// Tracked is false while the agent works without a tracker.
@@ -24,7 +24,7 @@
 
 func (c *counters) progress() Progress {
 	return Progress{
-		TotalChunks: int(c.chunks.Load()), Held: int(c.held.Load()),
+		TotalChunks: int(c.chunks.Load()), HeldChunks: int(c.held.Load()),
 		OriginBytes: c.origin.Load(), StoreBytes: c.store.Load(),
 		PeerBytes: c.peer.Load(), UploadBytes: c.upload.Load(),
 		Tracked: c.tracked.Load(),
