--- a/agent/first_tokens_test.go
+++ b/agent/first_tokens_test.go
@@ -39,19 +39,19 @@
 		c := clock.NewFake(start)
 		a := &Agent{cfg: Config{Clock: c}, transfer: transfer.New(transfer.Config{Clock: c, Seed: 1, DownloadRate: 1 << 20})}
 		DeferCleanup(a.transfer.Close)
-		full := a.transfer.Progress().Share
+		full := a.transfer.Progress().LinkShare
 		done := a.firstTokens.start(c.Now())
 		for range 4 {
 			c.Advance(2 * time.Second)
 			a.yield()
 		}
-		slow := a.transfer.Progress().Share
+		slow := a.transfer.Progress().LinkShare
 		Expect(slow).To(BeNumerically("<", full/2))
 		done(c.Now(), true)
 		for range 60 {
 			c.Advance(2 * time.Second)
 			a.yield()
 		}
-		Expect(a.transfer.Progress().Share).To(BeNumerically("~", full, 1e-9))
+		Expect(a.transfer.Progress().LinkShare).To(BeNumerically("~", full, 1e-9))
 	})
 })
--- a/agent/transfer/service.go
+++ b/agent/transfer/service.go
@@ -108,7 +108,7 @@
 	p := s.counters.progress()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.Share = s.share.Share()
+	p.LinkShare = s.share.Share()
 	return p
 }
 
--- a/agent/transfer/status.go
+++ b/agent/transfer/status.go
@@ -10,8 +10,8 @@
 	StoreBytes              int64
 	PeerBytes               int64
 	UploadBytes             int64
-	// Share is the part of the instance's link that transfers use now.
-	Share float64
+	// LinkShare is the part of the instance's link that transfers use now.
+	LinkShare float64
 	// Tracked is false while the agent works without a tracker.
 	Tracked bool
 }
