--- a/agent/transfer/status.go
+++ b/agent/transfer/status.go
@@ -12,8 +12,8 @@
 	UploadBytes             int64
 	// LinkShare is the part of the instance's link that transfers use now.
 	LinkShare float64
-	// Tracked is false while the agent works without a tracker.
-	Tracked bool
+	// HasTracker is false while the agent works without a tracker.
+	HasTracker bool
 }
 
 type counters struct {
@@ -27,6 +27,6 @@
 		TotalChunks: int(c.chunks.Load()), HeldChunks: int(c.held.Load()),
 		OriginBytes: c.origin.Load(), StoreBytes: c.store.Load(),
 		PeerBytes: c.peer.Load(), UploadBytes: c.upload.Load(),
-		Tracked: c.tracked.Load(),
+		HasTracker: c.tracked.Load(),
 	}
 }
