--- a/entry/entry.go
+++ b/entry/entry.go
@@ -61,14 +61,14 @@
 	e.fleet = fleet.New(e.fleetConfig())
 	e.dispatcher = dispatch.New(e.dispatchConfig())
 	e.trackers = tracker.New(tracker.Config{
-		Clock:    cfg.Clock,
-		Seed:     cfg.Rand.Int64(),
-		Log:      cfg.Log,
-		Location: cfg.Identity.Location,
-		Tracker:  cfg.Tracker,
-		Policy:   e.policy,
-		Group:    e.group,
-		Waves:    cfg.Waves,
+		Clock:     cfg.Clock,
+		Seed:      cfg.Rand.Int64(),
+		Log:       cfg.Log,
+		Location:  cfg.Identity.Location,
+		Tracker:   cfg.Tracker,
+		Policy:    e.policy,
+		PoolState: e.group,
+		Waves:     cfg.Waves,
 	})
 	e.callers = caller.NewServer(caller.Config{
 		Listener: cfg.Callers,
--- a/entry/tracker/config.go
+++ b/entry/tracker/config.go
@@ -36,9 +36,9 @@
 	// Policy returns the plan of a version; nil means that each failure domain
 	// takes one copy.
 	Policy func(manifest model.Digest) distribute.Policy
-	// Group returns the state of a pool in this failure domain for load permits;
+	// PoolState returns the state of a pool in this failure domain for load permits;
 	// nil refuses all permits.
-	Group func(pool string) rollout.PoolState
+	PoolState func(pool string) rollout.PoolState
 	// Waves holds the settings of load permits.
 	Waves rollout.Config
 	// ForgetAfter is the time without an announcement after which the state of
@@ -64,8 +64,8 @@
 	if c.Policy == nil {
 		c.Policy = func(model.Digest) distribute.Policy { return distribute.Policy{} }
 	}
-	if c.Group == nil {
-		c.Group = func(string) rollout.PoolState { return rollout.PoolState{} }
+	if c.PoolState == nil {
+		c.PoolState = func(string) rollout.PoolState { return rollout.PoolState{} }
 	}
 	if c.ForgetAfter <= 0 {
 		c.ForgetAfter = time.Minute
--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -28,7 +28,7 @@
 	s.version(manifest)
 	w := s.wave(c.pool)
 	now := s.cfg.Clock.Now()
-	p, reason := w.Request(now, c.identity.Instance, s.cfg.Group(c.pool))
+	p, reason := w.Request(now, c.identity.Instance, s.cfg.PoolState(c.pool))
 	if reason != rollout.ReasonNone {
 		return &wire.LoadPermit{Manifest: manifest, RetryMillis: w.RetryInterval().Milliseconds(), Reason: string(reason)}
 	}
--- a/entry/tracker/service_test.go
+++ b/entry/tracker/service_test.go
@@ -42,7 +42,7 @@
 	}
 	BeforeEach(func() {
 		now = clock.NewFake(time.Unix(0, 0))
-		s = tracker.New(tracker.Config{Clock: now, Seed: 1, Group: func(string) rollout.PoolState { return rollout.PoolState{Live: 2, MinLive: 1} }})
+		s = tracker.New(tracker.Config{Clock: now, Seed: 1, PoolState: func(string) rollout.PoolState { return rollout.PoolState{Live: 2, MinLive: 1} }})
 		m, err := weights.BuildBytes(make([]byte, 10), "o", model.Digest{}, 3)
 		Expect(err).NotTo(HaveOccurred())
 		encoded, err = m.Encode()
