--- a/entry/entry.go
+++ b/entry/entry.go
@@ -68,7 +68,7 @@
 		Tracker:   cfg.Tracker,
 		Policy:    e.policy,
 		PoolState: e.group,
-		Waves:     cfg.Waves,
+		Rollout:   cfg.Waves,
 	})
 	e.callers = caller.NewServer(caller.Config{
 		Listener: cfg.Callers,
--- a/entry/tracker/config.go
+++ b/entry/tracker/config.go
@@ -39,8 +39,8 @@
 	// PoolState returns the state of a pool in this failure domain for load permits;
 	// nil refuses all permits.
 	PoolState func(pool string) rollout.PoolState
-	// Waves holds the settings of load permits.
-	Waves rollout.Config
+	// Rollout holds the settings of load permits.
+	Rollout rollout.Config
 	// ForgetAfter is the time without an announcement after which the state of
 	// a version is dropped.
 	ForgetAfter time.Duration
--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -40,7 +40,7 @@
 func (s *Service) wave(pool string) *rollout.Coordinator {
 	w, ok := s.waves[pool]
 	if !ok {
-		w = rollout.New(s.cfg.Waves, uint64(s.rand.Uint32())<<20)
+		w = rollout.New(s.cfg.Rollout, uint64(s.rand.Uint32())<<20)
 		s.waves[pool] = w
 	}
 	return w
