--- a/entry/tracker/config.go
+++ b/entry/tracker/config.go
@@ -41,9 +41,9 @@
 	PoolState func(pool string) rollout.PoolState
 	// Rollout holds the settings of load permits.
 	Rollout rollout.Config
-	// ForgetAfter is the time without an announcement after which the state of
+	// IdleVersionTimeout is the time without an announcement after which the state of
 	// a version is dropped.
-	ForgetAfter time.Duration
+	IdleVersionTimeout time.Duration
 	// ManifestTimeout is how long one agent may take to fetch a manifest from
 	// the origin before another one is told to.
 	ManifestTimeout time.Duration
@@ -67,8 +67,8 @@
 	if c.PoolState == nil {
 		c.PoolState = func(string) rollout.PoolState { return rollout.PoolState{} }
 	}
-	if c.ForgetAfter <= 0 {
-		c.ForgetAfter = time.Minute
+	if c.IdleVersionTimeout <= 0 {
+		c.IdleVersionTimeout = time.Minute
 	}
 	if c.ManifestTimeout <= 0 {
 		c.ManifestTimeout = 2 * time.Second
--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -195,7 +195,7 @@
 	now := s.cfg.Clock.Now()
 	var out []outgoing
 	for digest, v := range s.versions {
-		if now.Sub(v.seen) > s.cfg.ForgetAfter {
+		if now.Sub(v.seen) > s.cfg.IdleVersionTimeout {
 			delete(s.versions, digest)
 			continue
 		}
