--- a/entry/tracker/config.go
+++ b/entry/tracker/config.go
@@ -47,8 +47,8 @@
 	// ManifestTimeout is how long one agent may take to fetch a manifest from
 	// the origin before another one is told to.
 	ManifestTimeout time.Duration
-	// PeersEvery is the time between two lists of peers to one agent.
-	PeersEvery time.Duration
+	// PeerListInterval is the time between two lists of peers to one agent.
+	PeerListInterval time.Duration
 }
 
 func (c *Config) applyDefaults() {
@@ -73,7 +73,7 @@
 	if c.ManifestTimeout <= 0 {
 		c.ManifestTimeout = 2 * time.Second
 	}
-	if c.PeersEvery <= 0 {
-		c.PeersEvery = time.Second
+	if c.PeerListInterval <= 0 {
+		c.PeerListInterval = time.Second
 	}
 }
--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -158,7 +158,7 @@
 	// New peers are named soon: an agent that loses its tracker early in a
 	// transfer needs them.
 	known := v.tracker.PeerCount()
-	if since := now.Sub(c.peersSent); since >= s.cfg.PeersEvery || known > c.peersKnown && since >= s.cfg.PeersEvery/10 {
+	if since := now.Sub(c.peersSent); since >= s.cfg.PeerListInterval || known > c.peersKnown && since >= s.cfg.PeerListInterval/10 {
 		c.peersSent, c.peersKnown = now, known
 		reply.Peers = v.tracker.PeersFor(c.identity.Address)
 	}
