--- a/internal/node/tables.go
+++ b/internal/node/tables.go
@@ -45,7 +45,7 @@
 
 // follow passes a table to a handler until ctx ends.
 func (t *storeTables) follow(ctx context.Context, table string, config relay.Config, handler watch.Handler) {
-	choose := func() relay.Choice { return t.choose(table, config) }
+	choose := func() relay.Role { return t.choose(table, config) }
 	onPath := func(through netip.AddrPort, reason error) {
 		t.log.Log(eventlog.StorePathChanged, "table", table, "direct", !through.IsValid(), "entry", through, "err", reason)
 	}
@@ -55,14 +55,14 @@
 
 // choose returns whom this entry follows: the first one of the region in the order
 // for the table, if that saves calls of the store.
-func (t *storeTables) choose(table string, config relay.Config) relay.Choice {
+func (t *storeTables) choose(table string, config relay.Config) relay.Role {
 	ranked := t.loads.Rank("read/" + table)
 	switch {
 	case t.gateway.Draining() || !config.Pays(len(ranked)):
-		return relay.Choice{}
+		return relay.Role{}
 	case ranked[0] == t.loads.Self():
-		return relay.Choice{Followed: true}
+		return relay.Role{Followed: true}
 	default:
-		return relay.Choice{Follow: ranked[0]}
+		return relay.Role{Follow: ranked[0]}
 	}
 }
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -94,9 +94,9 @@
 		var err error
 		i.ln, err = net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		choose := func() Choice { return Choice{Followed: true} }
+		choose := func() Role { return Role{Followed: true} }
 		if leader != nil {
-			choose = func() Choice { return Choice{Follow: leader.address()} }
+			choose = func() Role { return Role{Follow: leader.address()} }
 		}
 		go NewServer(map[string]*Cache{"t": i.cache}, i.stopping.Load).Run(ctx, i.ln)
 		go watch.New(watch.Config{LongPollTimeout: config.Wait}, NewSource("t", i.store, i.cache, choose, i.onPath), i.known).Run(ctx)
@@ -208,7 +208,7 @@
 		// Guards against a call of the store for each row that a rollout changes.
 		const gather = 150 * time.Millisecond
 		i := &store{content: content}
-		s := NewSource("t", i, NewCache(Config{Bound: bound, Wait: time.Second, Gather: gather}), func() Choice { return Choice{} }, func(netip.AddrPort, error) {})
+		s := NewSource("t", i, NewCache(Config{Bound: bound, Wait: time.Second, Gather: gather}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
 		_, err := s.Changes(ctx, 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
--- a/lib/relay/source.go
+++ b/lib/relay/source.go
@@ -9,8 +9,8 @@
 	"github.com/auburnbend/auburnbend/lib/watch"
 )
 
-// Choice is whom an instance follows.
-type Choice struct {
+// Role is whom an instance follows.
+type Role struct {
 	// Follow is the instance to ask; not valid if this one reads the store.
 	Follow netip.AddrPort
 	// Followed tells that others ask this instance.
@@ -23,7 +23,7 @@
 	config Config
 	store  watch.Source
 	cache  *Cache
-	choose func() Choice
+	choose func() Role
 	client client
 
 	// avoided is an instance that could not be followed, until avoidedUntil.
@@ -45,7 +45,7 @@
 // NewSource returns a Source that keeps cache up to date with what it reads.
 // onPath is called by the goroutine that reads, when it reads through another
 // instance than before, or directly.
-func NewSource(table string, store watch.Source, cache *Cache, choose func() Choice, onPath func(through netip.AddrPort, reason error)) *Source {
+func NewSource(table string, store watch.Source, cache *Cache, choose func() Role, onPath func(through netip.AddrPort, reason error)) *Source {
 	return &Source{
 		onPath: onPath, config: cache.config, store: store, cache: cache, choose: choose,
 		client: client{table: table, silence: share(cache.config.Bound, silenceShare), direct: true},
