--- a/internal/node/tables.go
+++ b/internal/node/tables.go
@@ -63,6 +63,6 @@
 	case ranked[0] == t.loads.Self():
 		return relay.Role{Followed: true}
 	default:
-		return relay.Role{Follow: ranked[0]}
+		return relay.Role{Upstream: ranked[0]}
 	}
 }
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -96,7 +96,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		choose := func() Role { return Role{Followed: true} }
 		if leader != nil {
-			choose = func() Role { return Role{Follow: leader.address()} }
+			choose = func() Role { return Role{Upstream: leader.address()} }
 		}
 		go NewServer(map[string]*Cache{"t": i.cache}, i.stopping.Load).Run(ctx, i.ln)
 		go watch.New(watch.Config{LongPollTimeout: config.Wait}, NewSource("t", i.store, i.cache, choose, i.onPath), i.known).Run(ctx)
--- a/lib/relay/source.go
+++ b/lib/relay/source.go
@@ -11,8 +11,8 @@
 
 // Role is whom an instance follows.
 type Role struct {
-	// Follow is the instance to ask; not valid if this one reads the store.
-	Follow netip.AddrPort
+	// Upstream is the instance to ask; not valid if this one reads the store.
+	Upstream netip.AddrPort
 	// Followed tells that others ask this instance.
 	Followed bool
 }
@@ -132,7 +132,7 @@
 
 // following returns the instance to ask; not valid if there is none.
 func (s *Source) following() netip.AddrPort {
-	to := s.choose().Follow
+	to := s.choose().Upstream
 	if to == s.avoided && time.Now().Before(s.avoidedUntil) {
 		return netip.AddrPort{}
 	}
