--- a/internal/node/tables.go
+++ b/internal/node/tables.go
@@ -61,7 +61,7 @@
 	case t.gateway.Draining() || !config.Pays(len(ranked)):
 		return relay.Role{}
 	case ranked[0] == t.loads.Self():
-		return relay.Role{Followed: true}
+		return relay.Role{HasFollowers: true}
 	default:
 		return relay.Role{Upstream: ranked[0]}
 	}
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -94,7 +94,7 @@
 		var err error
 		i.ln, err = net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		choose := func() Role { return Role{Followed: true} }
+		choose := func() Role { return Role{HasFollowers: true} }
 		if leader != nil {
 			choose = func() Role { return Role{Upstream: leader.address()} }
 		}
--- a/lib/relay/source.go
+++ b/lib/relay/source.go
@@ -13,8 +13,8 @@
 type Role struct {
 	// Upstream is the instance to ask; not valid if this one reads the store.
 	Upstream netip.AddrPort
-	// Followed tells that others ask this instance.
-	Followed bool
+	// HasFollowers tells that others ask this instance.
+	HasFollowers bool
 }
 
 // Source reads one table of a store, through another instance of the region where
@@ -118,7 +118,7 @@
 		case <-timer.C:
 		}
 	}
-	if s.choose().Followed {
+	if s.choose().HasFollowers {
 		return min(wait, max(0, confirm-pause))
 	}
 	return wait
