--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -26,9 +26,9 @@
 }
 
 func operatorRelay(b *platform.Bounds) relay.Config {
-	return relay.Config{Bound: b.ConfigTime, Wait: storeWait(b, b.ConfigTime)}
+	return relay.Config{MaxPropagation: b.ConfigTime, Wait: storeWait(b, b.ConfigTime)}
 }
 
 func serversRelay(b *platform.Bounds) relay.Config {
-	return relay.Config{Bound: b.DrainTime, Wait: storeWait(b, b.DrainTime), Gather: time.Duration(gatherShare * float64(b.DrainTime))}
+	return relay.Config{MaxPropagation: b.DrainTime, Wait: storeWait(b, b.DrainTime), Gather: time.Duration(gatherShare * float64(b.DrainTime))}
 }
--- a/lib/relay/cache.go
+++ b/lib/relay/cache.go
@@ -38,8 +38,8 @@
 
 // NewCache returns a Cache that knows nothing.
 func NewCache(config Config) *Cache {
-	if config.Bound <= 0 {
-		config.Bound = defaultBound
+	if config.MaxPropagation <= 0 {
+		config.MaxPropagation = defaultBound
 	}
 	return &Cache{config: config, rows: make(map[string]row), revision: -1, changed: make(chan struct{})}
 }
@@ -107,7 +107,7 @@
 func (c *Cache) fresh(direct bool, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision >= 0 && now.Sub(c.confirmedAt) <= share(c.config.Bound, staleShare) && (c.direct || !direct)
+	return c.revision >= 0 && now.Sub(c.confirmedAt) <= share(c.config.MaxPropagation, staleShare) && (c.direct || !direct)
 }
 
 // since returns the changes after a revision, or all rows if it is negative.
--- a/lib/relay/config.go
+++ b/lib/relay/config.go
@@ -4,8 +4,8 @@
 
 // Config holds the timing of a relay.
 type Config struct {
-	// Bound is the shortest time in which a change must be known everywhere.
-	Bound time.Duration
+	// MaxPropagation is the shortest time in which a change must be known everywhere.
+	MaxPropagation time.Duration
 	// Wait is how long a call of the store waits for a change where nobody follows
 	// this instance.
 	Wait time.Duration
@@ -40,4 +40,6 @@
 
 // Pays reports whether n instances cost more calls of the store by themselves than
 // one of them that confirms often.
-func (c Config) Pays(n int) bool { return time.Duration(n)*share(c.Bound, confirmShare) > c.Wait }
+func (c Config) Pays(n int) bool {
+	return time.Duration(n)*share(c.MaxPropagation, confirmShare) > c.Wait
+}
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -83,7 +83,7 @@
 
 var _ = Describe("Relay of a table", func() {
 	const bound = 400 * time.Millisecond
-	config := Config{Bound: bound, Wait: 2 * time.Second}
+	config := Config{MaxPropagation: bound, Wait: 2 * time.Second}
 	var (
 		content *content
 		ctx     context.Context
@@ -208,7 +208,7 @@
 		// Guards against a call of the store for each row that a rollout changes.
 		const gather = 150 * time.Millisecond
 		i := &store{content: content}
-		s := NewSource("t", i, NewCache(Config{Bound: bound, Wait: time.Second, Gather: gather}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
+		s := NewSource("t", i, NewCache(Config{MaxPropagation: bound, Wait: time.Second, Gather: gather}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
 		_, err := s.Changes(ctx, 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
@@ -221,7 +221,7 @@
 
 	It("is worth it for many instances only", func() {
 		// Guards against a small region that makes more calls of the store than before.
-		c := Config{Bound: 4 * time.Second, Wait: 7 * time.Second}
+		c := Config{MaxPropagation: 4 * time.Second, Wait: 7 * time.Second}
 		Expect(c.Pays(7)).To(BeFalse())
 		Expect(c.Pays(8)).To(BeTrue())
 	})
--- a/lib/relay/server.go
+++ b/lib/relay/server.go
@@ -99,7 +99,7 @@
 		return s.send(conn, &answer{Stale: true})
 	}
 	end := time.Now().Add(time.Duration(q.WaitMillis) * time.Millisecond)
-	check := time.NewTicker(share(cache.config.Bound, checkShare))
+	check := time.NewTicker(share(cache.config.MaxPropagation, checkShare))
 	defer check.Stop()
 	tell := false
 	for {
--- a/lib/relay/source.go
+++ b/lib/relay/source.go
@@ -48,7 +48,7 @@
 func NewSource(table string, store watch.Source, cache *Cache, choose func() Role, onPath func(through netip.AddrPort, reason error)) *Source {
 	return &Source{
 		onPath: onPath, config: cache.config, store: store, cache: cache, choose: choose,
-		client: client{table: table, silence: share(cache.config.Bound, silenceShare), direct: true},
+		client: client{table: table, silence: share(cache.config.MaxPropagation, silenceShare), direct: true},
 	}
 }
 
@@ -107,7 +107,7 @@
 // gather pauses after changes and returns how long the next call of the store may
 // wait. While others follow this instance it confirms often that it reads the store.
 func (s *Source) gather(ctx context.Context, wait time.Duration) time.Duration {
-	confirm := share(s.config.Bound, confirmShare)
+	confirm := share(s.config.MaxPropagation, confirmShare)
 	pause := time.Duration(0)
 	if s.gathering {
 		pause = s.config.Gather
