--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -30,5 +30,5 @@
 }
 
 func serversRelay(b *platform.Bounds) relay.Config {
-	return relay.Config{MaxPropagation: b.DrainTime, Wait: storeWait(b, b.DrainTime), Gather: time.Duration(gatherShare * float64(b.DrainTime))}
+	return relay.Config{MaxPropagation: b.DrainTime, Wait: storeWait(b, b.DrainTime), BatchDelay: time.Duration(gatherShare * float64(b.DrainTime))}
 }
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -21,7 +21,7 @@
 			for _, c := range []relay.Config{operatorRelay(&b), serversRelay(&b)} {
 				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically("<", stall+bound))
 				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically(">=", stall+bound-time.Second))
-				Expect(c.Gather).To(BeNumerically("<=", bound/2))
+				Expect(c.BatchDelay).To(BeNumerically("<=", bound/2))
 			}
 		},
 		Entry("small deployment", 3*time.Second, 2*time.Second),
--- a/lib/relay/config.go
+++ b/lib/relay/config.go
@@ -9,9 +9,9 @@
 	// Wait is how long a call of the store waits for a change where nobody follows
 	// this instance.
 	Wait time.Duration
-	// Gather is the pause after changes in which further ones gather before the store
+	// BatchDelay is the pause after changes in which further ones gather before the store
 	// is called again: each call is paid for. Zero calls again at once.
-	Gather time.Duration
+	BatchDelay time.Duration
 }
 
 const (
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -208,7 +208,7 @@
 		// Guards against a call of the store for each row that a rollout changes.
 		const gather = 150 * time.Millisecond
 		i := &store{content: content}
-		s := NewSource("t", i, NewCache(Config{MaxPropagation: bound, Wait: time.Second, Gather: gather}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
+		s := NewSource("t", i, NewCache(Config{MaxPropagation: bound, Wait: time.Second, BatchDelay: gather}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
 		_, err := s.Changes(ctx, 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
--- a/lib/relay/source.go
+++ b/lib/relay/source.go
@@ -110,7 +110,7 @@
 	confirm := share(s.config.MaxPropagation, confirmShare)
 	pause := time.Duration(0)
 	if s.gathering {
-		pause = s.config.Gather
+		pause = s.config.BatchDelay
 		timer := time.NewTimer(pause)
 		defer timer.Stop()
 		select {
