--- a/internal/node/tables.go
+++ b/internal/node/tables.go
@@ -58,7 +58,7 @@
 func (t *storeTables) choose(table string, config relay.Config) relay.Role {
 	ranked := t.loads.Rank("read/" + table)
 	switch {
-	case t.gateway.Draining() || !config.Pays(len(ranked)):
+	case t.gateway.Draining() || !config.SavesStoreCalls(len(ranked)):
 		return relay.Role{}
 	case ranked[0] == t.loads.Self():
 		return relay.Role{HasFollowers: true}
--- a/lib/relay/config.go
+++ b/lib/relay/config.go
@@ -38,8 +38,8 @@
 
 func share(of time.Duration, part float64) time.Duration { return time.Duration(part * float64(of)) }
 
-// Pays reports whether n instances cost more calls of the store by themselves than
+// SavesStoreCalls reports whether n instances cost more calls of the store by themselves than
 // one of them that confirms often.
-func (c Config) Pays(n int) bool {
+func (c Config) SavesStoreCalls(n int) bool {
 	return time.Duration(n)*share(c.MaxPropagation, confirmShare) > c.Wait
 }
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -222,8 +222,8 @@
 	It("is worth it for many instances only", func() {
 		// Guards against a small region that makes more calls of the store than before.
 		c := Config{MaxPropagation: 4 * time.Second, Wait: 7 * time.Second}
-		Expect(c.Pays(7)).To(BeFalse())
-		Expect(c.Pays(8)).To(BeTrue())
+		Expect(c.SavesStoreCalls(7)).To(BeFalse())
+		Expect(c.SavesStoreCalls(8)).To(BeTrue())
 	})
 
 	It("gives instances that read now and then the changes only, and the store where none answers", func() {
