--- a/lib/admit/fuzz_test.go
+++ b/lib/admit/fuzz_test.go
@@ -51,7 +51,7 @@
 			now := time.Unix(0, 0)
 			serial := 0
 			tenants := rapid.SampledFrom([]model.Tenant{"a", "b", "c"})
-			shed := func(s admit.Shed) {
+			shed := func(s admit.Refusal) {
 				if s.RetryAfter <= 0 || s.Reason == "" {
 					t.Fatalf("refusal without advice or reason: %+v", s)
 				}
--- a/lib/admit/queue.go
+++ b/lib/admit/queue.go
@@ -107,22 +107,22 @@
 
 // Offer takes a request into the queue, or returns why it is refused: a bound
 // is reached, it would start too late, or its id is already waiting.
-func (q *Queue) Offer(now time.Time, r Request) (Shed, bool) {
+func (q *Queue) Offer(now time.Time, r Request) (Refusal, bool) {
 	r.Tokens = max(1, r.Tokens)
 	if _, ok := q.byID[r.ID]; ok {
-		return Shed{Request: r, Reason: outcome.ReasonDuplicate}, false
+		return Refusal{Request: r, Reason: outcome.ReasonDuplicate}, false
 	}
 	t := q.tenant(r.Tenant)
 	q.advance(now, t)
 	wait := q.expectedWait(t)
 	if len(q.byID) >= q.cfg.MaxQueued || t.queued >= t.maxQueued {
 		t.demand.refuse(now, r.Tokens)
-		return Shed{Request: r, Reason: outcome.ReasonQueueFull, RetryAfter: q.advice(wait)}, false
+		return Refusal{Request: r, Reason: outcome.ReasonQueueFull, RetryAfter: q.advice(wait)}, false
 	}
 	if !r.StartBy.IsZero() {
 		if late := now.Add(wait).Sub(r.StartBy); late > 0 {
 			t.demand.refuse(now, r.Tokens)
-			return Shed{Request: r, Reason: outcome.ReasonOverloaded, RetryAfter: q.advice(late)}, false
+			return Refusal{Request: r, Reason: outcome.ReasonOverloaded, RetryAfter: q.advice(late)}, false
 		}
 	}
 	priority := min(max(r.Priority, 0), q.cfg.MaxPriority)
@@ -137,7 +137,7 @@
 	}
 	q.served.busy(now)
 	t.served.busy(now)
-	return Shed{}, true
+	return Refusal{}, true
 }
 
 func (q *Queue) tenant(name model.Tenant) *tenantQueue {
@@ -190,8 +190,8 @@
 
 // Expire removes the requests that can no longer start in time. The caller
 // answers them at once. It is called when NextExpiry is reached and before Next.
-func (q *Queue) Expire(now time.Time) []Shed {
-	var out []Shed
+func (q *Queue) Expire(now time.Time) []Refusal {
+	var out []Refusal
 	for len(q.starts) > 0 && now.After(q.starts[0].StartBy) {
 		it := q.starts[0]
 		t := q.tenants[it.Tenant]
@@ -199,7 +199,7 @@
 		wait := q.expectedWait(t)
 		t.demand.refuse(now, it.Tokens)
 		q.remove(it)
-		out = append(out, Shed{Request: it.Request, Reason: outcome.ReasonDeadline, RetryAfter: q.advice(wait)})
+		out = append(out, Refusal{Request: it.Request, Reason: outcome.ReasonDeadline, RetryAfter: q.advice(wait)})
 	}
 	return out
 }
--- a/lib/admit/queue_test.go
+++ b/lib/admit/queue_test.go
@@ -122,7 +122,7 @@
 	It("refuses at arrival what would start too late, and tells when to come back", func() {
 		q := admit.New(admit.Config{})
 		now := start
-		offer := func(id string, tenant model.Tenant, within time.Duration) (admit.Shed, bool) {
+		offer := func(id string, tenant model.Tenant, within time.Duration) (admit.Refusal, bool) {
 			return q.Offer(now, admit.Request{ID: model.RequestID(id), Tenant: tenant, Tokens: 100, StartBy: now.Add(within)})
 		}
 		for i := range 40 {
--- a/lib/admit/shed.go
+++ b/lib/admit/shed.go
@@ -6,9 +6,9 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Shed is a request that is refused. Its outcome is always NotRun, and it is
+// Refusal is a request that is refused. Its outcome is always NotRun, and it is
 // answered at once.
-type Shed struct {
+type Refusal struct {
 	Request    Request
 	Reason     outcome.Reason
 	RetryAfter time.Duration
