--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -215,7 +215,7 @@
 	case errors.Is(err, fleet.ErrQuarantined):
 		a.grant(w, grant{reason: outcome.ReasonQuarantined})
 	case errors.Is(err, fleet.ErrWaits):
-		return admit.Waits
+		return admit.Deferred
 	default:
 		return admit.Blocked
 	}
--- a/lib/admit/fuzz_test.go
+++ b/lib/admit/fuzz_test.go
@@ -103,7 +103,7 @@
 				"next": func(t *rapid.T) {
 					expire()
 					offered := 0
-					placement := rapid.SampledFrom([]admit.Placement{admit.Placed, admit.Placed, admit.Waits, admit.Blocked})
+					placement := rapid.SampledFrom([]admit.Placement{admit.Placed, admit.Placed, admit.Deferred, admit.Blocked})
 					r, ok := q.Next(now, func(admit.Request) admit.Placement {
 						offered++
 						return placement.Draw(t, "placement")
--- a/lib/admit/next.go
+++ b/lib/admit/next.go
@@ -36,7 +36,7 @@
 			q.charge(now, turn)
 			q.remove(it)
 			return it.Request, true
-		case Waits:
+		case Deferred:
 			last = min(last, turn.tag+q.cfg.Overtake)
 		case Blocked:
 		}
--- a/lib/admit/placement.go
+++ b/lib/admit/placement.go
@@ -6,9 +6,9 @@
 const (
 	// Placed means that the request was started.
 	Placed Placement = iota
-	// Waits means that the request could be started, but waits for a better
+	// Deferred means that the request could be started, but waits for a better
 	// place. Others may overtake it by Config.Overtake only.
-	Waits
+	Deferred
 	// Blocked means that no backend server can take the request now.
 	Blocked
 )
--- a/lib/admit/queue_test.go
+++ b/lib/admit/queue_test.go
@@ -144,7 +144,7 @@
 	})
 
 	It("bounds how far others overtake a request that waits, not one that is blocked", func() {
-		for _, answer := range []admit.Placement{admit.Waits, admit.Blocked} {
+		for _, answer := range []admit.Placement{admit.Deferred, admit.Blocked} {
 			q := admit.New(admit.Config{Overtake: 1000})
 			q.Offer(start, admit.Request{ID: "first", Tenant: "a", Tokens: 100})
 			for i := range 50 {
@@ -162,7 +162,7 @@
 					passed++
 				}
 			}
-			if answer == admit.Waits {
+			if answer == admit.Deferred {
 				Expect(passed).To(BeNumerically("<=", 1000/100+1))
 			} else {
 				Expect(passed).To(Equal(50))
