--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -135,7 +135,7 @@
 func (a *admission) wait(ctx context.Context, w *waiter, r admit.Request) grant {
 	w.granted = make(chan grant, 1)
 	a.mu.Lock()
-	if shed, ok := a.queue(w.pool).Offer(a.clock.Now(), r); !ok {
+	if shed, ok := a.queue(w.pool).Enqueue(a.clock.Now(), r); !ok {
 		a.mu.Unlock()
 		return grant{reason: shed.Reason, retryAfter: shed.RetryAfter}
 	}
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -84,7 +84,7 @@
 		ID: j.id, Tenant: j.tenant, Class: "interactive", Tokens: estimatedTokens,
 		StartBy: e.estimate.StartBy(now, FirstTokenTarget),
 	}
-	if _, ok := e.queue.Offer(now, r); !ok {
+	if _, ok := e.queue.Enqueue(now, r); !ok {
 		e.sim.refused(j)
 		return
 	}
--- a/lib/admit/fuzz_test.go
+++ b/lib/admit/fuzz_test.go
@@ -86,7 +86,7 @@
 					if rapid.Bool().Draw(t, "bounded") {
 						r.StartBy = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 					}
-					s, ok := q.Offer(now, r)
+					s, ok := q.Enqueue(now, r)
 					full := ref.total == maxQueued || ref.tenants[r.Tenant] == tenantMax
 					if !ok {
 						shed(s)
--- a/lib/admit/queue.go
+++ b/lib/admit/queue.go
@@ -105,9 +105,9 @@
 	return 0
 }
 
-// Offer takes a request into the queue, or returns why it is refused: a bound
+// Enqueue takes a request into the queue, or returns why it is refused: a bound
 // is reached, it would start too late, or its id is already waiting.
-func (q *Queue) Offer(now time.Time, r Request) (Refusal, bool) {
+func (q *Queue) Enqueue(now time.Time, r Request) (Refusal, bool) {
 	r.Tokens = max(1, r.Tokens)
 	if _, ok := q.byID[r.ID]; ok {
 		return Refusal{Request: r, Reason: outcome.ReasonDuplicate}, false
--- a/lib/admit/queue_test.go
+++ b/lib/admit/queue_test.go
@@ -34,7 +34,7 @@
 	offer := func(b backlog) {
 		id := model.RequestID(fmt.Sprint(len(owner)))
 		owner[id] = b
-		_, ok := q.Offer(start, admit.Request{ID: id, Tenant: b.tenant, Class: b.class, Priority: b.priority, Tokens: 1 + rng.IntN(b.maxSize)})
+		_, ok := q.Enqueue(start, admit.Request{ID: id, Tenant: b.tenant, Class: b.class, Priority: b.priority, Tokens: 1 + rng.IntN(b.maxSize)})
 		Expect(ok).To(BeTrue())
 	}
 	for _, b := range all {
@@ -82,12 +82,12 @@
 	It("serves a small tenant's request soon behind a flood of another's", func() {
 		q := admit.New(admit.Config{})
 		for i := range 400 {
-			q.Offer(start, admit.Request{ID: model.RequestID(fmt.Sprint(i)), Tenant: "large", Tokens: 1000})
+			q.Enqueue(start, admit.Request{ID: model.RequestID(fmt.Sprint(i)), Tenant: "large", Tokens: 1000})
 		}
 		for range 100 {
 			q.Next(start, place)
 		}
-		q.Offer(start, admit.Request{ID: "small", Tenant: "small", Tokens: 1000})
+		q.Enqueue(start, admit.Request{ID: "small", Tenant: "small", Tokens: 1000})
 		r, _ := q.Next(start, place)
 		Expect(r.ID).To(Equal(model.RequestID("small")))
 	})
@@ -100,7 +100,7 @@
 		id := 0
 		offer := func(tenant model.Tenant) {
 			id++
-			q.Offer(start.Add(time.Duration(id)*time.Millisecond), admit.Request{ID: model.RequestID(fmt.Sprint(id)), Tenant: tenant, Tokens: 1000})
+			q.Enqueue(start.Add(time.Duration(id)*time.Millisecond), admit.Request{ID: model.RequestID(fmt.Sprint(id)), Tenant: tenant, Tokens: 1000})
 		}
 		for range 4 {
 			offer("steady")
@@ -123,7 +123,7 @@
 		q := admit.New(admit.Config{})
 		now := start
 		offer := func(id string, tenant model.Tenant, within time.Duration) (admit.Refusal, bool) {
-			return q.Offer(now, admit.Request{ID: model.RequestID(id), Tenant: tenant, Tokens: 100, StartBy: now.Add(within)})
+			return q.Enqueue(now, admit.Request{ID: model.RequestID(id), Tenant: tenant, Tokens: 100, StartBy: now.Add(within)})
 		}
 		for i := range 40 {
 			_, ok := offer(fmt.Sprint(i), "a", time.Minute)
@@ -146,9 +146,9 @@
 	It("bounds how far others overtake a request that waits, not one that is blocked", func() {
 		for _, answer := range []admit.Placement{admit.Deferred, admit.Blocked} {
 			q := admit.New(admit.Config{Overtake: 1000})
-			q.Offer(start, admit.Request{ID: "first", Tenant: "a", Tokens: 100})
+			q.Enqueue(start, admit.Request{ID: "first", Tenant: "a", Tokens: 100})
 			for i := range 50 {
-				q.Offer(start, admit.Request{ID: model.RequestID(fmt.Sprint(i)), Tenant: "b", Tokens: 100})
+				q.Enqueue(start, admit.Request{ID: model.RequestID(fmt.Sprint(i)), Tenant: "b", Tokens: 100})
 			}
 			passed := 0
 			for range 50 {
