--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -174,7 +174,7 @@
 func (a *admission) settle(pool string, tenant model.Tenant, estimated, actual int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.queue(pool).Settle(tenant, estimated, actual)
+	a.queue(pool).CorrectCharge(tenant, estimated, actual)
 }
 
 func (a *admission) pump() {
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -155,7 +155,7 @@
 			now := e.sim.time.now
 			limiter.Release()
 			e.picker.Finished(now, key, route.ResultOK)
-			e.queue.Settle(j.tenant, estimatedTokens, j.promptTokens+j.answerTokens)
+			e.queue.CorrectCharge(j.tenant, estimatedTokens, j.promptTokens+j.answerTokens)
 			e.sim.answered(j, q.firstAt.Add(oneWay), q.lastAt.Add(oneWay))
 			e.pump()
 		})
--- a/lib/admit/fuzz_test.go
+++ b/lib/admit/fuzz_test.go
@@ -136,7 +136,7 @@
 					expire()
 				},
 				"settle": func(t *rapid.T) {
-					q.Settle(tenants.Draw(t, "tenant"), 100, rapid.IntRange(0, 500).Draw(t, "actual"))
+					q.CorrectCharge(tenants.Draw(t, "tenant"), 100, rapid.IntRange(0, 500).Draw(t, "actual"))
 				},
 			})
 		})
--- a/lib/admit/next.go
+++ b/lib/admit/next.go
@@ -91,10 +91,10 @@
 	q.virtual = max(q.virtual, t.serve(q.virtual, q.cfg.Burst, cost))
 }
 
-// Settle corrects the charge of a request that has ended: the estimate was
+// CorrectCharge corrects the charge of a request that has ended: the estimate was
 // charged when it started. A tenant whose answers are longer than estimated
 // pays for the difference.
-func (q *Queue) Settle(name model.Tenant, estimated, actual int) {
+func (q *Queue) CorrectCharge(name model.Tenant, estimated, actual int) {
 	if t, ok := q.tenants[name]; ok {
 		t.finish += float64(actual-estimated) / t.weight
 	}
