--- a/lib/admit/config.go
+++ b/lib/admit/config.go
@@ -21,10 +21,10 @@
 	// average loses what its pauses leave to a tenant that always has requests
 	// waiting, and its bursts are refused.
 	Burst float64
-	// Overtake is how many tokens of a mean share may be served ahead of a
+	// MaxOvertake is how many tokens of a mean share may be served ahead of a
 	// request that waits for a better place. Without the bound, a tenant that
 	// always has requests waiting takes the turns of those that wait.
-	Overtake float64
+	MaxOvertake float64
 	// ExcessShare is the part of its share that a tenant gets while more of its
 	// tokens are refused than started. What it cedes goes to tenants about at
 	// their share, whose bursts a saturated pool could not take otherwise.
@@ -56,8 +56,8 @@
 	if c.Burst <= 0 {
 		c.Burst = 40_000
 	}
-	if c.Overtake <= 0 {
-		c.Overtake = 12000
+	if c.MaxOvertake <= 0 {
+		c.MaxOvertake = 12000
 	}
 	if c.ExcessShare <= 0 || c.ExcessShare > 1 {
 		c.ExcessShare = 0.75
--- a/lib/admit/next.go
+++ b/lib/admit/next.go
@@ -37,7 +37,7 @@
 			q.remove(it)
 			return it.Request, true
 		case Deferred:
-			last = min(last, turn.tag+q.cfg.Overtake)
+			last = min(last, turn.tag+q.cfg.MaxOvertake)
 		case Blocked:
 		}
 		q.skip = append(q.skip, turn.tenant)
@@ -73,7 +73,7 @@
 
 // under reports whether a tenant is clearly under its share: it has more room
 // than requests that wait may be overtaken by.
-func (t *tenantQueue) under(q *Queue) bool { return t.finish <= q.virtual-q.cfg.Overtake }
+func (t *tenantQueue) under(q *Queue) bool { return t.finish <= q.virtual-q.cfg.MaxOvertake }
 
 // charge accounts for a request that was started.
 func (q *Queue) charge(now time.Time, next turn) {
--- a/lib/admit/queue_test.go
+++ b/lib/admit/queue_test.go
@@ -145,7 +145,7 @@
 
 	It("bounds how far others overtake a request that waits, not one that is blocked", func() {
 		for _, answer := range []admit.Placement{admit.Deferred, admit.Blocked} {
-			q := admit.New(admit.Config{Overtake: 1000})
+			q := admit.New(admit.Config{MaxOvertake: 1000})
 			q.Enqueue(start, admit.Request{ID: "first", Tenant: "a", Tokens: 100})
 			for i := range 50 {
 				q.Enqueue(start, admit.Request{ID: model.RequestID(fmt.Sprint(i)), Tenant: "b", Tokens: 100})
