--- a/lib/admit/config.go
+++ b/lib/admit/config.go
@@ -34,9 +34,9 @@
 	PriorityRatio float64
 	// MaxPriority bounds the priority steps that count.
 	MaxPriority int
-	// MaxTries bounds the tenants whose first request Next offers for placing
+	// MaxCandidates bounds the tenants whose first request Next offers for placing
 	// before it gives up.
-	MaxTries int
+	MaxCandidates int
 	// RateWindow is the time over which the rate of service is averaged.
 	RateWindow time.Duration
 	// MinRetryAfter and MaxRetryAfter bound the advice in refusals.
@@ -68,8 +68,8 @@
 	if c.MaxPriority <= 0 {
 		c.MaxPriority = 4
 	}
-	if c.MaxTries <= 0 {
-		c.MaxTries = 16
+	if c.MaxCandidates <= 0 {
+		c.MaxCandidates = 16
 	}
 	if c.RateWindow <= 0 {
 		c.RateWindow = 3 * time.Second
--- a/lib/admit/next.go
+++ b/lib/admit/next.go
@@ -19,7 +19,7 @@
 func (q *Queue) Next(now time.Time, place func(Request) Placement) (Request, bool) {
 	q.skip = q.skip[:0]
 	last := math.Inf(1)
-	for range q.cfg.MaxTries {
+	for range q.cfg.MaxCandidates {
 		turn, ok := q.turn(now)
 		if !ok || turn.tag > last {
 			break
