--- a/lib/admit/config.go
+++ b/lib/admit/config.go
@@ -103,9 +103,9 @@
 	// earlier of its deadline and its target for the first token, less the time
 	// that a backend server needs for it. Zero means that it waits for ever.
 	StartBy time.Time
-	// Offered is when Next first offered the request for placing or, for a
+	// OfferedAt is when Next first offered the request for placing or, for a
 	// tenant clearly under its share, when the request arrived: its requests
 	// wait for a better place one after the other, and the waits would add up.
 	// The Queue sets it.
-	Offered time.Time
+	OfferedAt time.Time
 }
--- a/lib/admit/next.go
+++ b/lib/admit/next.go
@@ -25,11 +25,11 @@
 			break
 		}
 		it := turn.item
-		if it.Offered.IsZero() {
-			it.Offered = now
+		if it.OfferedAt.IsZero() {
+			it.OfferedAt = now
 		}
 		if turn.tenant.under(q) {
-			it.Offered = it.arrived
+			it.OfferedAt = it.arrived
 		}
 		switch place(it.Request) {
 		case Placed:
