--- a/lib/admit/limiter.go
+++ b/lib/admit/limiter.go
@@ -56,12 +56,12 @@
 // InFlight returns the number of acquired requests.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Free reports whether Acquire would succeed.
-func (l *Limiter) Free() bool { return l.inFlight < l.Limit() }
+// CanAcquire reports whether Acquire would succeed.
+func (l *Limiter) CanAcquire() bool { return l.inFlight < l.Limit() }
 
 // Acquire takes a place, or returns false when the limit is reached.
 func (l *Limiter) Acquire() bool {
-	if !l.Free() {
+	if !l.CanAcquire() {
 		return false
 	}
 	l.inFlight++
