--- a/lib/admit/limiter.go
+++ b/lib/admit/limiter.go
@@ -97,7 +97,7 @@
 	if now.Sub(l.changed) < l.cfg.Interval || l.first.count+l.between.count < l.cfg.MinSamples {
 		return
 	}
-	over := max(l.first.over(l.cfg.FirstToken)/l.cfg.EngineShare, l.between.over(l.cfg.BetweenTokens)) / l.cfg.Aim
+	over := max(l.first.over(l.cfg.FirstToken)/l.cfg.EngineShare, l.between.over(l.cfg.BetweenTokens)) / l.cfg.TargetFraction
 	switch {
 	case over > 1:
 		l.set(now, l.limit*max(l.cfg.Backoff, 1/over))
--- a/lib/admit/limiter_config.go
+++ b/lib/admit/limiter_config.go
@@ -9,9 +9,9 @@
 	FirstToken, BetweenTokens time.Duration
 	// Min and Max bound the limit; Initial is where it starts.
 	Min, Max, Initial int
-	// Aim is the share of the targets that the limiter steers to. The rest is
+	// TargetFraction is the share of the targets that the limiter steers to. The rest is
 	// room for the spread around the mean.
-	Aim float64
+	TargetFraction float64
 	// EngineShare is the part of the first-token target that a backend server may
 	// use. The rest is left for the queue of the entry, which is fair and sheds
 	// early; a queue inside the engine does neither.
@@ -41,8 +41,8 @@
 		c.Initial = 8
 	}
 	c.Initial = min(max(c.Initial, c.Min), c.Max)
-	if c.Aim <= 0 {
-		c.Aim = 0.9
+	if c.TargetFraction <= 0 {
+		c.TargetFraction = 0.9
 	}
 	if c.EngineShare <= 0 {
 		c.EngineShare = 0.3
