--- a/lib/admit/limiter.go
+++ b/lib/admit/limiter.go
@@ -88,7 +88,7 @@
 // ObserveRefusal takes a refusal by the backend server for lack of capacity.
 func (l *Limiter) ObserveRefusal(now time.Time) {
 	if now.Sub(l.changed) >= l.cfg.Interval {
-		l.set(now, l.limit*l.cfg.Backoff)
+		l.set(now, l.limit*l.cfg.BackoffRatio)
 	}
 }
 
@@ -100,7 +100,7 @@
 	over := max(l.first.over(l.cfg.FirstToken)/l.cfg.EngineShare, l.between.over(l.cfg.BetweenTokens)) / l.cfg.TargetFraction
 	switch {
 	case over > 1:
-		l.set(now, l.limit*max(l.cfg.Backoff, 1/over))
+		l.set(now, l.limit*max(l.cfg.BackoffRatio, 1/over))
 	case l.peak >= l.Limit():
 		// Only a limit that was reached has been tested.
 		l.set(now, l.limit+1)
--- a/lib/admit/limiter_config.go
+++ b/lib/admit/limiter_config.go
@@ -20,8 +20,8 @@
 	Interval time.Duration
 	// MinSamples is the least number of observations for a change.
 	MinSamples int
-	// Backoff bounds the factor of one decrease.
-	Backoff float64
+	// BackoffRatio bounds the factor of one decrease.
+	BackoffRatio float64
 }
 
 func (c *LimiterConfig) applyDefaults() {
@@ -53,7 +53,7 @@
 	if c.MinSamples <= 0 {
 		c.MinSamples = 4
 	}
-	if c.Backoff <= 0 {
-		c.Backoff = 0.7
+	if c.BackoffRatio <= 0 {
+		c.BackoffRatio = 0.7
 	}
 }
