--- a/entry/dispatch/run_end.go
+++ b/entry/dispatch/run_end.go
@@ -16,7 +16,7 @@
 		Status:      step.Status,
 		ContentType: step.ContentType,
 		RetryAfter:  step.RetryAfter,
-		Frames:      r.machine.Next(),
+		Frames:      r.machine.NextSequence(),
 	}
 	if r.end != nil {
 		result.Digest = r.end.Digest
--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -34,7 +34,7 @@
 		return r.crashed()
 	case link.Reconnected:
 		// The caller went away while the connection was down.
-		if r.slot.Link.Send(&wire.Reattach{Attempt: r.attempt, Next: r.machine.Next()}) != nil {
+		if r.slot.Link.Send(&wire.Reattach{Attempt: r.attempt, Next: r.machine.NextSequence()}) != nil {
 			return attempt.Step{}
 		}
 		return r.machine.Reattached(r.now(), r.attempt)
@@ -113,7 +113,7 @@
 	r.unacked++
 	r.unackedB += size
 	if r.unacked >= ackEvery || r.unackedB >= ackBytes {
-		_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, Next: r.machine.Next()})
+		_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, Next: r.machine.NextSequence()})
 		r.unacked, r.unackedB = 0, 0
 	}
 }
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -167,7 +167,7 @@
 	case *wire.ResponseFrame:
 		e.each(m.Attempt, func(l *live) {
 			e.apply(l, l.machine.Frame(e.w.now, m.Attempt, m.Sequence, m.Data), m.Data)
-			e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: m.Attempt, Next: l.machine.Next()})
+			e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: m.Attempt, Next: l.machine.NextSequence()})
 		})
 	case *wire.ResponseEnd:
 		e.each(m.Attempt, func(l *live) { e.apply(l, l.machine.End(e.w.now, m), nil) })
--- a/lib/attempt/bench_test.go
+++ b/lib/attempt/bench_test.go
@@ -40,6 +40,6 @@
 	m.Frame(now, "a1", 0, piece)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Frame(now, "a1", m.Next(), piece)
+		m.Frame(now, "a1", m.NextSequence(), piece)
 	}
 }
--- a/lib/attempt/machine.go
+++ b/lib/attempt/machine.go
@@ -51,9 +51,9 @@
 // Hop returns the hop count that the next RequestStart carries.
 func (m *Machine) Hop() int { return m.req.Hop + m.attempts }
 
-// Next returns the sequence number of the frame that is expected next, which
+// NextSequence returns the sequence number of the frame that is expected next, which
 // is the number that ResponseAck carries.
-func (m *Machine) Next() uint64 { return m.answer.next }
+func (m *Machine) NextSequence() uint64 { return m.answer.next }
 
 // Remaining returns the time until the deadline, which RequestStart carries.
 func (m *Machine) Remaining(now time.Time) time.Duration { return m.req.Deadline.Sub(now) }
