--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -147,7 +147,7 @@
 		Pool:    r.request.Service.Pool,
 		Weights: routesOf(d.cfg.Current(), r.request.Service),
 		Finger:  r.finger,
-		Avoid:   r.machine.Tried(),
+		Avoid:   r.machine.TriedInstances(),
 	}
 	if step.Pinned {
 		requirements.Weights = []model.Weights{step.Weights}
@@ -197,7 +197,7 @@
 // send hands the request to the agent of the reserved place.
 func (r *run) send() attempt.Step {
 	r.attempt = r.claimID
-	if len(r.machine.Tried()) > 0 || r.machine.Attempt() != "" {
+	if len(r.machine.TriedInstances()) > 0 || r.machine.Attempt() != "" {
 		r.attempt = model.AttemptID(uuid.NewString())
 	}
 	now := r.now()
--- a/lib/attempt/machine.go
+++ b/lib/attempt/machine.go
@@ -45,8 +45,8 @@
 // Attempt returns the id of the current or last attempt.
 func (m *Machine) Attempt() model.AttemptID { return m.current.Attempt }
 
-// Tried returns the instances of earlier attempts, which a retry avoids.
-func (m *Machine) Tried() []model.InstanceID { return m.tried }
+// TriedInstances returns the instances of earlier attempts, which a retry avoids.
+func (m *Machine) TriedInstances() []model.InstanceID { return m.tried }
 
 // Hop returns the hop count that the next RequestStart carries.
 func (m *Machine) Hop() int { return m.req.Hop + m.attempts }
