--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -154,7 +154,7 @@
 		case e.Kind == link.Replaced:
 			return r.crashed()
 		case e.Kind == link.Reconnected:
-			if r.slot.Link.Send(&wire.Reattach{Attempt: step.Attempt, Next: step.Next}) != nil {
+			if r.slot.Link.Send(&wire.Reattach{Attempt: step.Attempt, Next: step.NextSequence}) != nil {
 				continue
 			}
 			return r.machine.Reattached(r.now(), step.Attempt)
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -153,7 +153,7 @@
 	case e.w.chance("reattach fails", 6):
 		e.apply(l, l.machine.ReattachFailed(now, id), nil)
 	default:
-		e.w.connection(e, l.agent).sendToAgent(&wire.Reattach{Attempt: s.Attempt, Next: s.Next})
+		e.w.connection(e, l.agent).sendToAgent(&wire.Reattach{Attempt: s.Attempt, Next: s.NextSequence})
 		e.apply(l, l.machine.Reattached(now, id), nil)
 	}
 }
--- a/lib/attempt/handlers.go
+++ b/lib/attempt/handlers.go
@@ -142,7 +142,7 @@
 	m.reattaches++
 	m.step.Action = ActionReattach
 	m.step.Attempt = m.current.Attempt
-	m.step.Next = m.answer.next
+	m.step.NextSequence = m.answer.next
 	return stateDetached
 }
 
--- a/lib/attempt/settle.go
+++ b/lib/attempt/settle.go
@@ -71,7 +71,7 @@
 	}
 	m.reattaches++
 	m.step.Action = ActionReattach
-	m.step.Attempt, m.step.Next = m.current.Attempt, m.answer.next
+	m.step.Attempt, m.step.NextSequence = m.current.Attempt, m.answer.next
 	return stateSettling
 }
 
--- a/lib/attempt/step.go
+++ b/lib/attempt/step.go
@@ -24,8 +24,8 @@
 	Cancel model.AttemptID
 
 	// Attempt and Next describe a reattach.
-	Attempt model.AttemptID
-	Next    uint64
+	Attempt      model.AttemptID
+	NextSequence uint64
 
 	// Weights restricts a dispatch to instances with exactly these weights when
 	// Pinned is set: the answer continues a stream that they began.
