--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -99,7 +99,7 @@
 	}
 	r.measureFrame()
 	r.acknowledge(len(m.Data))
-	piece := m.Data[step.Skip:]
+	piece := m.Data[step.SkipBytes:]
 	if r.claimed {
 		r.body = append(r.body, piece...)
 	}
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -53,9 +53,9 @@
 	}
 	if s.Forward {
 		if l.ask.kind.repeatable {
-			l.ask.received = append(l.ask.received, data[s.Skip:]...)
+			l.ask.received = append(l.ask.received, data[s.SkipBytes:]...)
 		} else {
-			l.buffer = append(l.buffer, data[s.Skip:]...)
+			l.buffer = append(l.buffer, data[s.SkipBytes:]...)
 		}
 	}
 	if s.Cancel != "" {
--- a/lib/attempt/handlers.go
+++ b/lib/attempt/handlers.go
@@ -92,7 +92,7 @@
 	if !m.req.Buffered && m.answer.bytes > m.sent {
 		m.sent = m.answer.bytes
 	}
-	return Step{Forward: true, Skip: skip}, true
+	return Step{Forward: true, SkipBytes: skip}, true
 }
 
 // diverged ends a request whose new attempt contradicts the bytes that the
--- a/lib/attempt/replay_test.go
+++ b/lib/attempt/replay_test.go
@@ -53,7 +53,7 @@
 
 func traceOf(s Step) traceStep {
 	t := traceStep{
-		Action: s.Action.String(), Forward: s.Forward, Skip: s.Skip, Discard: s.Discard, Cancel: s.Cancel,
+		Action: s.Action.String(), Forward: s.Forward, Skip: s.SkipBytes, Discard: s.Discard, Cancel: s.Cancel,
 		Next: s.NextSequence, Pinned: s.Pinned, Reason: s.Reason, Settling: s.Settling, Advice: s.RetryAfter > 0,
 	}
 	if s.Action == ActionFinish || s.Action == ActionRecord {
--- a/lib/attempt/step.go
+++ b/lib/attempt/step.go
@@ -15,8 +15,8 @@
 	// answer, from byte Skip on. The entry passes it to the caller, or keeps it
 	// when the request is buffered.
 	Forward bool
-	// Skip is the number of leading bytes of the frame that the caller has.
-	Skip int
+	// SkipBytes is the number of leading bytes of the frame that the caller has.
+	SkipBytes int
 	// Discard tells a buffered request to drop what it has kept so far.
 	Discard bool
 
