--- a/entry/dispatch/run_end.go
+++ b/entry/dispatch/run_end.go
@@ -21,8 +21,8 @@
 	if r.end != nil {
 		result.Digest = r.end.Digest
 	}
-	r.settling = step.Settling
-	if !step.Settling {
+	r.settling = step.OutcomePending
+	if !step.OutcomePending {
 		result.ClaimProof = r.recordClaim(step.Outcome, step.Reason, step.Status, step.ContentType)
 	}
 	r.logOutcome(result)
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -65,11 +65,11 @@
 	case attempt.ActionDispatch, attempt.ActionReattach:
 		l.pending = &s
 	case attempt.ActionFinish:
-		if !s.Settling {
+		if !s.OutcomePending {
 			l.pending = nil
 		}
 		l.tell(e.w, s.Outcome, s.Reason)
-		if !s.Settling {
+		if !s.OutcomePending {
 			e.settle(l, s)
 		}
 	case attempt.ActionRecord:
--- a/lib/attempt/handlers.go
+++ b/lib/attempt/handlers.go
@@ -160,7 +160,7 @@
 	if !m.req.Repeatable {
 		m.mayHaveRun = true
 		m.finish(outcome.ReasonConnectionLost, 0)
-		m.step.Settling = true
+		m.step.OutcomePending = true
 		return stateSettling
 	}
 	return m.again(true, outcome.ReasonConnectionLost, 0)
--- a/lib/attempt/replay_test.go
+++ b/lib/attempt/replay_test.go
@@ -54,7 +54,7 @@
 func traceOf(s Step) traceStep {
 	t := traceStep{
 		Action: s.Action.String(), Forward: s.Forward, Skip: s.SkipBytes, Discard: s.Discard, Cancel: s.Cancel,
-		Next: s.NextSequence, Pinned: s.Pinned, Reason: s.Reason, Settling: s.Settling, Advice: s.RetryAfter > 0,
+		Next: s.NextSequence, Pinned: s.Pinned, Reason: s.Reason, Settling: s.OutcomePending, Advice: s.RetryAfter > 0,
 	}
 	if s.Action == ActionFinish || s.Action == ActionRecord {
 		t.Outcome = s.Outcome.String()
--- a/lib/attempt/settle.go
+++ b/lib/attempt/settle.go
@@ -19,7 +19,7 @@
 		m.step.Cancel = m.current.Attempt
 		return next
 	}
-	m.step.Settling = true
+	m.step.OutcomePending = true
 	return stateSettling
 }
 
--- a/lib/attempt/step.go
+++ b/lib/attempt/step.go
@@ -39,8 +39,8 @@
 	// Status and ContentType are the backend server's, when it answered.
 	Status      int
 	ContentType string
-	// Settling says that the attempt may still run to its end although the
+	// OutcomePending says that the attempt may still run to its end although the
 	// caller has its final answer: the entry keeps passing events on until a
 	// step with ActionRecord arrives.
-	Settling bool
+	OutcomePending bool
 }
