--- a/lib/attempt/config.go
+++ b/lib/attempt/config.go
@@ -22,9 +22,9 @@
 	MaxAttempts int
 	MaxHops     int
 	MaxReattach int
-	// NotSeenHorizon is the age of a dispatch up to which an agent's statement
+	// NotSeenMaxAge is the age of a dispatch up to which an agent's statement
 	// that it never saw the attempt proves that it did not run.
-	NotSeenHorizon time.Duration
+	NotSeenMaxAge time.Duration
 	// RetryAfter is the advice to callers when nothing better is known.
 	RetryAfter time.Duration
 }
@@ -39,8 +39,8 @@
 	if c.MaxReattach <= 0 {
 		c.MaxReattach = defaultMaxReattach
 	}
-	if c.NotSeenHorizon <= 0 {
-		c.NotSeenHorizon = defaultNotSeenHorizon
+	if c.NotSeenMaxAge <= 0 {
+		c.NotSeenMaxAge = defaultNotSeenHorizon
 	}
 	if c.RetryAfter <= 0 {
 		c.RetryAfter = defaultRetryAfter
--- a/lib/attempt/handlers.go
+++ b/lib/attempt/handlers.go
@@ -55,7 +55,7 @@
 	if m.event.reason != outcome.ReasonConnectionLost {
 		return true
 	}
-	return m.event.now.Sub(m.dispatched) <= m.config.NotSeenHorizon
+	return m.event.now.Sub(m.dispatched) <= m.config.NotSeenMaxAge
 }
 
 func (m *Machine) onFrame() state {
