--- a/lib/attempt/budget.go
+++ b/lib/attempt/budget.go
@@ -22,9 +22,9 @@
 
 // BudgetConfig holds the limits of a Budget. Zero values take defaults.
 type BudgetConfig struct {
-	// Share is the share of a tenant's successful requests that may be retried,
+	// TenantShare is the share of a tenant's successful requests that may be retried,
 	// for tenants that SetShare does not name.
-	Share float64
+	TenantShare float64
 	// DeploymentShare is the same for all tenants together.
 	DeploymentShare float64
 	// TenantFloor and DeploymentFloor are in retries per second.
@@ -41,7 +41,7 @@
 			*v = fallback
 		}
 	}
-	set(&c.Share, defaultRetryShare)
+	set(&c.TenantShare, defaultRetryShare)
 	set(&c.DeploymentShare, defaultRetryShare)
 	set(&c.TenantFloor, defaultTenantFloor)
 	set(&c.DeploymentFloor, defaultDeploymentFloor)
@@ -115,7 +115,7 @@
 	defer b.mu.Unlock()
 	share, ok := b.shares[tenant]
 	if !ok {
-		share = b.config.Share
+		share = b.config.TenantShare
 	}
 	t := b.tenant(tenant)
 	t.fill(now, b.config.TenantFloor, b.config.TenantBurst)
