--- a/lib/attempt/budget.go
+++ b/lib/attempt/budget.go
@@ -27,8 +27,8 @@
 	TenantShare float64
 	// DeploymentShare is the same for all tenants together.
 	DeploymentShare float64
-	// TenantFloor and DeploymentFloor are in retries per second.
-	TenantFloor     float64
+	// TenantMinRate and DeploymentFloor are in retries per second.
+	TenantMinRate   float64
 	DeploymentFloor float64
 	// TenantBurst and DeploymentBurst are the sizes of the buckets in retries.
 	TenantBurst     float64
@@ -43,7 +43,7 @@
 	}
 	set(&c.TenantShare, defaultRetryShare)
 	set(&c.DeploymentShare, defaultRetryShare)
-	set(&c.TenantFloor, defaultTenantFloor)
+	set(&c.TenantMinRate, defaultTenantFloor)
 	set(&c.DeploymentFloor, defaultDeploymentFloor)
 	set(&c.TenantBurst, defaultTenantBurst)
 	set(&c.DeploymentBurst, defaultDeploymentBurst)
@@ -97,7 +97,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.tenant(tenant)
-	t.fill(now, b.config.TenantFloor, b.config.TenantBurst)
+	t.fill(now, b.config.TenantMinRate, b.config.TenantBurst)
 	b.deployment.fill(now, b.config.DeploymentFloor, b.config.DeploymentBurst)
 	if t.tokens < 1 || b.deployment.tokens < 1 {
 		return false
@@ -118,7 +118,7 @@
 		share = b.config.TenantShare
 	}
 	t := b.tenant(tenant)
-	t.fill(now, b.config.TenantFloor, b.config.TenantBurst)
+	t.fill(now, b.config.TenantMinRate, b.config.TenantBurst)
 	t.tokens = min(b.config.TenantBurst, t.tokens+share)
 	b.deployment.fill(now, b.config.DeploymentFloor, b.config.DeploymentBurst)
 	b.deployment.tokens = min(b.config.DeploymentBurst, b.deployment.tokens+b.config.DeploymentShare)
--- a/lib/attempt/budget_test.go
+++ b/lib/attempt/budget_test.go
@@ -14,7 +14,7 @@
 	now := time.Unix(1_800_000_000, 0)
 
 	It("keeps retries to the share of successes and the floor", func() {
-		b := NewBudget(BudgetConfig{TenantShare: 0.1, TenantBurst: 10, TenantFloor: 0.5, DeploymentBurst: 1000})
+		b := NewBudget(BudgetConfig{TenantShare: 0.1, TenantBurst: 10, TenantMinRate: 0.5, DeploymentBurst: 1000})
 		retries := 0
 		const requests, seconds = 10_000, 100
 		for i := range requests {
@@ -41,7 +41,7 @@
 	})
 
 	It("ends a request when the budget is spent", func() {
-		b := NewBudget(BudgetConfig{TenantBurst: 1, TenantFloor: 0.001})
+		b := NewBudget(BudgetConfig{TenantBurst: 1, TenantMinRate: 0.001})
 		b.take("a", now)
 		m := New(Config{}, Request{Tenant: "a", Repeatable: true, Deadline: now.Add(time.Minute)}, b)
 		m.Queued(now)
