--- a/lib/attempt/budget.go
+++ b/lib/attempt/budget.go
@@ -28,8 +28,8 @@
 	// DeploymentShare is the same for all tenants together.
 	DeploymentShare float64
 	// TenantMinRate and DeploymentFloor are in retries per second.
-	TenantMinRate   float64
-	DeploymentFloor float64
+	TenantMinRate     float64
+	DeploymentMinRate float64
 	// TenantBurst and DeploymentBurst are the sizes of the buckets in retries.
 	TenantBurst     float64
 	DeploymentBurst float64
@@ -44,7 +44,7 @@
 	set(&c.TenantShare, defaultRetryShare)
 	set(&c.DeploymentShare, defaultRetryShare)
 	set(&c.TenantMinRate, defaultTenantFloor)
-	set(&c.DeploymentFloor, defaultDeploymentFloor)
+	set(&c.DeploymentMinRate, defaultDeploymentFloor)
 	set(&c.TenantBurst, defaultTenantBurst)
 	set(&c.DeploymentBurst, defaultDeploymentBurst)
 	return c
@@ -98,7 +98,7 @@
 	defer b.mu.Unlock()
 	t := b.tenant(tenant)
 	t.fill(now, b.config.TenantMinRate, b.config.TenantBurst)
-	b.deployment.fill(now, b.config.DeploymentFloor, b.config.DeploymentBurst)
+	b.deployment.fill(now, b.config.DeploymentMinRate, b.config.DeploymentBurst)
 	if t.tokens < 1 || b.deployment.tokens < 1 {
 		return false
 	}
@@ -120,7 +120,7 @@
 	t := b.tenant(tenant)
 	t.fill(now, b.config.TenantMinRate, b.config.TenantBurst)
 	t.tokens = min(b.config.TenantBurst, t.tokens+share)
-	b.deployment.fill(now, b.config.DeploymentFloor, b.config.DeploymentBurst)
+	b.deployment.fill(now, b.config.DeploymentMinRate, b.config.DeploymentBurst)
 	b.deployment.tokens = min(b.config.DeploymentBurst, b.deployment.tokens+b.config.DeploymentShare)
 }
 
--- a/lib/attempt/budget_test.go
+++ b/lib/attempt/budget_test.go
@@ -32,7 +32,7 @@
 	})
 
 	It("spends neither bucket when the other is empty", func() {
-		b := NewBudget(BudgetConfig{DeploymentBurst: 3, DeploymentFloor: 0.001})
+		b := NewBudget(BudgetConfig{DeploymentBurst: 3, DeploymentMinRate: 0.001})
 		for _, tenant := range []model.Tenant{"a", "b", "c"} {
 			Expect(b.take(tenant, now)).To(BeTrue())
 		}
