--- a/entry/dispatch/claims.go
+++ b/entry/dispatch/claims.go
@@ -56,7 +56,7 @@
 	return false
 }
 
-func (r *run) tryClaim(ctx context.Context) claim.Answer {
+func (r *run) tryClaim(ctx context.Context) claim.Decision {
 	d := r.dispatcher
 	// After its deadline the caller has no use for the claim.
 	ctx, cancel := context.WithTimeout(ctx, min(d.cfg.ClaimTimeout, r.request.Deadline.Sub(d.cfg.Clock.Now())))
@@ -72,7 +72,7 @@
 // that may be running: a caller that sends again after a lost connection gets
 // the answer of its first call. The pauses double, so that a claim without a
 // result costs few reads of the store.
-func (r *run) awaitResult(ctx context.Context, answer claim.Answer) claim.Answer {
+func (r *run) awaitResult(ctx context.Context, answer claim.Decision) claim.Decision {
 	d := r.dispatcher
 	ctx, cancel := context.WithTimeout(ctx, min(resultPatience, r.request.Deadline.Sub(d.cfg.Clock.Now())))
 	defer cancel()
--- a/lib/claim/answer.go
+++ b/lib/claim/answer.go
@@ -40,9 +40,9 @@
 	return "invalid"
 }
 
-// Answer is what the entry does with a request after a Claim. Only StatusHeld
+// Decision is what the entry does with a request after a Claim. Only StatusHeld
 // allows a dispatch.
-type Answer struct {
+type Decision struct {
 	Status Status
 	// Result is set for StatusEarlierResult.
 	Result *Result
@@ -57,8 +57,8 @@
 	Proofs []model.AttemptID
 }
 
-func (l *Ledger) answer(s Status) Answer {
-	a := Answer{Status: s}
+func (l *Ledger) answer(s Status) Decision {
+	a := Decision{Status: s}
 	switch s {
 	case StatusUnknown:
 		a.Outcome, a.Reason, a.RetryAfter = outcome.Unknown, outcome.ReasonStoreUnavailable, l.config.RetryAfter
--- a/lib/claim/claiming.go
+++ b/lib/claim/claiming.go
@@ -29,7 +29,7 @@
 
 // try writes the claim once and reads back where the reply does not say what
 // happened. It returns false when another try may help.
-func (t *claiming) try(ctx context.Context) (Answer, bool) {
+func (t *claiming) try(ctx context.Context) (Decision, bool) {
 	w, err := writeOf(t.key, record{
 		Phase:       phaseClaimed,
 		Attempt:     t.in.Attempt,
@@ -49,42 +49,42 @@
 	case isConflict(err):
 		t.foreign = !t.uncertain
 	case errors.Is(err, backing.ErrNotApplied):
-		return Answer{}, false
+		return Decision{}, false
 	default:
 		t.uncertain = true
 	}
 	return t.readBack(ctx)
 }
 
-func (t *claiming) readBack(ctx context.Context) (Answer, bool) {
+func (t *claiming) readBack(ctx context.Context) (Decision, bool) {
 	row, err := t.ledger.table.Get(ctx, Table, t.key.row())
 	if errors.Is(err, backing.ErrNotFound) {
 		// The write did not land yet. It may land later, and then finds the row
 		// that the next try inserts.
 		t.version, t.foreign = 0, false
-		return Answer{}, false
+		return Decision{}, false
 	}
 	if err != nil {
-		return Answer{}, false
+		return Decision{}, false
 	}
 	r, err := decodeRecord(row.Value)
 	if err != nil {
 		t.foreign = true
-		return Answer{}, false
+		return Decision{}, false
 	}
 	if r.Attempt == t.in.Attempt && r.Phase == phaseClaimed {
 		return t.held()
 	}
 	if t.mayReplace(r) {
 		t.version, t.foreign = row.Version, false
-		return Answer{}, false
+		return Decision{}, false
 	}
 	t.dropUncertain()
 	switch {
 	case r.Fingerprint != t.in.Fingerprint:
 		return t.ledger.answer(StatusKeyReused), true
 	case r.Phase == phaseCompleted:
-		return Answer{Status: StatusEarlierResult, Result: r.Result}, true
+		return Decision{Status: StatusEarlierResult, Result: r.Result}, true
 	default:
 		return t.ledger.answer(StatusNoResult), true
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-func (t *claiming) held() (Answer, bool) {
-	return Answer{Status: StatusHeld}, true
+func (t *claiming) held() (Decision, bool) {
+	return Decision{Status: StatusHeld}, true
 }
 
 // dropUncertain handles a write of this attempt that is still under way while
@@ -118,7 +118,7 @@
 
 // giveUp answers when the store did not settle the claim. The attempt is never
 // dispatched afterwards.
-func (t *claiming) giveUp() Answer {
+func (t *claiming) giveUp() Decision {
 	switch {
 	case t.uncertain && t.foreign:
 		t.dropUncertain()
--- a/lib/claim/ledger.go
+++ b/lib/claim/ledger.go
@@ -75,7 +75,7 @@
 
 // Claim tries to become the one attempt that may run the request of a key. now
 // is wall-clock time.
-func (l *Ledger) Claim(ctx context.Context, now time.Time, key Key, in Intent) Answer {
+func (l *Ledger) Claim(ctx context.Context, now time.Time, key Key, in Intent) Decision {
 	if l.pending.full() {
 		// Without room to remember an unconfirmed claim none may be made.
 		return l.answer(StatusNotRun)
@@ -96,7 +96,7 @@
 // Lookup returns what is stored under a key without claiming it: a result, a
 // claim without a result, StatusNotRun when no claim stands, or StatusUnknown
 // when the store does not answer.
-func (l *Ledger) Lookup(ctx context.Context, now time.Time, key Key) Answer {
+func (l *Ledger) Lookup(ctx context.Context, now time.Time, key Key) Decision {
 	row, err := l.table.Get(ctx, Table, key.row())
 	if errors.Is(err, backing.ErrNotFound) {
 		return l.answer(StatusNotRun)
@@ -111,7 +111,7 @@
 	case r.olderThan(now, l.retained()) || r.Phase == phaseReleased:
 		return l.answer(StatusNotRun)
 	case r.Phase == phaseCompleted:
-		return Answer{Status: StatusEarlierResult, Result: r.Result}
+		return Decision{Status: StatusEarlierResult, Result: r.Result}
 	default:
 		return l.answer(StatusNoResult)
 	}
