--- a/entry/dispatch/claims.go
+++ b/entry/dispatch/claims.go
@@ -32,9 +32,9 @@
 	}
 	d := r.dispatcher
 	r.key = claim.Key{
-		Service:     r.request.Service.Name,
-		Tenant:      r.request.Tenant.Name,
-		Idempotency: r.request.IdempotencyKey,
+		Service:        r.request.Service.Name,
+		Tenant:         r.request.Tenant.Name,
+		IdempotencyKey: r.request.IdempotencyKey,
 	}
 	answer := r.awaitResult(ctx, r.tryClaim(ctx))
 	switch answer.Status {
--- a/internal/requestsim/claims_test.go
+++ b/internal/requestsim/claims_test.go
@@ -15,7 +15,7 @@
 }
 
 func (a *ask) claimKey() claim.Key {
-	return claim.Key{Service: "orders", Tenant: "t", Idempotency: a.key}
+	return claim.Key{Service: "orders", Tenant: "t", IdempotencyKey: a.key}
 }
 
 func (a *ask) fingerprint() model.Fingerprint {
--- a/lib/claim/batcher_test.go
+++ b/lib/claim/batcher_test.go
@@ -100,7 +100,7 @@
 				n++
 				id := fmt.Sprint(n)
 				mu.Unlock()
-				key := Key{Service: "orders", Tenant: "t", Idempotency: id}
+				key := Key{Service: "orders", Tenant: "t", IdempotencyKey: id}
 				a := l.Claim(context.Background(), now, key, Intent{Attempt: model.AttemptID(id)})
 				if a.Status != StatusHeld {
 					b.Error(a.Status)
--- a/lib/claim/key.go
+++ b/lib/claim/key.go
@@ -7,13 +7,13 @@
 
 // Key identifies a non-repeatable request of a tenant.
 type Key struct {
-	Service     model.Service
-	Tenant      model.Tenant
-	Idempotency string
+	Service        model.Service
+	Tenant         model.Tenant
+	IdempotencyKey string
 }
 
 // row returns the row key. The caller's part is hashed, so that its length and
 // characters do not matter.
 func (k Key) row() string {
-	return string(k.Service) + "/" + string(k.Tenant) + "/" + model.Sum([]byte(k.Idempotency)).String()
+	return string(k.Service) + "/" + string(k.Tenant) + "/" + model.Sum([]byte(k.IdempotencyKey)).String()
 }
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -16,7 +16,7 @@
 var _ = Describe("Ledger", func() {
 	ctx := context.Background()
 	now := time.Unix(1_800_000_000, 0)
-	key := Key{Service: "orders", Tenant: "umurage", Idempotency: "k"}
+	key := Key{Service: "orders", Tenant: "umurage", IdempotencyKey: "k"}
 	result := Result{Outcome: outcome.Completed, Status: 201, Body: []byte("order 17")}
 	var table *tabletest.Table
 	var faults []tabletest.Fault // of the next writes
@@ -143,7 +143,7 @@
 		readsFail, faults = true, []tabletest.Fault{tabletest.LostBefore}
 		Expect(l.Claim(ctx, now, key, intent("a1")).Status).To(Equal(StatusAbandoned))
 		commits := table.Commits()
-		Expect(l.Claim(ctx, now, Key{Idempotency: "other"}, intent("a2")).Status).To(Equal(StatusNotRun))
+		Expect(l.Claim(ctx, now, Key{IdempotencyKey: "other"}, intent("a2")).Status).To(Equal(StatusNotRun))
 		Expect(table.Commits()).To(Equal(commits))
 	})
 
