--- a/entry/dispatch/claims.go
+++ b/entry/dispatch/claims.go
@@ -157,7 +157,7 @@
 			return
 		}
 		if d.cfg.Ledger.Pending() > 0 {
-			d.cfg.Ledger.Sweep(ctx, sweepLimit)
+			d.cfg.Ledger.RetryPending(ctx, sweepLimit)
 		}
 	}
 }
--- a/internal/requestsim/fuzz_test.go
+++ b/internal/requestsim/fuzz_test.go
@@ -47,7 +47,7 @@
 		"store":         w.changeStore,
 		"land":          w.table.Land,
 		"time":          w.pass,
-		"sweep":         func() { w.entries[w.pick("entry", entryCount)].ledger.Sweep(w.ctx, 10) },
+		"sweep":         func() { w.entries[w.pick("entry", entryCount)].ledger.RetryPending(w.ctx, 10) },
 		"entry dies":    w.entryDies,
 		"agent dies":    w.agentDies,
 		"engine dies":   w.engineDies,
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -91,7 +91,7 @@
 		}
 		DescribeTable("the sweep frees the key", func(f tabletest.Fault) {
 			abandon(f)
-			Expect(first.Sweep(ctx, 10)).To(BeZero())
+			Expect(first.RetryPending(ctx, 10)).To(BeZero())
 			table.Land()
 			Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
 		},
@@ -102,7 +102,7 @@
 		It("the same entry writes over the row", func() {
 			abandon(tabletest.LostAfter)
 			Expect(first.Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
-			Expect(first.Sweep(ctx, 10)).To(BeZero())
+			Expect(first.RetryPending(ctx, 10)).To(BeZero())
 			Expect(open().Claim(ctx, now, key, intent("a3")).Status).To(Equal(StatusNoResult))
 		})
 		It("the caller's proof frees the key when the entry is gone", func() {
@@ -131,10 +131,10 @@
 		l.Claim(ctx, now, key, intent("a1"))
 		readsFail = true
 		Expect(l.Complete(ctx, now, key, "a1", result)).To(MatchError(ErrPending))
-		Expect(l.Sweep(ctx, 10)).To(Equal(1))
+		Expect(l.RetryPending(ctx, 10)).To(Equal(1))
 		readsFail, faults = false, []tabletest.Fault{tabletest.LostAfter}
-		l.Sweep(ctx, 10)
-		Expect(l.Sweep(ctx, 10)).To(BeZero())
+		l.RetryPending(ctx, 10)
+		Expect(l.RetryPending(ctx, 10)).To(BeZero())
 		Expect(open().Claim(ctx, now, key, intent("a2")).Result).To(Equal(&result))
 	})
 
--- a/lib/claim/settle.go
+++ b/lib/claim/settle.go
@@ -27,8 +27,8 @@
 	return l.settle(ctx, update{key: key, attempt: attempt, now: now})
 }
 
-// Sweep tries up to limit unconfirmed updates again and returns how many remain.
-func (l *Ledger) Sweep(ctx context.Context, limit int) int {
+// RetryPending tries up to limit unconfirmed updates again and returns how many remain.
+func (l *Ledger) RetryPending(ctx context.Context, limit int) int {
 	for _, u := range l.pending.oldest(limit) {
 		if ctx.Err() != nil {
 			break
