--- a/lib/claim/config.go
+++ b/lib/claim/config.go
@@ -31,8 +31,8 @@
 	Retention   time.Duration
 	PruneMargin time.Duration
 	Tries       int
-	// Pause waits between tries. It returns early when ctx ends.
-	Pause           func(ctx context.Context)
+	// Backoff waits between tries. It returns early when ctx ends.
+	Backoff         func(ctx context.Context)
 	MaxPending      int
 	MaxPendingBytes int
 	MaxResult       int
@@ -49,8 +49,8 @@
 	if c.Tries <= 0 {
 		c.Tries = defaultTries
 	}
-	if c.Pause == nil {
-		c.Pause = pause
+	if c.Backoff == nil {
+		c.Backoff = pause
 	}
 	if c.MaxPending <= 0 {
 		c.MaxPending = defaultMaxPending
--- a/lib/claim/ledger.go
+++ b/lib/claim/ledger.go
@@ -85,7 +85,7 @@
 		if a, done := t.try(ctx); done {
 			return a
 		}
-		l.config.Pause(ctx)
+		l.config.Backoff(ctx)
 		if ctx.Err() != nil {
 			break
 		}
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -21,7 +21,7 @@
 	var table *tabletest.Table
 	var faults []tabletest.Fault // of the next writes
 	var readsFail bool
-	open := func() *Ledger { return New(Config{Tries: 2, Pause: func(context.Context) {}}, table, nil) }
+	open := func() *Ledger { return New(Config{Tries: 2, Backoff: func(context.Context) {}}, table, nil) }
 	intent := func(id model.AttemptID, proofs ...model.AttemptID) Intent { return Intent{Attempt: id, Proofs: proofs} }
 
 	BeforeEach(func() {
--- a/lib/claim/settle.go
+++ b/lib/claim/settle.go
@@ -46,7 +46,7 @@
 func (l *Ledger) settle(ctx context.Context, u update) error {
 	for try := range l.config.Tries {
 		if try > 0 {
-			l.config.Pause(ctx)
+			l.config.Backoff(ctx)
 		}
 		if done, err := l.apply(ctx, u); done {
 			return err
