--- a/internal/requestsim/claims_test.go
+++ b/internal/requestsim/claims_test.go
@@ -11,7 +11,7 @@
 )
 
 func newLedger(w *world) *claim.Ledger {
-	return claim.New(claim.Config{Tries: 2, Backoff: func(context.Context) {}}, w.table, nil)
+	return claim.New(claim.Config{MaxTries: 2, Backoff: func(context.Context) {}}, w.table, nil)
 }
 
 func (a *ask) claimKey() claim.Key {
--- a/lib/claim/config.go
+++ b/lib/claim/config.go
@@ -30,7 +30,7 @@
 type Config struct {
 	Retention   time.Duration
 	PruneMargin time.Duration
-	Tries       int
+	MaxTries    int
 	// Backoff waits between tries. It returns early when ctx ends.
 	Backoff         func(ctx context.Context)
 	MaxPending      int
@@ -46,8 +46,8 @@
 	if c.PruneMargin <= 0 {
 		c.PruneMargin = defaultPruneMargin
 	}
-	if c.Tries <= 0 {
-		c.Tries = defaultTries
+	if c.MaxTries <= 0 {
+		c.MaxTries = defaultTries
 	}
 	if c.Backoff == nil {
 		c.Backoff = pause
--- a/lib/claim/ledger.go
+++ b/lib/claim/ledger.go
@@ -81,7 +81,7 @@
 		return l.answer(StatusNotRun)
 	}
 	t := claiming{ledger: l, now: now, key: key, in: in}
-	for range l.config.Tries {
+	for range l.config.MaxTries {
 		if a, done := t.try(ctx); done {
 			return a
 		}
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -21,7 +21,7 @@
 	var table *tabletest.Table
 	var faults []tabletest.Fault // of the next writes
 	var readsFail bool
-	open := func() *Ledger { return New(Config{Tries: 2, Backoff: func(context.Context) {}}, table, nil) }
+	open := func() *Ledger { return New(Config{MaxTries: 2, Backoff: func(context.Context) {}}, table, nil) }
 	intent := func(id model.AttemptID, proofs ...model.AttemptID) Intent { return Intent{Attempt: id, Proofs: proofs} }
 
 	BeforeEach(func() {
@@ -139,7 +139,7 @@
 	})
 
 	It("makes no claim without room to remember it", func() {
-		l := New(Config{Tries: 1, MaxPending: 2}, table, nil)
+		l := New(Config{MaxTries: 1, MaxPending: 2}, table, nil)
 		readsFail, faults = true, []tabletest.Fault{tabletest.LostBefore}
 		Expect(l.Claim(ctx, now, key, intent("a1")).Status).To(Equal(StatusAbandoned))
 		commits := table.Commits()
--- a/lib/claim/settle.go
+++ b/lib/claim/settle.go
@@ -44,7 +44,7 @@
 func (l *Ledger) Pending() int { return l.pending.len() }
 
 func (l *Ledger) settle(ctx context.Context, u update) error {
-	for try := range l.config.Tries {
+	for try := range l.config.MaxTries {
 		if try > 0 {
 			l.config.Backoff(ctx)
 		}
