--- a/lib/claim/config.go
+++ b/lib/claim/config.go
@@ -35,7 +35,7 @@
 	Backoff         func(ctx context.Context)
 	MaxPending      int
 	MaxPendingBytes int
-	MaxResult       int
+	MaxResultBytes  int
 	RetryAfter      time.Duration
 }
 
@@ -58,8 +58,8 @@
 	if c.MaxPendingBytes <= 0 {
 		c.MaxPendingBytes = defaultMaxPendingBytes
 	}
-	if c.MaxResult <= 0 {
-		c.MaxResult = defaultMaxResult
+	if c.MaxResultBytes <= 0 {
+		c.MaxResultBytes = defaultMaxResult
 	}
 	if c.RetryAfter <= 0 {
 		c.RetryAfter = defaultRetryAfter
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -173,7 +173,7 @@
 	})
 
 	It("keeps the outcome and omits a body that is too large", func() {
-		l := New(Config{MaxResult: 4}, table, nil)
+		l := New(Config{MaxResultBytes: 4}, table, nil)
 		l.Claim(ctx, now, key, intent("a1"))
 		Expect(l.Complete(ctx, now, key, "a1", result)).To(Succeed())
 		got := l.Lookup(ctx, now, key).Result
--- a/lib/claim/settle.go
+++ b/lib/claim/settle.go
@@ -15,7 +15,7 @@
 // ErrFenced when another attempt holds it, ErrPending when the store did not
 // confirm and Sweep will try again, and ErrBacklog when Sweep will not.
 func (l *Ledger) Complete(ctx context.Context, now time.Time, key Key, attempt model.AttemptID, result Result) error {
-	if len(result.Body) > l.config.MaxResult {
+	if len(result.Body) > l.config.MaxResultBytes {
 		result.Body, result.BodyOmitted = nil, true
 	}
 	return l.settle(ctx, update{key: key, attempt: attempt, now: now, result: &result})
