--- a/lib/claim/backlog.go
+++ b/lib/claim/backlog.go
@@ -59,7 +59,7 @@
 	defer b.mu.Unlock()
 	old, exists := b.updates[u.id()]
 	if !exists && len(b.updates) >= b.limit || b.bytes-old.size()+u.size() > b.byteLimit {
-		return ErrBacklog
+		return ErrBacklogFull
 	}
 	if !exists {
 		b.order = append(b.order, u.id())
--- a/lib/claim/errors.go
+++ b/lib/claim/errors.go
@@ -9,7 +9,7 @@
 	// ErrPending means that the store did not confirm a release or a result. The
 	// ledger keeps it and Sweep tries again.
 	ErrPending = merry.New("claim update pending")
-	// ErrBacklog means that the store did not confirm a release or a result and
+	// ErrBacklogFull means that the store did not confirm a release or a result and
 	// that the ledger has no room to keep it.
-	ErrBacklog = merry.New("too many pending claim updates")
+	ErrBacklogFull = merry.New("too many pending claim updates")
 )
