--- a/lib/reservation/guard.go
+++ b/lib/reservation/guard.go
@@ -34,8 +34,8 @@
 	windows map[Process]*window
 }
 
-// New returns the guard of one generation of an agent.
-func New(config Config, self Process) *Guard {
+// NewGuard returns the guard of one generation of an agent.
+func NewGuard(config Config, self Process) *Guard {
 	return &Guard{config: config.applyDefaults(), self: self, windows: make(map[Process]*window)}
 }
 
--- a/lib/reservation/reservation_test.go
+++ b/lib/reservation/reservation_test.go
@@ -19,7 +19,7 @@
 	// Guards against a second run of a token, whatever the order of arrival.
 	It("accepts a number once and nothing that it may have forgotten", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			g := New(Config{Window: 128}, agent)
+			g := NewGuard(Config{Window: 128}, agent)
 			used := make(map[uint64]bool)
 			var top uint64
 			for range 200 {
@@ -45,14 +45,14 @@
 	})
 
 	It("refuses tokens for another generation and numbers of zero", func() {
-		g := New(Config{}, agent)
+		g := NewGuard(Config{}, agent)
 		t := NewIssuer(entry).Issue(Process{"agent-1", 8})
 		Expect(g.Use(t)).To(Equal(VerdictWrongAgent))
 		Expect(g.Use(Token{Issuer: entry, Agent: agent})).To(Equal(VerdictInvalid))
 	})
 
 	It("keeps no more windows than allowed and drops none", func() {
-		g := New(Config{MaxIssuers: 1}, agent)
+		g := NewGuard(Config{MaxIssuers: 1}, agent)
 		Expect(g.Use(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictAccepted))
 		Expect(g.Use(Token{Issuer: Process{"entry-2", 1}, Agent: agent, Sequence: 1})).To(Equal(VerdictTooManyIssuers))
 		Expect(g.Use(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictUsed))
