--- a/lib/reservation/guard.go
+++ b/lib/reservation/guard.go
@@ -39,10 +39,10 @@
 	return &Guard{config: config.applyDefaults(), self: self, windows: make(map[Process]*window)}
 }
 
-// Use decides about a token and marks it as used when it is accepted. Windows
+// Redeem decides about a token and marks it as used when it is accepted. Windows
 // are never dropped to make room: a dropped window would accept its numbers
 // again.
-func (g *Guard) Use(t Token) Verdict {
+func (g *Guard) Redeem(t Token) Verdict {
 	if t.Agent != g.self {
 		return VerdictWrongAgent
 	}
--- a/lib/reservation/reservation_test.go
+++ b/lib/reservation/reservation_test.go
@@ -27,7 +27,7 @@
 				if rapid.Bool().Draw(t, "near") {
 					seq = top + 1 - min(top, rapid.Uint64Range(0, 140).Draw(t, "back"))
 				}
-				v := g.Use(Token{Issuer: entry, Agent: agent, Sequence: seq})
+				v := g.Redeem(Token{Issuer: entry, Agent: agent, Sequence: seq})
 				switch {
 				case v == VerdictAccepted && used[seq]:
 					t.Fatalf("%d ran twice", seq)
@@ -47,15 +47,15 @@
 	It("refuses tokens for another generation and numbers of zero", func() {
 		g := NewGuard(Config{}, agent)
 		t := NewIssuer(entry).Issue(Process{"agent-1", 8})
-		Expect(g.Use(t)).To(Equal(VerdictWrongAgent))
-		Expect(g.Use(Token{Issuer: entry, Agent: agent})).To(Equal(VerdictInvalid))
+		Expect(g.Redeem(t)).To(Equal(VerdictWrongAgent))
+		Expect(g.Redeem(Token{Issuer: entry, Agent: agent})).To(Equal(VerdictInvalid))
 	})
 
 	It("keeps no more windows than allowed and drops none", func() {
 		g := NewGuard(Config{MaxIssuers: 1}, agent)
-		Expect(g.Use(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictAccepted))
-		Expect(g.Use(Token{Issuer: Process{"entry-2", 1}, Agent: agent, Sequence: 1})).To(Equal(VerdictTooManyIssuers))
-		Expect(g.Use(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictUsed))
+		Expect(g.Redeem(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictAccepted))
+		Expect(g.Redeem(Token{Issuer: Process{"entry-2", 1}, Agent: agent, Sequence: 1})).To(Equal(VerdictTooManyIssuers))
+		Expect(g.Redeem(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictUsed))
 	})
 
 	It("reads what it writes", func() {
