--- a/gateway/place.go
+++ b/gateway/place.go
@@ -67,7 +67,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.seen.Attempts == 0 && r.reached == 0 {
-		g.budget.Request(r.service, now)
+		g.budget.CountRequest(r.service, now)
 	}
 	return r.demand(now)
 }
--- a/lib/retry/budget.go
+++ b/lib/retry/budget.go
@@ -46,8 +46,8 @@
 	b.config = config
 }
 
-// Request counts the first dispatch of a request.
-func (b *Budget) Request(service string, now time.Time) { b.counts(service, now).requests[0]++ }
+// CountRequest counts the first dispatch of a request.
+func (b *Budget) CountRequest(service string, now time.Time) { b.counts(service, now).requests[0]++ }
 
 // Take spends one repeat, or reports that none is left.
 func (b *Budget) Take(service string, now time.Time) bool {
--- a/lib/retry/budget_test.go
+++ b/lib/retry/budget_test.go
@@ -24,7 +24,7 @@
 			for range rapid.IntRange(1, 400).Draw(t, "events") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 				if rapid.Bool().Draw(t, "request") {
-					b.Request("s", now)
+					b.CountRequest("s", now)
 					requests = append(requests, now)
 				} else if b.Take("s", now) {
 					repeats = append(repeats, now)
