--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -74,7 +74,7 @@
 	if r.route.Repeatable() && !last && r.route.EventGap > 0 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.budget.Left(r.service, g.now()) >= 1 {
+		if g.budget.Remaining(r.service, g.now()) >= 1 {
 			return stallGaps * r.route.EventGap
 		}
 	}
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -59,7 +59,7 @@
 		s.ConfigVersion, s.ConfigAge = config.Version, now.Sub(g.configAt)
 		for i := range config.Services {
 			name := config.Services[i].Name
-			s.RetriesLeft[name] = g.budget.Left(name, now)
+			s.RetriesLeft[name] = g.budget.Remaining(name, now)
 		}
 	}
 	g.directory.ForEach(func(server *directory.Server) {
--- a/lib/retry/budget.go
+++ b/lib/retry/budget.go
@@ -59,8 +59,8 @@
 	return true
 }
 
-// Left returns the number of repeats that are left in this window.
-func (b *Budget) Left(service string, now time.Time) float64 {
+// Remaining returns the number of repeats that are left in this window.
+func (b *Budget) Remaining(service string, now time.Time) float64 {
 	c := b.counts(service, now)
 	return max(0, b.limit(c)-float64(c.sum(&c.repeats)))
 }
--- a/lib/retry/budget_test.go
+++ b/lib/retry/budget_test.go
@@ -52,9 +52,9 @@
 
 	It("shares the slack among the entries that it is told of", func() {
 		b := retry.New(config, 1)
-		Expect(b.Left("s", start)).To(BeNumerically("~", 64, 0.01))
+		Expect(b.Remaining("s", start)).To(BeNumerically("~", 64, 0.01))
 		b.SetEntries(16)
-		Expect(b.Left("s", start)).To(BeNumerically("~", 4, 0.01))
+		Expect(b.Remaining("s", start)).To(BeNumerically("~", 4, 0.01))
 	})
 })
 
