--- a/entry/fleet/cache.go
+++ b/entry/fleet/cache.go
@@ -23,7 +23,7 @@
 		return
 	}
 	event := route.CacheEvent{Sequence: m.Sequence, Stored: numbers(m.Stored), Removed: numbers(m.Removed)}
-	if f.picker.Cache(now, key, event) {
+	if f.picker.ApplyCacheEvent(now, key, event) {
 		f.wantCache(key)
 	}
 }
--- a/internal/measure/fleet/cache_feed.go
+++ b/internal/measure/fleet/cache_feed.go
@@ -43,7 +43,7 @@
 
 func (f *cacheFeed) deliver(event route.CacheEvent) {
 	sim := f.entry.sim
-	if !f.entry.picker.Cache(sim.time.now, f.key, event) || f.syncing {
+	if !f.entry.picker.ApplyCacheEvent(sim.time.now, f.key, event) || f.syncing {
 		return
 	}
 	f.syncing = true
--- a/lib/route/fuzz_test.go
+++ b/lib/route/fuzz_test.go
@@ -97,7 +97,7 @@
 					p.Report(now, key(), route.Report{Running: rapid.IntRange(0, 99).Draw(t, "running"), Age: time.Second})
 				},
 				"cache": func(t *rapid.T) {
-					p.Cache(now, key(), route.CacheEvent{Sequence: rapid.Uint64Range(1, 9).Draw(t, "seq"), Stored: []uint64{1, 2}, Removed: []uint64{3}})
+					p.ApplyCacheEvent(now, key(), route.CacheEvent{Sequence: rapid.Uint64Range(1, 9).Draw(t, "seq"), Stored: []uint64{1, 2}, Removed: []uint64{3}})
 				},
 				"wait": func(t *rapid.T) {
 					now = now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(t, "ms")) * time.Millisecond)
--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// Cache takes one cache event. When it returns true the caller fetches a
+// ApplyCacheEvent takes one cache event. When it returns true the caller fetches a
 // snapshot and hands it to CacheSync; until then events are ignored.
-func (p *Picker) Cache(now time.Time, key Key, e CacheEvent) (resync bool) {
+func (p *Picker) ApplyCacheEvent(now time.Time, key Key, e CacheEvent) (resync bool) {
 	s, ok := p.byKey[key]
 	if !ok {
 		return false
--- a/lib/route/picker_test.go
+++ b/lib/route/picker_test.go
@@ -96,14 +96,14 @@
 			Expect(err).NotTo(HaveOccurred())
 			return c.CachedBlocks
 		}
-		Expect(p.Cache(start, keyOf("a"), route.CacheEvent{Sequence: 1, Stored: []uint64{7, 8}})).To(BeFalse())
+		Expect(p.ApplyCacheEvent(start, keyOf("a"), route.CacheEvent{Sequence: 1, Stored: []uint64{7, 8}})).To(BeFalse())
 		Expect(cached(start)).To(Equal(2))
-		Expect(p.Cache(start, keyOf("a"), route.CacheEvent{Sequence: 3, Stored: []uint64{9}})).To(BeTrue())
+		Expect(p.ApplyCacheEvent(start, keyOf("a"), route.CacheEvent{Sequence: 3, Stored: []uint64{9}})).To(BeTrue())
 		Expect(cached(start)).To(BeZero())
-		Expect(p.Cache(start, keyOf("a"), route.CacheEvent{Sequence: 4, Stored: []uint64{7}})).To(BeTrue())
+		Expect(p.ApplyCacheEvent(start, keyOf("a"), route.CacheEvent{Sequence: 4, Stored: []uint64{7}})).To(BeTrue())
 		p.CacheSync(start, keyOf("a"), route.CacheSnapshot{Sequence: 4, Blocks: []uint64{7}})
 		Expect(cached(start)).To(Equal(1))
-		Expect(p.Cache(start, keyOf("a"), route.CacheEvent{Sequence: 4, Removed: []uint64{7}})).To(BeFalse())
+		Expect(p.ApplyCacheEvent(start, keyOf("a"), route.CacheEvent{Sequence: 4, Removed: []uint64{7}})).To(BeFalse())
 		Expect(cached(start)).To(Equal(1))
 		Expect(cached(start.Add(3 * time.Minute))).To(BeZero())
 	})
