--- a/entry/fleet/cache.go
+++ b/entry/fleet/cache.go
@@ -19,7 +19,7 @@
 	now := f.cfg.Clock.Now()
 	key := route.Key{Instance: peer.Identity.Instance, Generation: peer.Identity.Generation}
 	if m.Snapshot {
-		f.picker.CacheSync(now, key, route.CacheSnapshot{Sequence: m.Sequence, Blocks: numbers(m.Stored)})
+		f.picker.ApplyCacheSnapshot(now, key, route.CacheSnapshot{Sequence: m.Sequence, Blocks: numbers(m.Stored)})
 		return
 	}
 	event := route.CacheEvent{Sequence: m.Sequence, Stored: numbers(m.Stored), Removed: numbers(m.Removed)}
--- a/internal/measure/fleet/cache_feed.go
+++ b/internal/measure/fleet/cache_feed.go
@@ -50,6 +50,6 @@
 	snapshot := route.CacheSnapshot{Sequence: f.sequence, Blocks: f.entry.engines[f.key].cache.all()}
 	sim.time.after(sim.cfg.Engine.CacheLag, func() {
 		f.syncing = false
-		f.entry.picker.CacheSync(sim.time.now, f.key, snapshot)
+		f.entry.picker.ApplyCacheSnapshot(sim.time.now, f.key, snapshot)
 	})
 }
--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -149,9 +149,9 @@
 	return false
 }
 
-// CacheSync replaces what is known of an instance's cache. A snapshot older
+// ApplyCacheSnapshot replaces what is known of an instance's cache. A snapshot older
 // than the events applied so far is ignored.
-func (p *Picker) CacheSync(now time.Time, key Key, snapshot CacheSnapshot) {
+func (p *Picker) ApplyCacheSnapshot(now time.Time, key Key, snapshot CacheSnapshot) {
 	s, ok := p.byKey[key]
 	if !ok || snapshot.Sequence < s.cache.lastSeq {
 		return
--- a/lib/route/picker_test.go
+++ b/lib/route/picker_test.go
@@ -101,7 +101,7 @@
 		Expect(p.ApplyCacheEvent(start, keyOf("a"), route.CacheEvent{Sequence: 3, Stored: []uint64{9}})).To(BeTrue())
 		Expect(cached(start)).To(BeZero())
 		Expect(p.ApplyCacheEvent(start, keyOf("a"), route.CacheEvent{Sequence: 4, Stored: []uint64{7}})).To(BeTrue())
-		p.CacheSync(start, keyOf("a"), route.CacheSnapshot{Sequence: 4, Blocks: []uint64{7}})
+		p.ApplyCacheSnapshot(start, keyOf("a"), route.CacheSnapshot{Sequence: 4, Blocks: []uint64{7}})
 		Expect(cached(start)).To(Equal(1))
 		Expect(p.ApplyCacheEvent(start, keyOf("a"), route.CacheEvent{Sequence: 4, Removed: []uint64{7}})).To(BeFalse())
 		Expect(cached(start)).To(Equal(1))
