--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -117,8 +117,8 @@
 	Age time.Duration
 }
 
-// Report takes a load report.
-func (p *Picker) Report(now time.Time, key Key, r Report) {
+// RecordLoad takes a load report.
+func (p *Picker) RecordLoad(now time.Time, key Key, r Report) {
 	if s, ok := p.byKey[key]; ok {
 		s.heard = p.instant(now)
 		s.load.report(s.heard, r.Running, r.Queued, r.Capacity, r.Age)
