--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -160,7 +160,7 @@
 	instance.Draining = beat.Draining
 	f.agents[instance.ID] = instance
 	f.picker.Update(now, instance)
-	f.picker.RecordLoad(now, instance.Key(), route.Report{
+	f.picker.RecordLoad(now, instance.Key(), route.LoadReport{
 		Running:  beat.Load.Running,
 		Queued:   beat.Load.Queued,
 		Capacity: beat.Load.Capacity,
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -72,7 +72,7 @@
 // reports samples an engine's load and delivers it late.
 func (e *entry) reports(key route.Key) {
 	cfg, eng := e.sim.cfg.Engine, e.engines[key]
-	r := route.Report{Running: len(eng.running), Queued: len(eng.waiting), Capacity: cfg.Slots, Age: cfg.ReportLag}
+	r := route.LoadReport{Running: len(eng.running), Queued: len(eng.waiting), Capacity: cfg.Slots, Age: cfg.ReportLag}
 	e.sim.time.after(cfg.ReportLag, func() { e.picker.RecordLoad(e.sim.time.now, key, r) })
 	e.sim.time.after(cfg.ReportEvery, func() { e.reports(key) })
 }
--- a/internal/measure/route/pick_time.go
+++ b/internal/measure/route/pick_time.go
@@ -29,7 +29,7 @@
 	for i := range pickInstances {
 		id := model.InstanceID(strconv.Itoa(i))
 		p.Update(now, route.Instance{ID: id, Generation: 1, Pool: "model", Live: []model.Weights{weights}})
-		p.RecordLoad(now, route.Key{Instance: id, Generation: 1}, route.Report{Running: i % 16, Capacity: 64})
+		p.RecordLoad(now, route.Key{Instance: id, Generation: 1}, route.LoadReport{Running: i % 16, Capacity: 64})
 	}
 	requests := make([]route.Request, pickKinds)
 	for k := range requests {
--- a/lib/route/bench_test.go
+++ b/lib/route/bench_test.go
@@ -17,7 +17,7 @@
 	for i := range 60 {
 		id := model.InstanceID(strconv.Itoa(i))
 		p.Update(now, route.Instance{ID: id, Generation: 1, Pool: "model", Live: []model.Weights{weights}})
-		p.RecordLoad(now, route.Key{Instance: id, Generation: 1}, route.Report{Running: i % 16, Capacity: 64})
+		p.RecordLoad(now, route.Key{Instance: id, Generation: 1}, route.LoadReport{Running: i % 16, Capacity: 64})
 	}
 	prefix := make([]uint64, 16)
 	for i := range prefix {
--- a/lib/route/fuzz_test.go
+++ b/lib/route/fuzz_test.go
@@ -94,7 +94,7 @@
 					}
 				},
 				"report": func(t *rapid.T) {
-					p.RecordLoad(now, key(), route.Report{Running: rapid.IntRange(0, 99).Draw(t, "running"), Age: time.Second})
+					p.RecordLoad(now, key(), route.LoadReport{Running: rapid.IntRange(0, 99).Draw(t, "running"), Age: time.Second})
 				},
 				"cache": func(t *rapid.T) {
 					p.ApplyCacheEvent(now, key(), route.CacheEvent{Sequence: rapid.Uint64Range(1, 9).Draw(t, "seq"), Stored: []uint64{1, 2}, Removed: []uint64{3}})
--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// Report is an instance's lagging load report. It counts as a sign of life.
-type Report struct {
+// LoadReport is an instance's lagging load report. It counts as a sign of life.
+type LoadReport struct {
 	Running, Queued int
 	// Capacity is the number of requests that the backend server runs at once;
 	// 0 leaves what is known.
@@ -118,7 +118,7 @@
 }
 
 // RecordLoad takes a load report.
-func (p *Picker) RecordLoad(now time.Time, key Key, r Report) {
+func (p *Picker) RecordLoad(now time.Time, key Key, r LoadReport) {
 	if s, ok := p.byKey[key]; ok {
 		s.heard = p.instant(now)
 		s.load.report(s.heard, r.Running, r.Queued, r.Capacity, r.Age)
