--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -105,7 +105,7 @@
 func (f *Fleet) Cached(body []byte, weights model.Weights) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.picker.Cached(uint64(engine.PrefixOf(body).Under(weights)))
+	return f.picker.HasCached(uint64(engine.PrefixOf(body).Under(weights)))
 }
 
 // Usable returns the number of agents that this entry may send work to.
--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -161,8 +161,8 @@
 	p.prefix.add(now, s.number, snapshot.Blocks)
 }
 
-// Cached reports whether a block is believed to be cached on any instance.
-func (p *Picker) Cached(block uint64) bool { return p.prefix.has(block) }
+// HasCached reports whether a block is believed to be cached on any instance.
+func (p *Picker) HasCached(block uint64) bool { return p.prefix.has(block) }
 
 // Started tells that a request was sent to an instance. The instance will have
 // cached the request's prefix when it is done with the prefill.
