--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -86,7 +86,7 @@
 	for range maxPlacements {
 		choice, err := f.picker.Pick(now, request)
 		if err != nil {
-			if refusal := new(route.Refusal); errors.As(err, &refusal) && refusal.Waits {
+			if refusal := new(route.Refusal); errors.As(err, &refusal) && refusal.Deferred {
 				return nil, merry.Wrap(ErrWaits)
 			}
 			return nil, merry.Wrap(ErrBlocked)
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -125,7 +125,7 @@
 	}
 	choice, err := e.picker.Pick(now, &request)
 	if err != nil {
-		if refusal := new(route.Refusal); errors.As(err, &refusal) && refusal.Waits {
+		if refusal := new(route.Refusal); errors.As(err, &refusal) && refusal.Deferred {
 			return admit.Deferred
 		}
 		return admit.Blocked
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -33,7 +33,7 @@
 	p.keepLocal(at)
 	p.score(now, r)
 	if wait := p.keepFree(now, r); wait || len(p.best) == 0 {
-		return Choice{}, &Refusal{Reason: outcome.ReasonOverloaded, RetryAfter: p.cfg.RetryAfter, Waits: wait}
+		return Choice{}, &Refusal{Reason: outcome.ReasonOverloaded, RetryAfter: p.cfg.RetryAfter, Deferred: wait}
 	}
 	c := p.twoChoices()
 	return Choice{Key: c.slot.Key(), Spilled: !c.local, CachedBlocks: p.prefix.depth(c.slot.number)}, nil
--- a/lib/route/picker_test.go
+++ b/lib/route/picker_test.go
@@ -132,7 +132,7 @@
 		r.Free = func(k route.Key) bool { return k == keyOf("i5") }
 		_, err := p.Pick(now, r)
 		Expect(err).To(HaveOccurred())
-		Expect(err.(*route.Refusal).Waits).To(BeTrue())
+		Expect(err.(*route.Refusal).Deferred).To(BeTrue())
 		choice, err := p.Pick(now.Add(time.Second), r)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(choice.Key).To(Equal(keyOf("i5")))
--- a/lib/route/refusal.go
+++ b/lib/route/refusal.go
@@ -11,9 +11,9 @@
 type Refusal struct {
 	Reason     outcome.Reason
 	RetryAfter time.Duration
-	// Waits is true when an instance is free, but the request should wait for a
+	// Deferred is true when an instance is free, but the request should wait for a
 	// better one.
-	Waits bool
+	Deferred bool
 }
 
 // Error returns the reason.
