--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -122,7 +122,7 @@
 		m, ok := f.view.Member(key.Instance)
 		return ok && m.Usable(now) && f.linkOf(key.Instance) != nil
 	}
-	request.Free = func(key route.Key) bool { return f.limiter(key).CanAcquire() }
+	request.HasCapacity = func(key route.Key) bool { return f.limiter(key).CanAcquire() }
 	return request
 }
 
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -118,7 +118,7 @@
 	now, j := e.sim.time.now, e.jobs[r.ID]
 	request := route.Request{
 		Pool: pool, Offered: r.OfferedAt,
-		Free: func(k route.Key) bool { return e.limiters[k].CanAcquire() },
+		HasCapacity: func(k route.Key) bool { return e.limiters[k].CanAcquire() },
 	}
 	if !e.sim.cfg.NoAffinity {
 		request.Prefix, request.AffinityBlocks = j.blocks[:sharedBlocks], sharedBlocks
--- a/lib/route/bench_test.go
+++ b/lib/route/bench_test.go
@@ -25,7 +25,7 @@
 	}
 	r := &route.Request{
 		Pool: "model", Weights: weights, Prefix: prefix, AffinityBlocks: len(prefix),
-		Free: func(route.Key) bool { return true },
+		HasCapacity: func(route.Key) bool { return true },
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -64,7 +64,7 @@
 			busy:  (requests + 1) * one,
 			one:   one,
 			local: s.Location.FailureDomain == p.cfg.Domain,
-			free:  r.Free == nil || r.Free(s.Key()),
+			free:  r.HasCapacity == nil || r.HasCapacity(s.Key()),
 		}
 		p.best = append(p.best, c)
 		if now.sub(s.heard) <= p.cfg.FreshFor {
--- a/lib/route/picker_test.go
+++ b/lib/route/picker_test.go
@@ -129,7 +129,7 @@
 		r := request()
 		r.Prefix, r.AffinityBlocks, r.Offered = []uint64{7, 8}, 2, now
 		p.Started(now, keyOf("i3"), r.Prefix)
-		r.Free = func(k route.Key) bool { return k == keyOf("i5") }
+		r.HasCapacity = func(k route.Key) bool { return k == keyOf("i5") }
 		_, err := p.Pick(now, r)
 		Expect(err).To(HaveOccurred())
 		Expect(err.(*route.Refusal).Deferred).To(BeTrue())
--- a/lib/route/request.go
+++ b/lib/route/request.go
@@ -22,9 +22,9 @@
 	// Allowed excludes instances for this request: those that already failed
 	// it, or that run another suspect. Nil allows all.
 	Allowed func(Key) bool
-	// Free excludes instances that are full by their concurrency limit. Nil
+	// HasCapacity excludes instances that are full by their concurrency limit. Nil
 	// means that none is full.
-	Free func(Key) bool
+	HasCapacity func(Key) bool
 	// Offered is when the request was first offered for placing. Until
 	// Config.Patience after it, the request waits for an instance that has its
 	// prefix if few instances are free. Zero means that it does not wait.
