--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -110,7 +110,7 @@
 }
 
 func (f *Fleet) routeRequest(now time.Time, need *Requirements, avoid *[]model.InstanceID, weights model.Weights) *route.Request {
-	request := &route.Request{Pool: need.Pool, Weights: weights, Offered: need.Offered}
+	request := &route.Request{Pool: need.Pool, Weights: weights, OfferedAt: need.Offered}
 	if need.Prefix != 0 {
 		request.Prefix = []uint64{uint64(need.Prefix.Under(weights))}
 		request.AffinityBlocks = 1
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -117,7 +117,7 @@
 func (e *entry) place(r admit.Request) admit.Placement {
 	now, j := e.sim.time.now, e.jobs[r.ID]
 	request := route.Request{
-		Pool: pool, Offered: r.OfferedAt,
+		Pool: pool, OfferedAt: r.OfferedAt,
 		HasCapacity: func(k route.Key) bool { return e.limiters[k].CanAcquire() },
 	}
 	if !e.sim.cfg.NoAffinity {
--- a/lib/route/picker_test.go
+++ b/lib/route/picker_test.go
@@ -127,7 +127,7 @@
 		}
 		now := start.Add(time.Minute)
 		r := request()
-		r.Prefix, r.AffinityBlocks, r.Offered = []uint64{7, 8}, 2, now
+		r.Prefix, r.AffinityBlocks, r.OfferedAt = []uint64{7, 8}, 2, now
 		p.Started(now, keyOf("i3"), r.Prefix)
 		r.HasCapacity = func(k route.Key) bool { return k == keyOf("i5") }
 		_, err := p.Pick(now, r)
--- a/lib/route/request.go
+++ b/lib/route/request.go
@@ -25,10 +25,10 @@
 	// HasCapacity excludes instances that are full by their concurrency limit. Nil
 	// means that none is full.
 	HasCapacity func(Key) bool
-	// Offered is when the request was first offered for placing. Until
+	// OfferedAt is when the request was first offered for placing. Until
 	// Config.Patience after it, the request waits for an instance that has its
 	// prefix if few instances are free. Zero means that it does not wait.
-	Offered time.Time
+	OfferedAt time.Time
 }
 
 func (r *Request) affinityKey() (uint64, bool) {
