--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -12,9 +12,9 @@
 	// Domain is the failure domain of the entry, Region its region.
 	Domain model.FailureDomain
 	Region model.Region
-	// FreshFor is how old an instance's last report may be. Instances with an
+	// MaxReportAge is how old an instance's last report may be. Instances with an
 	// older one are picked only when there is no other.
-	FreshFor time.Duration
+	MaxReportAge time.Duration
 	// ReportHalfLife is the age at which a load report counts half.
 	ReportHalfLife time.Duration
 	// DefaultCapacity is used for instances that report none.
@@ -75,7 +75,7 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&c.FreshFor, 3 * time.Second},
+		{&c.MaxReportAge, 3 * time.Second},
 		{&c.ReportHalfLife, 2 * time.Second},
 		{&c.DomainDelay, 2 * time.Millisecond},
 		{&c.RegionDelay, 4 * time.Millisecond},
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -67,7 +67,7 @@
 			free:  r.HasCapacity == nil || r.HasCapacity(s.Key()),
 		}
 		p.best = append(p.best, c)
-		if now.sub(s.heard) <= p.cfg.FreshFor {
+		if now.sub(s.heard) <= p.cfg.MaxReportAge {
 			// Fresh candidates are kept in front.
 			if last := len(p.best) - 1; fresh != last {
 				p.best[fresh], p.best[last] = p.best[last], p.best[fresh]
