--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -19,9 +19,9 @@
 	ReportHalfLife time.Duration
 	// DefaultCapacity is used for instances that report none.
 	DefaultCapacity int
-	// BestSlack is how much worse than the best score an instance may be to
+	// ScoreTolerance is how much worse than the best score an instance may be to
 	// take part in the random choice.
-	BestSlack float64
+	ScoreTolerance float64
 	// CacheBonus is the value of a cached prefix that covers the whole prompt.
 	CacheBonus float64
 	// AffinityBonus is the value of being the prefix's rendezvous choice.
@@ -98,7 +98,7 @@
 		field *float64
 		value float64
 	}{
-		{&c.BestSlack, 0.02},
+		{&c.ScoreTolerance, 0.02},
 		{&c.CacheBonus, 0.3},
 		{&c.AffinityBonus, 0.1},
 		{&c.BoundedLoad, 1.25},
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -198,7 +198,7 @@
 	}
 	n := 0
 	for i := range p.best {
-		if p.best[i].score <= best+p.cfg.BestSlack {
+		if p.best[i].score <= best+p.cfg.ScoreTolerance {
 			if n != i {
 				p.best[n], p.best[i] = p.best[i], p.best[n]
 			}
