--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -26,9 +26,9 @@
 	CacheBonus float64
 	// AffinityBonus is the value of being the prefix's rendezvous choice.
 	AffinityBonus float64
-	// BoundedLoad is the factor over the mean load up to which an instance may
+	// LoadBoundFactor is the factor over the mean load up to which an instance may
 	// be a rendezvous choice.
-	BoundedLoad float64
+	LoadBoundFactor float64
 	// ChoiceShare is the share of instances that must be free for a request to
 	// take one without its prefix. When nearly all are full, the only free one
 	// is the one whose answer ended last: without waiting, it gets a request of
@@ -101,7 +101,7 @@
 		{&c.ScoreTolerance, 0.02},
 		{&c.CacheBonus, 0.3},
 		{&c.AffinityBonus, 0.1},
-		{&c.BoundedLoad, 1.25},
+		{&c.LoadBoundFactor, 1.25},
 		{&c.ChoiceShare, 0.75},
 		{&c.WaitGain, 0.1},
 		{&c.SpillThreshold, 0.9},
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -171,7 +171,7 @@
 	for i := range p.best {
 		sum += p.best[i].busy
 	}
-	bound := p.cfg.BoundedLoad * sum / float64(len(p.best))
+	bound := p.cfg.LoadBoundFactor * sum / float64(len(p.best))
 	var choice *slot
 	var highest uint64
 	for i := range p.best {
