--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -29,11 +29,11 @@
 	// LoadBoundFactor is the factor over the mean load up to which an instance may
 	// be a rendezvous choice.
 	LoadBoundFactor float64
-	// ChoiceShare is the share of instances that must be free for a request to
+	// MinFreeShare is the share of instances that must be free for a request to
 	// take one without its prefix. When nearly all are full, the only free one
 	// is the one whose answer ended last: without waiting, it gets a request of
 	// any kind, and prefix caches lose their use just when they matter most.
-	ChoiceShare float64
+	MinFreeShare float64
 	// WaitGain is how much better the score of a full instance must be for a
 	// request to wait for it.
 	WaitGain float64
@@ -102,7 +102,7 @@
 		{&c.CacheBonus, 0.3},
 		{&c.AffinityBonus, 0.1},
 		{&c.LoadBoundFactor, 1.25},
-		{&c.ChoiceShare, 0.75},
+		{&c.MinFreeShare, 0.75},
 		{&c.WaitGain, 0.1},
 		{&c.SpillThreshold, 0.9},
 		{&c.SlowStartShare, 0.1},
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	patient := now.Sub(r.OfferedAt) < p.cfg.Patience
-	few := float64(len(kept)) < p.cfg.ChoiceShare*float64(all)
+	few := float64(len(kept)) < p.cfg.MinFreeShare*float64(all)
 	return patient && few && bestFree-best >= p.cfg.WaitGain
 }
 
