--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -34,9 +34,9 @@
 	// is the one whose answer ended last: without waiting, it gets a request of
 	// any kind, and prefix caches lose their use just when they matter most.
 	MinFreeShare float64
-	// WaitGain is how much better the score of a full instance must be for a
+	// MinWaitGain is how much better the score of a full instance must be for a
 	// request to wait for it.
-	WaitGain float64
+	MinWaitGain float64
 	// Patience bounds that wait. It must leave time for the first token: the
 	// default is two thirds of a target of 1.4 s.
 	Patience time.Duration
@@ -103,7 +103,7 @@
 		{&c.AffinityBonus, 0.1},
 		{&c.LoadBoundFactor, 1.25},
 		{&c.MinFreeShare, 0.75},
-		{&c.WaitGain, 0.1},
+		{&c.MinWaitGain, 0.1},
 		{&c.SpillThreshold, 0.9},
 		{&c.SlowStartShare, 0.1},
 		{&c.MaxEjectedShare, 0.34},
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -101,7 +101,7 @@
 	}
 	patient := now.Sub(r.OfferedAt) < p.cfg.Patience
 	few := float64(len(kept)) < p.cfg.MinFreeShare*float64(all)
-	return patient && few && bestFree-best >= p.cfg.WaitGain
+	return patient && few && bestFree-best >= p.cfg.MinWaitGain
 }
 
 // keepLocal drops candidates of other failure domains unless all local ones
