--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -37,9 +37,9 @@
 	// MinWaitGain is how much better the score of a full instance must be for a
 	// request to wait for it.
 	MinWaitGain float64
-	// Patience bounds that wait. It must leave time for the first token: the
+	// MaxWait bounds that wait. It must leave time for the first token: the
 	// default is two thirds of a target of 1.4 s.
-	Patience time.Duration
+	MaxWait time.Duration
 	// PrefixTTL is the age at which a prefix entry no longer counts.
 	PrefixTTL time.Duration
 	// MaxPrefixes bounds the blocks in the prefix index: at most twice as many
@@ -82,7 +82,7 @@
 		// The model of engines shows 79 ms at a quarter of the capacity and
 		// 138 ms at just over half (95th percentile).
 		{&c.LoadDelay, 200 * time.Millisecond},
-		{&c.Patience, 900 * time.Millisecond},
+		{&c.MaxWait, 900 * time.Millisecond},
 		{&c.PrefixTTL, 2 * time.Minute},
 		{&c.SlowStart, 10 * time.Second},
 		{&c.EjectFor, 5 * time.Second},
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -99,7 +99,7 @@
 	if len(kept) == 0 {
 		return false
 	}
-	patient := now.Sub(r.OfferedAt) < p.cfg.Patience
+	patient := now.Sub(r.OfferedAt) < p.cfg.MaxWait
 	few := float64(len(kept)) < p.cfg.MinFreeShare*float64(all)
 	return patient && few && bestFree-best >= p.cfg.MinWaitGain
 }
