--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -51,9 +51,9 @@
 	// DomainDelay and RegionDelay are the round trips to other domains of the
 	// region and to other regions, by which they delay the first token.
 	DomainDelay, RegionDelay time.Duration
-	// LoadDelay is by how much a full load delays the first token. The ratio of
+	// FullLoadDelay is by how much a full load delays the first token. The ratio of
 	// the two delays is added to the score of an instance in another domain.
-	LoadDelay time.Duration
+	FullLoadDelay time.Duration
 	// SlowStart is the time in which a new instance, or one that has just
 	// loaded other weights, comes to its full share.
 	SlowStart time.Duration
@@ -81,7 +81,7 @@
 		{&c.RegionDelay, 4 * time.Millisecond},
 		// The model of engines shows 79 ms at a quarter of the capacity and
 		// 138 ms at just over half (95th percentile).
-		{&c.LoadDelay, 200 * time.Millisecond},
+		{&c.FullLoadDelay, 200 * time.Millisecond},
 		{&c.MaxWait, 900 * time.Millisecond},
 		{&c.PrefixTTL, 2 * time.Minute},
 		{&c.SlowStart, 10 * time.Second},
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -148,7 +148,7 @@
 			if c.slot.Location.Region != p.cfg.Region {
 				delay = p.cfg.RegionDelay
 			}
-			c.score += float64(delay) / float64(p.cfg.LoadDelay)
+			c.score += float64(delay) / float64(p.cfg.FullLoadDelay)
 		}
 		if cached := p.prefix.depth(c.slot.number); cached > 0 {
 			c.score -= p.cfg.CacheBonus * float64(cached) / float64(len(r.Prefix))
