--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -61,9 +61,9 @@
 	SlowStartShare float64
 	// EjectAfter is the number of consecutive errors that eject an instance.
 	EjectAfter int
-	// EjectFor is the time of the first ejection. It doubles with each further
+	// EjectDuration is the time of the first ejection. It doubles with each further
 	// one, up to EjectMax.
-	EjectFor, EjectMax time.Duration
+	EjectDuration, EjectMax time.Duration
 	// MaxEjectedShare is the largest share of a pool that is ejected.
 	MaxEjectedShare float64
 	// RetryAfter is the advice in refusals that no known event will end.
@@ -85,7 +85,7 @@
 		{&c.MaxWait, 900 * time.Millisecond},
 		{&c.PrefixTTL, 2 * time.Minute},
 		{&c.SlowStart, 10 * time.Second},
-		{&c.EjectFor, 5 * time.Second},
+		{&c.EjectDuration, 5 * time.Second},
 		{&c.EjectMax, time.Minute},
 		{&c.RetryAfter, time.Second},
 	}
