--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -63,7 +63,7 @@
 	EjectAfter int
 	// EjectDuration is the time of the first ejection. It doubles with each further
 	// one, up to EjectMax.
-	EjectDuration, EjectMax time.Duration
+	EjectDuration, MaxEjectDuration time.Duration
 	// MaxEjectedShare is the largest share of a pool that is ejected.
 	MaxEjectedShare float64
 	// RetryAfter is the advice in refusals that no known event will end.
@@ -86,7 +86,7 @@
 		{&c.PrefixTTL, 2 * time.Minute},
 		{&c.SlowStart, 10 * time.Second},
 		{&c.EjectDuration, 5 * time.Second},
-		{&c.EjectMax, time.Minute},
+		{&c.MaxEjectDuration, time.Minute},
 		{&c.RetryAfter, time.Second},
 	}
 	for _, d := range durations {
--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -188,7 +188,7 @@
 	if p.ejected(at, s.Pool)+1 > p.ejectionCap(s.Pool) {
 		return false
 	}
-	s.outlier.eject(at, p.cfg.EjectAfter, p.cfg.EjectDuration, p.cfg.EjectMax)
+	s.outlier.eject(at, p.cfg.EjectAfter, p.cfg.EjectDuration, p.cfg.MaxEjectDuration)
 	return true
 }
 
