--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -59,8 +59,8 @@
 	SlowStart time.Duration
 	// SlowStartShare is the share with which it begins.
 	SlowStartShare float64
-	// EjectAfter is the number of consecutive errors that eject an instance.
-	EjectAfter int
+	// EjectThreshold is the number of consecutive errors that eject an instance.
+	EjectThreshold int
 	// EjectDuration is the time of the first ejection. It doubles with each further
 	// one, up to EjectMax.
 	EjectDuration, MaxEjectDuration time.Duration
@@ -119,7 +119,7 @@
 	if c.MaxPrefixes <= 0 {
 		c.MaxPrefixes = 1 << 16
 	}
-	if c.EjectAfter <= 0 {
-		c.EjectAfter = 5
+	if c.EjectThreshold <= 0 {
+		c.EjectThreshold = 5
 	}
 }
--- a/lib/route/fuzz_test.go
+++ b/lib/route/fuzz_test.go
@@ -49,7 +49,7 @@
 var _ = Describe("Picker under any order of events", func() {
 	It("returns only instances that may run the request and keeps the ejection cap", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			p := newPicker(route.Config{EjectAfter: 2})
+			p := newPicker(route.Config{EjectThreshold: 2})
 			now := start
 			state := make(map[route.Key]*known)
 			weights := rapid.SampledFrom([]model.Weights{oldWeights, newWeights})
--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -182,13 +182,13 @@
 	}
 	at := p.instant(now)
 	s.load.add(at, -1)
-	if !s.outlier.result(r, p.cfg.EjectAfter) || s.outlier.ejected(at) {
+	if !s.outlier.result(r, p.cfg.EjectThreshold) || s.outlier.ejected(at) {
 		return false
 	}
 	if p.ejected(at, s.Pool)+1 > p.ejectionCap(s.Pool) {
 		return false
 	}
-	s.outlier.eject(at, p.cfg.EjectAfter, p.cfg.EjectDuration, p.cfg.MaxEjectDuration)
+	s.outlier.eject(at, p.cfg.EjectThreshold, p.cfg.EjectDuration, p.cfg.MaxEjectDuration)
 	return true
 }
 
