--- a/internal/measure/route/subsets.go
+++ b/internal/measure/route/subsets.go
@@ -118,7 +118,7 @@
 		}
 		lost += d.change(plan)
 		next := subset.Assign(subset.Config{}, d.entries, d.agents)
-		moved += next.Moved(plan, func(id model.InstanceID) bool { return !old[id] })
+		moved += next.CountMoved(plan, func(id model.InstanceID) bool { return !old[id] })
 		plan = next
 		now := d.rehash()
 		for pair := range now {
--- a/lib/subset/plan.go
+++ b/lib/subset/plan.go
@@ -30,9 +30,9 @@
 	return n
 }
 
-// Moved counts the connections of p that are not in old, leaving out those of
+// CountMoved counts the connections of p that are not in old, leaving out those of
 // members that old did not have.
-func (p Plan) Moved(old Plan, isNew func(model.InstanceID) bool) int {
+func (p Plan) CountMoved(old Plan, isNew func(model.InstanceID) bool) int {
 	moved := 0
 	for entry, agents := range p.byEntry {
 		if isNew(entry) {
