--- a/entry/dispatch/metrics.go
+++ b/entry/dispatch/metrics.go
@@ -10,7 +10,7 @@
 // Metrics takes the measurements of requests. Implementations are safe for
 // concurrent use and do not block.
 type Metrics interface {
-	QueueTime(tenant model.Tenant, class model.Class, d time.Duration)
+	ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration)
 	FirstToken(tenant model.Tenant, class model.Class, d time.Duration)
 	BetweenTokens(tenant model.Tenant, class model.Class, d time.Duration)
 	Total(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason)
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -159,7 +159,7 @@
 	// Callers choose request ids, so the queue needs one of its own.
 	offer := r.admitRequest(model.RequestID(uuid.NewString()))
 	g := d.admission.wait(ctx, &waiter{id: offer.ID, pool: requirements.Pool, requirements: requirements}, offer)
-	d.cfg.Metrics.QueueTime(r.request.Tenant.Name, r.request.Class.Name, r.now().Sub(queued))
+	d.cfg.Metrics.ObserveQueueTime(r.request.Tenant.Name, r.request.Class.Name, r.now().Sub(queued))
 	if g.slot == nil {
 		return r.refused(ctx, g)
 	}
--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -14,7 +14,7 @@
 // TelemetryMetrics returns Metrics that record with OpenTelemetry.
 func TelemetryMetrics(m *telemetry.Metrics) Metrics { return telemetryMetrics{m} }
 
-func (t telemetryMetrics) QueueTime(tenant model.Tenant, class model.Class, d time.Duration) {
+func (t telemetryMetrics) ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration) {
 	t.metrics.Request(tenant, class).Queue(d)
 }
 
