--- a/entry/dispatch/metrics.go
+++ b/entry/dispatch/metrics.go
@@ -11,7 +11,7 @@
 // concurrent use and do not block.
 type Metrics interface {
 	ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration)
-	FirstToken(tenant model.Tenant, class model.Class, d time.Duration)
+	ObserveFirstToken(tenant model.Tenant, class model.Class, d time.Duration)
 	BetweenTokens(tenant model.Tenant, class model.Class, d time.Duration)
 	Total(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason)
 }
--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -126,7 +126,7 @@
 		d.cfg.Metrics.BetweenTokens(tenant, class, gap)
 		return
 	}
-	d.cfg.Metrics.FirstToken(tenant, class, r.now().Sub(r.request.Received))
+	d.cfg.Metrics.ObserveFirstToken(tenant, class, r.now().Sub(r.request.Received))
 	if r.request.Service.Kind == config.KindModel {
 		d.cfg.Fleet.ObserveFirstToken(r.slot, gap)
 		d.admission.observeStart(r.request.Service.Pool, gap)
--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -18,7 +18,7 @@
 	t.metrics.Request(tenant, class).Queue(d)
 }
 
-func (t telemetryMetrics) FirstToken(tenant model.Tenant, class model.Class, d time.Duration) {
+func (t telemetryMetrics) ObserveFirstToken(tenant model.Tenant, class model.Class, d time.Duration) {
 	t.metrics.Request(tenant, class).FirstToken(d)
 }
 
