--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -123,7 +123,7 @@
 	tenant, class := r.request.Tenant.Name, r.request.Class.Name
 	gap, first := r.timing.frame(r.now())
 	if !first {
-		d.cfg.Metrics.BetweenTokens(tenant, class, gap)
+		d.cfg.Metrics.ObserveBetweenTokens(tenant, class, gap)
 		return
 	}
 	d.cfg.Metrics.ObserveFirstToken(tenant, class, r.now().Sub(r.request.Received))
--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -36,9 +36,9 @@
 // noMetrics drops all measurements.
 type noMetrics struct{}
 
-func (noMetrics) ObserveQueueTime(model.Tenant, model.Class, time.Duration)  {}
-func (noMetrics) ObserveFirstToken(model.Tenant, model.Class, time.Duration) {}
-func (noMetrics) BetweenTokens(model.Tenant, model.Class, time.Duration)     {}
+func (noMetrics) ObserveQueueTime(model.Tenant, model.Class, time.Duration)     {}
+func (noMetrics) ObserveFirstToken(model.Tenant, model.Class, time.Duration)    {}
+func (noMetrics) ObserveBetweenTokens(model.Tenant, model.Class, time.Duration) {}
 func (noMetrics) Total(model.Tenant, model.Class, time.Duration, outcome.Outcome, outcome.Reason) {
 }
 
--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -22,7 +22,7 @@
 	t.metrics.Request(tenant, class).FirstToken(d)
 }
 
-func (t telemetryMetrics) BetweenTokens(tenant model.Tenant, class model.Class, d time.Duration) {
+func (t telemetryMetrics) ObserveBetweenTokens(tenant model.Tenant, class model.Class, d time.Duration) {
 	t.metrics.Request(tenant, class).BetweenTokens(d)
 }
 
