--- a/entry/dispatch/dispatcher.go
+++ b/entry/dispatch/dispatcher.go
@@ -81,7 +81,7 @@
 }
 
 func (d *Dispatcher) end(r *caller.Request, a caller.Answer, result caller.Result) {
-	d.cfg.Metrics.Total(r.Tenant.Name, r.Class.Name, d.cfg.Clock.Now().Sub(r.Received), result.Outcome, result.Reason)
+	d.cfg.Metrics.ObserveTotal(r.Tenant.Name, r.Class.Name, d.cfg.Clock.Now().Sub(r.Received), result.Outcome, result.Reason)
 	a.End(result)
 }
 
--- a/entry/dispatch/metrics.go
+++ b/entry/dispatch/metrics.go
@@ -13,5 +13,5 @@
 	ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration)
 	ObserveFirstToken(tenant model.Tenant, class model.Class, d time.Duration)
 	ObserveBetweenTokens(tenant model.Tenant, class model.Class, d time.Duration)
-	Total(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason)
+	ObserveTotal(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason)
 }
--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -39,7 +39,7 @@
 func (noMetrics) ObserveQueueTime(model.Tenant, model.Class, time.Duration)     {}
 func (noMetrics) ObserveFirstToken(model.Tenant, model.Class, time.Duration)    {}
 func (noMetrics) ObserveBetweenTokens(model.Tenant, model.Class, time.Duration) {}
-func (noMetrics) Total(model.Tenant, model.Class, time.Duration, outcome.Outcome, outcome.Reason) {
+func (noMetrics) ObserveTotal(model.Tenant, model.Class, time.Duration, outcome.Outcome, outcome.Reason) {
 }
 
 // call is one request and its answer.
--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -26,7 +26,7 @@
 	t.metrics.Request(tenant, class).BetweenTokens(d)
 }
 
-func (t telemetryMetrics) Total(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason) {
+func (t telemetryMetrics) ObserveTotal(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason) {
 	r := t.metrics.Request(tenant, class)
 	r.Total(d)
 	r.Outcome(o, reason)
