--- a/entry/dispatch/dispatcher.go
+++ b/entry/dispatch/dispatcher.go
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Configure takes a configuration that has come in force.
-func (d *Dispatcher) Configure(c *config.Config) {
+// ApplyConfig takes a configuration that has come in force.
+func (d *Dispatcher) ApplyConfig(c *config.Config) {
 	d.admission.setTenants(c.Tenants)
 	if c.Deployment.ClaimRetention > 0 {
 		d.cfg.Ledger.SetRetention(c.Deployment.ClaimRetention)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -78,7 +78,7 @@
 		Invalid:  cfg.Metrics,
 		Log:      cfg.Log,
 	})
-	e.follower.Watch(func(v *config.View) { e.dispatcher.Configure(v.Config) })
+	e.follower.Watch(func(v *config.View) { e.dispatcher.ApplyConfig(v.Config) })
 	e.setUpOperators()
 	return e
 }
