--- a/entry/dispatch/config.go
+++ b/entry/dispatch/config.go
@@ -39,9 +39,9 @@
 	Attempt attempt.Config
 	Budget  attempt.BudgetConfig
 	Queue   admit.Config
-	// ReattachWait bounds the wait for a new connection to an agent.
-	ReattachWait time.Duration
-	ClaimTimeout time.Duration
+	// ReattachTimeout bounds the wait for a new connection to an agent.
+	ReattachTimeout time.Duration
+	ClaimTimeout    time.Duration
 	// PruneInterval is the time between two pages of claims that are looked at
 	// for pruning.
 	PruneInterval time.Duration
@@ -49,8 +49,8 @@
 }
 
 func (c Config) applyDefaults() Config {
-	if c.ReattachWait == 0 {
-		c.ReattachWait = defaultReattachWait
+	if c.ReattachTimeout == 0 {
+		c.ReattachTimeout = defaultReattachWait
 	}
 	if c.ClaimTimeout == 0 {
 		c.ClaimTimeout = defaultClaimTimeout
--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -141,7 +141,7 @@
 		// With its final answer the caller waits for nothing, and a later result
 		// is as good for the claim.
 		var cancel context.CancelFunc
-		wait, cancel = context.WithTimeout(ctx, r.dispatcher.cfg.ReattachWait)
+		wait, cancel = context.WithTimeout(ctx, r.dispatcher.cfg.ReattachTimeout)
 		defer cancel()
 	}
 	for {
