--- a/entry/dispatch/config.go
+++ b/entry/dispatch/config.go
@@ -44,8 +44,8 @@
 	ClaimTimeout    time.Duration
 	// PruneInterval is the time between two pages of claims that are looked at
 	// for pruning.
-	PruneInterval time.Duration
-	Tick          time.Duration
+	PruneInterval     time.Duration
+	QueuePollInterval time.Duration
 }
 
 func (c Config) applyDefaults() Config {
@@ -58,8 +58,8 @@
 	if c.PruneInterval == 0 {
 		c.PruneInterval = defaultPruneInterval
 	}
-	if c.Tick == 0 {
-		c.Tick = defaultTick
+	if c.QueuePollInterval == 0 {
+		c.QueuePollInterval = defaultTick
 	}
 	return c
 }
