--- a/entry/caller/answer.go
+++ b/entry/caller/answer.go
@@ -1,8 +1,8 @@
 package caller
 
-// Answer receives the answer to one request. Its methods are called by one
+// ResponseWriter receives the answer to one request. Its methods are called by one
 // goroutine: Write any number of times, then End once.
-type Answer interface {
+type ResponseWriter interface {
 	// Write passes on a piece of the answer. An error means that the caller has
 	// gone.
 	Write(data []byte) error
--- a/entry/caller/server.go
+++ b/entry/caller/server.go
@@ -27,7 +27,7 @@
 // Handler runs a request and ends its answer exactly once. ctx ends when the
 // caller goes away.
 type Handler interface {
-	Handle(ctx context.Context, r *Request, a Answer)
+	Handle(ctx context.Context, r *Request, a ResponseWriter)
 }
 
 // InvalidCounter counts requests that were refused as invalid.
@@ -172,7 +172,7 @@
 	}
 }
 
-func newAnswer(ctx *app.RequestContext, request string) Answer {
+func newAnswer(ctx *app.RequestContext, request string) ResponseWriter {
 	if strings.Contains(string(ctx.GetHeader("Accept")), "text/event-stream") {
 		return newStreamAnswer(ctx, request)
 	}
--- a/entry/caller/server_test.go
+++ b/entry/caller/server_test.go
@@ -30,7 +30,7 @@
 // on goroutines of its own.
 type fakeHandler struct{ script atomic.Pointer[script] }
 
-func (f *fakeHandler) Handle(_ context.Context, _ *Request, a Answer) {
+func (f *fakeHandler) Handle(_ context.Context, _ *Request, a ResponseWriter) {
 	s := f.script.Load()
 	for _, p := range s.pieces {
 		if a.Write([]byte(p)) != nil {
--- a/entry/dispatch/dispatcher.go
+++ b/entry/dispatch/dispatcher.go
@@ -70,7 +70,7 @@
 }
 
 // Handle runs one request to its final answer.
-func (d *Dispatcher) Handle(ctx context.Context, r *caller.Request, a caller.Answer) {
+func (d *Dispatcher) Handle(ctx context.Context, r *caller.Request, a caller.ResponseWriter) {
 	run := newRun(d, r, a)
 	if !run.claim(ctx) {
 		return
@@ -80,7 +80,7 @@
 	run.serve(ctx)
 }
 
-func (d *Dispatcher) end(r *caller.Request, a caller.Answer, result caller.Result) {
+func (d *Dispatcher) end(r *caller.Request, a caller.ResponseWriter, result caller.Result) {
 	d.cfg.Metrics.ObserveTotal(r.Tenant.Name, r.Class.Name, d.cfg.Clock.Now().Sub(r.Received), result.Outcome, result.Reason)
 	a.End(result)
 }
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -35,7 +35,7 @@
 type run struct {
 	dispatcher *Dispatcher
 	request    *caller.Request
-	answer     caller.Answer
+	answer     caller.ResponseWriter
 	machine    *attempt.Machine
 	finger     model.Fingerprint
 	claimID    model.AttemptID
@@ -60,7 +60,7 @@
 	settling bool
 }
 
-func newRun(d *Dispatcher, r *caller.Request, a caller.Answer) *run {
+func newRun(d *Dispatcher, r *caller.Request, a caller.ResponseWriter) *run {
 	return &run{
 		dispatcher: d,
 		request:    r,
