--- a/internal/configsim/oracle_test.go
+++ b/internal/configsim/oracle_test.go
@@ -83,7 +83,7 @@
 	if !view.Accepted.Equal(o.accepted[number-1].Time()) {
 		t.Fatalf("revision %d in force carries a damaged change", number)
 	}
-	if state, _ := view.Config.State(); state != o.states[number-1] {
+	if state, _ := view.Config.Digest(); state != o.states[number-1] {
 		t.Fatalf("configuration in force is not that of revision %d", number)
 	}
 }
--- a/lib/config/delta.go
+++ b/lib/config/delta.go
@@ -39,7 +39,7 @@
 	d.Services, d.RemoveServices = deltaOf(from.Services, to.Services, serviceKey)
 	d.Tenants, d.RemoveTenants = deltaOf(from.Tenants, to.Tenants, tenantKey)
 	d.Classes, d.RemoveClasses = deltaOf(from.Classes, to.Classes, classKey)
-	state, err := to.State()
+	state, err := to.Digest()
 	d.State = state
 	return d, err
 }
@@ -68,7 +68,7 @@
 	if d.Deployment != nil {
 		to.Deployment = *d.Deployment
 	}
-	state, err := to.State()
+	state, err := to.Digest()
 	if err != nil {
 		return nil, err
 	}
--- a/lib/config/delta_test.go
+++ b/lib/config/delta_test.go
@@ -39,8 +39,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want, _ := to.State()
-		if state, _ := parsed.State(); state != want {
+		want, _ := to.Digest()
+		if state, _ := parsed.Digest(); state != want {
 			t.Fatalf("declaration reads back as\n%s", config.Format(parsed))
 		}
 		if delta.Empty() != (len(config.Diff(from, to)) == 0) {
--- a/lib/config/encode.go
+++ b/lib/config/encode.go
@@ -28,10 +28,10 @@
 // Encode returns the canonical encoding.
 func (c *Config) Encode() ([]byte, error) { return encode(c.Canonical()) }
 
-// State returns the digest of the canonical encoding. Each revision carries the
+// Digest returns the digest of the canonical encoding. Each revision carries the
 // digest of the state that it leads to, so that a replica detects a delta that
 // was applied to another state.
-func (c *Config) State() (model.Digest, error) {
+func (c *Config) Digest() (model.Digest, error) {
 	b, err := c.Encode()
 	if err != nil {
 		return model.Digest{}, err
--- a/lib/config/store_resolve.go
+++ b/lib/config/store_resolve.go
@@ -21,7 +21,7 @@
 		return Result{}, err
 	}
 	if next.change.Operation == req.Operation {
-		want, err := req.Config.State()
+		want, err := req.Config.Digest()
 		if err != nil {
 			return Result{}, err
 		}
