--- a/entry/dispatch/dispatcher.go
+++ b/entry/dispatch/dispatcher.go
@@ -99,5 +99,5 @@
 	if s.Kind == config.KindPlain {
 		return []model.Weights{{}}
 	}
-	return c.Routes(s)
+	return c.CandidateWeights(s)
 }
--- a/lib/config/routes.go
+++ b/lib/config/routes.go
@@ -6,11 +6,11 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Routes returns the weights that may serve a model service, in order of
+// CandidateWeights returns the weights that may serve a model service, in order of
 // preference. A service that names a version has one. Otherwise the versions
 // that are placed in the service's pool come first, then the other declared
 // versions of the model, the last declared first.
-func (c *Config) Routes(s Service) []model.Weights {
+func (c *Config) CandidateWeights(s Service) []model.Weights {
 	if s.Version != "" {
 		if w, ok := c.Weights(s.Model, s.Version); ok {
 			return []model.Weights{w}
--- a/lib/config/validate_objects.go
+++ b/lib/config/validate_objects.go
@@ -101,7 +101,7 @@
 }
 
 func (v *validator) modelRoute(object string, s Service) {
-	if len(v.config.Routes(s)) == 0 {
+	if len(v.config.CandidateWeights(s)) == 0 {
 		v.fault(object, "model", s.Model+" "+s.Version, "a declared model and version, or a model without a version")
 		return
 	}
