--- a/agent/host.go
+++ b/agent/host.go
@@ -31,7 +31,7 @@
 	if most := view.Config.Deployment.TransferShare; most > 0 {
 		a.transfer.SetMaxLinkShare(most)
 	}
-	if p, ok := view.Config.PlacementFor(a.cfg.Pool, a.cfg.Identity.Location.FailureDomain); ok {
+	if p, ok := view.Config.FindPlacement(a.cfg.Pool, a.cfg.Identity.Location.FailureDomain); ok {
 		a.roles.declare(p.Role)
 		a.sessions.beat()
 		h.applyPlacement(view.Config, p)
@@ -46,7 +46,7 @@
 		return
 	}
 	if view := a.follower.Current(); view != nil {
-		if p, ok := view.Config.PlacementFor(a.cfg.Pool, a.cfg.Identity.Location.FailureDomain); ok {
+		if p, ok := view.Config.FindPlacement(a.cfg.Pool, a.cfg.Identity.Location.FailureDomain); ok {
 			h.applyPlacement(view.Config, p)
 		}
 	}
--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -71,7 +71,7 @@
 func (e *Entry) group(pool string) rollout.PoolState {
 	g := e.fleet.Group(pool)
 	if c := e.Current(); c != nil {
-		if p, ok := c.PlacementFor(pool, e.cfg.Identity.Location.FailureDomain); ok {
+		if p, ok := c.FindPlacement(pool, e.cfg.Identity.Location.FailureDomain); ok {
 			g.MinLive = p.MinLive
 		}
 	}
--- a/lib/config/lookup.go
+++ b/lib/config/lookup.go
@@ -42,8 +42,8 @@
 	return Class{}, false
 }
 
-// PlacementFor returns the placement of a pool in a failure domain.
-func (c *Config) PlacementFor(pool string, domain model.FailureDomain) (Placement, bool) {
+// FindPlacement returns the placement of a pool in a failure domain.
+func (c *Config) FindPlacement(pool string, domain model.FailureDomain) (Placement, bool) {
 	for _, p := range c.Placements {
 		if p.Pool == pool && p.FailureDomain == domain {
 			return p, true
