--- a/internal/configsim/oracle_test.go
+++ b/internal/configsim/oracle_test.go
@@ -56,7 +56,7 @@
 		}
 		o.accepted = append(o.accepted, change)
 		o.digests = append(o.digests, r.Digest)
-		o.states = append(o.states, change.Delta.State)
+		o.states = append(o.states, change.Delta.StateDigest)
 	}
 	for _, n := range o.sim.Nodes {
 		o.observeNode(t, n)
--- a/lib/config/delta.go
+++ b/lib/config/delta.go
@@ -23,8 +23,8 @@
 	RemoveTenants    []string    `msgpack:"rt"`
 	Classes          []Class     `msgpack:"c"`
 	RemoveClasses    []string    `msgpack:"rc"`
-	// State is the digest of the configuration that the delta leads to.
-	State model.Digest `msgpack:"z"`
+	// StateDigest is the digest of the configuration that the delta leads to.
+	StateDigest model.Digest `msgpack:"z"`
 }
 
 // NewDelta returns what leads from one configuration to another.
@@ -40,7 +40,7 @@
 	d.Tenants, d.RemoveTenants = deltaOf(from.Tenants, to.Tenants, tenantKey)
 	d.Classes, d.RemoveClasses = deltaOf(from.Classes, to.Classes, classKey)
 	state, err := to.Digest()
-	d.State = state
+	d.StateDigest = state
 	return d, err
 }
 
@@ -72,8 +72,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if state != d.State {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("state is %s, the delta leads to %s", state.Short(), d.State.Short()))
+	if state != d.StateDigest {
+		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("state is %s, the delta leads to %s", state.Short(), d.StateDigest.Short()))
 	}
 	return to, nil
 }
--- a/lib/config/delta_merge.go
+++ b/lib/config/delta_merge.go
@@ -19,7 +19,7 @@
 	merged.RemoveTenants = append(merged.RemoveTenants, next.RemoveTenants...)
 	merged.Classes = append(merged.Classes, next.Classes...)
 	merged.RemoveClasses = append(merged.RemoveClasses, next.RemoveClasses...)
-	merged.State = next.State
+	merged.StateDigest = next.StateDigest
 	return merged
 }
 
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if model.Sum(r.Snapshot) != change.Delta.State {
+	if model.Sum(r.Snapshot) != change.Delta.StateDigest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("snapshot of revision %d has another state", r.Number))
 	}
 	return Decode(r.Snapshot)
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -183,7 +183,7 @@
 }
 
 // stateDigest returns the digest of the state's configuration.
-func (s *storeState) stateDigest() model.Digest { return s.change.Delta.State }
+func (s *storeState) stateDigest() model.Digest { return s.change.Delta.StateDigest }
 
 func unavailable(err error) error {
 	return merry.Wrap(ErrStoreUnavailable, merry.WithCause(err))
