--- a/lib/config/delta_merge.go
+++ b/lib/config/delta_merge.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Then returns one delta that has the effect of two applied in sequence. Values
+// Merge returns one delta that has the effect of two applied in sequence. Values
 // that both set are contained once.
-func (d Delta) Then(next Delta) Delta {
+func (d Delta) Merge(next Delta) Delta {
 	merged := d.without(next)
 	if next.Deployment != nil {
 		merged.Deployment = next.Deployment
--- a/lib/config/delta_merge_test.go
+++ b/lib/config/delta_merge_test.go
@@ -24,7 +24,7 @@
 			if i == 0 {
 				merged = delta
 			} else {
-				merged = merged.Then(delta)
+				merged = merged.Merge(delta)
 			}
 			current = next
 		}
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -20,12 +20,12 @@
 			if err != nil {
 				return Revision{}, err
 			}
-			rest = rest.Then(earlier)
+			rest = rest.Merge(earlier)
 		}
 		if i == len(steps)-1 {
 			rest = rest.without(change.Delta)
 		} else {
-			rest = rest.Then(change.Delta)
+			rest = rest.Merge(change.Delta)
 		}
 	}
 	encoded, err := rest.Encode()
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	whole := earlier.Then(change.Delta)
+	whole := earlier.Merge(change.Delta)
 	return whole.Apply(c)
 }
 
