--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -153,7 +153,7 @@
 	for _, e := range entries {
 		response.Entries = append(response.Entries, &pb.HistoryEntry{
 			Revision: convert.HeadToMessage(e.Head), Author: e.Change.Author, Operation: e.Change.Operation,
-			Accepted: timestamppb.New(e.Change.Time()), Objects: e.Change.Delta.Objects(),
+			Accepted: timestamppb.New(e.Change.Time()), Objects: e.Change.Delta.ChangedObjects(),
 		})
 	}
 	return response, nil
--- a/lib/config/delta_objects.go
+++ b/lib/config/delta_objects.go
@@ -1,8 +1,8 @@
 package config
 
-// Objects names the sections of the declaration file that a delta touches;
+// ChangedObjects names the sections of the declaration file that a delta touches;
 // removed ones start with a minus sign.
-func (d *Delta) Objects() []string {
+func (d *Delta) ChangedObjects() []string {
 	var names []string
 	if d.Deployment != nil {
 		names = append(names, "deployment")
