--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -147,7 +147,7 @@
 	var err error
 	switch {
 	case revision.Number == r.state.head.Number+1:
-		next.config, err = revision.Continue(r.state.head, r.state.config)
+		next.config, err = revision.ApplyTo(r.state.head, r.state.config)
 	case revision.IsMerged():
 		next.previous = Head{Number: revision.Number - 1}
 		next.config, err = r.advance(revision)
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -90,9 +90,9 @@
 	return c, nil
 }
 
-// Continue applies the revision to the configuration before it. It returns
+// ApplyTo applies the revision to the configuration before it. It returns
 // ErrChain if the revision does not continue the chain.
-func (r Revision) Continue(previous Head, c *Config) (*Config, error) {
+func (r Revision) ApplyTo(previous Head, c *Config) (*Config, error) {
 	if r.Number != previous.Number+1 || chain(previous.Digest, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("revision %d does not continue revision %d", r.Number, previous.Number))
 	}
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	next, err := revision.Continue(s.head, s.config)
+	next, err := revision.ApplyTo(s.head, s.config)
 	if err != nil {
 		return err
 	}
