--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -197,7 +197,7 @@
 	if known, ok := r.digestOf(revision.Base); ok && known != *revision.BaseDigest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("merged revision %d continues another revision %d", revision.Number, revision.Base))
 	}
-	return revision.Advance(r.state.config)
+	return revision.ApplyMergedTo(r.state.config)
 }
 
 // digestOf returns the chain digest of a revision that the replica held.
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -47,10 +47,10 @@
 // too.
 func (r Revision) IsMerged() bool { return r.BaseDigest != nil }
 
-// Advance applies a merged revision to a configuration between its base and
+// ApplyMergedTo applies a merged revision to a configuration between its base and
 // itself. It returns ErrChain unless the result is the state that the last
 // change leads to and the digest is that of the last change.
-func (r Revision) Advance(c *Config) (*Config, error) {
+func (r Revision) ApplyMergedTo(c *Config) (*Config, error) {
 	if !r.IsMerged() || r.Previous == nil || chain(*r.Previous, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("merged revision %d", r.Number))
 	}
