--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -158,7 +158,7 @@
 		// A snapshot over a gap proves that its state belongs to its digest, not
 		// that the digest continues this replica's. It comes from the store or
 		// an authorised peer, which accept only what the store committed.
-		next.config, err = revision.Open()
+		next.config, err = revision.SnapshotConfig()
 		next.previous = Head{Number: revision.Number - 1}
 		if err == nil {
 			next.previous.Digest = *revision.Previous
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -103,9 +103,9 @@
 	return change.Delta.Apply(c)
 }
 
-// Open returns the configuration of a snapshot. It returns ErrChain if the
+// SnapshotConfig returns the configuration of a snapshot. It returns ErrChain if the
 // snapshot is not the state that its own change leads to.
-func (r Revision) Open() (*Config, error) {
+func (r Revision) SnapshotConfig() (*Config, error) {
 	if !r.IsSnapshot() || chain(*r.Previous, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("snapshot of revision %d", r.Number))
 	}
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -153,7 +153,7 @@
 	if revision.Number <= state.head.Number {
 		return nil
 	}
-	c, err := revision.Open()
+	c, err := revision.SnapshotConfig()
 	if err != nil {
 		return err
 	}
