--- a/internal/configsim/oracle_test.go
+++ b/internal/configsim/oracle_test.go
@@ -50,7 +50,7 @@
 			}
 			continue
 		}
-		change, err := r.Decode()
+		change, err := r.DecodeChange()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		return false, err
 	}
-	change, err := revision.Decode()
+	change, err := revision.DecodeChange()
 	if err != nil {
 		return false, err
 	}
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -78,8 +78,8 @@
 // Head returns the revision's number and digest.
 func (r Revision) Head() Head { return Head{Number: r.Number, Digest: r.Digest} }
 
-// Decode returns the change, or ErrMalformed.
-func (r Revision) Decode() (Change, error) {
+// DecodeChange returns the change, or ErrMalformed.
+func (r Revision) DecodeChange() (Change, error) {
 	var c Change
 	if err := msgstream.Unmarshal(r.Change, &c); err != nil {
 		return Change{}, merry.Wrap(ErrMalformed, merry.WithCause(err))
@@ -96,7 +96,7 @@
 	if r.Number != previous.Number+1 || chain(previous.Digest, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("revision %d does not continue revision %d", r.Number, previous.Number))
 	}
-	change, err := r.Decode()
+	change, err := r.DecodeChange()
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	if !r.IsSnapshot() || chain(*r.Previous, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("snapshot of revision %d", r.Number))
 	}
-	change, err := r.Decode()
+	change, err := r.DecodeChange()
 	if err != nil {
 		return nil, err
 	}
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -11,7 +11,7 @@
 		if err != nil {
 			return Revision{}, err
 		}
-		change, err := revision.Decode()
+		change, err := revision.DecodeChange()
 		if err != nil {
 			return Revision{}, err
 		}
@@ -54,7 +54,7 @@
 	if !r.IsMerged() || r.Previous == nil || chain(*r.Previous, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("merged revision %d", r.Number))
 	}
-	change, err := r.Decode()
+	change, err := r.DecodeChange()
 	if err != nil {
 		return nil, err
 	}
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	change, err := revision.Decode()
+	change, err := revision.DecodeChange()
 	if err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	change, err := revision.Decode()
+	change, err := revision.DecodeChange()
 	if err != nil {
 		return err
 	}
--- a/lib/config/store_history.go
+++ b/lib/config/store_history.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return nil, err
 		}
-		change, err := revision.Decode()
+		change, err := revision.DecodeChange()
 		if err != nil {
 			return nil, err
 		}
