--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -125,7 +125,7 @@
 			if err == nil {
 				n.offer(poll.Encoded)
 				if !poll.More {
-					_, _ = n.Replica.Observe(poll.Head, 0, now)
+					_, _ = n.Replica.ObserveHead(poll.Head, 0, now)
 				}
 			}
 			n.pace.Done(err, poll.More, n.sim.fleet(), now)
@@ -184,7 +184,7 @@
 		if n.id != from || !n.Up {
 			return
 		}
-		if _, err := to.Replica.Observe(head, age, to.sim.Now()); err != nil {
+		if _, err := to.Replica.ObserveHead(head, age, to.sim.Now()); err != nil {
 			to.peers.Refused(from)
 			return
 		}
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -73,11 +73,11 @@
 	return max(0, now.Sub(r.confirmed))
 }
 
-// Observe takes the head that a source reports, with the age of the source's
+// ObserveHead takes the head that a source reports, with the age of the source's
 // own confirmation (0 for the store). It reports whether revisions are to be
 // fetched from the source, and returns ErrChain if the source holds another
 // history.
-func (r *Replica) Observe(head Head, age time.Duration, now time.Time) (behind bool, err error) {
+func (r *Replica) ObserveHead(head Head, age time.Duration, now time.Time) (behind bool, err error) {
 	r.highest = max(r.highest, head.Number)
 	if head.Number > r.state.head.Number {
 		return true, nil
--- a/lib/config/replica_test.go
+++ b/lib/config/replica_test.go
@@ -54,7 +54,7 @@
 	// a neighbour reported a newer one.
 	It("waits at a start for the highest revision that was reported", func() {
 		r := config.NewReplica(config.ReplicaConfig{StartWindow: time.Second}, start)
-		Expect(r.Observe(heads[4], 0, start)).To(BeTrue())
+		Expect(r.ObserveHead(heads[4], 0, start)).To(BeTrue())
 		Expect(r.Offer(encoded[:2], start)).To(Equal(2))
 		r.Tick(start.Add(2 * time.Second))
 		Expect(r.Current()).To(BeNil())
@@ -62,7 +62,7 @@
 		Expect(r.Current().Head).To(Equal(heads[4]))
 
 		r = config.NewReplica(config.ReplicaConfig{StartWindow: time.Second}, start)
-		Expect(r.Observe(heads[4], 0, start)).To(BeTrue())
+		Expect(r.ObserveHead(heads[4], 0, start)).To(BeTrue())
 		Expect(r.Offer(encoded[:2], start)).To(Equal(2))
 		r.Tick(start.Add(3 * time.Second))
 		Expect(r.Current().Head).To(Equal(heads[1]))
@@ -73,9 +73,9 @@
 		Expect(r.Offer(encoded[:1], start)).To(Equal(1))
 		_, err := r.Offer(encoded[3:], start)
 		Expect(err).To(MatchError(config.ErrGap))
-		_, err = r.Observe(config.Head{Number: 1}, 0, start)
+		_, err = r.ObserveHead(config.Head{Number: 1}, 0, start)
 		Expect(config.IsDamaged(err)).To(BeTrue())
-		Expect(r.Observe(heads[0], 2*time.Second, start.Add(5*time.Second))).To(BeFalse())
+		Expect(r.ObserveHead(heads[0], 2*time.Second, start.Add(5*time.Second))).To(BeFalse())
 		Expect(r.Age(start.Add(6 * time.Second))).To(Equal(3 * time.Second))
 	})
 })
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -107,7 +107,7 @@
 	now := f.cfg.Clock.Now()
 	head := config.Head{Number: beat.ConfigRevision, Digest: beat.ConfigDigest}
 	age := time.Duration(beat.ConfigAgeMillis) * time.Millisecond
-	if _, err := f.replica.Observe(head, age, now); err != nil {
+	if _, err := f.replica.ObserveHead(head, age, now); err != nil {
 		f.refuse(id, err)
 		return
 	}
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -55,7 +55,7 @@
 	// With more revisions to read, the replica is behind and must not count as
 	// confirmed.
 	if poll.Head.Number > 0 && !poll.More {
-		if _, err := f.replica.Observe(poll.Head, 0, now); err != nil {
+		if _, err := f.replica.ObserveHead(poll.Head, 0, now); err != nil {
 			f.cfg.Log.Log(eventlog.ConfigRejected, "source", "store", "err", err)
 		}
 	}
