--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -137,7 +137,7 @@
 // offer applies revisions, notes when they came into force and announces them.
 func (n *Node) offer(encoded [][]byte) {
 	now := n.sim.Now()
-	_, err := n.Replica.Offer(encoded, now)
+	_, err := n.Replica.Apply(encoded, now)
 	if err != nil && config.IsDamaged(err) {
 		n.sim.Damaged++
 	}
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -94,11 +94,11 @@
 	return false, nil
 }
 
-// Offer takes encoded revisions in order. It applies those that are higher and
+// Apply takes encoded revisions in order. It applies those that are higher and
 // continue the chain, and reports how many. On an error the earlier ones stay
 // applied: ErrMalformed and ErrChain mean damaged data, ErrGap that revisions
 // before it are missing.
-func (r *Replica) Offer(encoded [][]byte, now time.Time) (applied int, err error) {
+func (r *Replica) Apply(encoded [][]byte, now time.Time) (applied int, err error) {
 	for _, data := range encoded {
 		revision, err := DecodeRevision(data)
 		if err != nil {
--- a/lib/config/replica_merged_test.go
+++ b/lib/config/replica_merged_test.go
@@ -47,7 +47,7 @@
 
 	holder := func(encoded [][]byte) *config.Replica {
 		r := config.NewReplica(config.ReplicaConfig{}, start)
-		Expect(r.Offer(encoded, start)).To(Equal(len(encoded)))
+		Expect(r.Apply(encoded, start)).To(Equal(len(encoded)))
 		r.Settle()
 		return r
 	}
@@ -70,13 +70,13 @@
 		source := holder(encoded)
 		for after := 1; after < count-1; after++ {
 			r := holder(encoded[:after])
-			Expect(r.Offer([][]byte{merged(source, uint64(after))}, start)).To(Equal(1))
+			Expect(r.Apply([][]byte{merged(source, uint64(after))}, start)).To(Equal(1))
 			Expect(r.Current()).To(Equal(source.Current()))
 			for behind := 1; behind < count-1; behind++ {
 				next := holder(encoded[:behind])
 				served, err := r.After(uint64(behind))
 				Expect(err).NotTo(HaveOccurred())
-				Expect(next.Offer(served, start)).To(Equal(1), "held %d, source passed over %d", behind, after)
+				Expect(next.Apply(served, start)).To(Equal(1), "held %d, source passed over %d", behind, after)
 				Expect(next.Current()).To(Equal(source.Current()))
 			}
 		}
@@ -86,7 +86,7 @@
 	// last step was merged.
 	It("is sent as a snapshot to a new replica", func() {
 		r := holder(encoded[:2])
-		Expect(r.Offer([][]byte{merged(holder(encoded), 2)}, start)).To(Equal(1))
+		Expect(r.Apply([][]byte{merged(holder(encoded), 2)}, start)).To(Equal(1))
 		served, err := r.After(0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(holder(served).Current()).To(Equal(r.Current()))
@@ -102,7 +102,7 @@
 				r := holder(encoded[:2])
 				damaged := append([]byte(nil), data...)
 				damaged[i] ^= 1 << bit
-				applied, err := r.Offer([][]byte{damaged}, start)
+				applied, err := r.Apply([][]byte{damaged}, start)
 				// Damage outside of what the digests cover changes nothing.
 				if applied == 1 {
 					accepted++
@@ -120,7 +120,7 @@
 		foreign, _ := history("foreign", 3, count)
 		data := merged(holder(foreign), 5)
 		r := holder(encoded[:5])
-		applied, err := r.Offer([][]byte{data}, start)
+		applied, err := r.Apply([][]byte{data}, start)
 		Expect(applied).To(BeZero())
 		Expect(config.IsDamaged(err)).To(BeTrue())
 		Expect(r.Head()).To(Equal(heads[4]))
@@ -135,7 +135,7 @@
 		data, err := revision.Encode()
 		Expect(err).NotTo(HaveOccurred())
 		r := holder(encoded[:2])
-		_, err = r.Offer([][]byte{data}, start)
+		_, err = r.Apply([][]byte{data}, start)
 		Expect(config.IsDamaged(err)).To(BeTrue())
 		Expect(r.Head()).To(Equal(heads[1]))
 	})
@@ -143,10 +143,10 @@
 	It("changes nothing on a replica that is ahead and reports a gap on one that is behind its base", func() {
 		data := merged(holder(encoded[:6]), 3)
 		ahead := holder(encoded)
-		Expect(ahead.Offer([][]byte{data}, start)).To(BeZero())
+		Expect(ahead.Apply([][]byte{data}, start)).To(BeZero())
 		Expect(ahead.Head()).To(Equal(heads[count-1]))
 		behind := holder(encoded[:2])
-		_, err := behind.Offer([][]byte{data}, start)
+		_, err := behind.Apply([][]byte{data}, start)
 		Expect(err).To(MatchError(config.ErrGap))
 		Expect(behind.Head()).To(Equal(heads[1]))
 	})
--- a/lib/config/replica_test.go
+++ b/lib/config/replica_test.go
@@ -31,14 +31,14 @@
 	// Guards against a damaged copy that comes into force.
 	It("never puts a revision with a damaged byte into force", func() {
 		intact := config.NewReplica(config.ReplicaConfig{}, start)
-		Expect(intact.Offer(encoded[:2], start)).To(Equal(2))
+		Expect(intact.Apply(encoded[:2], start)).To(Equal(2))
 		intact.Settle()
 		for i := range encoded[1] {
 			r := config.NewReplica(config.ReplicaConfig{}, start)
-			Expect(r.Offer(encoded[:1], start)).To(Equal(1))
+			Expect(r.Apply(encoded[:1], start)).To(Equal(1))
 			damaged := append([]byte(nil), encoded[1]...)
 			damaged[i] ^= 1
-			applied, err := r.Offer([][]byte{damaged}, start)
+			applied, err := r.Apply([][]byte{damaged}, start)
 			r.Settle()
 			// Damage outside of what the chain covers changes nothing; a damaged
 			// number reads as a revision that is already held.
@@ -55,23 +55,23 @@
 	It("waits at a start for the highest revision that was reported", func() {
 		r := config.NewReplica(config.ReplicaConfig{StartWindow: time.Second}, start)
 		Expect(r.ObserveHead(heads[4], 0, start)).To(BeTrue())
-		Expect(r.Offer(encoded[:2], start)).To(Equal(2))
+		Expect(r.Apply(encoded[:2], start)).To(Equal(2))
 		r.Tick(start.Add(2 * time.Second))
 		Expect(r.Current()).To(BeNil())
-		Expect(r.Offer(encoded[2:], start.Add(2*time.Second))).To(Equal(3))
+		Expect(r.Apply(encoded[2:], start.Add(2*time.Second))).To(Equal(3))
 		Expect(r.Current().Head).To(Equal(heads[4]))
 
 		r = config.NewReplica(config.ReplicaConfig{StartWindow: time.Second}, start)
 		Expect(r.ObserveHead(heads[4], 0, start)).To(BeTrue())
-		Expect(r.Offer(encoded[:2], start)).To(Equal(2))
+		Expect(r.Apply(encoded[:2], start)).To(Equal(2))
 		r.Tick(start.Add(3 * time.Second))
 		Expect(r.Current().Head).To(Equal(heads[1]))
 	})
 
 	It("reports gaps, foreign histories and its age", func() {
 		r := config.NewReplica(config.ReplicaConfig{}, start)
-		Expect(r.Offer(encoded[:1], start)).To(Equal(1))
-		_, err := r.Offer(encoded[3:], start)
+		Expect(r.Apply(encoded[:1], start)).To(Equal(1))
+		_, err := r.Apply(encoded[3:], start)
 		Expect(err).To(MatchError(config.ErrGap))
 		_, err = r.ObserveHead(config.Head{Number: 1}, 0, start)
 		Expect(config.IsDamaged(err)).To(BeTrue())
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -150,7 +150,7 @@
 	now := f.cfg.Clock.Now()
 	f.peers.Answered(id)
 	before := f.replica.Current()
-	if _, err := f.replica.Offer(m.Revisions, now); err != nil && config.IsDamaged(err) {
+	if _, err := f.replica.Apply(m.Revisions, now); err != nil && config.IsDamaged(err) {
 		f.refuse(id, err)
 	}
 	f.spread(before, now)
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -48,7 +48,7 @@
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
 	before := f.replica.Current()
-	if _, err := f.replica.Offer(poll.Encoded, now); err != nil && config.IsDamaged(err) {
+	if _, err := f.replica.Apply(poll.Encoded, now); err != nil && config.IsDamaged(err) {
 		f.cfg.Log.Log(eventlog.ConfigRejected, "source", "store", "err", err)
 		return false, merry.Wrap(err)
 	}
@@ -84,6 +84,6 @@
 	now := f.cfg.Clock.Now()
 	before := f.replica.Current()
 	// A gap means that other revisions came first; the next poll reads them.
-	_, _ = f.replica.Offer([][]byte{encoded}, now)
+	_, _ = f.replica.Apply([][]byte{encoded}, now)
 	f.spread(before, now)
 }
--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -46,7 +46,7 @@
 func (f *fakeEntry) Accepted(encoded []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.replica.Offer([][]byte{encoded}, time.Now()); err != nil {
+	if _, err := f.replica.Apply([][]byte{encoded}, time.Now()); err != nil {
 		panic(err)
 	}
 	f.replica.Settle()
