--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -124,13 +124,13 @@
 	}
 	elapsed := now.Sub(r.start)
 	if elapsed >= startPatience*r.cfg.StartWindow || elapsed >= r.cfg.StartWindow && r.state.head.Number >= r.highest {
-		r.Settle()
+		r.EndStartWindow()
 	}
 }
 
-// Settle ends the start window early. The assembly calls it when every known
+// EndStartWindow ends the start window early. The assembly calls it when every known
 // source has answered.
-func (r *Replica) Settle() {
+func (r *Replica) EndStartWindow() {
 	if r.settled || r.state.head.Number == 0 {
 		return
 	}
--- a/lib/config/replica_merged_test.go
+++ b/lib/config/replica_merged_test.go
@@ -48,7 +48,7 @@
 	holder := func(encoded [][]byte) *config.Replica {
 		r := config.NewReplica(config.ReplicaConfig{}, start)
 		Expect(r.Apply(encoded, start)).To(Equal(len(encoded)))
-		r.Settle()
+		r.EndStartWindow()
 		return r
 	}
 	merged := func(r *config.Replica, after uint64) []byte {
--- a/lib/config/replica_test.go
+++ b/lib/config/replica_test.go
@@ -32,14 +32,14 @@
 	It("never puts a revision with a damaged byte into force", func() {
 		intact := config.NewReplica(config.ReplicaConfig{}, start)
 		Expect(intact.Apply(encoded[:2], start)).To(Equal(2))
-		intact.Settle()
+		intact.EndStartWindow()
 		for i := range encoded[1] {
 			r := config.NewReplica(config.ReplicaConfig{}, start)
 			Expect(r.Apply(encoded[:1], start)).To(Equal(1))
 			damaged := append([]byte(nil), encoded[1]...)
 			damaged[i] ^= 1
 			applied, err := r.Apply([][]byte{damaged}, start)
-			r.Settle()
+			r.EndStartWindow()
 			// Damage outside of what the chain covers changes nothing; a damaged
 			// number reads as a revision that is already held.
 			if applied == 1 {
--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -49,7 +49,7 @@
 	if _, err := f.replica.Apply([][]byte{encoded}, time.Now()); err != nil {
 		panic(err)
 	}
-	f.replica.Settle()
+	f.replica.EndStartWindow()
 }
 
 func (f *fakeEntry) Domains() []operatorrpc.DomainStatus {
