--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -187,7 +187,7 @@
 		},
 		"record": func(t *rapid.T) {
 			after := uint64(rapid.IntRange(0, len(m.oracle.accepted)).Draw(t, "after"))
-			if encoded, err := m.node(t).Replica.After(after); err == nil && len(encoded) > 0 {
+			if encoded, err := m.node(t).Replica.RevisionsAfter(after); err == nil && len(encoded) > 0 {
 				m.archive = append(m.archive, encoded)
 			}
 		},
@@ -204,7 +204,7 @@
 		"altered merge": func(t *rapid.T) {
 			n := m.node(t)
 			after := uint64(rapid.IntRange(1, len(m.oracle.accepted)+1).Draw(t, "after"))
-			encoded, err := n.Replica.After(after)
+			encoded, err := n.Replica.RevisionsAfter(after)
 			if err != nil || len(encoded) == 0 {
 				return
 			}
--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -205,7 +205,7 @@
 		if from.sim.cfg.WholeSnapshots {
 			request = 0
 		}
-		encoded, err := from.Replica.After(request)
+		encoded, err := from.Replica.RevisionsAfter(request)
 		if err != nil || from.id != id {
 			return
 		}
--- a/lib/config/replica_merged_test.go
+++ b/lib/config/replica_merged_test.go
@@ -52,7 +52,7 @@
 		return r
 	}
 	merged := func(r *config.Replica, after uint64) []byte {
-		served, err := r.After(after)
+		served, err := r.RevisionsAfter(after)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(served).To(HaveLen(1))
 		revision, err := config.DecodeRevision(served[0])
@@ -74,7 +74,7 @@
 			Expect(r.Current()).To(Equal(source.Current()))
 			for behind := 1; behind < count-1; behind++ {
 				next := holder(encoded[:behind])
-				served, err := r.After(uint64(behind))
+				served, err := r.RevisionsAfter(uint64(behind))
 				Expect(err).NotTo(HaveOccurred())
 				Expect(next.Apply(served, start)).To(Equal(1), "held %d, source passed over %d", behind, after)
 				Expect(next.Current()).To(Equal(source.Current()))
@@ -87,7 +87,7 @@
 	It("is sent as a snapshot to a new replica", func() {
 		r := holder(encoded[:2])
 		Expect(r.Apply([][]byte{merged(holder(encoded), 2)}, start)).To(Equal(1))
-		served, err := r.After(0)
+		served, err := r.RevisionsAfter(0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(holder(served).Current()).To(Equal(r.Current()))
 	})
--- a/lib/config/replica_serve.go
+++ b/lib/config/replica_serve.go
@@ -4,11 +4,11 @@
 // agents of one entry are at few different revisions.
 const maxAnswers = 16
 
-// After returns encoded revisions that lead a holder of the given revision
+// RevisionsAfter returns encoded revisions that lead a holder of the given revision
 // towards this replica's: one delta, merged if it leads over several revisions,
 // or a snapshot if the steps are not retained. It returns nil if the holder is
 // up to date.
-func (r *Replica) After(number uint64) ([][]byte, error) {
+func (r *Replica) RevisionsAfter(number uint64) ([][]byte, error) {
 	if number >= r.state.head.Number {
 		return nil, nil
 	}
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -136,7 +136,7 @@
 func (f *Follower) HandleFetch(id config.PeerID, m *wire.ConfigFetch, send SendFunc) {
 	f.mu.Lock()
 	f.peers.Asked(id)
-	revisions, err := f.replica.After(m.After)
+	revisions, err := f.replica.RevisionsAfter(m.After)
 	f.mu.Unlock()
 	if err == nil {
 		_ = send(&wire.ConfigDelta{Revisions: revisions})
