--- a/lib/config/replica_config.go
+++ b/lib/config/replica_config.go
@@ -20,8 +20,8 @@
 type ReplicaConfig struct {
 	// StartWindow is the time during which a new replica collects offers.
 	StartWindow time.Duration
-	// Retained and RetainedBytes bound the revisions kept for others.
-	Retained      int
+	// MaxRetained and RetainedBytes bound the revisions kept for others.
+	MaxRetained   int
 	RetainedBytes int
 }
 
@@ -29,8 +29,8 @@
 	if c.StartWindow == 0 {
 		c.StartWindow = defaultStartWindow
 	}
-	if c.Retained == 0 {
-		c.Retained = defaultRetained
+	if c.MaxRetained == 0 {
+		c.MaxRetained = defaultRetained
 	}
 	if c.RetainedBytes == 0 {
 		c.RetainedBytes = defaultRetainedBytes
