--- a/lib/config/replica_config.go
+++ b/lib/config/replica_config.go
@@ -21,8 +21,8 @@
 	// StartWindow is the time during which a new replica collects offers.
 	StartWindow time.Duration
 	// MaxRetained and RetainedBytes bound the revisions kept for others.
-	MaxRetained   int
-	RetainedBytes int
+	MaxRetained      int
+	MaxRetainedBytes int
 }
 
 func (c *ReplicaConfig) applyDefaults() {
@@ -32,7 +32,7 @@
 	if c.MaxRetained == 0 {
 		c.MaxRetained = defaultRetained
 	}
-	if c.RetainedBytes == 0 {
-		c.RetainedBytes = defaultRetainedBytes
+	if c.MaxRetainedBytes == 0 {
+		c.MaxRetainedBytes = defaultRetainedBytes
 	}
 }
--- a/lib/config/replica_serve.go
+++ b/lib/config/replica_serve.go
@@ -70,7 +70,7 @@
 	}
 	r.retained = append(r.retained, retainedStep{base: base, number: revision.Number, data: data})
 	r.bytes += len(data)
-	for len(r.retained) > r.cfg.MaxRetained || r.bytes > r.cfg.RetainedBytes && len(r.retained) > 1 {
+	for len(r.retained) > r.cfg.MaxRetained || r.bytes > r.cfg.MaxRetainedBytes && len(r.retained) > 1 {
 		r.bytes -= len(r.retained[0].data)
 		r.retained = r.retained[1:]
 	}
