--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -87,7 +87,7 @@
 	return config.NewPoller(config.PollerConfig{}, n.sim.fleet(), n.rng, now)
 }
 
-func (n *Node) join(other *Node) { n.peers.Joined(other.id, other.agent || n.agent) }
+func (n *Node) join(other *Node) { n.peers.Add(other.id, other.agent || n.agent) }
 
 // stop ends the incarnation; its peers notice at once.
 func (n *Node) stop() {
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -50,12 +50,12 @@
 	return &Peers{cfg: cfg, rng: rng, peers: make(map[PeerID]*peer)}
 }
 
-// Joined tells what kind of connection leads to a peer. Leaf is true between an
+// Add tells what kind of connection leads to a peer. Leaf is true between an
 // entry and an agent, seen from either end: an agent passes nothing on and is
 // connected to several entries, of which only the one that it fetches from
 // announces changes. The heartbeats of the others serve if that one fails.
 // Without Joined, a connection counts as no leaf.
-func (p *Peers) Joined(id PeerID, leaf bool) { p.peer(id).leaf = leaf }
+func (p *Peers) Add(id PeerID, leaf bool) { p.peer(id).leaf = leaf }
 
 // Asked notes that a peer fetches from this process.
 func (p *Peers) Asked(id PeerID) { p.peer(id).asked = true }
--- a/lib/config/peers_test.go
+++ b/lib/config/peers_test.go
@@ -16,7 +16,7 @@
 
 	newPeers := func() *config.Peers {
 		p := config.NewPeers(config.PeersConfig{}, rand.New(rand.NewSource(1)))
-		p.Joined(first, true)
+		p.Add(first, true)
 		p.Heard(first, config.Head{Number: 5})
 		return p
 	}
@@ -44,7 +44,7 @@
 			_, ok := p.ToFetch(config.Head{Number: 4}, start)
 			Expect(ok).To(BeTrue())
 			fail(p)
-			p.Joined(second, true)
+			p.Add(second, true)
 			p.Heard(second, config.Head{Number: 5})
 			id, ok := p.ToFetch(config.Head{Number: 4}, start.Add(10*time.Millisecond))
 			Expect(ok).To(BeTrue())
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -89,7 +89,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sends[id] = send
-	f.peers.Joined(id, leaf)
+	f.peers.Add(id, leaf)
 }
 
 // PeerLost removes a peer whose connection ended.
