--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -200,7 +200,7 @@
 	n.Sent += asked
 	n.sim.send(n, from, func() {
 		from.Received += asked
-		from.peers.Asked(asker)
+		from.peers.MarkFetching(asker)
 		request := after
 		if from.sim.cfg.WholeSnapshots {
 			request = 0
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -57,8 +57,8 @@
 // Without Joined, a connection counts as no leaf.
 func (p *Peers) Add(id PeerID, leaf bool) { p.peer(id).leaf = leaf }
 
-// Asked notes that a peer fetches from this process.
-func (p *Peers) Asked(id PeerID) { p.peer(id).asked = true }
+// MarkFetching notes that a peer fetches from this process.
+func (p *Peers) MarkFetching(id PeerID) { p.peer(id).asked = true }
 
 // Heard takes the head in a heartbeat of a peer. A damaged or foreign history,
 // for which Replica.Observe returns ErrChain, is reported with Refused instead.
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -135,7 +135,7 @@
 // HandleFetch sends a peer the revisions that it lacks.
 func (f *Follower) HandleFetch(id config.PeerID, m *wire.ConfigFetch, send SendFunc) {
 	f.mu.Lock()
-	f.peers.Asked(id)
+	f.peers.MarkFetching(id)
 	revisions, err := f.replica.RevisionsAfter(m.After)
 	f.mu.Unlock()
 	if err == nil {
