--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -188,7 +188,7 @@
 			to.peers.Refused(from)
 			return
 		}
-		to.peers.Heard(from, head)
+		to.peers.ObserveHead(from, head)
 		to.act()
 	})
 }
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -60,9 +60,9 @@
 // MarkFetching notes that a peer fetches from this process.
 func (p *Peers) MarkFetching(id PeerID) { p.peer(id).asked = true }
 
-// Heard takes the head in a heartbeat of a peer. A damaged or foreign history,
+// ObserveHead takes the head in a heartbeat of a peer. A damaged or foreign history,
 // for which Replica.Observe returns ErrChain, is reported with Refused instead.
-func (p *Peers) Heard(id PeerID, head Head) {
+func (p *Peers) ObserveHead(id PeerID, head Head) {
 	p.peer(id).head = head
 	p.highest = max(p.highest, head.Number)
 }
--- a/lib/config/peers_test.go
+++ b/lib/config/peers_test.go
@@ -17,7 +17,7 @@
 	newPeers := func() *config.Peers {
 		p := config.NewPeers(config.PeersConfig{}, rand.New(rand.NewSource(1)))
 		p.Add(first, true)
-		p.Heard(first, config.Head{Number: 5})
+		p.ObserveHead(first, config.Head{Number: 5})
 		return p
 	}
 
@@ -27,7 +27,7 @@
 		_, ok := p.ToFetch(config.Head{Number: 4}, start)
 		Expect(ok).To(BeTrue())
 		p.Answered(first)
-		p.Heard(first, config.Head{Number: 6})
+		p.ObserveHead(first, config.Head{Number: 6})
 		_, ok = p.ToFetch(config.Head{Number: 5}, start.Add(1900*time.Millisecond))
 		Expect(ok).To(BeFalse())
 		_, ok = p.ToFetch(config.Head{Number: 5}, start.Add(2*time.Second))
@@ -45,7 +45,7 @@
 			Expect(ok).To(BeTrue())
 			fail(p)
 			p.Add(second, true)
-			p.Heard(second, config.Head{Number: 5})
+			p.ObserveHead(second, config.Head{Number: 5})
 			id, ok := p.ToFetch(config.Head{Number: 4}, start.Add(10*time.Millisecond))
 			Expect(ok).To(BeTrue())
 			Expect(id).To(Equal(second))
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -111,7 +111,7 @@
 		f.refuse(id, err)
 		return
 	}
-	f.peers.Heard(id, head)
+	f.peers.ObserveHead(id, head)
 	f.fetch(now)
 }
 
