--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -185,7 +185,7 @@
 			return
 		}
 		if _, err := to.Replica.ObserveHead(head, age, to.sim.Now()); err != nil {
-			to.peers.Refused(from)
+			to.peers.Reject(from)
 			return
 		}
 		to.peers.ObserveHead(from, head)
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -67,8 +67,8 @@
 	p.highest = max(p.highest, head.Number)
 }
 
-// Refused makes Fetch pass over a peer until it reports another head.
-func (p *Peers) Refused(id PeerID) {
+// Reject makes Fetch pass over a peer until it reports another head.
+func (p *Peers) Reject(id PeerID) {
 	if known := p.peers[id]; known != nil {
 		known.head = Head{}
 	}
--- a/lib/config/peers_test.go
+++ b/lib/config/peers_test.go
@@ -37,7 +37,7 @@
 	// Guards against a wait after a failure, which would delay the change further.
 	It("asks another peer at once after a refused answer or a lost connection", func() {
 		for _, fail := range []func(*config.Peers){
-			func(p *config.Peers) { p.Refused(first) },
+			func(p *config.Peers) { p.Reject(first) },
 			func(p *config.Peers) { p.Answered(first); p.Lost(first) },
 		} {
 			p := newPeers()
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -116,7 +116,7 @@
 }
 
 func (f *Follower) refuse(id config.PeerID, err error) {
-	f.peers.Refused(id)
+	f.peers.Reject(id)
 	f.cfg.Log.Log(eventlog.ConfigRejected, "peer", id.Instance, "err", err)
 }
 
