--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -94,7 +94,7 @@
 	n.Up = false
 	for _, other := range n.conns {
 		if other.Up {
-			other.peers.Lost(n.id)
+			other.peers.Remove(n.id)
 		}
 	}
 }
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -76,8 +76,8 @@
 	p.pausedFrom = time.Time{}
 }
 
-// Lost forgets a peer whose connection ended.
-func (p *Peers) Lost(id PeerID) {
+// Remove forgets a peer whose connection ended.
+func (p *Peers) Remove(id PeerID) {
 	delete(p.peers, id)
 	p.Answered(id)
 	p.pausedFrom = time.Time{}
--- a/lib/config/peers_test.go
+++ b/lib/config/peers_test.go
@@ -38,7 +38,7 @@
 	It("asks another peer at once after a refused answer or a lost connection", func() {
 		for _, fail := range []func(*config.Peers){
 			func(p *config.Peers) { p.Reject(first) },
-			func(p *config.Peers) { p.Answered(first); p.Lost(first) },
+			func(p *config.Peers) { p.Answered(first); p.Remove(first) },
 		} {
 			p := newPeers()
 			_, ok := p.ToFetch(config.Head{Number: 4}, start)
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -97,7 +97,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.sends, id)
-	f.peers.Lost(id)
+	f.peers.Remove(id)
 }
 
 // HandleHeartbeat takes the configuration fields of a peer's heartbeat.
