--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -214,7 +214,7 @@
 		n.sim.send(from, n, func() {
 			n.Received += answered
 			if n.id == asker {
-				n.peers.Answered(id)
+				n.peers.FetchAnswered(id)
 				n.offer(encoded)
 			}
 		})
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -72,19 +72,19 @@
 	if known := p.peers[id]; known != nil {
 		known.head = Head{}
 	}
-	p.Answered(id)
+	p.FetchAnswered(id)
 	p.pausedFrom = time.Time{}
 }
 
 // Remove forgets a peer whose connection ended.
 func (p *Peers) Remove(id PeerID) {
 	delete(p.peers, id)
-	p.Answered(id)
+	p.FetchAnswered(id)
 	p.pausedFrom = time.Time{}
 }
 
-// Answered ends the outstanding fetch from a peer.
-func (p *Peers) Answered(id PeerID) {
+// FetchAnswered ends the outstanding fetch from a peer.
+func (p *Peers) FetchAnswered(id PeerID) {
 	if p.fetch == id {
 		p.pausedFrom = p.fetched
 		p.fetch, p.fetched = PeerID{}, time.Time{}
--- a/lib/config/peers_test.go
+++ b/lib/config/peers_test.go
@@ -26,7 +26,7 @@
 		p := newPeers()
 		_, ok := p.ToFetch(config.Head{Number: 4}, start)
 		Expect(ok).To(BeTrue())
-		p.Answered(first)
+		p.FetchAnswered(first)
 		p.ObserveHead(first, config.Head{Number: 6})
 		_, ok = p.ToFetch(config.Head{Number: 5}, start.Add(1900*time.Millisecond))
 		Expect(ok).To(BeFalse())
@@ -38,7 +38,7 @@
 	It("asks another peer at once after a refused answer or a lost connection", func() {
 		for _, fail := range []func(*config.Peers){
 			func(p *config.Peers) { p.Reject(first) },
-			func(p *config.Peers) { p.Answered(first); p.Remove(first) },
+			func(p *config.Peers) { p.FetchAnswered(first); p.Remove(first) },
 		} {
 			p := newPeers()
 			_, ok := p.ToFetch(config.Head{Number: 4}, start)
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -148,7 +148,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
-	f.peers.Answered(id)
+	f.peers.FetchAnswered(id)
 	before := f.replica.Current()
 	if _, err := f.replica.Apply(m.Revisions, now); err != nil && config.IsDamaged(err) {
 		f.refuse(id, err)
