--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -177,7 +177,7 @@
 	now := n.sim.Now()
 	head, age := n.Replica.Head(), n.Replica.Age(now)
 	if to.Up {
-		n.peers.Announced(to.id, head, now)
+		n.peers.MarkAnnounced(to.id, head, now)
 	}
 	from := n.id
 	n.sim.send(n, to, func() {
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Announced notes that a heartbeat with the head was sent to a peer.
-func (p *Peers) Announced(id PeerID, head Head, now time.Time) {
+// MarkAnnounced notes that a heartbeat with the head was sent to a peer.
+func (p *Peers) MarkAnnounced(id PeerID, head Head, now time.Time) {
 	known := p.peer(id)
 	known.announced, known.at = head, now
 }
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -204,6 +204,6 @@
 		beat := f.cfg.Heartbeat()
 		f.stamp(&beat)
 		_ = send(&beat)
-		f.peers.Announced(id, head, now)
+		f.peers.MarkAnnounced(id, head, now)
 	}
 }
