--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -161,7 +161,7 @@
 		}
 	}
 	head := n.Replica.Head()
-	for _, id := range n.peers.ToAnnounce(head, now) {
+	for _, id := range n.peers.AnnounceTargets(head, now) {
 		other := n.sim.byID[id.Instance]
 		n.heartbeat(other)
 		size := n.sim.heartbeatBytes(n.agent)
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -98,9 +98,9 @@
 	known.announced, known.at = head, now
 }
 
-// ToAnnounce returns the peers that do not know the head and may be sent a
+// AnnounceTargets returns the peers that do not know the head and may be sent a
 // heartbeat now. The caller reports each with Announced.
-func (p *Peers) ToAnnounce(head Head, now time.Time) []PeerID {
+func (p *Peers) AnnounceTargets(head Head, now time.Time) []PeerID {
 	var ids []PeerID
 	for id, known := range p.peers {
 		if known.leaf && !known.asked {
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -196,7 +196,7 @@
 
 func (f *Follower) announce(now time.Time) {
 	head := f.replica.Head()
-	for _, id := range f.peers.ToAnnounce(head, now) {
+	for _, id := range f.peers.AnnounceTargets(head, now) {
 		send := f.sends[id]
 		if send == nil {
 			continue
