--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -168,7 +168,7 @@
 		n.Sent += size
 		other.Received += size
 	}
-	if id, ok := n.peers.ToFetch(head, now); ok {
+	if id, ok := n.peers.StartFetch(head, now); ok {
 		n.fetch(n.sim.byID[id.Instance], id, head.Number)
 	}
 }
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -118,10 +118,10 @@
 	return ids
 }
 
-// ToFetch returns a peer to send a ConfigFetch to, if one holds a higher
+// StartFetch returns a peer to send a ConfigFetch to, if one holds a higher
 // revision and no fetch is outstanding. Fetches over leaf connections keep a
 // distance, so that one merged revision carries several changes of a burst.
-func (p *Peers) ToFetch(head Head, now time.Time) (PeerID, bool) {
+func (p *Peers) StartFetch(head Head, now time.Time) (PeerID, bool) {
 	if !p.fetched.IsZero() {
 		if now.Sub(p.fetched) < p.cfg.FetchTimeout {
 			return PeerID{}, false
--- a/lib/config/peers_test.go
+++ b/lib/config/peers_test.go
@@ -24,13 +24,13 @@
 	// Guards against a burst that costs one message per change and agent.
 	It("fetches at once after a pause and then waits", func() {
 		p := newPeers()
-		_, ok := p.ToFetch(config.Head{Number: 4}, start)
+		_, ok := p.StartFetch(config.Head{Number: 4}, start)
 		Expect(ok).To(BeTrue())
 		p.FetchAnswered(first)
 		p.ObserveHead(first, config.Head{Number: 6})
-		_, ok = p.ToFetch(config.Head{Number: 5}, start.Add(1900*time.Millisecond))
+		_, ok = p.StartFetch(config.Head{Number: 5}, start.Add(1900*time.Millisecond))
 		Expect(ok).To(BeFalse())
-		_, ok = p.ToFetch(config.Head{Number: 5}, start.Add(2*time.Second))
+		_, ok = p.StartFetch(config.Head{Number: 5}, start.Add(2*time.Second))
 		Expect(ok).To(BeTrue())
 	})
 
@@ -41,12 +41,12 @@
 			func(p *config.Peers) { p.FetchAnswered(first); p.Remove(first) },
 		} {
 			p := newPeers()
-			_, ok := p.ToFetch(config.Head{Number: 4}, start)
+			_, ok := p.StartFetch(config.Head{Number: 4}, start)
 			Expect(ok).To(BeTrue())
 			fail(p)
 			p.Add(second, true)
 			p.ObserveHead(second, config.Head{Number: 5})
-			id, ok := p.ToFetch(config.Head{Number: 4}, start.Add(10*time.Millisecond))
+			id, ok := p.StartFetch(config.Head{Number: 4}, start.Add(10*time.Millisecond))
 			Expect(ok).To(BeTrue())
 			Expect(id).To(Equal(second))
 		}
--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -123,7 +123,7 @@
 // fetch asks the best peer for revisions that this process lacks.
 func (f *Follower) fetch(now time.Time) {
 	head := f.replica.Head()
-	id, ok := f.peers.ToFetch(head, now)
+	id, ok := f.peers.StartFetch(head, now)
 	if !ok {
 		return
 	}
