--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -106,7 +106,7 @@
 		if known.leaf && !known.asked {
 			continue
 		}
-		pause := p.cfg.AnnounceEvery
+		pause := p.cfg.AnnounceInterval
 		if known.leaf {
 			pause = p.cfg.LeafPause
 		}
--- a/lib/config/peers_config.go
+++ b/lib/config/peers_config.go
@@ -17,8 +17,8 @@
 
 // PeersConfig holds the pace of Peers.
 type PeersConfig struct {
-	FetchTimeout  time.Duration
-	AnnounceEvery time.Duration
+	FetchTimeout     time.Duration
+	AnnounceInterval time.Duration
 	// LeafPause is the shortest time between two announcements and between two
 	// answered fetches over leaf connections; the first after a longer pause is
 	// sent at once.
@@ -29,8 +29,8 @@
 	if c.FetchTimeout == 0 {
 		c.FetchTimeout = defaultFetchTimeout
 	}
-	if c.AnnounceEvery == 0 {
-		c.AnnounceEvery = defaultAnnounceEvery
+	if c.AnnounceInterval == 0 {
+		c.AnnounceInterval = defaultAnnounceEvery
 	}
 	if c.LeafPause == 0 {
 		c.LeafPause = defaultLeafPause
