--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -108,7 +108,7 @@
 		}
 		pause := p.cfg.AnnounceInterval
 		if known.leaf {
-			pause = p.cfg.LeafPause
+			pause = p.cfg.LeafInterval
 		}
 		if known.head.Number < head.Number && known.announced != head && now.Sub(known.at) >= pause {
 			ids = append(ids, id)
@@ -131,7 +131,7 @@
 		}
 	}
 	id, ok := p.best(head, now)
-	if ok && p.peers[id].leaf && !p.pausedFrom.IsZero() && now.Sub(p.pausedFrom) < p.cfg.LeafPause {
+	if ok && p.peers[id].leaf && !p.pausedFrom.IsZero() && now.Sub(p.pausedFrom) < p.cfg.LeafInterval {
 		return PeerID{}, false
 	}
 	if ok {
--- a/lib/config/peers_config.go
+++ b/lib/config/peers_config.go
@@ -19,10 +19,10 @@
 type PeersConfig struct {
 	FetchTimeout     time.Duration
 	AnnounceInterval time.Duration
-	// LeafPause is the shortest time between two announcements and between two
+	// LeafInterval is the shortest time between two announcements and between two
 	// answered fetches over leaf connections; the first after a longer pause is
 	// sent at once.
-	LeafPause time.Duration
+	LeafInterval time.Duration
 }
 
 func (c *PeersConfig) applyDefaults() {
@@ -32,7 +32,7 @@
 	if c.AnnounceInterval == 0 {
 		c.AnnounceInterval = defaultAnnounceEvery
 	}
-	if c.LeafPause == 0 {
-		c.LeafPause = defaultLeafPause
+	if c.LeafInterval == 0 {
+		c.LeafInterval = defaultLeafPause
 	}
 }
