--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -13,10 +13,10 @@
 )
 
 // Size tells how many entries share the store's budget of reads.
-func (f *Fleet) Size() config.Fleet {
+func (f *Fleet) Size() config.FleetSize {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	size := config.Fleet{Entries: 1, DomainEntries: 1}
+	size := config.FleetSize{Entries: 1, DomainEntries: 1}
 	for _, m := range f.view.Members(backing.RoleEntry) {
 		if m.State == member.StateGone || m.Identity.Instance == f.cfg.Identity.Instance {
 			continue
--- a/internal/configsim/pace.go
+++ b/internal/configsim/pace.go
@@ -16,7 +16,7 @@
 // pace says when an entry polls the store.
 type pace interface {
 	Next() time.Time
-	Done(err error, more bool, fleet config.Fleet, now time.Time)
+	Done(err error, more bool, fleet config.FleetSize, now time.Time)
 }
 
 // fixedPace polls at fixed intervals without jitter or backoff.
@@ -26,7 +26,7 @@
 func (f *fixedPace) Next() time.Time { return f.next }
 
 // Done implements pace.
-func (f *fixedPace) Done(err error, _ bool, _ config.Fleet, now time.Time) {
+func (f *fixedPace) Done(err error, _ bool, _ config.FleetSize, now time.Time) {
 	f.next = now.Add(fixedInterval)
 	if err != nil {
 		f.next = now.Add(fixedRetry)
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -166,8 +166,8 @@
 
 func (s *Sim) countRead() { s.reads[s.Second()]++ }
 
-func (s *Sim) fleet() config.Fleet {
-	return config.Fleet{Entries: s.cfg.Domains * s.cfg.Entries, DomainEntries: s.cfg.Entries}
+func (s *Sim) fleet() config.FleetSize {
+	return config.FleetSize{Entries: s.cfg.Domains * s.cfg.Entries, DomainEntries: s.cfg.Entries}
 }
 
 // send delivers a message after the latency of the path, or drops it when the
--- a/lib/config/poller.go
+++ b/lib/config/poller.go
@@ -16,8 +16,8 @@
 	backoffEntries = 8
 )
 
-// Fleet is what an entry knows about its peers.
-type Fleet struct {
+// FleetSize is what an entry knows about its peers.
+type FleetSize struct {
 	// Entries is the number of live entries of the deployment.
 	Entries int
 	// DomainEntries is the number of live entries of the own failure domain.
@@ -35,7 +35,7 @@
 
 // NewPoller returns a poller whose first poll is spread over the time in which
 // all entries may read the store once, because they may all start at once.
-func NewPoller(cfg PollerConfig, fleet Fleet, rng *rand.Rand, now time.Time) *Poller {
+func NewPoller(cfg PollerConfig, fleet FleetSize, rng *rand.Rand, now time.Time) *Poller {
 	cfg.applyDefaults()
 	p := &Poller{cfg: cfg, rng: rng}
 	spread := seconds(float64(max(1, fleet.Entries)*readsPerStart) / cfg.ReadRate)
@@ -48,7 +48,7 @@
 
 // Done takes the end of a poll and sets the next time. More reports that the
 // store holds further revisions, which are fetched after a shorter wait.
-func (p *Poller) Done(err error, more bool, fleet Fleet, now time.Time) {
+func (p *Poller) Done(err error, more bool, fleet FleetSize, now time.Time) {
 	wait := p.interval(fleet)
 	switch {
 	case err != nil:
@@ -65,13 +65,13 @@
 
 // interval grows with the fleet so that the reads of all entries together stay
 // within the budget.
-func (p *Poller) interval(fleet Fleet) time.Duration {
+func (p *Poller) interval(fleet FleetSize) time.Duration {
 	return max(p.cfg.Interval, seconds(float64(fleet.Entries)/p.cfg.ReadRate))
 }
 
 // backoff doubles with each failure. Its bound grows with the entries of a
 // large domain, because one of them that reaches the store is enough for all.
-func (p *Poller) backoff(interval time.Duration, fleet Fleet) time.Duration {
+func (p *Poller) backoff(interval time.Duration, fleet FleetSize) time.Duration {
 	large := p.cfg.MaxBackoff * time.Duration(fleet.DomainEntries) / backoffEntries
 	bound := max(interval, p.cfg.MaxBackoff, min(large, interval*maxBackoffFactor))
 	shift := min(p.failures+1, 8)
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -16,7 +16,7 @@
 
 // PollStore reads the store until ctx ends. Fleet tells how many entries share
 // the store's budget of reads.
-func (f *Follower) PollStore(ctx context.Context, store *config.Store, fleet func() config.Fleet, rng *rand.Rand) {
+func (f *Follower) PollStore(ctx context.Context, store *config.Store, fleet func() config.FleetSize, rng *rand.Rand) {
 	poller := config.NewPoller(config.PollerConfig{}, fleet(), rng, f.cfg.Clock.Now())
 	timer := time.NewTimer(poller.Next().Sub(f.cfg.Clock.Now()))
 	defer timer.Stop()
