--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -128,7 +128,7 @@
 					_, _ = n.Replica.ObserveHead(poll.Head, 0, now)
 				}
 			}
-			n.pace.Done(err, poll.More, n.sim.fleet(), now)
+			n.pace.PollDone(err, poll.More, n.sim.fleet(), now)
 			n.schedulePoll(generation)
 		})
 	})
--- a/internal/configsim/pace.go
+++ b/internal/configsim/pace.go
@@ -16,7 +16,7 @@
 // pace says when an entry polls the store.
 type pace interface {
 	Next() time.Time
-	Done(err error, more bool, fleet config.FleetSize, now time.Time)
+	PollDone(err error, more bool, fleet config.FleetSize, now time.Time)
 }
 
 // fixedPace polls at fixed intervals without jitter or backoff.
@@ -25,8 +25,8 @@
 // Next implements pace.
 func (f *fixedPace) Next() time.Time { return f.next }
 
-// Done implements pace.
-func (f *fixedPace) Done(err error, _ bool, _ config.FleetSize, now time.Time) {
+// PollDone implements pace.
+func (f *fixedPace) PollDone(err error, _ bool, _ config.FleetSize, now time.Time) {
 	f.next = now.Add(fixedInterval)
 	if err != nil {
 		f.next = now.Add(fixedRetry)
--- a/lib/config/poller.go
+++ b/lib/config/poller.go
@@ -46,9 +46,9 @@
 // Next returns the time of the next poll.
 func (p *Poller) Next() time.Time { return p.next }
 
-// Done takes the end of a poll and sets the next time. More reports that the
+// PollDone takes the end of a poll and sets the next time. More reports that the
 // store holds further revisions, which are fetched after a shorter wait.
-func (p *Poller) Done(err error, more bool, fleet FleetSize, now time.Time) {
+func (p *Poller) PollDone(err error, more bool, fleet FleetSize, now time.Time) {
 	wait := p.interval(fleet)
 	switch {
 	case err != nil:
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -29,7 +29,7 @@
 		}
 		more, err := f.pollOnce(ctx, store)
 		available = f.logAvailability(available, err)
-		poller.Done(err, more, fleet(), f.cfg.Clock.Now())
+		poller.PollDone(err, more, fleet(), f.cfg.Clock.Now())
 		timer.Reset(poller.Next().Sub(f.cfg.Clock.Now()))
 	}
 }
