--- a/lib/config/store_poll.go
+++ b/lib/config/store_poll.go
@@ -6,8 +6,8 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// Poll is what the store holds beyond a replica's revision.
-type Poll struct {
+// PollResult is what the store holds beyond a replica's revision.
+type PollResult struct {
 	// Head is the newest revision read; it equals the replica's if there is
 	// nothing new. It is zero when the store showed an older state than the
 	// replica's.
@@ -23,8 +23,8 @@
 // Poll reads what a replica at the given revision lacks. A replica that is up
 // to date costs one read, which includes its own revision to detect stale reads
 // and a foreign history; a new one costs two.
-func (s *Store) Poll(ctx context.Context, at Head) (Poll, error) {
-	var p Poll
+func (s *Store) Poll(ctx context.Context, at Head) (PollResult, error) {
+	var p PollResult
 	from := at.Number
 	if at.Number == 0 {
 		snapshot, err := s.newestSnapshot(ctx, &p)
@@ -55,7 +55,7 @@
 	return p, p.add(rows, at)
 }
 
-func (s *Store) newestSnapshot(ctx context.Context, p *Poll) (uint64, error) {
+func (s *Store) newestSnapshot(ctx context.Context, p *PollResult) (uint64, error) {
 	p.Reads++
 	rows, err := s.table.Scan(ctx, Table, snapshotPrefix, "", 1)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return revision.Number, nil
 }
 
-func (p *Poll) add(rows []backing.Row, at Head) error {
+func (p *PollResult) add(rows []backing.Row, at Head) error {
 	for _, row := range rows {
 		revision, err := DecodeRevision(row.Value)
 		if err != nil {
