--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -123,7 +123,7 @@
 			}
 			now := n.sim.Now()
 			if err == nil {
-				n.offer(poll.Encoded)
+				n.offer(poll.Revisions)
 				if !poll.More {
 					_, _ = n.Replica.ObserveHead(poll.Head, 0, now)
 				}
--- a/lib/config/store_poll.go
+++ b/lib/config/store_poll.go
@@ -12,8 +12,8 @@
 	// nothing new. It is zero when the store showed an older state than the
 	// replica's.
 	Head Head
-	// Encoded are the revisions for Replica.Offer, in order.
-	Encoded [][]byte
+	// Revisions are the revisions for Replica.Offer, in order.
+	Revisions [][]byte
 	// More is true when the store holds further revisions.
 	More bool
 	// Reads is the number of reads that the poll took.
@@ -47,10 +47,10 @@
 		if _, err := s.newestSnapshot(ctx, &p); err != nil {
 			return p, err
 		}
-		if len(p.Encoded) > 0 && p.Head.Number > from+pollPage {
+		if len(p.Revisions) > 0 && p.Head.Number > from+pollPage {
 			return p, nil
 		}
-		p.Encoded = nil
+		p.Revisions = nil
 	}
 	return p, p.add(rows, at)
 }
@@ -69,7 +69,7 @@
 		return 0, err
 	}
 	p.Head = revision.Head()
-	p.Encoded = append(p.Encoded, rows[0].Value)
+	p.Revisions = append(p.Revisions, rows[0].Value)
 	return revision.Number, nil
 }
 
@@ -81,7 +81,7 @@
 		}
 		p.Head = revision.Head()
 		if revision.Number > at.Number {
-			p.Encoded = append(p.Encoded, row.Value)
+			p.Revisions = append(p.Revisions, row.Value)
 		}
 	}
 	return nil
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -48,7 +48,7 @@
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
 	before := f.replica.Current()
-	if _, err := f.replica.Apply(poll.Encoded, now); err != nil && config.IsDamaged(err) {
+	if _, err := f.replica.Apply(poll.Revisions, now); err != nil && config.IsDamaged(err) {
 		f.cfg.Log.Log(eventlog.ConfigRejected, "source", "store", "err", err)
 		return false, merry.Wrap(err)
 	}
