--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -70,9 +70,9 @@
 		s.cfg.Log.Log(eventlog.ConfigConflict, "operation", operation, "expected", conflict.Expected, "current", conflict.Current.Number)
 	case errors.As(err, &unknown):
 		s.cfg.Log.Log(eventlog.StoreUnavailable, "operation", operation, "cause", unknown.Cause)
-	case err == nil && len(result.Encoded) > 0:
+	case err == nil && len(result.EncodedRevision) > 0:
 		s.cfg.Log.Log(eventlog.ConfigAccepted, "operation", operation, "revision", result.Head.Number)
-		s.replica.Accepted(result.Encoded)
+		s.replica.Accepted(result.EncodedRevision)
 		s.prune(ctx, result.Head.Number)
 	}
 	if err != nil {
--- a/internal/configsim/changes.go
+++ b/internal/configsim/changes.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	o.next, o.Encoded = &next, result.Encoded
+	o.next, o.Encoded = &next, result.EncodedRevision
 	o.Accepted = append(o.Accepted, s.Now())
 	return nil
 }
--- a/lib/config/request.go
+++ b/lib/config/request.go
@@ -26,6 +26,6 @@
 	Unchanged bool
 	// Replayed is true when an earlier request with the same id was accepted.
 	Replayed bool
-	// Encoded is the accepted revision for the replica of the process.
-	Encoded []byte
+	// EncodedRevision is the accepted revision for the replica of the process.
+	EncodedRevision []byte
 }
--- a/lib/config/store_apply.go
+++ b/lib/config/store_apply.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return Result{}, merry.Wrap(err)
 	}
-	result.Head, result.Encoded = revision.Head(), encoded
+	result.Head, result.EncodedRevision = revision.Head(), encoded
 	return result, nil
 }
 
--- a/lib/follow/follower_test.go
+++ b/lib/follow/follower_test.go
@@ -42,7 +42,7 @@
 		store := config.NewStore(table.New(), config.StoreConfig{Clock: now})
 		accepted, err := store.Apply(context.Background(), config.Request{Config: declared, Operation: "first", Author: "ops"})
 		Expect(err).NotTo(HaveOccurred())
-		f.Accepted(accepted.Encoded)
+		f.Accepted(accepted.EncodedRevision)
 		confirm := func() {
 			f.HandleHeartbeat(config.PeerID{Instance: "e1"}, &wire.Heartbeat{ConfigRevision: accepted.Head.Number, ConfigDigest: accepted.Head.Digest})
 			f.Tick()
