--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -14,7 +14,7 @@
 	Apply(ctx context.Context, req config.Request) (config.Result, error)
 	Rollback(ctx context.Context, to uint64, req config.Request) (config.Result, error)
 	Get(ctx context.Context, number uint64) (config.View, error)
-	History(ctx context.Context, before uint64, limit int) ([]config.Entry, error)
+	History(ctx context.Context, before uint64, limit int) ([]config.HistoryEntry, error)
 	Operation(ctx context.Context, id string, settle bool) (config.Operation, error)
 	Prune(ctx context.Context) (int, error)
 }
--- a/lib/config/store_history.go
+++ b/lib/config/store_history.go
@@ -9,15 +9,15 @@
 // maxHistory bounds the revisions of one answer.
 const maxHistory = 500
 
-// Entry is one line of the history.
-type Entry struct {
+// HistoryEntry is one line of the history.
+type HistoryEntry struct {
 	Head   Head
 	Change Change
 }
 
 // History returns up to limit revisions before a number, newest first; before 0
 // starts at the newest.
-func (s *Store) History(ctx context.Context, before uint64, limit int) ([]Entry, error) {
+func (s *Store) History(ctx context.Context, before uint64, limit int) ([]HistoryEntry, error) {
 	if limit < 1 || limit > maxHistory {
 		limit = maxHistory
 	}
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, unavailable(err)
 	}
-	entries := make([]Entry, 0, len(rows))
+	entries := make([]HistoryEntry, 0, len(rows))
 	for i := len(rows) - 1; i >= 0; i-- {
 		revision, err := DecodeRevision(rows[i].Value)
 		if err != nil {
@@ -46,7 +46,7 @@
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, Entry{Head: revision.Head(), Change: change})
+		entries = append(entries, HistoryEntry{Head: revision.Head(), Change: change})
 	}
 	return entries, nil
 }
