--- a/lib/config/declaration.go
+++ b/lib/config/declaration.go
@@ -40,10 +40,10 @@
 		ChildSectionDelimiter: "\x00",
 	}, data)
 	if err != nil {
-		return nil, merry.Wrap(&InvalidError{Faults: []Fault{{Path: "file", Value: err.Error(), Allowed: "INI sections and keys"}}})
+		return nil, merry.Wrap(&InvalidError{Faults: []Violation{{Path: "file", Value: err.Error(), Allowed: "INI sections and keys"}}})
 	}
 	c := &Config{Deployment: defaultDeployment()}
-	var read []Fault
+	var read []Violation
 	for _, s := range file.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
@@ -84,9 +84,9 @@
 // scanLines finds the lines of sections and keys. It refuses what the INI
 // library would accept silently: repeated sections and keys, of which the last
 // would win.
-func scanLines(data []byte) (lineIndex, []Fault) {
+func scanLines(data []byte) (lineIndex, []Violation) {
 	lines := make(lineIndex)
-	var faults []Fault
+	var faults []Violation
 	object := ""
 	for i, text := range strings.Split(string(data), "\n") {
 		text = strings.TrimSpace(strings.TrimPrefix(text, "\ufeff"))
@@ -99,19 +99,19 @@
 		case isSection:
 			end := strings.IndexByte(text, ']')
 			if end < 0 {
-				faults = append(faults, Fault{Path: "section", Value: text, Allowed: "[name]", Line: i + 1})
+				faults = append(faults, Violation{Path: "section", Value: text, Allowed: "[name]", Line: i + 1})
 				continue
 			}
 			object = strings.TrimSpace(text[1:end])
 			name = object
 		case !isKey:
-			faults = append(faults, Fault{Path: path(object, "line"), Value: text, Allowed: "key = value", Line: i + 1})
+			faults = append(faults, Violation{Path: path(object, "line"), Value: text, Allowed: "key = value", Line: i + 1})
 			continue
 		default:
 			name = path(object, strings.TrimSpace(name))
 		}
 		if lines[name] > 0 {
-			faults = append(faults, Fault{Path: name, Value: strings.TrimSpace(value), Allowed: "each section and key once", Line: i + 1})
+			faults = append(faults, Violation{Path: name, Value: strings.TrimSpace(value), Allowed: "each section and key once", Line: i + 1})
 			continue
 		}
 		lines[name] = i + 1
--- a/lib/config/fault.go
+++ b/lib/config/fault.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a configuration.
-type Fault struct {
+// Violation is one thing that is wrong with a configuration.
+type Violation struct {
 	// Path names the value, such as "service drafts: timeout".
 	Path string
 	// Value is what was declared.
@@ -18,7 +18,7 @@
 }
 
 // String returns the fault as one line.
-func (f Fault) String() string {
+func (f Violation) String() string {
 	text := fmt.Sprintf("%s: %q is not allowed; allowed: %s", f.Path, f.Value, f.Allowed)
 	if f.Line > 0 {
 		return fmt.Sprintf("line %d: %s", f.Line, text)
@@ -28,7 +28,7 @@
 
 // InvalidError lists every fault of a configuration.
 type InvalidError struct {
-	Faults []Fault
+	Faults []Violation
 }
 
 func (e *InvalidError) Error() string {
--- a/lib/config/section_reader.go
+++ b/lib/config/section_reader.go
@@ -15,7 +15,7 @@
 	name   string
 	order  []string
 	values map[string]string
-	faults []Fault
+	faults []Violation
 }
 
 func newSectionReader(s *ini.Section) *sectionReader {
@@ -48,7 +48,7 @@
 	case kind == "class" && len(words) == 2:
 		c.Classes = append(c.Classes, r.class(model.Class(words[1])))
 	default:
-		r.faults = append(r.faults, Fault{
+		r.faults = append(r.faults, Violation{
 			Path: r.name, Value: r.name,
 			Allowed: "[deployment], [model NAME VERSION], [placement POOL DOMAIN], [service NAME], [tenant NAME], [class NAME]",
 		})
@@ -184,5 +184,5 @@
 }
 
 func (r *sectionReader) fault(key, value, allowed string) {
-	r.faults = append(r.faults, Fault{Path: path(r.name, key), Value: value, Allowed: allowed})
+	r.faults = append(r.faults, Violation{Path: path(r.name, key), Value: value, Allowed: allowed})
 }
--- a/lib/config/validate.go
+++ b/lib/config/validate.go
@@ -65,14 +65,14 @@
 }
 
 func validateRequest(req Request) error {
-	var faults []Fault
+	var faults []Violation
 	if !req.DryRun || req.Operation != "" {
 		if !idForm.MatchString(req.Operation) {
-			faults = append(faults, Fault{Path: "operation", Value: req.Operation, Allowed: idAllowed})
+			faults = append(faults, Violation{Path: "operation", Value: req.Operation, Allowed: idAllowed})
 		}
 	}
 	if !req.DryRun && !idForm.MatchString(req.Author) {
-		faults = append(faults, Fault{Path: "author", Value: req.Author, Allowed: idAllowed})
+		faults = append(faults, Violation{Path: "author", Value: req.Author, Allowed: idAllowed})
 	}
 	if len(faults) > 0 {
 		return merry.Wrap(&InvalidError{Faults: faults})
@@ -84,17 +84,17 @@
 	if idForm.MatchString(id) {
 		return nil
 	}
-	return merry.Wrap(&InvalidError{Faults: []Fault{{Path: "operation", Value: id, Allowed: idAllowed}}})
+	return merry.Wrap(&InvalidError{Faults: []Violation{{Path: "operation", Value: id, Allowed: idAllowed}}})
 }
 
 // validator collects faults.
 type validator struct {
 	config *Config
-	faults []Fault
+	faults []Violation
 }
 
 func (v *validator) fault(object, key string, value any, allowed string) {
-	v.faults = append(v.faults, Fault{Path: path(object, key), Value: fmt.Sprint(value), Allowed: allowed})
+	v.faults = append(v.faults, Violation{Path: path(object, key), Value: fmt.Sprint(value), Allowed: allowed})
 }
 
 func path(object, key string) string {
--- a/schema/convert/config.go
+++ b/schema/convert/config.go
@@ -51,7 +51,7 @@
 
 // ConfigFromMessage returns the configuration of a message. A digest that does
 // not parse is a fault; everything else is left to Validate.
-func ConfigFromMessage(m *pb.Config) (*config.Config, []config.Fault) {
+func ConfigFromMessage(m *pb.Config) (*config.Config, []config.Violation) {
 	d := m.GetDeployment()
 	c := &config.Config{Deployment: config.Deployment{
 		TimeWeight:     d.GetTimeWeight(),
@@ -59,11 +59,11 @@
 		TransferShare:  d.GetTransferShare(),
 		ClaimRetention: d.GetClaimRetention().AsDuration(),
 	}}
-	var faults []config.Fault
+	var faults []config.Violation
 	for _, v := range m.GetModels() {
 		digest, err := model.ParseDigest(v.GetManifest())
 		if err != nil {
-			faults = append(faults, config.Fault{
+			faults = append(faults, config.Violation{
 				Path:  "model " + v.GetName() + " " + v.GetVersion() + ": manifest",
 				Value: v.GetManifest(), Allowed: "the digest of a manifest, 64 hexadecimal digits",
 			})
--- a/schema/convert/errors.go
+++ b/schema/convert/errors.go
@@ -58,7 +58,7 @@
 		case *pb.Invalid:
 			invalid := &config.InvalidError{}
 			for _, f := range d.GetFaults() {
-				invalid.Faults = append(invalid.Faults, config.Fault{Path: f.GetPath(), Value: f.GetValue(), Allowed: f.GetAllowed()})
+				invalid.Faults = append(invalid.Faults, config.Violation{Path: f.GetPath(), Value: f.GetValue(), Allowed: f.GetAllowed()})
 			}
 			return merry.Wrap(invalid)
 		case *pb.Conflict:
