--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -40,7 +40,7 @@
 func (s *Server) Apply(ctx context.Context, m *pb.ApplyRequest) (*pb.ApplyResponse, error) {
 	c, faults := convert.ConfigFromMessage(m.GetConfig())
 	if len(faults) > 0 {
-		return nil, convert.ErrorToStatus(&config.InvalidError{Faults: faults})
+		return nil, convert.ErrorToStatus(&config.InvalidError{Violations: faults})
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
--- a/lib/config/declaration.go
+++ b/lib/config/declaration.go
@@ -30,7 +30,7 @@
 func Parse(data []byte) (*Config, error) {
 	lines, faults := scanLines(data)
 	if len(faults) > 0 {
-		return nil, merry.Wrap(&InvalidError{Faults: faults})
+		return nil, merry.Wrap(&InvalidError{Violations: faults})
 	}
 	file, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation:       true,
@@ -40,7 +40,7 @@
 		ChildSectionDelimiter: "\x00",
 	}, data)
 	if err != nil {
-		return nil, merry.Wrap(&InvalidError{Faults: []Violation{{Path: "file", Value: err.Error(), Allowed: "INI sections and keys"}}})
+		return nil, merry.Wrap(&InvalidError{Violations: []Violation{{Path: "file", Value: err.Error(), Allowed: "INI sections and keys"}}})
 	}
 	c := &Config{Deployment: defaultDeployment()}
 	var read []Violation
@@ -61,12 +61,12 @@
 		if !errors.As(err, &invalid) {
 			return nil, err
 		}
-		read = invalid.Faults
+		read = invalid.Violations
 	}
 	for i := range read {
 		read[i].Line = lines.find(read[i].Path)
 	}
-	return nil, merry.Wrap(&InvalidError{Faults: read})
+	return nil, merry.Wrap(&InvalidError{Violations: read})
 }
 
 // lineIndex maps the path of a section or key to its line.
--- a/lib/config/declaration_test.go
+++ b/lib/config/declaration_test.go
@@ -47,6 +47,6 @@
 		_, err := config.Parse([]byte("[deployment]\norigin_copies = 0\ntransfer_share = 2\n[tenant A]\nshare = 0\n"))
 		var invalid *config.InvalidError
 		Expect(errors.As(err, &invalid)).To(BeTrue())
-		Expect(invalid.Faults).To(HaveLen(4))
+		Expect(invalid.Violations).To(HaveLen(4))
 	})
 })
--- a/lib/config/fault.go
+++ b/lib/config/fault.go
@@ -28,12 +28,12 @@
 
 // InvalidError lists every fault of a configuration.
 type InvalidError struct {
-	Faults []Violation
+	Violations []Violation
 }
 
 func (e *InvalidError) Error() string {
-	lines := make([]string, len(e.Faults))
-	for i, f := range e.Faults {
+	lines := make([]string, len(e.Violations))
+	for i, f := range e.Violations {
 		lines[i] = f.String()
 	}
 	return "invalid configuration: " + strings.Join(lines, "; ")
--- a/lib/config/validate.go
+++ b/lib/config/validate.go
@@ -61,7 +61,7 @@
 	if len(v.faults) == 0 {
 		return nil
 	}
-	return merry.Wrap(&InvalidError{Faults: v.faults})
+	return merry.Wrap(&InvalidError{Violations: v.faults})
 }
 
 func validateRequest(req Request) error {
@@ -75,7 +75,7 @@
 		faults = append(faults, Violation{Path: "author", Value: req.Author, Allowed: idAllowed})
 	}
 	if len(faults) > 0 {
-		return merry.Wrap(&InvalidError{Faults: faults})
+		return merry.Wrap(&InvalidError{Violations: faults})
 	}
 	return req.Config.Validate()
 }
@@ -84,7 +84,7 @@
 	if idForm.MatchString(id) {
 		return nil
 	}
-	return merry.Wrap(&InvalidError{Faults: []Violation{{Path: "operation", Value: id, Allowed: idAllowed}}})
+	return merry.Wrap(&InvalidError{Violations: []Violation{{Path: "operation", Value: id, Allowed: idAllowed}}})
 }
 
 // validator collects faults.
--- a/operator/cli/exit.go
+++ b/operator/cli/exit.go
@@ -56,10 +56,10 @@
 	case errors.As(err, &usage):
 		return report(w, exitUsage, "error: %v\n", err)
 	case errors.As(err, &invalid):
-		for _, f := range invalid.Faults {
+		for _, f := range invalid.Violations {
 			_, _ = fmt.Fprintln(w, f)
 		}
-		return report(w, exitInvalid, "error: invalid, %d faults\n", len(invalid.Faults))
+		return report(w, exitInvalid, "error: invalid, %d faults\n", len(invalid.Violations))
 	case errors.As(err, &conflict):
 		for _, d := range conflict.Differences {
 			_, _ = fmt.Fprintln(w, d)
--- a/operator/reads.go
+++ b/operator/reads.go
@@ -23,7 +23,7 @@
 	}
 	parsed, faults := convert.ConfigFromMessage(m.GetConfig())
 	if len(faults) > 0 {
-		return config.View{}, merry.Wrap(&config.InvalidError{Faults: faults})
+		return config.View{}, merry.Wrap(&config.InvalidError{Violations: faults})
 	}
 	return config.View{Config: parsed, Head: convert.HeadFromMessage(m.GetRevision()), Accepted: m.GetAccepted().AsTime()}, nil
 }
--- a/schema/convert/errors.go
+++ b/schema/convert/errors.go
@@ -23,7 +23,7 @@
 		return nil
 	case errors.As(err, &invalid):
 		detail := &pb.Invalid{}
-		for _, f := range invalid.Faults {
+		for _, f := range invalid.Violations {
 			detail.Faults = append(detail.Faults, &pb.Fault{Path: f.Path, Value: f.Value, Allowed: f.Allowed})
 		}
 		return withDetail(codes.InvalidArgument, invalid.Error(), detail)
@@ -58,7 +58,7 @@
 		case *pb.Invalid:
 			invalid := &config.InvalidError{}
 			for _, f := range d.GetFaults() {
-				invalid.Faults = append(invalid.Faults, config.Violation{Path: f.GetPath(), Value: f.GetValue(), Allowed: f.GetAllowed()})
+				invalid.Violations = append(invalid.Violations, config.Violation{Path: f.GetPath(), Value: f.GetValue(), Allowed: f.GetAllowed()})
 			}
 			return merry.Wrap(invalid)
 		case *pb.Conflict:
