--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -58,7 +58,7 @@
 	m := &machine{sim: s, oracle: newOracle(s), table: &delayedTable{TableService: s.Table}}
 	for range 3 {
 		m.stores = append(m.stores, config.NewStore(m.table, config.StoreConfig{
-			Clock: s.Clock(), Retries: 2,
+			Clock: s.Clock(), MaxRetries: 2,
 			Wait: func(context.Context, time.Duration) error { return nil },
 		}))
 	}
--- a/lib/config/store_config.go
+++ b/lib/config/store_config.go
@@ -19,8 +19,8 @@
 
 // StoreConfig holds the limits of a Store.
 type StoreConfig struct {
-	// Retries is the number of further tries within one call.
-	Retries int
+	// MaxRetries is the number of further tries within one call.
+	MaxRetries int
 	// Pause is the wait before the first further try; it doubles each time.
 	Pause time.Duration
 	// OperationRetention is the age at which Prune drops operation ids.
@@ -32,8 +32,8 @@
 }
 
 func (c *StoreConfig) applyDefaults() {
-	if c.Retries == 0 {
-		c.Retries = defaultRetries
+	if c.MaxRetries == 0 {
+		c.MaxRetries = defaultRetries
 	}
 	if c.Pause == 0 {
 		c.Pause = defaultPause
