--- a/lib/config/store_config.go
+++ b/lib/config/store_config.go
@@ -21,8 +21,8 @@
 type StoreConfig struct {
 	// MaxRetries is the number of further tries within one call.
 	MaxRetries int
-	// Pause is the wait before the first further try; it doubles each time.
-	Pause time.Duration
+	// RetryDelay is the wait before the first further try; it doubles each time.
+	RetryDelay time.Duration
 	// OperationRetention is the age at which Prune drops operation ids.
 	OperationRetention time.Duration
 	// Clock dates accepted revisions.
@@ -35,8 +35,8 @@
 	if c.MaxRetries == 0 {
 		c.MaxRetries = defaultRetries
 	}
-	if c.Pause == 0 {
-		c.Pause = defaultPause
+	if c.RetryDelay == 0 {
+		c.RetryDelay = defaultPause
 	}
 	if c.OperationRetention == 0 {
 		c.OperationRetention = defaultOperationRetention
