--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -59,7 +59,7 @@
 	for range 3 {
 		m.stores = append(m.stores, config.NewStore(m.table, config.StoreConfig{
 			Clock: s.Clock(), MaxRetries: 2,
-			Wait: func(context.Context, time.Duration) error { return nil },
+			Sleep: func(context.Context, time.Duration) error { return nil },
 		}))
 	}
 	s.Boot()
--- a/lib/config/store_apply.go
+++ b/lib/config/store_apply.go
@@ -29,7 +29,7 @@
 		if !isRetryable(err) {
 			return result, err
 		}
-		if try == s.cfg.MaxRetries || s.cfg.Wait(ctx, s.cfg.RetryDelay<<try) != nil {
+		if try == s.cfg.MaxRetries || s.cfg.Sleep(ctx, s.cfg.RetryDelay<<try) != nil {
 			break
 		}
 	}
--- a/lib/config/store_config.go
+++ b/lib/config/store_config.go
@@ -27,8 +27,8 @@
 	OperationRetention time.Duration
 	// Clock dates accepted revisions.
 	Clock clock.Clock
-	// Wait pauses between tries. Tests replace it.
-	Wait func(ctx context.Context, d time.Duration) error
+	// Sleep pauses between tries. Tests replace it.
+	Sleep func(ctx context.Context, d time.Duration) error
 }
 
 func (c *StoreConfig) applyDefaults() {
@@ -44,8 +44,8 @@
 	if c.Clock == nil {
 		c.Clock = clock.System{}
 	}
-	if c.Wait == nil {
-		c.Wait = waitTimer
+	if c.Sleep == nil {
+		c.Sleep = waitTimer
 	}
 }
 
--- a/lib/config/store_resolve.go
+++ b/lib/config/store_resolve.go
@@ -82,7 +82,7 @@
 		if !isRetryable(err) {
 			return op, err
 		}
-		if try == s.cfg.MaxRetries || s.cfg.Wait(ctx, s.cfg.RetryDelay<<try) != nil {
+		if try == s.cfg.MaxRetries || s.cfg.Sleep(ctx, s.cfg.RetryDelay<<try) != nil {
 			return Operation{}, unavailable(err)
 		}
 	}
--- a/lib/config/store_test.go
+++ b/lib/config/store_test.go
@@ -27,7 +27,7 @@
 	BeforeEach(func() {
 		clk = clock.NewFake(time.Unix(1_800_000_000, 0))
 		rows = table.New()
-		store = config.NewStore(rows, config.StoreConfig{Clock: clk, Wait: noWait})
+		store = config.NewStore(rows, config.StoreConfig{Clock: clk, Sleep: noWait})
 	})
 	apply := func(variant int, expected uint64, operation string) (config.Result, error) {
 		return store.Apply(ctx, config.Request{Config: sample(1, variant), Expected: expected, Operation: operation, Author: "ops"})
@@ -79,7 +79,7 @@
 		}
 		_, err := store.Rollback(ctx, 70, config.Request{Expected: 130, Operation: "back", Author: "ops"})
 		Expect(err).NotTo(HaveOccurred())
-		fresh := config.NewStore(rows, config.StoreConfig{Clock: clk, Wait: noWait})
+		fresh := config.NewStore(rows, config.StoreConfig{Clock: clk, Sleep: noWait})
 		view, err := fresh.Get(ctx, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(view.Head.Number).To(Equal(uint64(131)))
--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -85,7 +85,7 @@
 	)
 	BeforeEach(func() {
 		rows = table.New()
-		store := config.NewStore(rows, config.StoreConfig{Wait: func(context.Context, time.Duration) error { return nil }})
+		store := config.NewStore(rows, config.StoreConfig{Sleep: func(context.Context, time.Duration) error { return nil }})
 		entry := &fakeEntry{replica: config.NewReplica(config.ReplicaConfig{}, time.Now())}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
