--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -88,7 +88,7 @@
 // change does it, so that no entry has to be in charge. A failure is left to the
 // next time.
 func (s *Server) prune(ctx context.Context, number uint64) {
-	if number%config.SnapshotEvery == 0 {
+	if number%config.RevisionsPerSnapshot == 0 {
 		_, _ = s.store.Prune(ctx)
 	}
 }
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -111,7 +111,7 @@
 	if cached := s.cached.Load(); cached != nil && cached.head.Number <= number {
 		state = storeState{head: cached.head, change: cached.change, config: cached.config}
 	}
-	if number-state.head.Number > SnapshotEvery || state.head.Number == 0 {
+	if number-state.head.Number > RevisionsPerSnapshot || state.head.Number == 0 {
 		if err := s.readSnapshot(ctx, number, &state); err != nil {
 			return nil, err
 		}
--- a/lib/config/store_apply.go
+++ b/lib/config/store_apply.go
@@ -130,7 +130,7 @@
 		{Table: Table, Key: headKey, Condition: headCondition, Version: state.version, Value: head},
 		{Table: OperationTable, Key: req.Operation, Condition: backing.IfAbsent, Value: operation},
 	}}
-	if revision.Number%SnapshotEvery != 0 {
+	if revision.Number%RevisionsPerSnapshot != 0 {
 		return tx, encoded, nil
 	}
 	snapshot, err := revision.WithSnapshot(state.head.Digest, req.Config)
--- a/lib/config/tables.go
+++ b/lib/config/tables.go
@@ -10,8 +10,8 @@
 	Table = "config"
 	// OperationTable holds one row per operation id.
 	OperationTable = "config-operations"
-	// SnapshotEvery is the number of revisions between two snapshots.
-	SnapshotEvery = 64
+	// RevisionsPerSnapshot is the number of revisions between two snapshots.
+	RevisionsPerSnapshot = 64
 
 	headKey        = "head"
 	revisionPrefix = "revision/"
