--- a/lib/config/validate.go
+++ b/lib/config/validate.go
@@ -13,9 +13,9 @@
 const (
 	// MaxBodyBytes is the largest request body that fits into one frame.
 	MaxBodyBytes = 4 << 20
-	// MaxEncoded bounds the encoded configuration, so that a snapshot fits into
+	// MaxEncodedBytes bounds the encoded configuration, so that a snapshot fits into
 	// one frame between processes.
-	MaxEncoded = 3 << 20
+	MaxEncodedBytes = 3 << 20
 
 	maxObjectName     = 1024
 	maxModelBytes     = int64(4) << 40
@@ -55,8 +55,8 @@
 	v.services()
 	v.tenants()
 	v.classes()
-	if b, err := c.Encode(); err == nil && len(b) > MaxEncoded {
-		v.fault("configuration", "size", len(b), fmt.Sprintf("up to %d bytes when encoded", MaxEncoded))
+	if b, err := c.Encode(); err == nil && len(b) > MaxEncodedBytes {
+		v.fault("configuration", "size", len(b), fmt.Sprintf("up to %d bytes when encoded", MaxEncodedBytes))
 	}
 	if len(v.faults) == 0 {
 		return nil
