--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -113,7 +113,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apply(f.view.Seed(f.cfg.Clock.Now(), instances))
+	f.apply(f.view.ApplyList(f.cfg.Clock.Now(), instances))
 }
 
 func (f *Fleet) tick() {
--- a/lib/member/fuzz_test.go
+++ b/lib/member/fuzz_test.go
@@ -133,7 +133,7 @@
 					o.view.Tick(o.now)
 				},
 				"seed": func(*rapid.T) {
-					o.view.Seed(o.now, []backing.Instance{{ID: instance(), Role: backing.RoleAgent, Leaving: rapid.Bool().Draw(t, "leaving")}})
+					o.view.ApplyList(o.now, []backing.Instance{{ID: instance(), Role: backing.RoleAgent, Leaving: rapid.Bool().Draw(t, "leaving")}})
 				},
 			})
 		})
--- a/lib/member/replay_test.go
+++ b/lib/member/replay_test.go
@@ -65,7 +65,7 @@
 		for _, id := range s.Instances {
 			list = append(list, backing.Instance{ID: id, Role: backing.RoleAgent, Address: string(id)})
 		}
-		return v.Seed(now, list), nil
+		return v.ApplyList(now, list), nil
 	case "connect":
 		return v.Connected(now, s.Conn, agentHello(s.Instance, s.Generation, s.Address))
 	case "join":
--- a/lib/member/seed_test.go
+++ b/lib/member/seed_test.go
@@ -15,7 +15,7 @@
 		// Guards against subsets that leave an entry without agents of a pool.
 		v := member.New(member.Config{})
 		listed := backing.Instance{ID: "a", Role: backing.RoleAgent, Address: "a", Pool: "booking"}
-		v.Seed(time.Unix(0, 0), []backing.Instance{listed})
+		v.ApplyList(time.Unix(0, 0), []backing.Instance{listed})
 		Expect(v.Members(backing.RoleAgent)[0].Pool).To(Equal("booking"))
 	})
 })
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -88,14 +88,14 @@
 	return out
 }
 
-// Seed takes the platform's list. It adds members that are not known and
+// ApplyList takes the platform's list. It adds members that are not known and
 // removes listed members that it no longer shows. It changes nothing about a
 // member with a working connection: the list may be older than what the
 // connections tell. A member that has no working connection and was on the list
 // before is gone when the list does not show it. A member that is gone and still
 // listed is reported each time: the assembly may try a new connection. An
 // instance that the list shows as leaving is not added.
-func (v *View) Seed(now time.Time, instances []backing.Instance) []Event {
+func (v *View) ApplyList(now time.Time, instances []backing.Instance) []Event {
 	var events []Event
 	shown := make(map[model.InstanceID]bool, len(instances))
 	for _, in := range instances {
