--- a/entry/fleet/reconnect.go
+++ b/entry/fleet/reconnect.go
@@ -42,7 +42,7 @@
 func (f *Fleet) wanted() map[model.InstanceID]member.Member {
 	entries, agents := f.present(backing.RoleEntry), f.present(backing.RoleAgent)
 	wanted := f.choose(entries, agents)
-	lostEntries, lostAgents := f.view.Lost(backing.RoleEntry), f.view.Lost(backing.RoleAgent)
+	lostEntries, lostAgents := f.view.GoneListed(backing.RoleEntry), f.view.GoneListed(backing.RoleAgent)
 	if len(lostEntries)+len(lostAgents) == 0 {
 		return wanted
 	}
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -62,9 +62,9 @@
 	return out
 }
 
-// Lost returns the members of a role that are gone and that the platform lists
+// GoneListed returns the members of a role that are gone and that the platform lists
 // all the same: they may have come back.
-func (v *View) Lost(role backing.InstanceRole) []Member {
+func (v *View) GoneListed(role backing.InstanceRole) []Member {
 	var out []Member
 	for _, e := range v.members {
 		if e.Role == role && e.State == StateGone && e.listed {
