--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -74,10 +74,10 @@
 	return out
 }
 
-// Live returns the ids of the members of a role in a failure domain that have a
+// LiveIDs returns the ids of the members of a role in a failure domain that have a
 // working connection and are not draining, in order: the input of rendezvous
 // hashing for roles.
-func (v *View) Live(role backing.InstanceRole, domain model.FailureDomain) []model.InstanceID {
+func (v *View) LiveIDs(role backing.InstanceRole, domain model.FailureDomain) []model.InstanceID {
 	var out []model.InstanceID
 	for id, e := range v.members {
 		if e.Role == role && e.State == StateLive && !e.Draining && e.Identity.Location.FailureDomain == domain {
