--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -42,7 +42,7 @@
 	f := h.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apply(f.view.Heard(f.cfg.Clock.Now(), id))
+	f.apply(f.view.FrameReceived(f.cfg.Clock.Now(), id))
 }
 
 func (h linkHandler) Message(id member.ConnID, peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
--- a/lib/member/signs.go
+++ b/lib/member/signs.go
@@ -28,8 +28,8 @@
 	return events
 }
 
-// Heard takes any other frame as a sign of life of a connection.
-func (v *View) Heard(now time.Time, conn ConnID) []Event {
+// FrameReceived takes any other frame as a sign of life of a connection.
+func (v *View) FrameReceived(now time.Time, conn ConnID) []Event {
 	events, _, _ := v.heard(now, conn)
 	return events
 }
