--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -122,7 +122,7 @@
 	now := f.cfg.Clock.Now()
 	for id, c := range f.conns {
 		if c.link != nil {
-			f.view.InFlight(now, id, c.link.InFlight())
+			f.view.SetInFlight(now, id, c.link.InFlight())
 		}
 	}
 	f.apply(f.view.Tick(now))
--- a/lib/member/fuzz_test.go
+++ b/lib/member/fuzz_test.go
@@ -127,7 +127,7 @@
 				"heartbeat": o.heartbeat,
 				"closed":    func(*rapid.T) { o.view.Closed(o.now, conn()) },
 				"dial":      func(*rapid.T) { o.view.DialFailed(o.now, instance()) },
-				"busy":      func(t *rapid.T) { o.view.InFlight(o.now, conn(), rapid.IntRange(0, 2).Draw(t, "requests")) },
+				"busy":      func(t *rapid.T) { o.view.SetInFlight(o.now, conn(), rapid.IntRange(0, 2).Draw(t, "requests")) },
 				"tick": func(t *rapid.T) {
 					o.now = o.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 					o.view.Tick(o.now)
--- a/lib/member/replay_test.go
+++ b/lib/member/replay_test.go
@@ -74,7 +74,7 @@
 	case "heartbeat":
 		return v.Heartbeat(now, s.Conn, wire.Heartbeat{Sequence: s.Seq, Draining: s.Draining}), nil
 	case "inflight":
-		v.InFlight(now, s.Conn, s.Requests)
+		v.SetInFlight(now, s.Conn, s.Requests)
 	case "closed":
 		return v.Closed(now, s.Conn), nil
 	case "dialfailed":
--- a/lib/member/signs.go
+++ b/lib/member/signs.go
@@ -56,9 +56,9 @@
 	return []Event{{Kind: Restored, Instance: c.instance, Generation: c.generation}}, c, e
 }
 
-// InFlight tells the view how many requests wait for frames on a connection.
+// SetInFlight tells the view how many requests wait for frames on a connection.
 // The peer's heartbeat interval depends on it.
-func (v *View) InFlight(now time.Time, conn ConnID, requests int) {
+func (v *View) SetInFlight(now time.Time, conn ConnID, requests int) {
 	c, ok := v.conns[conn]
 	if !ok {
 		return
