--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -28,7 +28,7 @@
 	e.connected.Add(1)
 	if check := e.refuse.Load(); check != nil {
 		(*check)()
-		return member.ErrRetired
+		return member.ErrGenerationReplaced
 	}
 	return nil
 }
--- a/lib/member/replay_test.go
+++ b/lib/member/replay_test.go
@@ -106,7 +106,7 @@
 				now := time.UnixMilli(s.At)
 				events, err := apply(v, now, s)
 				if s.Refused {
-					Expect(err).To(MatchError(member.ErrRetired), "line %d", n)
+					Expect(err).To(MatchError(member.ErrGenerationReplaced), "line %d", n)
 				} else {
 					Expect(err).NotTo(HaveOccurred(), "line %d", n)
 				}
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -152,7 +152,7 @@
 	}
 	id, generation := hello.Identity.Instance, hello.Identity.Generation
 	if v.retired.contains(id, generation) {
-		return nil, ErrRetired
+		return nil, ErrGenerationReplaced
 	}
 	events := v.replaceAddress(now, hello.Identity)
 	e, ok := v.members[id]
