--- a/agent/session.go
+++ b/agent/session.go
@@ -14,7 +14,7 @@
 
 // silence is the time without a message after which an entry's connection is
 // closed: entries send a heartbeat at least every idle interval.
-const silence = member.MissedLimit * member.IdleInterval
+const silence = member.MaxMissedHeartbeats * member.IdleInterval
 
 // session is the connection of one entry.
 type session struct {
--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -12,9 +12,9 @@
 	// SendMargin is how much earlier than the interval a sender sends, so that
 	// scheduling delays do not make a healthy connection overdue.
 	SendMargin = 200 * time.Millisecond
-	// MissedLimit is the number of missed heartbeats after which a connection
+	// MaxMissedHeartbeats is the number of missed heartbeats after which a connection
 	// is silent.
-	MissedLimit = 3
+	MaxMissedHeartbeats = 3
 )
 
 // Config holds the limits of a View. Zero fields take the defaults.
--- a/lib/member/connection.go
+++ b/lib/member/connection.go
@@ -38,8 +38,8 @@
 // deadline returns when the connection counts as silent. A probe is answered at
 // once, so the short interval counts from it.
 func (c *connection) deadline() time.Time {
-	deadline := c.since().Add(MissedLimit * c.interval())
-	if probed := c.probedAt.Add(MissedLimit * BusyInterval); !c.probedAt.IsZero() && probed.Before(deadline) {
+	deadline := c.since().Add(MaxMissedHeartbeats * c.interval())
+	if probed := c.probedAt.Add(MaxMissedHeartbeats * BusyInterval); !c.probedAt.IsZero() && probed.Before(deadline) {
 		return probed
 	}
 	return deadline
