--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -22,9 +22,9 @@
 	// ProbeTimeout is how long a member without a working connection is tried
 	// before it is judged gone.
 	ProbeTimeout time.Duration
-	// ProbeFailures is the number of failed new connections after which a
+	// MaxProbeFailures is the number of failed new connections after which a
 	// member is judged gone.
-	ProbeFailures int
+	MaxProbeFailures int
 	// FaultWindow is the time within which connections that go silent count as
 	// going silent at once.
 	FaultWindow time.Duration
@@ -39,8 +39,8 @@
 	if c.ProbeTimeout <= 0 {
 		c.ProbeTimeout = 2 * time.Second
 	}
-	if c.ProbeFailures <= 0 {
-		c.ProbeFailures = 2
+	if c.MaxProbeFailures <= 0 {
+		c.MaxProbeFailures = 2
 	}
 	if c.FaultWindow <= 0 {
 		c.FaultWindow = 3 * time.Second
--- a/lib/member/signs.go
+++ b/lib/member/signs.go
@@ -114,7 +114,7 @@
 		return nil
 	}
 	e.probeFailures++
-	if e.probeFailures < v.cfg.ProbeFailures || !v.reaches(now) {
+	if e.probeFailures < v.cfg.MaxProbeFailures || !v.reaches(now) {
 		return nil
 	}
 	return v.leave(now, e)
