--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -25,9 +25,9 @@
 	// MaxProbeFailures is the number of failed new connections after which a
 	// member is judged gone.
 	MaxProbeFailures int
-	// FaultWindow is the time within which connections that go silent count as
+	// PathFaultWindow is the time within which connections that go silent count as
 	// going silent at once.
-	FaultWindow time.Duration
+	PathFaultWindow time.Duration
 	// FaultShare is the share of connections that go silent at once in a path
 	// fault.
 	FaultShare float64
@@ -42,8 +42,8 @@
 	if c.MaxProbeFailures <= 0 {
 		c.MaxProbeFailures = 2
 	}
-	if c.FaultWindow <= 0 {
-		c.FaultWindow = 3 * time.Second
+	if c.PathFaultWindow <= 0 {
+		c.PathFaultWindow = 3 * time.Second
 	}
 	if c.FaultShare <= 0 {
 		c.FaultShare = 0.3
--- a/lib/member/fault.go
+++ b/lib/member/fault.go
@@ -38,7 +38,7 @@
 func (d *faultDetector) many(now time.Time, cfg Config, conns int) bool {
 	kept := d.silentAt[:0]
 	for _, at := range d.silentAt {
-		if now.Sub(at) <= cfg.FaultWindow {
+		if now.Sub(at) <= cfg.PathFaultWindow {
 			kept = append(kept, at)
 		}
 	}
