--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -28,9 +28,9 @@
 	// PathFaultWindow is the time within which connections that go silent count as
 	// going silent at once.
 	PathFaultWindow time.Duration
-	// FaultShare is the share of connections that go silent at once in a path
+	// PathFaultShare is the share of connections that go silent at once in a path
 	// fault.
-	FaultShare float64
+	PathFaultShare float64
 	// FaultMin is the least number of connections in a path fault.
 	FaultMin int
 }
@@ -45,8 +45,8 @@
 	if c.PathFaultWindow <= 0 {
 		c.PathFaultWindow = 3 * time.Second
 	}
-	if c.FaultShare <= 0 {
-		c.FaultShare = 0.3
+	if c.PathFaultShare <= 0 {
+		c.PathFaultShare = 0.3
 	}
 	if c.FaultMin <= 0 {
 		c.FaultMin = 3
