--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -31,8 +31,8 @@
 	// PathFaultShare is the share of connections that go silent at once in a path
 	// fault.
 	PathFaultShare float64
-	// FaultMin is the least number of connections in a path fault.
-	FaultMin int
+	// PathFaultMinConns is the least number of connections in a path fault.
+	PathFaultMinConns int
 }
 
 func (c *Config) applyDefaults() {
@@ -48,8 +48,8 @@
 	if c.PathFaultShare <= 0 {
 		c.PathFaultShare = 0.3
 	}
-	if c.FaultMin <= 0 {
-		c.FaultMin = 3
+	if c.PathFaultMinConns <= 0 {
+		c.PathFaultMinConns = 3
 	}
 }
 
--- a/lib/member/fault.go
+++ b/lib/member/fault.go
@@ -43,5 +43,5 @@
 		}
 	}
 	d.silentAt = kept
-	return len(kept) >= cfg.FaultMin && float64(len(kept)) >= cfg.PathFaultShare*float64(conns)
+	return len(kept) >= cfg.PathFaultMinConns && float64(len(kept)) >= cfg.PathFaultShare*float64(conns)
 }
