--- a/lib/settings/fault.go
+++ b/lib/settings/fault.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a settings file.
-type Fault struct {
+// Violation is one thing that is wrong with a settings file.
+type Violation struct {
 	File string
 	// Line is 0 when the fault is a missing key.
 	Line    int
@@ -21,7 +21,7 @@
 }
 
 // String returns the fault on one line.
-func (f Fault) String() string {
+func (f Violation) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
 	if f.Line > 0 {
@@ -43,7 +43,7 @@
 
 // InvalidError lists every fault of a file.
 type InvalidError struct {
-	Faults []Fault
+	Faults []Violation
 }
 
 // Error returns one fault per line.
--- a/lib/settings/finish.go
+++ b/lib/settings/finish.go
@@ -47,7 +47,7 @@
 	if len(r.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b Fault) int { return a.Line - b.Line })
+	slices.SortStableFunc(r.faults, func(a, b Violation) int { return a.Line - b.Line })
 	return &InvalidError{Faults: r.faults}
 }
 
--- a/lib/settings/reader.go
+++ b/lib/settings/reader.go
@@ -19,13 +19,13 @@
 	file   *ini.File
 	lines  map[position]int
 	known  map[string][]string
-	faults []Fault
+	faults []Violation
 }
 
 func newReader(name, text string) (*reader, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, []byte(text))
 	if err != nil {
-		return nil, &InvalidError{Faults: []Fault{{File: name, Section: "-", Problem: err.Error(), Allowed: "sections in brackets and key = value lines"}}}
+		return nil, &InvalidError{Faults: []Violation{{File: name, Section: "-", Problem: err.Error(), Allowed: "sections in brackets and key = value lines"}}}
 	}
 	r := &reader{name: name, file: file, known: make(map[string][]string)}
 	lines, repeated := scan(text)
@@ -45,7 +45,7 @@
 	if key != "" {
 		value = r.file.Section(section).Key(key).String()
 	}
-	r.faults = append(r.faults, Fault{
+	r.faults = append(r.faults, Violation{
 		File: r.name, Line: line, Section: section, Key: key, Value: value, Problem: problem, Allowed: allowed,
 	})
 }
