--- a/lib/settings/fault.go
+++ b/lib/settings/fault.go
@@ -43,13 +43,13 @@
 
 // InvalidError lists every fault of a file.
 type InvalidError struct {
-	Faults []Violation
+	Violations []Violation
 }
 
 // Error returns one fault per line.
 func (e *InvalidError) Error() string {
-	lines := make([]string, len(e.Faults))
-	for i, f := range e.Faults {
+	lines := make([]string, len(e.Violations))
+	for i, f := range e.Violations {
 		lines[i] = f.String()
 	}
 	return strings.Join(lines, "\n")
--- a/lib/settings/finish.go
+++ b/lib/settings/finish.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	slices.SortStableFunc(r.faults, func(a, b Violation) int { return a.Line - b.Line })
-	return &InvalidError{Faults: r.faults}
+	return &InvalidError{Violations: r.faults}
 }
 
 func (r *reader) sections() string {
--- a/lib/settings/reader.go
+++ b/lib/settings/reader.go
@@ -25,7 +25,7 @@
 func newReader(name, text string) (*reader, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, []byte(text))
 	if err != nil {
-		return nil, &InvalidError{Faults: []Violation{{File: name, Section: "-", Problem: err.Error(), Allowed: "sections in brackets and key = value lines"}}}
+		return nil, &InvalidError{Violations: []Violation{{File: name, Section: "-", Problem: err.Error(), Allowed: "sections in brackets and key = value lines"}}}
 	}
 	r := &reader{name: name, file: file, known: make(map[string][]string)}
 	lines, repeated := scan(text)
