--- a/entry/fleet/config.go
+++ b/entry/fleet/config.go
@@ -32,8 +32,8 @@
 	entryPeers = 4
 )
 
-// Dial opens a connection and exchanges Hello messages.
-type Dial func(ctx context.Context, address string) (*wire.Conn, wire.Hello, error)
+// DialFunc opens a connection and exchanges Hello messages.
+type DialFunc func(ctx context.Context, address string) (*wire.Conn, wire.Hello, error)
 
 // Config sets up a Fleet.
 type Config struct {
@@ -42,7 +42,7 @@
 	Rand     *rand.Rand
 	Log      *eventlog.Logger
 	// Dial opens connections to agents and to other entries.
-	Dial     Dial
+	Dial     DialFunc
 	List     backing.InstanceList
 	Follower *follow.Follower
 	Member   member.Config
