--- a/entry/fleet/config.go
+++ b/entry/fleet/config.go
@@ -42,13 +42,13 @@
 	Rand     *rand.Rand
 	Log      *eventlog.Logger
 	// Dial opens connections to agents and to other entries.
-	Dial     DialFunc
-	List     backing.InstanceList
-	Follower *follow.Follower
-	Member   member.Config
-	Subset   subset.Config
-	Route    route.Config
-	Limiter  admit.LimiterConfig
+	Dial         DialFunc
+	InstanceList backing.InstanceList
+	Follower     *follow.Follower
+	Member       member.Config
+	Subset       subset.Config
+	Route        route.Config
+	Limiter      admit.LimiterConfig
 	// ListInterval is the time between two reads of the instance list.
 	ListInterval time.Duration
 	// CacheFetchInterval is the least time between two requests for snapshots of
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -106,7 +106,7 @@
 func (f *Fleet) readList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.ListInterval)
 	defer cancel()
-	instances, err := f.cfg.List.List(ctx)
+	instances, err := f.cfg.InstanceList.List(ctx)
 	if err != nil {
 		f.cfg.Log.Log(eventlog.InstanceListUnavailable, "err", err)
 		return
--- a/internal/agenttest/fleet.go
+++ b/internal/agenttest/fleet.go
@@ -33,7 +33,7 @@
 			}
 			return wire.Handshake(nc, wire.Hello{Role: wire.RoleEntry, Identity: identity})
 		},
-		List: list,
+		InstanceList: list,
 		Follower: follow.New(follow.Config{
 			Clock: clock.System{}, Rand: rand.New(rand.NewSource(1)), Log: eventlog.Discard(),
 			Heartbeat: func() wire.Heartbeat { return wire.Heartbeat{} },
