--- a/entry/fleet/config.go
+++ b/entry/fleet/config.go
@@ -54,8 +54,8 @@
 	// CacheFetchInterval is the least time between two requests for snapshots of
 	// prefix caches.
 	CacheFetchInterval time.Duration
-	// Tick is the time between two checks of silent connections.
-	Tick time.Duration
+	// TickInterval is the time between two checks of silent connections.
+	TickInterval time.Duration
 	// Other takes messages of entries that do not concern the fleet.
 	Other func(peer wire.Hello, m wire.Message, reply func(wire.Message) error)
 	// Draining reports whether this entry is leaving.
@@ -69,8 +69,8 @@
 	if c.CacheFetchInterval == 0 {
 		c.CacheFetchInterval = defaultCacheFetchInterval
 	}
-	if c.Tick == 0 {
-		c.Tick = defaultTick
+	if c.TickInterval == 0 {
+		c.TickInterval = defaultTick
 	}
 	c.Route.Domain = c.Identity.Location.FailureDomain
 	c.Route.Region = c.Identity.Location.Region
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -74,7 +74,7 @@
 
 // Run keeps the view and the connections up to date until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
-	tick := time.NewTicker(f.cfg.Tick)
+	tick := time.NewTicker(f.cfg.TickInterval)
 	defer tick.Stop()
 	var listed time.Time
 	for ctx.Err() == nil {
--- a/internal/agenttest/fleet.go
+++ b/internal/agenttest/fleet.go
@@ -38,7 +38,7 @@
 			Clock: clock.System{}, Rand: rand.New(rand.NewSource(1)), Log: eventlog.Discard(),
 			Heartbeat: func() wire.Heartbeat { return wire.Heartbeat{} },
 		}),
-		ListInterval: 50 * time.Millisecond, Tick: 10 * time.Millisecond, CacheFetchInterval: 20 * time.Millisecond,
+		ListInterval: 50 * time.Millisecond, TickInterval: 10 * time.Millisecond, CacheFetchInterval: 20 * time.Millisecond,
 		Other:    func(wire.Hello, wire.Message, func(wire.Message) error) {},
 		Draining: func() bool { return false },
 	}
