--- a/entry/entry.go
+++ b/entry/entry.go
@@ -87,7 +87,7 @@
 	c := e.cfg.Fleet
 	c.Identity, c.Clock, c.Rand, c.Log = e.cfg.Identity, e.cfg.Clock, e.cfg.Rand, e.cfg.Log
 	c.InstanceList, c.Follower, c.Dial, c.Draining = e.cfg.List, e.follower, e.dial, e.draining.Load
-	c.Other = e.peerMessage
+	c.HandleOther = e.peerMessage
 	return c
 }
 
--- a/entry/fleet/config.go
+++ b/entry/fleet/config.go
@@ -56,8 +56,8 @@
 	CacheFetchInterval time.Duration
 	// TickInterval is the time between two checks of silent connections.
 	TickInterval time.Duration
-	// Other takes messages of entries that do not concern the fleet.
-	Other func(peer wire.Hello, m wire.Message, reply func(wire.Message) error)
+	// HandleOther takes messages of entries that do not concern the fleet.
+	HandleOther func(peer wire.Hello, m wire.Message, reply func(wire.Message) error)
 	// Draining reports whether this entry is leaving.
 	Draining func() bool
 }
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -134,7 +134,7 @@
 		f.broadcast(f.monitor.Merge(f.cfg.Clock.Now(), *m))
 		f.mu.Unlock()
 	default:
-		f.cfg.Other(peer, m, reply)
+		f.cfg.HandleOther(peer, m, reply)
 	}
 }
 
--- a/internal/agenttest/fleet.go
+++ b/internal/agenttest/fleet.go
@@ -39,7 +39,7 @@
 			Heartbeat: func() wire.Heartbeat { return wire.Heartbeat{} },
 		}),
 		ListInterval: 50 * time.Millisecond, TickInterval: 10 * time.Millisecond, CacheFetchInterval: 20 * time.Millisecond,
-		Other:    func(wire.Hello, wire.Message, func(wire.Message) error) {},
-		Draining: func() bool { return false },
+		HandleOther: func(wire.Hello, wire.Message, func(wire.Message) error) {},
+		Draining:    func() bool { return false },
 	}
 }
