--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -184,13 +184,13 @@
 	}
 }
 
-// Beat returns a heartbeat of this entry without its configuration fields.
-func (f *Fleet) Beat() wire.Heartbeat {
+// BaseHeartbeat returns a heartbeat of this entry without its configuration fields.
+func (f *Fleet) BaseHeartbeat() wire.Heartbeat {
 	return wire.Heartbeat{Draining: f.cfg.Draining()}
 }
 
 func (f *Fleet) heartbeat() wire.Heartbeat {
-	beat := f.Beat()
+	beat := f.BaseHeartbeat()
 	f.cfg.Follower.SetConfigFields(&beat)
 	return beat
 }
