--- a/entry/dispatch/dispatcher.go
+++ b/entry/dispatch/dispatcher.go
@@ -39,7 +39,7 @@
 // Run works on queues and unconfirmed claims until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	go d.sweepClaims(ctx)
-	d.admission.run(ctx, d.cfg.Fleet.Changed(), d.cfg.QueuePollInterval)
+	d.admission.run(ctx, d.cfg.Fleet.CapacityChanged(), d.cfg.QueuePollInterval)
 }
 
 // drainPoll is the time between two looks at what a drain waits for.
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Changed receives a value when an instance may take more work than before.
-func (f *Fleet) Changed() <-chan struct{} { return f.changed }
+// CapacityChanged receives a value when an instance may take more work than before.
+func (f *Fleet) CapacityChanged() <-chan struct{} { return f.changed }
 
 func (f *Fleet) wake() {
 	select {
