--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -117,7 +117,7 @@
 			run := started(a)
 			address := a.Identity().Address
 			a.Stop()
-			Eventually(w.fleet.Usable).WithTimeout(patience).Should(BeZero())
+			Eventually(w.fleet.UsableAgents).WithTimeout(patience).Should(BeZero())
 			first.leave()
 			expectResult(first, outcome.Unknown, outcome.ReasonCanceled)
 			Expect(a.Listen(address)).To(Succeed())
--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -102,9 +102,9 @@
 	a, err := agenttest.Start(model.Identity{Instance: name, Generation: 1, Location: location}, pool)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(a.Stop)
-	before := w.fleet.Usable()
+	before := w.fleet.UsableAgents()
 	w.list.Set(a.Instance())
-	Eventually(w.fleet.Usable).WithTimeout(patience).Should(Equal(before + 1))
+	Eventually(w.fleet.UsableAgents).WithTimeout(patience).Should(Equal(before + 1))
 	return a
 }
 
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -108,8 +108,8 @@
 	return f.picker.HasCached(uint64(engine.PrefixOf(body).Under(weights)))
 }
 
-// Usable returns the number of agents that this entry may send work to.
-func (f *Fleet) Usable() int {
+// UsableAgents returns the number of agents that this entry may send work to.
+func (f *Fleet) UsableAgents() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	usable := 0
--- a/entry/fleet/world_test.go
+++ b/entry/fleet/world_test.go
@@ -55,7 +55,7 @@
 }
 
 func (w *world) usable(n int) {
-	Eventually(w.fleet.Usable).WithTimeout(settle).Should(Equal(n))
+	Eventually(w.fleet.UsableAgents).WithTimeout(settle).Should(Equal(n))
 }
 
 // crash reports the death of a backend server with requests in flight and waits
