--- a/entry/entry.go
+++ b/entry/entry.go
@@ -113,7 +113,7 @@
 }
 
 // Sent returns the number of attempts that were placed on an agent.
-func (e *Entry) Sent(id model.InstanceID) int { return e.fleet.Sent(id) }
+func (e *Entry) Sent(id model.InstanceID) int { return e.fleet.AttemptsSent(id) }
 
 // Traffic returns the bytes that the connections to agents and other entries
 // have sent and received.
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -93,8 +93,8 @@
 	return sent, received
 }
 
-// Sent returns the number of attempts that were placed on an agent.
-func (f *Fleet) Sent(id model.InstanceID) int {
+// AttemptsSent returns the number of attempts that were placed on an agent.
+func (f *Fleet) AttemptsSent(id model.InstanceID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sent[id]
