--- a/entry/entry.go
+++ b/entry/entry.go
@@ -109,7 +109,7 @@
 // Cached reports whether the prefix of a body is believed to be cached under the
 // given weights on any instance.
 func (e *Entry) Cached(body []byte, weights model.Weights) bool {
-	return e.fleet.Cached(body, weights)
+	return e.fleet.PrefixCached(body, weights)
 }
 
 // Sent returns the number of attempts that were placed on an agent.
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -100,9 +100,9 @@
 	return f.sent[id]
 }
 
-// Cached reports whether the prefix of a body is believed to be cached under the
+// PrefixCached reports whether the prefix of a body is believed to be cached under the
 // given weights on any instance.
-func (f *Fleet) Cached(body []byte, weights model.Weights) bool {
+func (f *Fleet) PrefixCached(body []byte, weights model.Weights) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.picker.HasCached(uint64(engine.PrefixOf(body).Under(weights)))
