--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -103,7 +103,7 @@
 		}
 	}
 	slices.Sort(required)
-	e.fleet.Require(ctx, slices.Compact(required))
+	e.fleet.RequireConnections(ctx, slices.Compact(required))
 }
 
 func placedManifests(c *config.Config) []model.Digest {
--- a/entry/fleet/reconnect.go
+++ b/entry/fleet/reconnect.go
@@ -81,9 +81,9 @@
 	return wanted
 }
 
-// Require keeps connections to the given members besides those that the entry
+// RequireConnections keeps connections to the given members besides those that the entry
 // has anyway.
-func (f *Fleet) Require(ctx context.Context, members []model.InstanceID) {
+func (f *Fleet) RequireConnections(ctx context.Context, members []model.InstanceID) {
 	f.mu.Lock()
 	same := slices.Equal(f.required, members)
 	f.required = members
