--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -17,7 +17,7 @@
 // placer reserves instances; *fleet.Fleet is one.
 type placer interface {
 	Reserve(w *fleet.Requirements) (*fleet.Slot, error)
-	Withdraw(finger model.Fingerprint)
+	WithdrawSuspect(finger model.Fingerprint)
 }
 
 // admission holds the queues of an entry, one for each pool. Its mutex is taken
@@ -166,7 +166,7 @@
 	}
 	a.queue(w.pool).Cancel(a.clock.Now(), w.id)
 	delete(a.waiters, w.id)
-	a.placer.Withdraw(w.requirements.Finger)
+	a.placer.WithdrawSuspect(w.requirements.Finger)
 	return grant{reason: outcome.ReasonCanceled}
 }
 
@@ -190,7 +190,7 @@
 	now := a.clock.Now()
 	for _, shed := range q.Expire(now) {
 		if w := a.waiters[shed.Request.ID]; w != nil {
-			a.placer.Withdraw(w.requirements.Finger)
+			a.placer.WithdrawSuspect(w.requirements.Finger)
 			a.grant(w, grant{reason: shed.Reason, retryAfter: shed.RetryAfter})
 		}
 	}
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// Withdraw says that a suspect that was held is no longer wanted.
-func (f *Fleet) Withdraw(finger model.Fingerprint) {
+// WithdrawSuspect says that a suspect that was held is no longer wanted.
+func (f *Fleet) WithdrawSuspect(finger model.Fingerprint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.broadcast(f.monitor.Withdraw(f.cfg.Clock.Now(), finger))
