--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -166,7 +166,7 @@
 	}
 	a.queue(w.pool).Cancel(a.clock.Now(), w.id)
 	delete(a.waiters, w.id)
-	a.placer.WithdrawSuspect(w.requirements.Finger)
+	a.placer.WithdrawSuspect(w.requirements.Fingerprint)
 	return grant{reason: outcome.ReasonCanceled}
 }
 
@@ -190,7 +190,7 @@
 	now := a.clock.Now()
 	for _, shed := range q.Expire(now) {
 		if w := a.waiters[shed.Request.ID]; w != nil {
-			a.placer.WithdrawSuspect(w.requirements.Finger)
+			a.placer.WithdrawSuspect(w.requirements.Fingerprint)
 			a.grant(w, grant{reason: shed.Reason, retryAfter: shed.RetryAfter})
 		}
 	}
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -144,10 +144,10 @@
 	r.release()
 	d := r.dispatcher
 	requirements := fleet.Requirements{
-		Pool:    r.request.Service.Pool,
-		Weights: routesOf(d.cfg.Current(), r.request.Service),
-		Finger:  r.finger,
-		Avoid:   r.machine.TriedInstances(),
+		Pool:        r.request.Service.Pool,
+		Weights:     routesOf(d.cfg.Current(), r.request.Service),
+		Fingerprint: r.finger,
+		Avoid:       r.machine.TriedInstances(),
 	}
 	if step.Pinned {
 		requirements.Weights = []model.Weights{step.Weights}
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -76,7 +76,7 @@
 		w.crash(b, finger("poison"))
 		Eventually(func() error {
 			request := requirements()
-			request.Finger = finger("poison")
+			request.Fingerprint = finger("poison")
 			_, err := w.fleet.Reserve(request)
 			return err
 		}).WithTimeout(settle).Should(MatchError(fleet.ErrQuarantined))
@@ -91,7 +91,7 @@
 		w.crash(a, finger("first"), finger("second"))
 		reserve := func(body string) func() (*fleet.Slot, error) {
 			request := requirements()
-			request.Finger = finger(body)
+			request.Fingerprint = finger(body)
 			return func() (*fleet.Slot, error) { return w.fleet.Reserve(request) }
 		}
 		first := new(fleet.Slot)
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -35,8 +35,8 @@
 	Pool string
 	// Weights are the weights that may serve the request, in order of
 	// preference. It holds the zero value for plain services.
-	Weights []model.Weights
-	Finger  model.Fingerprint
+	Weights     []model.Weights
+	Fingerprint model.Fingerprint
 	// Prefix is the hash of the prompt's beginning; zero means no affinity.
 	Prefix engine.Prefix
 	// Avoid lists instances of earlier attempts.
@@ -61,7 +61,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
-	if f.monitor.Quarantined(now, need.Finger) {
+	if f.monitor.Quarantined(now, need.Fingerprint) {
 		return nil, merry.Wrap(ErrQuarantined)
 	}
 	refusal := merry.Wrap(ErrBlocked)
@@ -91,7 +91,7 @@
 			}
 			return nil, merry.Wrap(ErrBlocked)
 		}
-		verdict := f.monitor.Verdict(now, need.Finger, choice.Key.Instance)
+		verdict := f.monitor.Verdict(now, need.Fingerprint, choice.Key.Instance)
 		f.broadcast(verdict.Update)
 		switch verdict.Decision {
 		case poison.Run, poison.RunAlone:
@@ -130,8 +130,8 @@
 	f.limiter(key).Acquire()
 	f.sent[key.Instance]++
 	f.picker.Started(now, key, request.Prefix)
-	f.broadcast(f.monitor.Started(now, need.Finger, key.Instance))
-	return &Slot{Key: key, Link: f.linkOf(key.Instance), Weights: request.Weights, finger: need.Finger}
+	f.broadcast(f.monitor.Started(now, need.Fingerprint, key.Instance))
+	return &Slot{Key: key, Link: f.linkOf(key.Instance), Weights: request.Weights, finger: need.Fingerprint}
 }
 
 func (f *Fleet) limiter(key route.Key) *admit.Limiter {
--- a/entry/fleet/world_test.go
+++ b/entry/fleet/world_test.go
@@ -69,7 +69,7 @@
 }
 
 func requirements() *fleet.Requirements {
-	return &fleet.Requirements{Pool: pool, Weights: []model.Weights{loaded}, Finger: finger("harmless")}
+	return &fleet.Requirements{Pool: pool, Weights: []model.Weights{loaded}, Fingerprint: finger("harmless")}
 }
 
 func finger(body string) model.Fingerprint {
