--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -207,7 +207,7 @@
 	if w == nil {
 		return admit.Placed
 	}
-	w.requirements.Offered = r.OfferedAt
+	w.requirements.OfferedAt = r.OfferedAt
 	slot, err := a.placer.Reserve(&w.requirements)
 	switch {
 	case err == nil:
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -41,8 +41,8 @@
 	Prefix engine.Prefix
 	// Avoid lists instances of earlier attempts.
 	Avoid []model.InstanceID
-	// Offered is when the request was first offered for placing.
-	Offered time.Time
+	// OfferedAt is when the request was first offered for placing.
+	OfferedAt time.Time
 }
 
 // Slot is an instance that was reserved for a request. Finish gives it back.
@@ -110,7 +110,7 @@
 }
 
 func (f *Fleet) routeRequest(now time.Time, need *Requirements, avoid *[]model.InstanceID, weights model.Weights) *route.Request {
-	request := &route.Request{Pool: need.Pool, Weights: weights, OfferedAt: need.Offered}
+	request := &route.Request{Pool: need.Pool, Weights: weights, OfferedAt: need.OfferedAt}
 	if need.Prefix != 0 {
 		request.Prefix = []uint64{uint64(need.Prefix.Under(weights))}
 		request.AffinityBlocks = 1
