--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -214,7 +214,7 @@
 		a.grant(w, grant{slot: slot})
 	case errors.Is(err, fleet.ErrQuarantined):
 		a.grant(w, grant{reason: outcome.ReasonQuarantined})
-	case errors.Is(err, fleet.ErrWaits):
+	case errors.Is(err, fleet.ErrShouldWait):
 		return admit.Deferred
 	default:
 		return admit.Blocked
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -23,9 +23,9 @@
 var (
 	// ErrQuarantined means that the request crashed several backend servers.
 	ErrQuarantined = merry.New("request is quarantined")
-	// ErrWaits means that an instance is free, but that the request should wait
+	// ErrShouldWait means that an instance is free, but that the request should wait
 	// for a better one.
-	ErrWaits = merry.New("request waits for a better instance")
+	ErrShouldWait = merry.New("request waits for a better instance")
 	// ErrBlocked means that no instance can take the request now.
 	ErrBlocked = merry.New("no instance can take the request")
 )
@@ -72,7 +72,7 @@
 			return slot, nil
 		case errors.Is(err, ErrQuarantined):
 			return nil, err
-		case errors.Is(err, ErrWaits):
+		case errors.Is(err, ErrShouldWait):
 			refusal = err
 		}
 	}
@@ -87,7 +87,7 @@
 		choice, err := f.picker.Pick(now, request)
 		if err != nil {
 			if refusal := new(route.Refusal); errors.As(err, &refusal) && refusal.Deferred {
-				return nil, merry.Wrap(ErrWaits)
+				return nil, merry.Wrap(ErrShouldWait)
 			}
 			return nil, merry.Wrap(ErrBlocked)
 		}
