--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -101,7 +101,7 @@
 		}).WithTimeout(settle).Should(Succeed())
 		Expect(first.Key.Instance).To(Equal(model.InstanceID("runner-b")))
 		second := reserve("second")
-		Consistently(func() error { _, err := second(); return err }).WithTimeout(time.Second).Should(MatchError(fleet.ErrBlocked))
+		Consistently(func() error { _, err := second(); return err }).WithTimeout(time.Second).Should(MatchError(fleet.ErrNoInstance))
 		w.fleet.Finish(first, outcome.Completed, route.ResultOK)
 		Eventually(second).WithTimeout(settle).Should(HaveField("Key.Instance", model.InstanceID("runner-b")))
 	})
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -26,8 +26,8 @@
 	// ErrShouldWait means that an instance is free, but that the request should wait
 	// for a better one.
 	ErrShouldWait = merry.New("request waits for a better instance")
-	// ErrBlocked means that no instance can take the request now.
-	ErrBlocked = merry.New("no instance can take the request")
+	// ErrNoInstance means that no instance can take the request now.
+	ErrNoInstance = merry.New("no instance can take the request")
 )
 
 // Requirements says what instance a request needs.
@@ -64,7 +64,7 @@
 	if f.monitor.Quarantined(now, need.Fingerprint) {
 		return nil, merry.Wrap(ErrQuarantined)
 	}
-	refusal := merry.Wrap(ErrBlocked)
+	refusal := merry.Wrap(ErrNoInstance)
 	for _, weights := range need.Weights {
 		slot, err := f.reserveFor(now, need, weights)
 		switch {
@@ -89,7 +89,7 @@
 			if refusal := new(route.Refusal); errors.As(err, &refusal) && refusal.Deferred {
 				return nil, merry.Wrap(ErrShouldWait)
 			}
-			return nil, merry.Wrap(ErrBlocked)
+			return nil, merry.Wrap(ErrNoInstance)
 		}
 		verdict := f.monitor.Verdict(now, need.Fingerprint, choice.Key.Instance)
 		f.broadcast(verdict.Update)
@@ -101,12 +101,12 @@
 		case poison.Quarantined:
 			return nil, merry.Wrap(ErrQuarantined)
 		case poison.Hold:
-			return nil, merry.Wrap(ErrBlocked)
+			return nil, merry.Wrap(ErrNoInstance)
 		case poison.RunElsewhere:
 			avoid = append(avoid, choice.Key.Instance)
 		}
 	}
-	return nil, merry.Wrap(ErrBlocked)
+	return nil, merry.Wrap(ErrNoInstance)
 }
 
 func (f *Fleet) routeRequest(now time.Time, need *Requirements, avoid *[]model.InstanceID, weights model.Weights) *route.Request {
