--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -38,7 +38,7 @@
 			return attempt.Step{}
 		}
 		return r.machine.Reattached(r.now(), r.attempt)
-	case link.Received:
+	case link.MessageReceived:
 		return r.receive(e.Message)
 	default:
 		return attempt.Step{}
--- a/entry/link/event.go
+++ b/entry/link/event.go
@@ -6,8 +6,8 @@
 type EventKind uint8
 
 const (
-	// Received carries a message about the attempt.
-	Received EventKind = iota
+	// MessageReceived carries a message about the attempt.
+	MessageReceived EventKind = iota
 	// ConnectionLost says that the connection broke: what was sent may or may
 	// not have arrived.
 	ConnectionLost
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -152,7 +152,7 @@
 	inbox := l.inboxes[id]
 	l.mu.Unlock()
 	if inbox != nil {
-		inbox.put(Event{Kind: Received, Message: m})
+		inbox.put(Event{Kind: MessageReceived, Message: m})
 	}
 }
 
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -153,7 +153,7 @@
 		var start agenttest.Received
 		Eventually(agent.Starts).Should(Receive(&start))
 		start.Frame(0, "one")
-		Expect(next(inbox).Kind).To(Equal(link.Received))
+		Expect(next(inbox).Kind).To(Equal(link.MessageReceived))
 		agent.Cut()
 		Expect(next(inbox).Kind).To(Equal(link.ConnectionLost))
 		Expect(next(inbox).Kind).To(Equal(link.Reconnected))
