--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -30,7 +30,7 @@
 	switch e.Kind {
 	case link.ConnectionLost:
 		return r.machine.ConnectionLost(r.now(), r.attempt)
-	case link.Replaced:
+	case link.AgentReplaced:
 		return r.crashed()
 	case link.Reconnected:
 		// The caller went away while the connection was down.
@@ -151,7 +151,7 @@
 			return r.interrupted(ctx)
 		case err != nil:
 			return r.machine.ReattachFailed(r.now(), step.Attempt)
-		case e.Kind == link.Replaced:
+		case e.Kind == link.AgentReplaced:
 			return r.crashed()
 		case e.Kind == link.Reconnected:
 			if r.slot.Link.Send(&wire.Reattach{Attempt: step.Attempt, Next: step.NextSequence}) != nil {
--- a/entry/link/event.go
+++ b/entry/link/event.go
@@ -14,9 +14,9 @@
 	// Reconnected says that a new connection to the same generation of the agent
 	// is up, so that the attempt can be reattached.
 	Reconnected
-	// Replaced says that another generation of the agent answers at the address:
+	// AgentReplaced says that another generation of the agent answers at the address:
 	// the attempt is gone with the old one.
-	Replaced
+	AgentReplaced
 )
 
 // Event is one thing that happened to an attempt.
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -123,7 +123,7 @@
 	defer l.mu.Unlock()
 	kind := Reconnected
 	if l.peer.Identity.Generation != 0 && l.peer.Identity.Generation != peer.Identity.Generation {
-		kind = Replaced
+		kind = AgentReplaced
 	}
 	l.peer, l.accepted = peer, true
 	for _, inbox := range l.inboxes {
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -174,7 +174,7 @@
 		agent.SetGeneration(2)
 		agent.Cut()
 		Expect(next(inbox).Kind).To(Equal(link.ConnectionLost))
-		Expect(next(inbox).Kind).To(Equal(link.Replaced))
+		Expect(next(inbox).Kind).To(Equal(link.AgentReplaced))
 		fresh, err := l.Start(&wire.RequestStart{Attempt: "b"})
 		Expect(err).NotTo(HaveOccurred())
 		agent.Cut()
