--- a/entry/fleet/reconnect.go
+++ b/entry/fleet/reconnect.go
@@ -153,11 +153,11 @@
 func (f *Fleet) open(ctx context.Context, m member.Member) {
 	ctx, cancel := context.WithCancel(ctx)
 	l := link.New(link.Config{
-		Instance:  m.Identity.Instance,
-		Address:   m.Identity.Address,
-		Dial:      f.cfg.Dial,
-		Heartbeat: f.heartbeat,
-		NextConn:  f.newConnID,
+		Instance:   m.Identity.Instance,
+		Address:    m.Identity.Address,
+		Dial:       f.cfg.Dial,
+		Heartbeat:  f.heartbeat,
+		NextConnID: f.newConnID,
 	}, linkHandler{fleet: f})
 	f.peers[m.Identity.Instance] = &peer{role: m.Role, address: m.Identity.Address, link: l, cancel: cancel}
 	f.tasks.Add(1)
--- a/entry/link/config.go
+++ b/entry/link/config.go
@@ -23,8 +23,8 @@
 	Dial func(ctx context.Context, address string) (*wire.Conn, wire.Hello, error)
 	// Heartbeat returns the heartbeat to send now; Sequence is set by the link.
 	Heartbeat func() wire.Heartbeat
-	// NextConn numbers connections over all links of a process.
-	NextConn func() member.ConnID
+	// NextConnID numbers connections over all links of a process.
+	NextConnID func() member.ConnID
 	// MinBackoff and MaxBackoff bound the time between two attempts to connect.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -79,7 +79,7 @@
 		l.handler.ConnectFailed(l.cfg.Instance, merry.Errorf("%s answers at the address", peer.Identity.Instance))
 		return
 	}
-	id := l.cfg.NextConn()
+	id := l.cfg.NextConnID()
 	// The handler sends its first messages through the link.
 	l.attach(conn)
 	defer l.detach(conn)
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -75,7 +75,7 @@
 				return wire.Handshake(nc, wire.Hello{Role: wire.RoleEntry})
 			},
 			Heartbeat:  func() wire.Heartbeat { return wire.Heartbeat{} },
-			NextConn:   func() member.ConnID { return member.ConnID(conns.Add(1)) },
+			NextConnID: func() member.ConnID { return member.ConnID(conns.Add(1)) },
 			MinBackoff: 20 * time.Millisecond, MaxBackoff: 80 * time.Millisecond,
 		}, seen)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -129,8 +129,8 @@
 				}()
 				return wire.Handshake(near, wire.Hello{Role: wire.RoleEntry})
 			},
-			Heartbeat: func() wire.Heartbeat { return wire.Heartbeat{} },
-			NextConn:  func() member.ConnID { return 1 },
+			Heartbeat:  func() wire.Heartbeat { return wire.Heartbeat{} },
+			NextConnID: func() member.ConnID { return 1 },
 		}, seen)
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
