--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -38,7 +38,7 @@
 	f.apply(f.view.DialFailed(f.cfg.Clock.Now(), instance))
 }
 
-func (h linkHandler) Heard(id member.ConnID) {
+func (h linkHandler) FrameReceived(id member.ConnID) {
 	f := h.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/link/handler.go
+++ b/entry/link/handler.go
@@ -14,8 +14,8 @@
 	Disconnected(conn member.ConnID, peer wire.Hello)
 	// ConnectFailed reports that no connection to the instance could be opened.
 	ConnectFailed(instance model.InstanceID, err error)
-	// Heard reports a message about an attempt as a sign of life.
-	Heard(conn member.ConnID)
+	// FrameReceived reports a message about an attempt as a sign of life.
+	FrameReceived(conn member.ConnID)
 	// Message reports a message that belongs to no attempt. Reply sends an
 	// answer on the same connection.
 	Message(conn member.ConnID, peer wire.Hello, m wire.Message, reply func(wire.Message) error)
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -99,7 +99,7 @@
 		if attempt, ok := wire.AttemptOf(m); ok {
 			if now := time.Now(); now.Sub(heard) >= heardEvery {
 				heard = now
-				l.handler.Heard(id)
+				l.handler.FrameReceived(id)
 			}
 			l.deliver(attempt, m)
 			continue
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -34,7 +34,7 @@
 }
 func (e *events) Disconnected(member.ConnID, wire.Hello)                                    {}
 func (e *events) ConnectFailed(model.InstanceID, error)                                     { e.failed.Add(1) }
-func (e *events) Heard(member.ConnID)                                                       {}
+func (e *events) FrameReceived(member.ConnID)                                               {}
 func (e *events) Message(member.ConnID, wire.Hello, wire.Message, func(wire.Message) error) {}
 
 var _ = Describe("A link", func() {
