--- a/lib/config/delta.go
+++ b/lib/config/delta.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	if state != d.StateDigest {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("state is %s, the delta leads to %s", state.Short(), d.StateDigest.Short()))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("state is %s, the delta leads to %s", state.Short(), d.StateDigest.Short()))
 	}
 	return to, nil
 }
--- a/lib/config/errors.go
+++ b/lib/config/errors.go
@@ -8,9 +8,9 @@
 	// ErrMalformed means that bytes are not an encoded configuration, delta or
 	// revision.
 	ErrMalformed = merry.New("malformed configuration data")
-	// ErrChain means that a revision does not continue the digest chain of the
+	// ErrChainBroken means that a revision does not continue the digest chain of the
 	// state that it was applied to.
-	ErrChain = merry.New("configuration digest chain broken")
+	ErrChainBroken = merry.New("configuration digest chain broken")
 	// ErrGap means that revisions between the replica's and the offered ones
 	// are missing; the caller fetches them.
 	ErrGap = merry.New("configuration revisions missing")
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -86,7 +86,7 @@
 		return false, nil
 	}
 	if head.Digest != r.state.head.Digest {
-		return false, merry.Wrap(ErrChain, merry.AppendMessagef("revision %d is %s here and %s at the source", head.Number, r.state.head.Digest.Short(), head.Digest.Short()))
+		return false, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d is %s here and %s at the source", head.Number, r.state.head.Digest.Short(), head.Digest.Short()))
 	}
 	if at := now.Add(-age); at.After(r.confirmed) {
 		r.confirmed = at
@@ -195,7 +195,7 @@
 		return nil, merry.Wrap(ErrGap, merry.AppendMessagef("revisions after %d offered, %d held", revision.Base, r.state.head.Number))
 	}
 	if known, ok := r.digestOf(revision.Base); ok && known != *revision.BaseDigest {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("merged revision %d continues another revision %d", revision.Number, revision.Base))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d continues another revision %d", revision.Number, revision.Base))
 	}
 	return revision.ApplyMergedTo(r.state.config)
 }
@@ -220,5 +220,5 @@
 // IsDamaged reports whether an error of Offer or Observe means that the source
 // holds a damaged or foreign copy.
 func IsDamaged(err error) bool {
-	return errors.Is(err, ErrChain) || errors.Is(err, ErrMalformed)
+	return errors.Is(err, ErrChainBroken) || errors.Is(err, ErrMalformed)
 }
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -94,7 +94,7 @@
 // ErrChain if the revision does not continue the chain.
 func (r Revision) ApplyTo(previous Head, c *Config) (*Config, error) {
 	if r.Number != previous.Number+1 || chain(previous.Digest, r.Change) != r.Digest {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("revision %d does not continue revision %d", r.Number, previous.Number))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d does not continue revision %d", r.Number, previous.Number))
 	}
 	change, err := r.DecodeChange()
 	if err != nil {
@@ -107,14 +107,14 @@
 // snapshot is not the state that its own change leads to.
 func (r Revision) SnapshotConfig() (*Config, error) {
 	if !r.IsSnapshot() || chain(*r.Previous, r.Change) != r.Digest {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("snapshot of revision %d", r.Number))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("snapshot of revision %d", r.Number))
 	}
 	change, err := r.DecodeChange()
 	if err != nil {
 		return nil, err
 	}
 	if model.Sum(r.Snapshot) != change.Delta.StateDigest {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("snapshot of revision %d has another state", r.Number))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("snapshot of revision %d has another state", r.Number))
 	}
 	return Decode(r.Snapshot)
 }
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -52,7 +52,7 @@
 // change leads to and the digest is that of the last change.
 func (r Revision) ApplyMergedTo(c *Config) (*Config, error) {
 	if !r.IsMerged() || r.Previous == nil || chain(*r.Previous, r.Change) != r.Digest {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("merged revision %d", r.Number))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d", r.Number))
 	}
 	change, err := r.DecodeChange()
 	if err != nil {
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	if state.head != head {
-		return nil, merry.Wrap(ErrChain, merry.AppendMessagef("revision %d", head.Number))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d", head.Number))
 	}
 	state.version = version
 	s.cached.Store(state)
