--- a/lib/config/errors.go
+++ b/lib/config/errors.go
@@ -11,9 +11,9 @@
 	// ErrChainBroken means that a revision does not continue the digest chain of the
 	// state that it was applied to.
 	ErrChainBroken = merry.New("configuration digest chain broken")
-	// ErrGap means that revisions between the replica's and the offered ones
+	// ErrRevisionGap means that revisions between the replica's and the offered ones
 	// are missing; the caller fetches them.
-	ErrGap = merry.New("configuration revisions missing")
+	ErrRevisionGap = merry.New("configuration revisions missing")
 	// ErrStoreUnavailable means that the store did not answer and that nothing
 	// was written.
 	ErrStoreUnavailable = merry.New("configuration store unavailable")
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -165,7 +165,7 @@
 			r.retained, r.bytes = nil, 0
 		}
 	default:
-		err = merry.Wrap(ErrGap, merry.AppendMessagef("revision %d offered, %d held", revision.Number, r.state.head.Number))
+		err = merry.Wrap(ErrRevisionGap, merry.AppendMessagef("revision %d offered, %d held", revision.Number, r.state.head.Number))
 	}
 	if err != nil {
 		return false, err
@@ -192,7 +192,7 @@
 // earlier merged revision leaves the checks of a snapshot over a gap.
 func (r *Replica) advance(revision Revision) (*Config, error) {
 	if revision.Base > r.state.head.Number {
-		return nil, merry.Wrap(ErrGap, merry.AppendMessagef("revisions after %d offered, %d held", revision.Base, r.state.head.Number))
+		return nil, merry.Wrap(ErrRevisionGap, merry.AppendMessagef("revisions after %d offered, %d held", revision.Base, r.state.head.Number))
 	}
 	if known, ok := r.digestOf(revision.Base); ok && known != *revision.BaseDigest {
 		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d continues another revision %d", revision.Number, revision.Base))
--- a/lib/config/replica_merged_test.go
+++ b/lib/config/replica_merged_test.go
@@ -147,7 +147,7 @@
 		Expect(ahead.Head()).To(Equal(heads[count-1]))
 		behind := holder(encoded[:2])
 		_, err := behind.Apply([][]byte{data}, start)
-		Expect(err).To(MatchError(config.ErrGap))
+		Expect(err).To(MatchError(config.ErrRevisionGap))
 		Expect(behind.Head()).To(Equal(heads[1]))
 	})
 })
--- a/lib/config/replica_test.go
+++ b/lib/config/replica_test.go
@@ -72,7 +72,7 @@
 		r := config.NewReplica(config.ReplicaConfig{}, start)
 		Expect(r.Apply(encoded[:1], start)).To(Equal(1))
 		_, err := r.Apply(encoded[3:], start)
-		Expect(err).To(MatchError(config.ErrGap))
+		Expect(err).To(MatchError(config.ErrRevisionGap))
 		_, err = r.ObserveHead(config.Head{Number: 1}, 0, start)
 		Expect(config.IsDamaged(err)).To(BeTrue())
 		Expect(r.ObserveHead(heads[0], 2*time.Second, start.Add(5*time.Second))).To(BeFalse())
