--- a/internal/configsim/altered_test.go
+++ b/internal/configsim/altered_test.go
@@ -26,7 +26,7 @@
 		revision.Digest[0] ^= 1
 	default:
 		revision.Base = 0
-		revision.Previous[0] ^= 1
+		revision.PreviousDigest[0] ^= 1
 	}
 	data, err := revision.Encode()
 	if err != nil {
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	base := model.Sum([]byte("foreign base"))
-	revision.Previous, revision.Base, revision.BaseDigest = &previous.Digest, view.Head.Number, &base
+	revision.PreviousDigest, revision.Base, revision.BaseDigest = &previous.Digest, view.Head.Number, &base
 	revision.Merged = deflate(t, config.Delta{})
 	data, err := revision.Encode()
 	if err != nil {
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -152,7 +152,7 @@
 		next.previous = Head{Number: revision.Number - 1}
 		next.config, err = r.advance(revision)
 		if err == nil {
-			next.previous.Digest = *revision.Previous
+			next.previous.Digest = *revision.PreviousDigest
 		}
 	case revision.IsSnapshot():
 		// A snapshot over a gap proves that its state belongs to its digest, not
@@ -161,7 +161,7 @@
 		next.config, err = revision.SnapshotConfig()
 		next.previous = Head{Number: revision.Number - 1}
 		if err == nil {
-			next.previous.Digest = *revision.Previous
+			next.previous.Digest = *revision.PreviousDigest
 			r.retained, r.bytes = nil, 0
 		}
 	default:
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -41,10 +41,10 @@
 	Digest model.Digest `msgpack:"d"`
 	// Change is an encoded Change.
 	Change []byte `msgpack:"c"`
-	// Previous is the digest before the change; it is set on snapshots and
+	// PreviousDigest is the digest before the change; it is set on snapshots and
 	// merged revisions. Snapshot is an encoded Config, on snapshots only.
-	Previous *model.Digest `msgpack:"p"`
-	Snapshot []byte        `msgpack:"s"`
+	PreviousDigest *model.Digest `msgpack:"p"`
+	Snapshot       []byte        `msgpack:"s"`
 	// Merged is set on merged revisions only, together with Previous: a compressed
 	// Delta without a state, of the values that the revisions after Base changed
 	// and the last change does not set.
@@ -67,13 +67,13 @@
 // leads to.
 func (r Revision) WithSnapshot(previous model.Digest, c *Config) (Revision, error) {
 	b, err := c.Encode()
-	r.Previous, r.Snapshot = &previous, b
+	r.PreviousDigest, r.Snapshot = &previous, b
 	r.Merged, r.Base, r.BaseDigest = nil, 0, nil
 	return r, err
 }
 
 // IsSnapshot reports whether the revision carries the whole configuration.
-func (r Revision) IsSnapshot() bool { return r.Previous != nil && !r.IsMerged() }
+func (r Revision) IsSnapshot() bool { return r.PreviousDigest != nil && !r.IsMerged() }
 
 // Head returns the revision's number and digest.
 func (r Revision) Head() Head { return Head{Number: r.Number, Digest: r.Digest} }
@@ -106,7 +106,7 @@
 // SnapshotConfig returns the configuration of a snapshot. It returns ErrChain if the
 // snapshot is not the state that its own change leads to.
 func (r Revision) SnapshotConfig() (*Config, error) {
-	if !r.IsSnapshot() || chain(*r.Previous, r.Change) != r.Digest {
+	if !r.IsSnapshot() || chain(*r.PreviousDigest, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("snapshot of revision %d", r.Number))
 	}
 	change, err := r.DecodeChange()
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -39,7 +39,7 @@
 	base := steps[0].base
 	return Revision{
 		Number: last.Number, Digest: last.Digest, Change: last.Change,
-		Previous: &previous.Digest, Base: base.Number, BaseDigest: &base.Digest, Merged: compressed,
+		PreviousDigest: &previous.Digest, Base: base.Number, BaseDigest: &base.Digest, Merged: compressed,
 	}, nil
 }
 
@@ -51,7 +51,7 @@
 // itself. It returns ErrChain unless the result is the state that the last
 // change leads to and the digest is that of the last change.
 func (r Revision) ApplyMergedTo(c *Config) (*Config, error) {
-	if !r.IsMerged() || r.Previous == nil || chain(*r.Previous, r.Change) != r.Digest {
+	if !r.IsMerged() || r.PreviousDigest == nil || chain(*r.PreviousDigest, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d", r.Number))
 	}
 	change, err := r.DecodeChange()
