--- a/internal/configsim/altered_test.go
+++ b/internal/configsim/altered_test.go
@@ -25,7 +25,7 @@
 	case 2:
 		revision.Digest[0] ^= 1
 	default:
-		revision.Base = 0
+		revision.BaseNumber = 0
 		revision.PreviousDigest[0] ^= 1
 	}
 	data, err := revision.Encode()
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	base := model.Sum([]byte("foreign base"))
-	revision.PreviousDigest, revision.Base, revision.BaseDigest = &previous.Digest, view.Head.Number, &base
+	revision.PreviousDigest, revision.BaseNumber, revision.BaseDigest = &previous.Digest, view.Head.Number, &base
 	revision.Merged = deflate(t, config.Delta{})
 	data, err := revision.Encode()
 	if err != nil {
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -191,11 +191,11 @@
 // as far as that is retained. A base that this replica passed over within an
 // earlier merged revision leaves the checks of a snapshot over a gap.
 func (r *Replica) advance(revision Revision) (*Config, error) {
-	if revision.Base > r.state.head.Number {
-		return nil, merry.Wrap(ErrRevisionGap, merry.AppendMessagef("revisions after %d offered, %d held", revision.Base, r.state.head.Number))
+	if revision.BaseNumber > r.state.head.Number {
+		return nil, merry.Wrap(ErrRevisionGap, merry.AppendMessagef("revisions after %d offered, %d held", revision.BaseNumber, r.state.head.Number))
 	}
-	if known, ok := r.digestOf(revision.Base); ok && known != *revision.BaseDigest {
-		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d continues another revision %d", revision.Number, revision.Base))
+	if known, ok := r.digestOf(revision.BaseNumber); ok && known != *revision.BaseDigest {
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d continues another revision %d", revision.Number, revision.BaseNumber))
 	}
 	return revision.ApplyMergedTo(r.state.config)
 }
--- a/lib/config/replica_serve.go
+++ b/lib/config/replica_serve.go
@@ -56,11 +56,11 @@
 func (r *Replica) retain(base Head, revision Revision) {
 	revision.Snapshot = nil
 	if base.Number+1 == revision.Number {
-		revision.PreviousDigest, revision.Merged, revision.Base, revision.BaseDigest = nil, nil, 0, nil
+		revision.PreviousDigest, revision.Merged, revision.BaseNumber, revision.BaseDigest = nil, nil, 0, nil
 	} else {
 		// The merged revision may lead from further back; the digest of the own
 		// revision is the one that others can check.
-		revision.Base, revision.BaseDigest = base.Number, &base.Digest
+		revision.BaseNumber, revision.BaseDigest = base.Number, &base.Digest
 	}
 	data, err := revision.Encode()
 	if err != nil {
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -49,7 +49,7 @@
 	// Delta without a state, of the values that the revisions after Base changed
 	// and the last change does not set.
 	Merged     []byte        `msgpack:"m"`
-	Base       uint64        `msgpack:"b"`
+	BaseNumber uint64        `msgpack:"b"`
 	BaseDigest *model.Digest `msgpack:"bd"`
 }
 
@@ -68,7 +68,7 @@
 func (r Revision) WithSnapshot(previous model.Digest, c *Config) (Revision, error) {
 	b, err := c.Encode()
 	r.PreviousDigest, r.Snapshot = &previous, b
-	r.Merged, r.Base, r.BaseDigest = nil, 0, nil
+	r.Merged, r.BaseNumber, r.BaseDigest = nil, 0, nil
 	return r, err
 }
 
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -39,7 +39,7 @@
 	base := steps[0].base
 	return Revision{
 		Number: last.Number, Digest: last.Digest, Change: last.Change,
-		PreviousDigest: &previous.Digest, Base: base.Number, BaseDigest: &base.Digest, Merged: compressed,
+		PreviousDigest: &previous.Digest, BaseNumber: base.Number, BaseDigest: &base.Digest, Merged: compressed,
 	}, nil
 }
 
