--- a/internal/configsim/altered_test.go
+++ b/internal/configsim/altered_test.go
@@ -19,9 +19,9 @@
 	}
 	switch rapid.IntRange(0, 3).Draw(t, "part") {
 	case 0:
-		revision.Merged = deflate(t, config.Delta{Tenants: []config.Tenant{{Name: "team-9", Share: 7}}})
+		revision.MergedDelta = deflate(t, config.Delta{Tenants: []config.Tenant{{Name: "team-9", Share: 7}}})
 	case 1:
-		revision.Merged = deflate(t, config.Delta{RemoveTenants: []string{"team-9"}})
+		revision.MergedDelta = deflate(t, config.Delta{RemoveTenants: []string{"team-9"}})
 	case 2:
 		revision.Digest[0] ^= 1
 	default:
@@ -52,7 +52,7 @@
 	}
 	base := model.Sum([]byte("foreign base"))
 	revision.PreviousDigest, revision.BaseNumber, revision.BaseDigest = &previous.Digest, view.Head.Number, &base
-	revision.Merged = deflate(t, config.Delta{})
+	revision.MergedDelta = deflate(t, config.Delta{})
 	data, err := revision.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/lib/config/replica_serve.go
+++ b/lib/config/replica_serve.go
@@ -56,7 +56,7 @@
 func (r *Replica) retain(base Head, revision Revision) {
 	revision.Snapshot = nil
 	if base.Number+1 == revision.Number {
-		revision.PreviousDigest, revision.Merged, revision.BaseNumber, revision.BaseDigest = nil, nil, 0, nil
+		revision.PreviousDigest, revision.MergedDelta, revision.BaseNumber, revision.BaseDigest = nil, nil, 0, nil
 	} else {
 		// The merged revision may lead from further back; the digest of the own
 		// revision is the one that others can check.
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -45,12 +45,12 @@
 	// merged revisions. Snapshot is an encoded Config, on snapshots only.
 	PreviousDigest *model.Digest `msgpack:"p"`
 	Snapshot       []byte        `msgpack:"s"`
-	// Merged is set on merged revisions only, together with Previous: a compressed
+	// MergedDelta is set on merged revisions only, together with Previous: a compressed
 	// Delta without a state, of the values that the revisions after Base changed
 	// and the last change does not set.
-	Merged     []byte        `msgpack:"m"`
-	BaseNumber uint64        `msgpack:"b"`
-	BaseDigest *model.Digest `msgpack:"bd"`
+	MergedDelta []byte        `msgpack:"m"`
+	BaseNumber  uint64        `msgpack:"b"`
+	BaseDigest  *model.Digest `msgpack:"bd"`
 }
 
 // NewRevision returns the revision that continues the chain after previous.
@@ -68,7 +68,7 @@
 func (r Revision) WithSnapshot(previous model.Digest, c *Config) (Revision, error) {
 	b, err := c.Encode()
 	r.PreviousDigest, r.Snapshot = &previous, b
-	r.Merged, r.BaseNumber, r.BaseDigest = nil, 0, nil
+	r.MergedDelta, r.BaseNumber, r.BaseDigest = nil, 0, nil
 	return r, err
 }
 
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -39,7 +39,7 @@
 	base := steps[0].base
 	return Revision{
 		Number: last.Number, Digest: last.Digest, Change: last.Change,
-		PreviousDigest: &previous.Digest, BaseNumber: base.Number, BaseDigest: &base.Digest, Merged: compressed,
+		PreviousDigest: &previous.Digest, BaseNumber: base.Number, BaseDigest: &base.Digest, MergedDelta: compressed,
 	}, nil
 }
 
@@ -68,7 +68,7 @@
 
 // earlier returns the changes before the last one.
 func (r Revision) earlier() (Delta, error) {
-	data, err := decompress(r.Merged)
+	data, err := decompress(r.MergedDelta)
 	if err != nil {
 		return Delta{}, err
 	}
