--- a/lib/admit/class_queue.go
+++ b/lib/admit/class_queue.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// classQueue holds the waiting requests of one tenant and class in order of
-// arrival.
+// classQueue is the FIFO queue of one tenant's requests in one class.
 type classQueue struct {
 	flow
 	priority int
 	items    []*item
-	waiting  int // items that are not done
+	queued   int // items that are not done
 }
 
-// add appends an item. Items that were cancelled behind a waiting first one are
-// dropped when they outnumber the others, which bounds the list.
+// add appends an item. Cancelled items behind the head stay in the slice until
+// they outnumber the queued ones; then they are removed, which bounds its
+// length.
 func (c *classQueue) add(it *item) {
 	const slack = 16
-	if len(c.items) > 2*c.waiting+slack {
+	if len(c.items) > 2*c.queued+slack {
 		c.items = slices.DeleteFunc(c.items, func(i *item) bool { return i.done })
 	}
 	c.items = append(c.items, it)
-	c.waiting++
+	c.queued++
 }
 
-// head returns the first waiting item, or nil.
+// head returns the first queued item, or nil.
 func (c *classQueue) head() *item {
 	for len(c.items) > 0 && c.items[0].done {
 		c.items[0] = nil
--- a/lib/admit/config.go
+++ b/lib/admit/config.go
@@ -6,40 +6,41 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Config holds the limits of a Queue. Zero fields take the defaults.
+// Config holds the parameters of a Queue. Zero fields take their defaults.
 type Config struct {
-	// MaxQueued bounds the requests that wait in the queue.
+	// MaxQueued is the maximum number of queued requests of all tenants.
 	MaxQueued int
-	// TenantMaxQueued bounds the requests of a tenant that declares no bound.
+	// TenantMaxQueued is the maximum number of queued requests of a tenant that
+	// declares no limit.
 	TenantMaxQueued int
-	// PriorityLead is how many tokens of service a request of a tenant with a
-	// mean share may go ahead of other tenants' requests per step of priority.
-	// It is a bounded advantage, so no class starves.
+	// PriorityLead is the head start, in tokens per step of priority, that a
+	// request of a tenant with a mean share has over other tenants' requests. The
+	// advantage is bounded, so no class starves.
 	PriorityLead float64
-	// Burst is how many tokens of its share a tenant with a mean share keeps
-	// while it sends nothing. Without it, a tenant that sends its share on
-	// average loses what its pauses leave to a tenant that always has requests
-	// waiting, and its bursts are refused.
+	// Burst is the credit, in tokens, that a tenant with a mean share keeps while
+	// it is idle. Without it, a tenant that uses its share only on average loses
+	// the service missed during its pauses to tenants that always have requests
+	// queued, and its bursts are rejected.
 	Burst float64
-	// MaxOvertake is how many tokens of a mean share may be served ahead of a
-	// request that waits for a better place. Without the bound, a tenant that
-	// always has requests waiting takes the turns of those that wait.
+	// MaxOvertake is the number of tokens, at a mean share, that may be served
+	// ahead of a Deferred request. Without this limit, a tenant that always has
+	// requests queued takes the turns of deferred requests.
 	MaxOvertake float64
-	// ExcessShare is the part of its share that a tenant gets while more of its
-	// tokens are refused than started. What it cedes goes to tenants about at
-	// their share, whose bursts a saturated pool could not take otherwise.
+	// ExcessShare is the factor on the share of a tenant that has more tokens
+	// refused than started. The capacity it loses goes to tenants near their
+	// share, whose bursts a saturated pool could not otherwise serve.
 	ExcessShare float64
-	// PriorityRatio is the ratio between the weights of two classes of one
-	// tenant that are one step of priority apart.
+	// PriorityRatio is the ratio of the weights of two classes of one tenant
+	// whose priorities differ by one.
 	PriorityRatio float64
-	// MaxPriority bounds the priority steps that count.
+	// MaxPriority is the highest effective priority; higher values are clamped.
 	MaxPriority int
-	// MaxCandidates bounds the tenants whose first request Next offers for placing
-	// before it gives up.
+	// MaxCandidates is the maximum number of tenants whose first request one call
+	// of Next tries to place.
 	MaxCandidates int
-	// RateWindow is the time over which the rate of service is averaged.
+	// RateWindow is the averaging window of the service rate.
 	RateWindow time.Duration
-	// MinRetryAfter and MaxRetryAfter bound the advice in refusals.
+	// MinRetryAfter and MaxRetryAfter bound Refusal.RetryAfter.
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
@@ -82,30 +83,32 @@
 	}
 }
 
-// TenantLimits is what is declared for one tenant.
+// TenantLimits holds the configured limits of one tenant.
 type TenantLimits struct {
-	// Share is the tenant's weight, at least 1.
+	// Share is the tenant's weight; values below 1 count as 1.
 	Share int
-	// MaxQueued bounds the tenant's waiting requests; 0 takes the default.
+	// MaxQueued is the maximum number of queued requests; 0 selects
+	// Config.TenantMaxQueued.
 	MaxQueued int
 }
 
-// Request is one request that waits for a backend server.
+// Request describes a request that needs a backend server.
 type Request struct {
 	ID     model.RequestID
 	Tenant model.Tenant
 	Class  model.Class
-	// Priority is that of the class; higher goes first.
+	// Priority is the priority of the class; higher values are served first.
 	Priority int
-	// Tokens is the estimated cost, prompt and answer, at least 1.
+	// Tokens is the estimated cost of prompt and answer in tokens, at least 1.
 	Tokens int
-	// StartBy is when the request must start at the latest to be in time: the
-	// earlier of its deadline and its target for the first token, less the time
-	// that a backend server needs for it. Zero means that it waits for ever.
+	// StartBy is the latest time at which the request can start and still be in
+	// time: the earlier of its deadline and its first-token target, minus the
+	// time a backend server needs to produce the first token. The zero value
+	// means no limit.
 	StartBy time.Time
-	// OfferedAt is when Next first offered the request for placing or, for a
-	// tenant clearly under its share, when the request arrived: its requests
-	// wait for a better place one after the other, and the waits would add up.
-	// The Queue sets it.
+	// OfferedAt is when Next first tried to place the request. For a tenant
+	// clearly under its share it is the arrival time instead, because the waits
+	// of its successive requests for better instances would otherwise add up. The
+	// Queue sets this field.
 	OfferedAt time.Time
 }
--- a/lib/admit/demand.go
+++ b/lib/admit/demand.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// demandWindow is the time over which started and refused tokens of a tenant
-// are compared. It is longer than a burst of a tenant within its share.
+// demandWindow is the time constant for comparing a tenant's started and
+// refused tokens. It is longer than a burst of a tenant within its share.
 const demandWindow = 10 * time.Second
 
-// demand compares what a tenant was given with what it was refused.
+// demand tracks the started and refused tokens of one tenant, with exponential
+// decay.
 type demand struct {
-	started, refused float64 // tokens, decaying
-	at               time.Time
+	started, refused float64 // decayed token counts
+	updatedAt        time.Time
 }
 
 func (d *demand) advance(now time.Time) {
-	if !d.at.IsZero() {
-		decay := math.Exp(-now.Sub(d.at).Seconds() / demandWindow.Seconds())
+	if !d.updatedAt.IsZero() {
+		decay := math.Exp(-now.Sub(d.updatedAt).Seconds() / demandWindow.Seconds())
 		d.started *= decay
 		d.refused *= decay
 	}
-	d.at = now
+	d.updatedAt = now
 }
 
-func (d *demand) start(now time.Time, tokens int) {
+func (d *demand) addStarted(now time.Time, tokens int) {
 	d.advance(now)
 	d.started += float64(tokens)
 }
 
-func (d *demand) refuse(now time.Time, tokens int) {
+func (d *demand) addRefused(now time.Time, tokens int) {
 	d.advance(now)
 	d.refused += float64(tokens)
 }
 
-// excessive reports whether more is refused than started: the tenant sends more
-// than twice what it is given.
-func (d *demand) excessive() bool { return d.refused > d.started }
+// overloading reports whether more tokens were refused than started, which
+// means that the tenant sends more than twice what it is served.
+func (d *demand) overloading() bool { return d.refused > d.started }
--- a/lib/admit/fuzz_test.go
+++ b/lib/admit/fuzz_test.go
@@ -11,56 +11,56 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// flowKey is one first-in-first-out order that the queue has to keep.
+// flowKey identifies a FIFO queue of one tenant and class.
 type flowKey struct {
 	tenant model.Tenant
 	class  model.Class
 }
 
-// reference keeps the waiting requests as plain lists.
+// reference is a simple model of the queue.
 type reference struct {
-	waiting map[flowKey][]admit.Request
+	queued  map[flowKey][]admit.Request
 	tenants map[model.Tenant]int
 	total   int
 }
 
 func (r *reference) remove(t *rapid.T, req admit.Request, mustBeFirst bool) {
 	key := flowKey{req.Tenant, req.Class}
-	list := r.waiting[key]
+	list := r.queued[key]
 	for i, w := range list {
 		if w.ID != req.ID {
 			continue
 		}
 		if mustBeFirst && i > 0 {
-			t.Fatalf("%s left before %s of the same tenant and class", req.ID, list[0].ID)
+			t.Fatalf("%s was dequeued before %s of the same tenant and class", req.ID, list[0].ID)
 		}
-		r.waiting[key] = append(append([]admit.Request{}, list[:i]...), list[i+1:]...)
+		r.queued[key] = append(append([]admit.Request{}, list[:i]...), list[i+1:]...)
 		r.tenants[req.Tenant]--
 		r.total--
 		return
 	}
-	t.Fatalf("%s left the queue but did not wait in it", req.ID)
+	t.Fatalf("%s was dequeued but was not in the queue", req.ID)
 }
 
-var _ = Describe("Queue under any order of events", func() {
-	It("never loses, duplicates or reorders, and keeps its bounds", func() {
+var _ = Describe("Queue under random operations", func() {
+	It("does not lose, duplicate or reorder requests and enforces its limits", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			const maxQueued, tenantMax = 9, 6
 			q := admit.New(admit.Config{MaxQueued: maxQueued, TenantMaxQueued: tenantMax})
-			ref := &reference{waiting: map[flowKey][]admit.Request{}, tenants: map[model.Tenant]int{}}
+			ref := &reference{queued: map[flowKey][]admit.Request{}, tenants: map[model.Tenant]int{}}
 			now := time.Unix(0, 0)
 			serial := 0
 			tenants := rapid.SampledFrom([]model.Tenant{"a", "b", "c"})
-			shed := func(s admit.Refusal) {
+			checkRefusal := func(s admit.Refusal) {
 				if s.RetryAfter <= 0 || s.Reason == "" {
-					t.Fatalf("refusal without advice or reason: %+v", s)
+					t.Fatalf("refusal without RetryAfter or Reason: %+v", s)
 				}
 			}
 			expire := func() {
 				for _, s := range q.Expire(now) {
-					shed(s)
+					checkRefusal(s)
 					if !now.After(s.Request.StartBy) {
-						t.Fatalf("%s was refused before its time", s.Request.ID)
+						t.Fatalf("%s expired before its StartBy", s.Request.ID)
 					}
 					ref.remove(t, s.Request, false)
 				}
@@ -68,15 +68,15 @@
 			t.Repeat(map[string]func(*rapid.T){
 				"": func(t *rapid.T) {
 					if q.Len() != ref.total || ref.total > maxQueued {
-						t.Fatalf("queue holds %d, reference %d, bound %d", q.Len(), ref.total, maxQueued)
+						t.Fatalf("Len() = %d, model has %d, limit %d", q.Len(), ref.total, maxQueued)
 					}
 					for name, n := range ref.tenants {
 						if q.Queued(name) != n || n > tenantMax {
-							t.Fatalf("queue holds %d of %s, reference %d, bound %d", q.Queued(name), name, n, tenantMax)
+							t.Fatalf("Queued() = %d for tenant %s, model has %d, limit %d", q.Queued(name), name, n, tenantMax)
 						}
 					}
 				},
-				"offer": func(t *rapid.T) {
+				"enqueue": func(t *rapid.T) {
 					serial++
 					r := admit.Request{
 						ID: model.RequestID(fmt.Sprint(serial)), Tenant: tenants.Draw(t, "tenant"),
@@ -89,14 +89,14 @@
 					s, ok := q.Enqueue(now, r)
 					full := ref.total == maxQueued || ref.tenants[r.Tenant] == tenantMax
 					if !ok {
-						shed(s)
+						checkRefusal(s)
 						if r.StartBy.IsZero() && !full {
-							t.Fatalf("%+v was refused without need: %s", r, s.Reason)
+							t.Fatalf("%+v was refused although the queue has room: %s", r, s.Reason)
 						}
 						return
 					}
 					key := flowKey{r.Tenant, r.Class}
-					ref.waiting[key] = append(ref.waiting[key], r)
+					ref.queued[key] = append(ref.queued[key], r)
 					ref.tenants[r.Tenant]++
 					ref.total++
 				},
@@ -111,31 +111,31 @@
 					if ok {
 						ref.remove(t, r, true)
 					} else if offered == 0 && ref.total > 0 {
-						t.Fatalf("%d wait, none was offered", ref.total)
+						t.Fatalf("%d requests queued, but none was offered to place", ref.total)
 					}
 				},
 				"cancel": func(t *rapid.T) {
 					id := model.RequestID(fmt.Sprint(rapid.IntRange(1, serial+1).Draw(t, "id")))
-					for _, list := range ref.waiting {
+					for _, list := range ref.queued {
 						for _, r := range list {
 							if r.ID == id {
 								ref.remove(t, r, false)
 								if !q.Cancel(now, id) {
-									t.Fatalf("%s waits and was not cancelled", id)
+									t.Fatalf("%s is queued, but Cancel returned false", id)
 								}
 								return
 							}
 						}
 					}
 					if q.Cancel(now, id) {
-						t.Fatalf("%s does not wait and was cancelled", id)
+						t.Fatalf("%s is not queued, but Cancel returned true", id)
 					}
 				},
 				"wait": func(t *rapid.T) {
 					now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 					expire()
 				},
-				"settle": func(t *rapid.T) {
+				"correct charge": func(t *rapid.T) {
 					q.CorrectCharge(tenants.Draw(t, "tenant"), 100, rapid.IntRange(0, 500).Draw(t, "actual"))
 				},
 			})
--- a/lib/admit/item.go
+++ b/lib/admit/item.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// item is one waiting request. It is in its class's list and, when it has a
-// StartBy, in the heap.
+// item is a queued request. It is in the list of its class and, if StartBy is
+// set, in the heap.
 type item struct {
 	Request
-	class   *classQueue
-	arrived time.Time
-	done    bool // taken, cancelled or shed; still in the list until it is first
-	heap    int  // position in the heap, -1 when not in it
+	class     *classQueue
+	arrivedAt time.Time
+	done      bool // dequeued, cancelled or expired; the class list drops it at its head
+	heapIndex int  // index in the heap, or -1
 }
 
 // startHeap orders items by StartBy, for container/heap.
@@ -20,13 +20,13 @@
 
 func (h startHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heap, h[j].heap = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push appends x, for container/heap.
 func (h *startHeap) Push(x any) {
 	it := x.(*item)
-	it.heap = len(*h)
+	it.heapIndex = len(*h)
 	*h = append(*h, it)
 }
 
@@ -36,6 +36,6 @@
 	it := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	it.heap = -1
+	it.heapIndex = -1
 	return it
 }
--- a/lib/admit/limiter.go
+++ b/lib/admit/limiter.go
@@ -4,28 +4,28 @@
 	"time"
 )
 
-// Limiter bounds the requests that one entry has on one backend server. The
-// limit adapts to the observed time to first token and time between tokens.
+// Limiter limits the concurrent requests of one entry on one backend server.
+// The limit adapts to the observed time to first token and time between tokens.
 //
 // The increase is additive and the decrease multiplicative, which converges to
-// equal parts when several entries share a backend server (Chiu and Jain,
-// 1989). The size of the decrease follows the ratio of target to observation,
-// the gradient idea of TCP Vegas (Brakmo and Peterson, 1995) that adaptive
-// concurrency limiters in service proxies also use. Here the reference is the
-// declared target and not the lowest latency seen, because an engine that
-// batches continuously gets slower with each request long before it is
-// overloaded.
+// equal shares when several entries use the same backend server (Chiu and Jain,
+// 1989). The size of a decrease follows the ratio of target to observation, the
+// gradient idea of TCP Vegas (Brakmo and Peterson, 1995) that adaptive
+// concurrency limiters in service proxies also use. The reference is the
+// declared target rather than the lowest observed latency, because an engine
+// with continuous batching slows down with every added request long before it
+// is overloaded.
 type Limiter struct {
-	cfg      LimiterConfig
-	limit    float64
-	inFlight int
-	peak     int // most in flight since the last change
-	changed  time.Time
-	first    samples
-	between  samples
+	cfg           LimiterConfig
+	limit         float64
+	inFlight      int
+	peakInFlight  int // maximum since the last change of the limit
+	changedAt     time.Time
+	firstToken    samples
+	betweenTokens samples
 }
 
-// samples averages observations since the last change.
+// samples accumulates observations since the last change of the limit.
 type samples struct {
 	sum   time.Duration
 	count int
@@ -36,82 +36,85 @@
 	s.count++
 }
 
-// over returns the mean as a share of the target, 0 without observations.
-func (s *samples) over(target time.Duration) float64 {
+// ratioTo returns the ratio of the mean to the target, or 0 without
+// observations.
+func (s *samples) ratioTo(target time.Duration) float64 {
 	if s.count == 0 {
 		return 0
 	}
 	return float64(s.sum) / float64(s.count) / float64(target)
 }
 
-// NewLimiter returns a Limiter at its initial limit.
+// NewLimiter returns a Limiter that starts at LimiterConfig.Initial.
 func NewLimiter(cfg LimiterConfig) *Limiter {
 	cfg.applyDefaults()
 	return &Limiter{cfg: cfg, limit: float64(cfg.Initial)}
 }
 
-// Limit returns the current limit, between Min and Max.
+// Limit returns the current limit, which is between LimiterConfig.Min and
+// LimiterConfig.Max.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// InFlight returns the number of acquired requests.
+// InFlight returns the number of acquired slots.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
 // CanAcquire reports whether Acquire would succeed.
 func (l *Limiter) CanAcquire() bool { return l.inFlight < l.Limit() }
 
-// Acquire takes a place, or returns false when the limit is reached.
+// Acquire takes a slot. It returns false if the limit is reached.
 func (l *Limiter) Acquire() bool {
 	if !l.CanAcquire() {
 		return false
 	}
 	l.inFlight++
-	l.peak = max(l.peak, l.inFlight)
+	l.peakInFlight = max(l.peakInFlight, l.inFlight)
 	return true
 }
 
-// Release gives a place back.
+// Release returns a slot taken by Acquire.
 func (l *Limiter) Release() { l.inFlight = max(0, l.inFlight-1) }
 
-// ObserveFirstToken takes the time from dispatch to the first token.
+// ObserveFirstToken records the time from dispatch to the first token.
 func (l *Limiter) ObserveFirstToken(now time.Time, d time.Duration) {
-	l.first.add(d)
+	l.firstToken.add(d)
 	l.adjust(now)
 }
 
-// ObserveBetweenTokens takes the time between two tokens of one answer, or the
-// mean over a few.
+// ObserveBetweenTokens records the time between two tokens of an answer, or the
+// mean over a few tokens.
 func (l *Limiter) ObserveBetweenTokens(now time.Time, d time.Duration) {
-	l.between.add(d)
+	l.betweenTokens.add(d)
 	l.adjust(now)
 }
 
-// ObserveRefusal takes a refusal by the backend server for lack of capacity.
+// ObserveRefusal records that the backend server refused a request for lack of
+// capacity.
 func (l *Limiter) ObserveRefusal(now time.Time) {
-	if now.Sub(l.changed) >= l.cfg.Interval {
-		l.set(now, l.limit*l.cfg.BackoffRatio)
+	if now.Sub(l.changedAt) >= l.cfg.Interval {
+		l.setLimit(now, l.limit*l.cfg.BackoffRatio)
 	}
 }
 
-// adjust changes the limit at most once per interval.
+// adjust updates the limit, at most once per LimiterConfig.Interval.
 func (l *Limiter) adjust(now time.Time) {
-	if now.Sub(l.changed) < l.cfg.Interval || l.first.count+l.between.count < l.cfg.MinSamples {
+	if now.Sub(l.changedAt) < l.cfg.Interval || l.firstToken.count+l.betweenTokens.count < l.cfg.MinSamples {
 		return
 	}
-	over := max(l.first.over(l.cfg.FirstToken)/l.cfg.EngineShare, l.between.over(l.cfg.BetweenTokens)) / l.cfg.TargetFraction
+	over := max(l.firstToken.ratioTo(l.cfg.FirstToken)/l.cfg.EngineShare, l.betweenTokens.ratioTo(l.cfg.BetweenTokens)) / l.cfg.TargetFraction
 	switch {
 	case over > 1:
-		l.set(now, l.limit*max(l.cfg.BackoffRatio, 1/over))
-	case l.peak >= l.Limit():
-		// Only a limit that was reached has been tested.
-		l.set(now, l.limit+1)
+		l.setLimit(now, l.limit*max(l.cfg.BackoffRatio, 1/over))
+	case l.peakInFlight >= l.Limit():
+		// Raise the limit only after it was reached.
+		l.setLimit(now, l.limit+1)
 	default:
-		l.set(now, l.limit)
+		l.setLimit(now, l.limit)
 	}
 }
 
-func (l *Limiter) set(now time.Time, limit float64) {
+func (l *Limiter) setLimit(now time.Time, limit float64) {
 	l.limit = min(max(limit, float64(l.cfg.Min)), float64(l.cfg.Max))
-	l.changed = now
-	l.peak = l.inFlight
-	l.first, l.between = samples{}, samples{}
+	l.changedAt = now
+	l.peakInFlight = l.inFlight
+	l.firstToken, l.betweenTokens = samples{}, samples{}
 }
--- a/lib/admit/limiter_config.go
+++ b/lib/admit/limiter_config.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// LimiterConfig holds the parameters of a Limiter. Zero fields take the
+// LimiterConfig holds the parameters of a Limiter. Zero fields take their
 // defaults.
 type LimiterConfig struct {
-	// FirstToken and BetweenTokens are the targets that 95 in 100 answers keep.
+	// FirstToken and BetweenTokens are the latency targets for 95 % of the
+	// answers.
 	FirstToken, BetweenTokens time.Duration
-	// Min and Max bound the limit; Initial is where it starts.
+	// Min and Max bound the limit. Initial is its starting value.
 	Min, Max, Initial int
-	// TargetFraction is the share of the targets that the limiter steers to. The rest is
-	// room for the spread around the mean.
+	// TargetFraction is the fraction of the targets that the limiter aims for.
+	// The remainder absorbs the variance around the mean.
 	TargetFraction float64
-	// EngineShare is the part of the first-token target that a backend server may
-	// use. The rest is left for the queue of the entry, which is fair and sheds
-	// early; a queue inside the engine does neither.
+	// EngineShare is the fraction of the first-token target that a backend server
+	// may use. The rest is left for the queue of the entry, which is fair and
+	// rejects early, unlike a queue inside the engine.
 	EngineShare float64
-	// Interval is the least time between two changes.
+	// Interval is the minimum time between two changes of the limit.
 	Interval time.Duration
-	// MinSamples is the least number of observations for a change.
+	// MinSamples is the minimum number of observations for a change.
 	MinSamples int
-	// BackoffRatio bounds the factor of one decrease.
+	// BackoffRatio is the smallest factor of a single decrease.
 	BackoffRatio float64
 }
 
--- a/lib/admit/limiter_test.go
+++ b/lib/admit/limiter_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("Limiter", func() {
-	It("stays within its bounds and never gives more places than the limit", func() {
+	It("keeps the limit between Min and Max and never exceeds it", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			l := admit.NewLimiter(admit.LimiterConfig{Min: 2, Max: 20})
 			now := start
@@ -22,13 +22,13 @@
 			t.Repeat(map[string]func(*rapid.T){
 				"": func(t *rapid.T) {
 					if l.Limit() < 2 || l.Limit() > 20 || l.InFlight() != held {
-						t.Fatalf("limit %d, in flight %d, held %d", l.Limit(), l.InFlight(), held)
+						t.Fatalf("limit %d, in flight %d, want %d in flight", l.Limit(), l.InFlight(), held)
 					}
 				},
 				"acquire": func(t *rapid.T) {
 					free := held < l.Limit()
 					if l.Acquire() != free {
-						t.Fatalf("acquired %v with %d of %d", !free, held, l.Limit())
+						t.Fatalf("Acquire() = %v with %d of %d slots in use", !free, held, l.Limit())
 					}
 					if free {
 						held++
@@ -48,9 +48,9 @@
 		})
 	})
 
-	It("lets two entries share a backend server near the target and about equally", func() {
-		// Guards against an entry that arrives late and gets nothing, and
-		// against a limit that drifts past the time between tokens.
+	It("converges to equal shares close to the target for two entries", func() {
+		// Guards against starvation of an entry that joins late, and against a
+		// limit that drifts past the target for the time between tokens.
 		early := admit.NewLimiter(admit.LimiterConfig{Initial: 40})
 		late := admit.NewLimiter(admit.LimiterConfig{Initial: 1})
 		both := []*admit.Limiter{early, late}
@@ -66,7 +66,7 @@
 					l.Release()
 				}
 			}
-			// An engine whose time between tokens grows with its batch.
+			// Model of an engine whose time between tokens grows with the batch size.
 			last = 16*time.Millisecond + time.Duration(early.InFlight()+late.InFlight())*700*time.Microsecond
 			for i, l := range both {
 				l.ObserveBetweenTokens(now, last)
--- a/lib/admit/placement.go
+++ b/lib/admit/placement.go
@@ -1,14 +1,15 @@
 package admit
 
-// Placement is the answer of the function that Next offers requests to.
+// Placement is the result of the function passed to Queue.Next.
 type Placement uint8
 
 const (
 	// Placed means that the request was started.
 	Placed Placement = iota
-	// Deferred means that the request could be started, but waits for a better
-	// place. Others may overtake it by Config.Overtake only.
+	// Deferred means that an instance is available but the request waits for a
+	// better one. Other requests may overtake it by at most Config.MaxOvertake
+	// tokens.
 	Deferred
-	// Blocked means that no backend server can take the request now.
+	// Blocked means that no backend server can accept the request now.
 	Blocked
 )
--- a/lib/admit/queue.go
+++ b/lib/admit/queue.go
@@ -1,9 +1,9 @@
-// Package admit decides which request starts next and how many a backend server
-// gets at once.
+// Package admit schedules requests: Queue decides which request starts next and
+// Limiter how many requests a backend server gets concurrently.
 //
-// Queue and Limiter are not safe for concurrent use; their owner is one
-// goroutine or a mutex of the assembly. Times of successive calls must not go
-// back.
+// Queue and Limiter are not safe for concurrent use; callers confine them to
+// one goroutine or guard them with a mutex. The times passed to successive
+// calls must not decrease.
 package admit
 
 import (
@@ -16,37 +16,39 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Queue holds the requests that wait for one pool of backend servers.
+// Queue holds the waiting requests for one pool of backend servers.
 //
 // Tenants share the pool by start-time fair queueing over estimated tokens,
 // weighted by their shares. While two tenants i and j both have requests
-// waiting, the tokens W that they were given in any interval differ by at most
+// queued, the tokens W served to them in any interval satisfy
 //
 //	|Wi/Si - Wj/Sj| <= Li/Si + Lj/Sj + P + B + O
 //
-// where S is the share relative to the mean share (times Config.ExcessShare for a
-// tenant of which more is refused than started), L the largest request in
-// tokens, P the largest lead by priority (Config.PriorityLead times the
-// difference of the priorities), B is Config.Burst and O Config.Overtake. Requests
-// that are blocked do not count as waiting. So a tenant within its
-// share waits for its own requests and a bounded number of tokens of others,
-// however many requests another tenant sends. B favours the tenant that sent
-// less before.
+// where S is the share relative to the mean share (times Config.ExcessShare for
+// a tenant with more tokens refused than started), L the largest request in
+// tokens, P the largest priority lead (Config.PriorityLead times the difference
+// of the priorities), B is Config.Burst and O is Config.MaxOvertake. Blocked
+// requests do not count as queued. A tenant within its share therefore waits
+// for its own requests and for a bounded number of tokens of others, however
+// many requests another tenant sends. B favours the tenant that sent less
+// before.
 //
 // Within a tenant, classes share in the same way with weights that grow by
-// Config.PriorityRatio per priority, and requests of a class stay in order.
+// Config.PriorityRatio per priority. Requests of one class are served in FIFO
+// order.
 type Queue struct {
-	cfg     Config
-	limits  map[model.Tenant]TenantLimits
-	tenants map[model.Tenant]*tenantQueue
-	order   []*tenantQueue // in order of first arrival, for stable decisions
-	byID    map[model.RequestID]*item
-	starts  startHeap
-	virtual float64
-	// meanShare makes weights independent of the unit of the declared shares.
-	meanShare float64
-	served    rate
-	skip      []*tenantQueue // reused by Next
+	cfg         Config
+	limits      map[model.Tenant]TenantLimits
+	tenants     map[model.Tenant]*tenantQueue
+	order       []*tenantQueue // in order of first arrival, for deterministic scheduling
+	byID        map[model.RequestID]*item
+	byStartBy   startHeap
+	virtualTime float64
+	// meanShare normalises weights, so that they do not depend on the scale of
+	// the declared shares.
+	meanShare   float64
+	serviceRate rate
+	skipped     []*tenantQueue // reused by Next
 }
 
 // New returns an empty queue.
@@ -62,9 +64,10 @@
 	}
 }
 
-// SetTenants declares the limits of all tenants. Tenants that are not declared
-// have a share of 1 and the default bound. All tenants start equal after a
-// change of the mean share, because tags before and after cannot be compared.
+// SetTenants replaces the limits of all tenants. Tenants that are not listed
+// have a share of 1 and the default queue limit. If the mean share changes, the
+// accounts of all tenants restart from zero, because tags from before and after
+// the change are not comparable.
 func (q *Queue) SetTenants(limits map[model.Tenant]TenantLimits) {
 	q.limits = maps.Clone(limits)
 	sum := 0
@@ -75,11 +78,11 @@
 	changed := mean != q.meanShare
 	q.meanShare = mean
 	if changed {
-		q.virtual = 0
+		q.virtualTime = 0
 	}
 	for _, t := range q.order {
 		if changed {
-			t.finish = 0
+			t.finishTag = 0
 		}
 		q.applyLimits(t)
 	}
@@ -94,10 +97,10 @@
 	}
 }
 
-// Len returns the number of waiting requests.
+// Len returns the number of queued requests.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// Queued returns the number of waiting requests of a tenant.
+// Queued returns the number of queued requests of a tenant.
 func (q *Queue) Queued(name model.Tenant) int {
 	if t, ok := q.tenants[name]; ok {
 		return t.queued
@@ -105,8 +108,9 @@
 	return 0
 }
 
-// Enqueue takes a request into the queue, or returns why it is refused: a bound
-// is reached, it would start too late, or its id is already waiting.
+// Enqueue adds a request to the queue. It returns false and the refusal if a
+// queue limit is reached, the request would start too late, or its ID is
+// already queued.
 func (q *Queue) Enqueue(now time.Time, r Request) (Refusal, bool) {
 	r.Tokens = max(1, r.Tokens)
 	if _, ok := q.byID[r.ID]; ok {
@@ -116,27 +120,27 @@
 	q.advance(now, t)
 	wait := q.expectedWait(t)
 	if len(q.byID) >= q.cfg.MaxQueued || t.queued >= t.maxQueued {
-		t.demand.refuse(now, r.Tokens)
-		return Refusal{Request: r, Reason: outcome.ReasonQueueFull, RetryAfter: q.advice(wait)}, false
+		t.demand.addRefused(now, r.Tokens)
+		return Refusal{Request: r, Reason: outcome.ReasonQueueFull, RetryAfter: q.retryAfter(wait)}, false
 	}
 	if !r.StartBy.IsZero() {
 		if late := now.Add(wait).Sub(r.StartBy); late > 0 {
-			t.demand.refuse(now, r.Tokens)
-			return Refusal{Request: r, Reason: outcome.ReasonOverloaded, RetryAfter: q.advice(late)}, false
+			t.demand.addRefused(now, r.Tokens)
+			return Refusal{Request: r, Reason: outcome.ReasonOverloaded, RetryAfter: q.retryAfter(late)}, false
 		}
 	}
 	priority := min(max(r.Priority, 0), q.cfg.MaxPriority)
 	c := t.class(r.Class, priority, math.Pow(q.cfg.PriorityRatio, float64(priority)))
-	it := &item{Request: r, class: c, arrived: now, heap: -1}
+	it := &item{Request: r, class: c, arrivedAt: now, heapIndex: -1}
 	c.add(it)
 	t.queued++
-	t.tokens += r.Tokens
+	t.queuedTokens += r.Tokens
 	q.byID[r.ID] = it
 	if !r.StartBy.IsZero() {
-		heap.Push(&q.starts, it)
+		heap.Push(&q.byStartBy, it)
 	}
-	q.served.busy(now)
-	t.served.busy(now)
+	q.serviceRate.startBusy(now)
+	t.serviceRate.startBusy(now)
 	return Refusal{}, true
 }
 
@@ -151,8 +155,8 @@
 	return t
 }
 
-// Cancel removes a waiting request. It returns false when the request does not
-// wait.
+// Cancel removes a queued request. It returns false if the request is not
+// queued.
 func (q *Queue) Cancel(now time.Time, id model.RequestID) bool {
 	it, ok := q.byID[id]
 	if ok {
@@ -162,56 +166,58 @@
 	return ok
 }
 
-// advance counts the time since the last call in the rates of service.
+// advance updates the service rates of the queue and the tenant to now.
 func (q *Queue) advance(now time.Time, t *tenantQueue) {
-	q.served.advance(now, q.cfg.RateWindow)
-	t.served.advance(now, q.cfg.RateWindow)
+	q.serviceRate.advance(now, q.cfg.RateWindow)
+	t.serviceRate.advance(now, q.cfg.RateWindow)
 }
 
-// remove takes an item out of all counts. Its class list drops it when it is
-// first.
+// remove removes an item from the heap and all counters. The list of its class
+// drops it once it is at the head.
 func (q *Queue) remove(it *item) {
 	it.done = true
-	it.class.waiting--
+	it.class.queued--
 	delete(q.byID, it.ID)
-	if it.heap >= 0 {
-		heap.Remove(&q.starts, it.heap)
+	if it.heapIndex >= 0 {
+		heap.Remove(&q.byStartBy, it.heapIndex)
 	}
 	t := q.tenants[it.Tenant]
 	t.queued--
-	t.tokens -= it.Tokens
+	t.queuedTokens -= it.Tokens
 	if t.queued == 0 {
-		t.served.idle()
+		t.serviceRate.stopBusy()
 	}
 	if len(q.byID) == 0 {
-		q.served.idle()
+		q.serviceRate.stopBusy()
 	}
 }
 
-// Expire removes the requests that can no longer start in time. The caller
-// answers them at once. It is called when NextExpiry is reached and before Next.
+// Expire removes and returns the requests that can no longer start in time.
+// Callers answer them immediately. Call it when the time returned by NextExpiry
+// is reached and before Next.
 func (q *Queue) Expire(now time.Time) []Refusal {
 	var out []Refusal
-	for len(q.starts) > 0 && now.After(q.starts[0].StartBy) {
-		it := q.starts[0]
+	for len(q.byStartBy) > 0 && now.After(q.byStartBy[0].StartBy) {
+		it := q.byStartBy[0]
 		t := q.tenants[it.Tenant]
 		q.advance(now, t)
 		wait := q.expectedWait(t)
-		t.demand.refuse(now, it.Tokens)
+		t.demand.addRefused(now, it.Tokens)
 		q.remove(it)
-		out = append(out, Refusal{Request: it.Request, Reason: outcome.ReasonDeadline, RetryAfter: q.advice(wait)})
+		out = append(out, Refusal{Request: it.Request, Reason: outcome.ReasonDeadline, RetryAfter: q.retryAfter(wait)})
 	}
 	return out
 }
 
-// NextExpiry returns when the next waiting request becomes too late.
+// NextExpiry returns the earliest StartBy of the queued requests, or false if
+// there is none.
 func (q *Queue) NextExpiry() (time.Time, bool) {
-	if len(q.starts) == 0 {
+	if len(q.byStartBy) == 0 {
 		return time.Time{}, false
 	}
-	return q.starts[0].StartBy, true
+	return q.byStartBy[0].StartBy, true
 }
 
-func (q *Queue) advice(d time.Duration) time.Duration {
+func (q *Queue) retryAfter(d time.Duration) time.Duration {
 	return min(max(d, q.cfg.MinRetryAfter), q.cfg.MaxRetryAfter)
 }
--- a/lib/admit/queue_test.go
+++ b/lib/admit/queue_test.go
@@ -17,7 +17,7 @@
 
 func place(admit.Request) admit.Placement { return admit.Placed }
 
-// backlog keeps requests of a tenant waiting.
+// backlog describes a tenant and class that always have requests queued.
 type backlog struct {
 	tenant   model.Tenant
 	class    model.Class
@@ -25,8 +25,8 @@
 	maxSize  int
 }
 
-// serve keeps all backlogs waiting and starts n requests. It calls each after
-// each with the tokens served so far by backlog.
+// serve starts n requests and refills all backlogs meanwhile. After each start
+// it calls each with the tokens served so far per backlog.
 func serve(q *admit.Queue, seed uint64, n int, each func(served map[backlog]float64), all ...backlog) map[backlog]float64 {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	served := make(map[backlog]float64)
@@ -53,8 +53,8 @@
 }
 
 var _ = Describe("Queue", func() {
-	It("keeps the stated bound between two tenants over all intervals", func() {
-		// Guards against a large tenant that starves a small one.
+	It("keeps the documented fairness bound between two tenants over all intervals", func() {
+		// Guards against a large tenant starving a small one.
 		for seed := range uint64(20) {
 			q := admit.New(admit.Config{PriorityLead: 700, Burst: 2000})
 			q.SetTenants(map[model.Tenant]admit.TenantLimits{"large": {Share: 3}, "small": {Share: 1}})
@@ -79,7 +79,7 @@
 		Expect(served[high] / served[low]).To(BeNumerically("~", 4, 0.3))
 	})
 
-	It("serves a small tenant's request soon behind a flood of another's", func() {
+	It("serves a small tenant's request promptly behind another tenant's backlog", func() {
 		q := admit.New(admit.Config{})
 		for i := range 400 {
 			q.Enqueue(start, admit.Request{ID: model.RequestID(fmt.Sprint(i)), Tenant: "large", Tokens: 1000})
@@ -92,9 +92,9 @@
 		Expect(r.ID).To(Equal(model.RequestID("small")))
 	})
 
-	It("gives a tenant of which most is refused a part of its share, not more nor less", func() {
-		// Guards against a flood that takes what bursts of others need, and
-		// against starving the tenant that floods.
+	It("serves a tenant with mostly refused requests at Config.ExcessShare of its share", func() {
+		// Guards against one tenant's flood taking the capacity that bursts of
+		// others need, and against starving the flooding tenant.
 		q := admit.New(admit.Config{TenantMaxQueued: 4})
 		served := make(map[model.Tenant]int)
 		id := 0
@@ -119,7 +119,7 @@
 		Expect(float64(served["flood"]) / float64(served["steady"])).To(BeNumerically("~", 0.75, 0.03))
 	})
 
-	It("refuses at arrival what would start too late, and tells when to come back", func() {
+	It("refuses on arrival a request that would start too late and sets RetryAfter", func() {
 		q := admit.New(admit.Config{})
 		now := start
 		offer := func(id string, tenant model.Tenant, within time.Duration) (admit.Refusal, bool) {
@@ -129,43 +129,43 @@
 			_, ok := offer(fmt.Sprint(i), "a", time.Minute)
 			Expect(ok).To(BeTrue())
 		}
-		// 10 requests of 100 tokens each second.
+		// Service rate: 10 requests of 100 tokens per second.
 		for range 20 {
 			now = now.Add(100 * time.Millisecond)
 			q.Next(now, place)
 		}
-		shed, ok := offer("late", "a", time.Second)
+		refusal, ok := offer("late", "a", time.Second)
 		Expect(ok).To(BeFalse())
-		Expect(shed.Reason).To(Equal(outcome.ReasonOverloaded))
-		Expect(shed.RetryAfter).To(BeNumerically("~", time.Second, 300*time.Millisecond))
-		// The wait of another tenant does not depend on a's queue.
+		Expect(refusal.Reason).To(Equal(outcome.ReasonOverloaded))
+		Expect(refusal.RetryAfter).To(BeNumerically("~", time.Second, 300*time.Millisecond))
+		// Another tenant's expected wait does not depend on the queue of a.
 		_, ok = offer("other", "b", time.Second)
 		Expect(ok).To(BeTrue())
 	})
 
-	It("bounds how far others overtake a request that waits, not one that is blocked", func() {
-		for _, answer := range []admit.Placement{admit.Deferred, admit.Blocked} {
+	It("limits overtaking of a deferred request but not of a blocked one", func() {
+		for _, placement := range []admit.Placement{admit.Deferred, admit.Blocked} {
 			q := admit.New(admit.Config{MaxOvertake: 1000})
 			q.Enqueue(start, admit.Request{ID: "first", Tenant: "a", Tokens: 100})
 			for i := range 50 {
 				q.Enqueue(start, admit.Request{ID: model.RequestID(fmt.Sprint(i)), Tenant: "b", Tokens: 100})
 			}
-			passed := 0
+			overtaken := 0
 			for range 50 {
 				_, ok := q.Next(start, func(r admit.Request) admit.Placement {
 					if r.Tenant == "a" {
-						return answer
+						return placement
 					}
 					return admit.Placed
 				})
 				if ok {
-					passed++
+					overtaken++
 				}
 			}
-			if answer == admit.Deferred {
-				Expect(passed).To(BeNumerically("<=", 1000/100+1))
+			if placement == admit.Deferred {
+				Expect(overtaken).To(BeNumerically("<=", 1000/100+1))
 			} else {
-				Expect(passed).To(Equal(50))
+				Expect(overtaken).To(Equal(50))
 			}
 		}
 	})
--- a/lib/admit/rate.go
+++ b/lib/admit/rate.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// rate measures how many tokens per second are taken from the queue while
-// requests wait. Both sums decay, so that a change of the backend servers shows
-// within the window.
+// rate measures the tokens dequeued per second while requests are queued. Both
+// sums decay exponentially, so that a change of capacity shows within the
+// window.
 type rate struct {
 	tokens    float64
 	seconds   float64
-	busySince time.Time // zero while nothing waits
+	busySince time.Time // zero while no request is queued
 }
 
-// busy notes that requests wait from now on.
-func (r *rate) busy(now time.Time) {
+// startBusy marks the start of a busy period.
+func (r *rate) startBusy(now time.Time) {
 	if r.busySince.IsZero() {
 		r.busySince = now
 	}
 }
 
-// advance counts the time since the last call when requests waited.
+// advance adds the busy time since the last call.
 func (r *rate) advance(now time.Time, window time.Duration) {
 	if r.busySince.IsZero() {
 		return
@@ -33,14 +33,15 @@
 	r.busySince = now
 }
 
-func (r *rate) took(tokens int) { r.tokens += float64(tokens) }
+func (r *rate) addTokens(tokens int) { r.tokens += float64(tokens) }
 
-func (r *rate) idle() { r.busySince = time.Time{} }
+func (r *rate) stopBusy() { r.busySince = time.Time{} }
 
-// perSecond returns the rate, or false before enough is known.
+// perSecond returns the rate in tokens per second, or false if there is too
+// little data.
 func (r *rate) perSecond() (float64, bool) {
-	const enough = 0.05 // seconds of waiting requests
-	if r.seconds < enough || r.tokens == 0 {
+	const minBusySeconds = 0.05
+	if r.seconds < minBusySeconds || r.tokens == 0 {
 		return 0, false
 	}
 	return r.tokens / r.seconds, true
--- a/lib/admit/shed.go
+++ b/lib/admit/shed.go
@@ -6,8 +6,8 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Refusal is a request that is refused. Its outcome is always NotRun, and it is
-// answered at once.
+// Refusal describes a request that was rejected without being run. The caller
+// is answered immediately.
 type Refusal struct {
 	Request    Request
 	Reason     outcome.Reason
--- a/lib/admit/tenant_queue.go
+++ b/lib/admit/tenant_queue.go
@@ -4,23 +4,24 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// tenantQueue holds the waiting requests of one tenant.
+// tenantQueue holds the queued requests of one tenant.
 type tenantQueue struct {
 	flow
-	name      model.Tenant
-	maxQueued int
-	virtual   float64 // of the tenant's classes
-	classes   []*classQueue
-	names     []model.Class
-	queued    int
-	demand    demand
-	served    rate // while requests of the tenant wait
-	tokens    int  // estimated tokens of the waiting requests
+	name         model.Tenant
+	maxQueued    int
+	virtualTime  float64 // virtual time of the classes' flows
+	classes      []*classQueue
+	classNames   []model.Class
+	queued       int
+	demand       demand
+	serviceRate  rate // measured while the tenant has requests queued
+	queuedTokens int  // estimated tokens of the queued requests
 }
 
-// class returns the queue of a class. It takes over a changed priority.
+// class returns the queue of a class, creating it if necessary, and updates its
+// priority and weight.
 func (t *tenantQueue) class(name model.Class, priority int, weight float64) *classQueue {
-	for i, n := range t.names {
+	for i, n := range t.classNames {
 		if n == name {
 			t.classes[i].priority, t.classes[i].weight = priority, weight
 			return t.classes[i]
@@ -28,12 +29,13 @@
 	}
 	c := &classQueue{priority: priority, flow: flow{weight: weight}}
 	t.classes = append(t.classes, c)
-	t.names = append(t.names, name)
+	t.classNames = append(t.classNames, name)
 	return c
 }
 
-// next returns the class to serve and its first item, or nil.
-func (t *tenantQueue) next() (*classQueue, *item) {
+// nextItem returns the class to serve next and its first item, or nil if
+// nothing is queued.
+func (t *tenantQueue) nextItem() (*classQueue, *item) {
 	var best *classQueue
 	var first *item
 	for _, c := range t.classes {
@@ -41,16 +43,17 @@
 		if head == nil {
 			continue
 		}
-		if best == nil || c.before(best, t.virtual) {
+		if best == nil || c.before(best, t.virtualTime) {
 			best, first = c, head
 		}
 	}
 	return best, first
 }
 
-// before orders classes by start tag, then by priority.
+// before reports whether c is served before other: smaller start tag first,
+// then higher priority.
 func (c *classQueue) before(other *classQueue, virtual float64) bool {
-	a, b := c.start(virtual, 0), other.start(virtual, 0)
+	a, b := c.startTag(virtual, 0), other.startTag(virtual, 0)
 	if a != b {
 		return a < b
 	}
