--- a/lib/attempt/action.go
+++ b/lib/attempt/action.go
@@ -1,26 +1,28 @@
 package attempt
 
-// Action is what the entry does next for a request.
+// Action is what the entry must do next for a request.
 type Action uint8
 
 const (
 	// ActionWait waits for the next event. It is the zero value.
 	ActionWait Action = iota
-	// ActionDispatch picks an instance, sends a RequestStart under a new attempt
-	// id and reports Dispatched, or NotAdmitted when none can be picked.
+	// ActionDispatch selects an instance and sends it a RequestStart with a new
+	// attempt ID. The entry then reports Dispatched, or NotAdmitted if no
+	// instance is available.
 	ActionDispatch
-	// ActionReattach sends Reattach for Step.Attempt and Step.Next over a live
-	// connection to the same generation of the agent and reports Reattached or
-	// ReattachFailed.
+	// ActionReattach sends Reattach with Step.Attempt and Step.NextSequence over
+	// a live connection to the same generation of the agent. The entry then
+	// reports Reattached or ReattachFailed.
 	ActionReattach
-	// ActionFinish gives the caller its final answer now.
+	// ActionFinish sends the caller its final answer.
 	ActionFinish
-	// ActionRecord follows a finish with Step.Settling set: the attempt's fate is
-	// now known. The claim of the request is completed or, for NotRun, released.
+	// ActionRecord follows an ActionFinish with Step.OutcomePending set, once the
+	// outcome of the attempt is known. The entry completes the claim of the
+	// request or, for NotRun, releases it.
 	ActionRecord
 )
 
-// String returns the name that logs and traces use.
+// String returns the name used in logs and traces.
 func (a Action) String() string {
 	names := [...]string{"wait", "dispatch", "reattach", "finish", "record"}
 	if int(a) < len(names) {
--- a/lib/attempt/answer.go
+++ b/lib/attempt/answer.go
@@ -6,59 +6,62 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// answer checks the frames of one attempt: their order, their count and the
-// running digest. After a continuation it also compares the bytes that the
-// caller already has with those of the new attempt.
-type answer struct {
-	next  uint64
-	bytes int64
-	hash  *blake3.Hasher
+// response verifies the frames of one attempt: their order, count and running
+// digest. After a continuation on another instance it also compares the bytes
+// already forwarded to the caller with those of the new attempt.
+type response struct {
+	nextSequence uint64
+	bytes        int64
+	hasher       *blake3.Hasher
 
-	// prefix is the number of bytes that the caller has from earlier attempts
-	// and prefixSum their digest; the first prefix bytes must hash to it.
-	prefix    int64
-	prefixSum model.Digest
+	// prefixBytes is the number of bytes forwarded to the caller by earlier
+	// attempts and prefixDigest their digest. The first prefixBytes bytes of this
+	// attempt must have the same digest.
+	prefixBytes  int64
+	prefixDigest model.Digest
 }
 
-func (a *answer) restart(prefix int64, sum model.Digest) {
-	if a.hash == nil {
-		a.hash = blake3.New()
+func (r *response) reset(prefix int64, sum model.Digest) {
+	if r.hasher == nil {
+		r.hasher = blake3.New()
 	} else {
-		a.hash.Reset()
+		r.hasher.Reset()
 	}
-	a.next, a.bytes, a.prefix, a.prefixSum = 0, 0, prefix, sum
+	r.nextSequence, r.bytes, r.prefixBytes, r.prefixDigest = 0, 0, prefix, sum
 }
 
-// add takes the next frame in order and returns the number of leading bytes
-// that the caller has already. It returns false when the new attempt says
-// something else than what the caller was told.
-func (a *answer) add(data []byte) (skip int, ok bool) {
-	a.next++
-	before := a.bytes
-	a.bytes += int64(len(data))
-	if before >= a.prefix {
-		_, _ = a.hash.Write(data)
+// add adds the next frame in sequence and returns the number of its leading
+// bytes that the caller already has. It returns false if the attempt differs
+// from the bytes forwarded before.
+func (r *response) add(data []byte) (skip int, ok bool) {
+	r.nextSequence++
+	before := r.bytes
+	r.bytes += int64(len(data))
+	if before >= r.prefixBytes {
+		_, _ = r.hasher.Write(data)
 		return 0, true
 	}
-	skip = int(min(a.prefix-before, int64(len(data))))
-	_, _ = a.hash.Write(data[:skip])
-	if a.bytes >= a.prefix && a.sum() != a.prefixSum {
+	skip = int(min(r.prefixBytes-before, int64(len(data))))
+	_, _ = r.hasher.Write(data[:skip])
+	if r.bytes >= r.prefixBytes && r.sum() != r.prefixDigest {
 		return skip, false
 	}
-	_, _ = a.hash.Write(data[skip:])
+	_, _ = r.hasher.Write(data[skip:])
 	return skip, true
 }
 
-// inPrefix reports whether the next frame repeats bytes that the caller has.
-func (a *answer) inPrefix() bool { return a.bytes < a.prefix }
+// inPrefix reports whether the next frame starts within the bytes that the
+// caller already has.
+func (r *response) inPrefix() bool { return r.bytes < r.prefixBytes }
 
-func (a *answer) sum() model.Digest {
+func (r *response) sum() model.Digest {
 	var d model.Digest
-	a.hash.Sum(d[:0])
+	r.hasher.Sum(d[:0])
 	return d
 }
 
-// complete reports whether the whole answer arrived as the agent sent it.
-func (a *answer) complete(frames uint64, digest model.Digest) bool {
-	return a.next == frames && a.bytes >= a.prefix && a.sum() == digest
+// complete reports whether all frames have arrived with the digest that the
+// agent sent.
+func (r *response) complete(frames uint64, digest model.Digest) bool {
+	return r.nextSequence == frames && r.bytes >= r.prefixBytes && r.sum() == digest
 }
--- a/lib/attempt/bench_test.go
+++ b/lib/attempt/bench_test.go
@@ -9,12 +9,12 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// BenchmarkRequest is one stream of 100 frames of 20 bytes.
+// BenchmarkRequest measures one stream of 100 frames of 20 bytes.
 func BenchmarkRequest(b *testing.B) {
 	const frames = 100
-	piece := make([]byte, 20)
+	data := make([]byte, 20)
 	now := time.Now()
-	end := &wire.ResponseEnd{Attempt: "a1", Outcome: outcome.Completed, Frames: frames, Digest: model.Sum(make([]byte, frames*len(piece)))}
+	end := &wire.ResponseEnd{Attempt: "a1", Outcome: outcome.Completed, Frames: frames, Digest: model.Sum(make([]byte, frames*len(data)))}
 	budget := NewBudget(BudgetConfig{})
 	b.ReportAllocs()
 	for b.Loop() {
@@ -22,7 +22,7 @@
 		m.Queued(now)
 		m.Dispatched(now, Dispatch{Attempt: "a1", Instance: "i"})
 		for i := range uint64(frames) {
-			m.Frame(now, "a1", i, piece)
+			m.Frame(now, "a1", i, data)
 		}
 		if m.End(now, end).Outcome != outcome.Completed {
 			b.Fatal("not completed")
@@ -30,16 +30,16 @@
 	}
 }
 
-// BenchmarkFrame is the cost of one frame in the middle of a stream.
+// BenchmarkFrame measures one frame in the middle of a stream.
 func BenchmarkFrame(b *testing.B) {
 	now := time.Now()
 	m := New(Config{}, Request{Deadline: now.Add(time.Hour), Repeatable: true}, nil)
 	m.Queued(now)
 	m.Dispatched(now, Dispatch{Attempt: "a1"})
-	piece := make([]byte, 20)
-	m.Frame(now, "a1", 0, piece)
+	data := make([]byte, 20)
+	m.Frame(now, "a1", 0, data)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Frame(now, "a1", m.NextSequence(), piece)
+		m.Frame(now, "a1", m.NextSequence(), data)
 	}
 }
--- a/lib/attempt/budget.go
+++ b/lib/attempt/budget.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// defaultRetryShare is the share of successful requests that may be retried.
+	// defaultRetryShare is the number of retries allowed per successful request.
 	defaultRetryShare = 0.1
-	// defaultTenantFloor lets a tenant without successes retry now and then, in
-	// retries per second, so that a budget never deadlocks at zero.
-	defaultTenantFloor = 0.5
-	// defaultDeploymentFloor is the same for all tenants of an entry together.
-	defaultDeploymentFloor = 2
-	// defaultTenantBurst and defaultDeploymentBurst bound saved-up retries.
+	// defaultTenantMinRate is the retry rate, per second, of a tenant without
+	// successful requests. It keeps a budget from being stuck at zero.
+	defaultTenantMinRate = 0.5
+	// defaultDeploymentMinRate is the same for all tenants of an entry together.
+	defaultDeploymentMinRate = 2
+	// defaultTenantBurst and defaultDeploymentBurst limit accumulated retries.
 	defaultTenantBurst     = 10
 	defaultDeploymentBurst = 50
 )
 
-// BudgetConfig holds the limits of a Budget. Zero values take defaults.
+// BudgetConfig holds the parameters of a Budget. Values that are not positive
+// take their defaults.
 type BudgetConfig struct {
-	// TenantShare is the share of a tenant's successful requests that may be retried,
-	// for tenants that SetShare does not name.
+	// TenantShare is the number of retries allowed per successful request of a
+	// tenant, for tenants without a share set by SetShare.
 	TenantShare float64
-	// DeploymentShare is the same for all tenants together.
+	// DeploymentShare is the same ratio for all tenants together.
 	DeploymentShare float64
-	// TenantMinRate and DeploymentFloor are in retries per second.
+	// TenantMinRate and DeploymentMinRate are refill rates in retries per second.
 	TenantMinRate     float64
 	DeploymentMinRate float64
-	// TenantBurst and DeploymentBurst are the sizes of the buckets in retries.
+	// TenantBurst and DeploymentBurst are the bucket sizes in retries.
 	TenantBurst     float64
 	DeploymentBurst float64
 }
@@ -43,17 +44,17 @@
 	}
 	set(&c.TenantShare, defaultRetryShare)
 	set(&c.DeploymentShare, defaultRetryShare)
-	set(&c.TenantMinRate, defaultTenantFloor)
-	set(&c.DeploymentMinRate, defaultDeploymentFloor)
+	set(&c.TenantMinRate, defaultTenantMinRate)
+	set(&c.DeploymentMinRate, defaultDeploymentMinRate)
 	set(&c.TenantBurst, defaultTenantBurst)
 	set(&c.DeploymentBurst, defaultDeploymentBurst)
 	return c
 }
 
-// Budget limits retries to a share of successful requests, per tenant and for
-// the whole entry, so that a fault does not multiply the load. All requests of
-// an entry share it: it is safe for concurrent use. Tenants are declared ones,
-// which bounds its size.
+// Budget limits retries to a share of the successful requests, per tenant and
+// for the whole entry, so that a fault does not multiply the load. It is safe
+// for concurrent use; all requests of an entry share one Budget. Only declared
+// tenants use it, which bounds its size.
 type Budget struct {
 	config BudgetConfig
 
@@ -63,7 +64,7 @@
 	shares     map[model.Tenant]float64
 }
 
-// NewBudget returns a budget whose buckets are full.
+// NewBudget returns a budget with full buckets.
 func NewBudget(config BudgetConfig) *Budget {
 	config = config.applyDefaults()
 	return &Budget{
@@ -74,14 +75,14 @@
 	}
 }
 
-// SetShare sets the declared retry share of a tenant, 0 to 1.
+// SetShare sets the declared retry share of a tenant, from 0 to 1.
 func (b *Budget) SetShare(tenant model.Tenant, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.shares[tenant] = share
 }
 
-// Forget drops a tenant that is no longer declared.
+// Forget removes a tenant that is no longer declared.
 func (b *Budget) Forget(tenant model.Tenant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +90,9 @@
 	delete(b.shares, tenant)
 }
 
-// take spends one retry of the tenant and of the deployment, or neither.
+// take takes one retry from the buckets of the tenant and the deployment. If
+// either is empty, it returns false and takes none. A nil budget allows every
+// retry.
 func (b *Budget) take(tenant model.Tenant, now time.Time) bool {
 	if b == nil {
 		return true
--- a/lib/attempt/budget_test.go
+++ b/lib/attempt/budget_test.go
@@ -9,11 +9,11 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Guards against retry storms: a fault must not multiply the load.
+// Guards against retry storms, in which a fault multiplies the load.
 var _ = Describe("Budget", func() {
 	now := time.Unix(1_800_000_000, 0)
 
-	It("keeps retries to the share of successes and the floor", func() {
+	It("limits retries to the share of successes plus the minimum rate", func() {
 		b := NewBudget(BudgetConfig{TenantShare: 0.1, TenantBurst: 10, TenantMinRate: 0.5, DeploymentBurst: 1000})
 		retries := 0
 		const requests, seconds = 10_000, 100
@@ -26,12 +26,12 @@
 				b.success("a", at)
 			}
 		}
-		// Burst, a tenth of 5,000 successes, and half a retry per second.
+		// The burst, a tenth of 5,000 successes, and half a retry per second.
 		Expect(retries).To(BeNumerically("<=", 10+500+50+1))
 		Expect(retries).To(BeNumerically(">=", 500))
 	})
 
-	It("spends neither bucket when the other is empty", func() {
+	It("takes from neither bucket if one of them is empty", func() {
 		b := NewBudget(BudgetConfig{DeploymentBurst: 3, DeploymentMinRate: 0.001})
 		for _, tenant := range []model.Tenant{"a", "b", "c"} {
 			Expect(b.take(tenant, now)).To(BeTrue())
@@ -40,7 +40,7 @@
 		Expect(b.tenants["d"].tokens).To(Equal(b.config.TenantBurst))
 	})
 
-	It("ends a request when the budget is spent", func() {
+	It("ends a request when the budget is exhausted", func() {
 		b := NewBudget(BudgetConfig{TenantBurst: 1, TenantMinRate: 0.001})
 		b.take("a", now)
 		m := New(Config{}, Request{Tenant: "a", Repeatable: true, Deadline: now.Add(time.Minute)}, b)
--- a/lib/attempt/config.go
+++ b/lib/attempt/config.go
@@ -3,29 +3,32 @@
 import "time"
 
 const (
-	// defaultMaxAttempts bounds the dispatches of one request at one entry.
+	// defaultMaxAttempts is the maximum number of dispatches of a request at one
+	// entry.
 	defaultMaxAttempts = 4
-	// defaultMaxHops bounds the dispatches of one request over all entries.
+	// defaultMaxHops is the maximum number of dispatches of a request over all
+	// entries.
 	defaultMaxHops = 8
-	// defaultMaxReattach bounds the reattaches of one attempt.
+	// defaultMaxReattach is the maximum number of reattaches of an attempt.
 	defaultMaxReattach = 3
-	// defaultNotSeenHorizon is half of the time for which an agent's gate
-	// remembers attempt ids. Beyond it, "never seen" may mean "forgotten", for
-	// instance after a long pause of this process.
-	defaultNotSeenHorizon = 5 * time.Minute
-	// defaultRetryAfter is the advice when the refusal gave none.
+	// defaultNotSeenMaxAge is half of the time for which an agent's gate
+	// remembers attempt IDs. For older dispatches, "never seen" may mean
+	// "forgotten", for example after a long pause of this process.
+	defaultNotSeenMaxAge = 5 * time.Minute
+	// defaultRetryAfter is the advice to callers when the refusal contains none.
 	defaultRetryAfter = time.Second
 )
 
-// Config holds the limits of a Machine. Zero values take defaults.
+// Config holds the limits of a Machine. Values that are not positive take their
+// defaults.
 type Config struct {
 	MaxAttempts int
 	MaxHops     int
 	MaxReattach int
-	// NotSeenMaxAge is the age of a dispatch up to which an agent's statement
-	// that it never saw the attempt proves that it did not run.
+	// NotSeenMaxAge is the maximum age of a dispatch at which an agent's reply
+	// that it never saw the attempt proves that the attempt did not run.
 	NotSeenMaxAge time.Duration
-	// RetryAfter is the advice to callers when nothing better is known.
+	// RetryAfter is the default retry advice to callers.
 	RetryAfter time.Duration
 }
 
@@ -40,7 +43,7 @@
 		c.MaxReattach = defaultMaxReattach
 	}
 	if c.NotSeenMaxAge <= 0 {
-		c.NotSeenMaxAge = defaultNotSeenHorizon
+		c.NotSeenMaxAge = defaultNotSeenMaxAge
 	}
 	if c.RetryAfter <= 0 {
 		c.RetryAfter = defaultRetryAfter
--- a/lib/attempt/flow.go
+++ b/lib/attempt/flow.go
@@ -6,26 +6,27 @@
 	"github.com/qmuntal/stateless"
 )
 
-// state is the position of a request.
+// state is the state of a request.
 type state uint8
 
 const (
 	stateNew state = iota
-	// stateQueued has no attempt outstanding.
+	// stateQueued: no attempt is outstanding.
 	stateQueued
-	// stateDispatched has an attempt outstanding and none of its frames.
+	// stateDispatched: an attempt is outstanding, no frame of it has arrived.
 	stateDispatched
-	// stateStreaming has received frames of the outstanding attempt.
+	// stateStreaming: frames of the outstanding attempt have arrived.
 	stateStreaming
-	// stateDetached lost the path to the agent and is reattaching.
+	// stateDetached: the connection to the agent is lost and a reattach is in
+	// progress.
 	stateDetached
-	// stateSettling has answered the caller while the fate of a non-repeatable
-	// attempt is open.
-	stateSettling
+	// stateOutcomePending: the caller has its final answer, the outcome of a
+	// non-repeatable attempt is still unknown.
+	stateOutcomePending
 	stateFinished
 )
 
-// trigger is an event of a request.
+// trigger identifies the kind of an event.
 type trigger uint8
 
 const (
@@ -43,12 +44,12 @@
 	triggerCanceled
 )
 
-// flow is the table of states and transitions that all machines share. The
-// state itself is stored in the Machine, which each firing carries as its
-// context; building a table per request would cost more than all its firings.
-var flow = newFlow()
+// transitions is the transition table that all machines share. The state is
+// stored in the Machine, which is passed as the context of each firing:
+// building a table per request would cost more than all of its firings.
+var transitions = newTransitions()
 
-func newFlow() *stateless.StateMachine {
+func newTransitions() *stateless.StateMachine {
 	f := stateless.NewStateMachineWithExternalStorage(
 		func(ctx context.Context) (stateless.State, error) { return machineOf(ctx).state, nil },
 		func(ctx context.Context, s stateless.State) error {
@@ -57,53 +58,54 @@
 		},
 		stateless.FiringImmediate,
 	)
-	// An event that does not concern the state is late or crossed: it is dropped.
+	// Events that do not apply to the current state arrived late or crossed
+	// another event, and are ignored.
 	f.OnUnhandledTrigger(func(context.Context, stateless.State, stateless.Trigger, []string) error { return nil })
 
 	f.Configure(stateNew).
-		PermitDynamic(triggerQueued, by((*Machine).onQueued)).
-		PermitDynamic(triggerNotAdmitted, by((*Machine).onNotAdmitted)).
-		PermitDynamic(triggerDeadline, by((*Machine).onDeadline)).
-		PermitDynamic(triggerCanceled, by((*Machine).onCanceled))
+		PermitDynamic(triggerQueued, destination((*Machine).onQueued)).
+		PermitDynamic(triggerNotAdmitted, destination((*Machine).onNotAdmitted)).
+		PermitDynamic(triggerDeadline, destination((*Machine).onDeadline)).
+		PermitDynamic(triggerCanceled, destination((*Machine).onCanceled))
 	f.Configure(stateQueued).
-		PermitDynamic(triggerDispatched, by((*Machine).onDispatched)).
-		PermitDynamic(triggerNotAdmitted, by((*Machine).onNotAdmitted)).
-		PermitDynamic(triggerDeadline, by((*Machine).onDeadline)).
-		PermitDynamic(triggerCanceled, by((*Machine).onCanceled))
+		PermitDynamic(triggerDispatched, destination((*Machine).onDispatched)).
+		PermitDynamic(triggerNotAdmitted, destination((*Machine).onNotAdmitted)).
+		PermitDynamic(triggerDeadline, destination((*Machine).onDeadline)).
+		PermitDynamic(triggerCanceled, destination((*Machine).onCanceled))
 	for _, s := range []state{stateDispatched, stateStreaming, stateDetached} {
 		f.Configure(s).
-			PermitDynamic(triggerRefused, by((*Machine).onRefused)).
-			PermitDynamic(triggerFrame, by((*Machine).onFrame)).
-			PermitDynamic(triggerEnd, by((*Machine).onEnd)).
-			PermitDynamic(triggerConnectionLost, by((*Machine).onConnectionLost)).
-			PermitDynamic(triggerServerCrashed, by((*Machine).onServerCrashed)).
-			PermitDynamic(triggerDeadline, by((*Machine).onDeadline)).
-			PermitDynamic(triggerCanceled, by((*Machine).onCanceled))
+			PermitDynamic(triggerRefused, destination((*Machine).onRefused)).
+			PermitDynamic(triggerFrame, destination((*Machine).onFrame)).
+			PermitDynamic(triggerEnd, destination((*Machine).onEnd)).
+			PermitDynamic(triggerConnectionLost, destination((*Machine).onConnectionLost)).
+			PermitDynamic(triggerServerCrashed, destination((*Machine).onServerCrashed)).
+			PermitDynamic(triggerDeadline, destination((*Machine).onDeadline)).
+			PermitDynamic(triggerCanceled, destination((*Machine).onCanceled))
 	}
 	f.Configure(stateDetached).
-		PermitDynamic(triggerReattached, by((*Machine).onReattached)).
-		PermitDynamic(triggerReattachFailed, by((*Machine).onReattachFailed))
-	f.Configure(stateSettling).
-		PermitDynamic(triggerRefused, by((*Machine).settleRefused)).
-		PermitDynamic(triggerFrame, by((*Machine).settleFrame)).
-		PermitDynamic(triggerEnd, by((*Machine).settleEnd)).
-		PermitDynamic(triggerConnectionLost, by((*Machine).settleLost)).
-		PermitDynamic(triggerReattached, by((*Machine).settleReattached)).
-		PermitDynamic(triggerReattachFailed, by((*Machine).settleUnknown)).
-		PermitDynamic(triggerServerCrashed, by((*Machine).settleUnknown))
+		PermitDynamic(triggerReattached, destination((*Machine).onReattached)).
+		PermitDynamic(triggerReattachFailed, destination((*Machine).onReattachFailed))
+	f.Configure(stateOutcomePending).
+		PermitDynamic(triggerRefused, destination((*Machine).pendingRefused)).
+		PermitDynamic(triggerFrame, destination((*Machine).pendingFrame)).
+		PermitDynamic(triggerEnd, destination((*Machine).pendingEnd)).
+		PermitDynamic(triggerConnectionLost, destination((*Machine).pendingConnectionLost)).
+		PermitDynamic(triggerReattached, destination((*Machine).pendingReattached)).
+		PermitDynamic(triggerReattachFailed, destination((*Machine).recordUnknown)).
+		PermitDynamic(triggerServerCrashed, destination((*Machine).recordUnknown))
 	return f
 }
 
-func by(handle func(*Machine) state) stateless.DestinationSelectorFunc {
+func destination(handle func(*Machine) state) stateless.DestinationSelectorFunc {
 	return func(ctx context.Context, _ ...any) (stateless.State, error) {
 		return handle(machineOf(ctx)), nil
 	}
 }
 
-// machineKey finds the Machine in the context of a firing.
+// machineKey is the context key of the Machine.
 type machineKey struct{}
 
-// firing is the context of a Machine's firings.
+// firing is the context that carries the Machine through a firing.
 type firing struct {
 	context.Context
 	machine *Machine
--- a/lib/attempt/machine.go
+++ b/lib/attempt/machine.go
@@ -8,7 +8,7 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Machine is the state of one request at one entry.
+// Machine is the state machine of one request at one entry.
 type Machine struct {
 	config Config
 	req    Request
@@ -18,23 +18,24 @@
 	step   Step
 	firing firing
 
-	current    Dispatch
-	dispatched time.Time // of the current attempt
-	attempts   int
-	reattaches int
-	tried      []model.InstanceID
-	// mayHaveRun is set once any attempt may have run: from then on the request
-	// cannot end as not run, whatever happens to later attempts.
+	current        Dispatch
+	dispatchedAt   time.Time // send time of the current attempt
+	attempts       int
+	reattaches     int
+	triedInstances []model.InstanceID
+	// mayHaveRun is set once any attempt may have run. From then on the request
+	// cannot end as NotRun, whatever later attempts return.
 	mayHaveRun bool
-	// replaying ignores frames beyond a gap until the replay reaches the gap.
+	// replaying is set after a reattach until the replayed frames reach the gap;
+	// frames beyond the gap are ignored meanwhile.
 	replaying bool
 
-	answer  answer
-	sent    int64 // bytes of the answer that the caller has
-	sentSum model.Digest
+	response        response
+	forwardedBytes  int64 // bytes of the answer forwarded to the caller
+	forwardedDigest model.Digest
 }
 
-// New returns the machine of a request that was not dispatched yet. A nil
+// New returns the machine of a request that has not been dispatched. A nil
 // budget allows every retry.
 func New(config Config, req Request, budget *Budget) *Machine {
 	m := &Machine{config: config.applyDefaults(), req: req, budget: budget}
@@ -42,35 +43,37 @@
 	return m
 }
 
-// Attempt returns the id of the current or last attempt.
+// Attempt returns the ID of the current or last attempt.
 func (m *Machine) Attempt() model.AttemptID { return m.current.Attempt }
 
-// TriedInstances returns the instances of earlier attempts, which a retry avoids.
-func (m *Machine) TriedInstances() []model.InstanceID { return m.tried }
+// TriedInstances returns the instances of earlier attempts, which a retry
+// should avoid.
+func (m *Machine) TriedInstances() []model.InstanceID { return m.triedInstances }
 
-// Hop returns the hop count that the next RequestStart carries.
+// Hop returns the hop count for the next RequestStart.
 func (m *Machine) Hop() int { return m.req.Hop + m.attempts }
 
-// NextSequence returns the sequence number of the frame that is expected next, which
-// is the number that ResponseAck carries.
-func (m *Machine) NextSequence() uint64 { return m.answer.next }
+// NextSequence returns the sequence number of the next expected frame, which is
+// also the number that ResponseAck carries.
+func (m *Machine) NextSequence() uint64 { return m.response.nextSequence }
 
-// Remaining returns the time until the deadline, which RequestStart carries.
+// Remaining returns the time until the deadline, for RequestStart.
 func (m *Machine) Remaining(now time.Time) time.Duration { return m.req.Deadline.Sub(now) }
 
-// Done reports whether no event changes anything any more.
+// Done reports whether the request is finished and all further events are
+// ignored.
 func (m *Machine) Done() bool { return m.state == stateFinished }
 
 func (m *Machine) fire(t trigger, e event) Step {
 	m.event, m.step = e, Step{}
-	// The table drops unknown events and handlers return no errors.
-	_ = flow.FireCtx(&m.firing, t)
+	// The transition table ignores unknown events, and handlers return no errors.
+	_ = transitions.FireCtx(&m.firing, t)
 	m.event = event{}
 	return m.step
 }
 
-// finish gives the caller its final answer. The outcome follows from whether
-// any attempt may have run.
+// finish ends the request. The outcome depends on whether any attempt may have
+// run.
 func (m *Machine) finish(reason outcome.Reason, retryAfter time.Duration) state {
 	m.step.Action = ActionFinish
 	m.step.Reason = reason
@@ -78,44 +81,44 @@
 	if m.mayHaveRun {
 		m.step.Outcome = outcome.Unknown
 	}
-	if retryAfter <= 0 && retryAdvised(reason) {
+	if retryAfter <= 0 && advisesRetry(reason) {
 		retryAfter = m.config.RetryAfter
 	}
 	m.step.RetryAfter = retryAfter
 	return stateFinished
 }
 
-// again decides what follows an attempt that gave no whole answer; ran says
-// whether it may have run.
-func (m *Machine) again(ran bool, reason outcome.Reason, retryAfter time.Duration) state {
+// retryOrFinish decides whether to retry after an attempt without a complete
+// answer. ran reports whether that attempt may have run.
+func (m *Machine) retryOrFinish(ran bool, reason outcome.Reason, retryAfter time.Duration) state {
 	m.mayHaveRun = m.mayHaveRun || ran
-	if m.sent > 0 && m.answer.bytes == m.sent {
-		m.sentSum = m.answer.sum()
+	if m.forwardedBytes > 0 && m.response.bytes == m.forwardedBytes {
+		m.forwardedDigest = m.response.sum()
 	}
 	if ran && m.req.Repeatable {
 		m.step.Cancel = m.current.Attempt
 	}
-	if m.sent == 0 && m.req.Buffered {
+	if m.forwardedBytes == 0 && m.req.Buffered {
 		m.step.Discard = true
 	}
 	switch {
 	case m.mayHaveRun && !m.req.Repeatable:
 		return m.finish(reason, retryAfter)
-	case m.sent > 0 && !m.req.Continue:
+	case m.forwardedBytes > 0 && !m.req.Continue:
 		return m.finish(outcome.ReasonIncomplete, retryAfter)
 	case !m.event.now.Before(m.req.Deadline):
 		return m.finish(outcome.ReasonDeadline, retryAfter)
-	case !worthAnother(reason):
+	case !retryable(reason):
 		return m.finish(reason, retryAfter)
 	case m.attempts >= m.config.MaxAttempts:
 		return m.finish(reason, retryAfter)
 	case m.Hop() >= m.config.MaxHops:
 		return m.finish(outcome.ReasonHopLimit, retryAfter)
-	case (ran || !redirects(reason)) && !m.budget.take(m.req.Tenant, m.event.now):
+	case (ran || !isStaleView(reason)) && !m.budget.take(m.req.Tenant, m.event.now):
 		return m.finish(outcome.ReasonRetryBudget, retryAfter)
 	}
 	m.step.Action = ActionDispatch
-	if m.sent > 0 {
+	if m.forwardedBytes > 0 {
 		m.step.Weights, m.step.Pinned = m.current.Weights, true
 	}
 	return stateQueued
--- a/lib/attempt/reason.go
+++ b/lib/attempt/reason.go
@@ -2,9 +2,9 @@
 
 import "github.com/auburnbend/auburnbend/lib/outcome"
 
-// worthAnother says whether an attempt that ended for a reason may succeed on
-// another instance. Reasons that lie in the request itself do not.
-func worthAnother(r outcome.Reason) bool {
+// retryable reports whether an attempt that ended for this reason may succeed
+// on another instance. Reasons caused by the request itself are not retryable.
+func retryable(r outcome.Reason) bool {
 	switch r {
 	case outcome.ReasonDraining,
 		outcome.ReasonWeightsMismatch,
@@ -20,8 +20,9 @@
 	}
 }
 
-// retryAdvised says whether a caller gains anything by asking again later.
-func retryAdvised(r outcome.Reason) bool {
+// advisesRetry reports whether the caller may succeed by sending the request
+// again later.
+func advisesRetry(r outcome.Reason) bool {
 	switch r {
 	case outcome.ReasonInvalid,
 		outcome.ReasonUnknownService,
@@ -37,11 +38,12 @@
 	}
 }
 
-// redirects says whether a refusal means only that the entry's view of the
-// instance was old. Going elsewhere then adds no load to any backend server, so
-// it costs no retry budget; MaxAttempts bounds it. During a rollout every
-// instance refuses for a moment, which would use up the budget otherwise.
-func redirects(r outcome.Reason) bool {
+// isStaleView reports whether a refusal means only that the entry's view of the
+// instance was out of date. Dispatching to another instance then adds no load
+// to any backend server and uses no retry budget; Config.MaxAttempts bounds it.
+// During a rollout every instance refuses for a moment, which would otherwise
+// exhaust the budget.
+func isStaleView(r outcome.Reason) bool {
 	switch r {
 	case outcome.ReasonDraining, outcome.ReasonWeightsMismatch, outcome.ReasonNoBackendServer:
 		return true
--- a/lib/attempt/replay_test.go
+++ b/lib/attempt/replay_test.go
@@ -16,8 +16,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// traceEvent is one line of a recorded trace. The first line has the event
-// "request". Expect states the step that follows.
+// traceEvent is one line of a recorded trace. The event of the first line is
+// "request". Expect is the step that must follow.
 type traceEvent struct {
 	AtMillis   int64           `json:"at_ms"`
 	Event      string          `json:"event"`
@@ -25,7 +25,7 @@
 	Reason     outcome.Reason  `json:"reason"`
 	Sequence   uint64          `json:"seq"`
 	Data       string          `json:"data"`
-	Text       string          `json:"text"` // the whole answer, for the digest of an end
+	Text       string          `json:"text"` // complete answer, from which the digest of an end is computed
 	Frames     uint64          `json:"frames"`
 	Outcome    string          `json:"outcome"`
 	Weights    string          `json:"weights"`
@@ -62,12 +62,12 @@
 	return t
 }
 
-// Guards against a change that turns a recorded course of events into another
-// answer for the caller.
-var _ = Describe("recorded traces", func() {
+// Guards against changes that give the caller a different answer for a recorded
+// sequence of events.
+var _ = Describe("Machine with recorded traces", func() {
 	files, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(files) == 0 {
-		panic("no traces")
+		panic("no trace files in testdata")
 	}
 	for _, file := range files {
 		It("replays "+filepath.Base(file), func() { replay(file) })
@@ -91,7 +91,7 @@
 			}, nil)
 			continue
 		}
-		step := feed(m, start.Add(time.Duration(e.AtMillis)*time.Millisecond), e)
+		step := report(m, start.Add(time.Duration(e.AtMillis)*time.Millisecond), e)
 		if e.Expect.Action == "" {
 			e.Expect.Action = "wait"
 		}
@@ -100,7 +100,7 @@
 	Expect(lines.Err()).NotTo(HaveOccurred())
 }
 
-func feed(m *Machine, now time.Time, e traceEvent) Step {
+func report(m *Machine, now time.Time, e traceEvent) Step {
 	switch e.Event {
 	case "queued":
 		return m.Queued(now)
--- a/lib/attempt/request.go
+++ b/lib/attempt/request.go
@@ -6,26 +6,26 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Request is what the Machine needs to know about a caller's request.
+// Request holds the properties of a caller's request that the Machine needs.
 type Request struct {
 	ID     model.RequestID
 	Tenant model.Tenant
-	// Deadline is the time of the entry's clock after which no answer counts.
+	// Deadline is the deadline of the request by the entry's clock.
 	Deadline time.Time
-	// Hop is the number of dispatches on the request's way to this entry.
+	// Hop is the number of dispatches before the request reached this entry.
 	Hop int
-	// Repeatable allows a second run after an attempt that may have run.
+	// Repeatable allows another run after an attempt that may have run.
 	Repeatable bool
-	// Buffered says that the entry holds the answer back until the finish, so
-	// that the caller has no byte of an attempt that is given up. Plain services
-	// need it: their HTTP status arrives with the end.
+	// Buffered indicates that the entry buffers the answer until ActionFinish, so
+	// that no byte of an abandoned attempt reaches the caller. Plain services
+	// require it, because their HTTP status arrives with the end.
 	Buffered bool
-	// Continue allows a stream to go on with another attempt after bytes reached
-	// the caller. It is meant for services whose answers are reproducible.
+	// Continue allows a stream to continue with another attempt after bytes have
+	// reached the caller. It is meant for services with reproducible answers.
 	Continue bool
 }
 
-// Dispatch names the attempt that was sent to an agent.
+// Dispatch identifies an attempt and the instance and weights it is sent to.
 type Dispatch struct {
 	Attempt  model.AttemptID
 	Instance model.InstanceID
--- a/lib/attempt/settle.go
+++ b/lib/attempt/settle.go
@@ -2,13 +2,13 @@
 
 import "github.com/auburnbend/auburnbend/lib/outcome"
 
-func (m *Machine) onDeadline() state { return m.giveUp(outcome.ReasonDeadline) }
+func (m *Machine) onDeadline() state { return m.finishEarly(outcome.ReasonDeadline) }
 
-func (m *Machine) onCanceled() state { return m.giveUp(outcome.ReasonCanceled) }
+func (m *Machine) onCanceled() state { return m.finishEarly(outcome.ReasonCanceled) }
 
-// giveUp answers the caller at once. A repeatable attempt is cancelled; a
-// non-repeatable one is left to run, and its result is recorded.
-func (m *Machine) giveUp(reason outcome.Reason) state {
+// finishEarly answers the caller immediately. A repeatable attempt is
+// cancelled; a non-repeatable one continues to run and its result is recorded.
+func (m *Machine) finishEarly(reason outcome.Reason) state {
 	outstanding := m.state != stateNew && m.state != stateQueued
 	m.mayHaveRun = m.mayHaveRun || outstanding
 	next := m.finish(reason, 0)
@@ -20,44 +20,44 @@
 		return next
 	}
 	m.step.OutcomePending = true
-	return stateSettling
+	return stateOutcomePending
 }
 
-func (m *Machine) settleRefused() state {
+func (m *Machine) pendingRefused() state {
 	if m.event.reason == outcome.ReasonDuplicate {
-		return stateSettling
+		return stateOutcomePending
 	}
 	m.step.Action = ActionRecord
 	m.step.Reason = m.event.reason
 	m.step.Outcome = outcome.Unknown
-	if m.refusalProves() {
+	if m.refusalProvesNotRun() {
 		m.step.Outcome = outcome.NotRun
 	}
 	return stateFinished
 }
 
-func (m *Machine) settleFrame() state {
-	if m.event.sequence == m.answer.next {
+func (m *Machine) pendingFrame() state {
+	if m.event.sequence == m.response.nextSequence {
 		m.replaying = false
-		_, ok := m.answer.add(m.event.data)
+		_, ok := m.response.add(m.event.data)
 		m.step.Forward = ok
 	}
-	return stateSettling
+	return stateOutcomePending
 }
 
-func (m *Machine) settleEnd() state {
+func (m *Machine) pendingEnd() state {
 	end := m.event.end
-	if end.Frames > m.answer.next && m.replaying {
-		return stateSettling
+	if end.Frames > m.response.nextSequence && m.replaying {
+		return stateOutcomePending
 	}
 	m.step.Action = ActionRecord
 	m.step.Reason = end.Reason
 	m.step.Outcome = outcome.Unknown
 	ended := end.Outcome == outcome.Completed || end.Outcome == outcome.Failed
 	switch {
-	case ended && m.answer.complete(end.Frames, end.Digest):
+	case ended && m.response.complete(end.Frames, end.Digest):
 		m.step.Outcome, m.step.Status, m.step.ContentType = end.Outcome, end.Status, end.ContentType
-	case end.Outcome == outcome.NotRun && m.answer.next == 0:
+	case end.Outcome == outcome.NotRun && m.response.nextSequence == 0:
 		m.step.Outcome = outcome.NotRun
 	default:
 		m.step.Reason = reasonOr(end.Reason, outcome.ReasonIncomplete)
@@ -65,22 +65,22 @@
 	return stateFinished
 }
 
-func (m *Machine) settleLost() state {
+func (m *Machine) pendingConnectionLost() state {
 	if m.reattaches >= m.config.MaxReattach {
-		return m.settleUnknown()
+		return m.recordUnknown()
 	}
 	m.reattaches++
 	m.step.Action = ActionReattach
-	m.step.Attempt, m.step.NextSequence = m.current.Attempt, m.answer.next
-	return stateSettling
+	m.step.Attempt, m.step.NextSequence = m.current.Attempt, m.response.nextSequence
+	return stateOutcomePending
 }
 
-func (m *Machine) settleReattached() state {
+func (m *Machine) pendingReattached() state {
 	m.replaying = true
-	return stateSettling
+	return stateOutcomePending
 }
 
-func (m *Machine) settleUnknown() state {
+func (m *Machine) recordUnknown() state {
 	m.step.Action = ActionRecord
 	m.step.Outcome = outcome.Unknown
 	m.step.Reason = outcome.ReasonConnectionLost
--- a/lib/attempt/step.go
+++ b/lib/attempt/step.go
@@ -7,40 +7,42 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Step is the answer to one event. The zero value waits.
+// Step is what the entry must do after an event. The zero value means to wait
+// for the next event.
 type Step struct {
 	Action Action
 
-	// Forward says that the data of the frame that made this step belongs to the
-	// answer, from byte Skip on. The entry passes it to the caller, or keeps it
-	// when the request is buffered.
+	// Forward indicates that the data of the reported frame belongs to the
+	// answer, starting at byte SkipBytes. The entry passes it to the caller, or
+	// buffers it if the request is buffered.
 	Forward bool
-	// SkipBytes is the number of leading bytes of the frame that the caller has.
+	// SkipBytes is the number of leading bytes of the frame that the caller
+	// already has.
 	SkipBytes int
-	// Discard tells a buffered request to drop what it has kept so far.
+	// Discard tells the entry to drop what it has buffered so far.
 	Discard bool
 
-	// Cancel names an attempt that the agent shall stop; it is empty for none.
+	// Cancel is the attempt that the agent should cancel, or empty.
 	Cancel model.AttemptID
 
-	// Attempt and Next describe a reattach.
+	// Attempt and NextSequence are the parameters of a reattach.
 	Attempt      model.AttemptID
 	NextSequence uint64
 
-	// Weights restricts a dispatch to instances with exactly these weights when
-	// Pinned is set: the answer continues a stream that they began.
+	// Weights restricts a dispatch to instances with exactly these weights if
+	// Pinned is set, because the answer continues a stream that they started.
 	Weights model.Weights
 	Pinned  bool
 
-	// Outcome, Reason and RetryAfter are the final answer of a finish.
+	// Outcome, Reason and RetryAfter form the final answer.
 	Outcome    outcome.Outcome
 	Reason     outcome.Reason
 	RetryAfter time.Duration
-	// Status and ContentType are the backend server's, when it answered.
+	// Status and ContentType are those of the backend server, if it answered.
 	Status      int
 	ContentType string
-	// OutcomePending says that the attempt may still run to its end although the
-	// caller has its final answer: the entry keeps passing events on until a
-	// step with ActionRecord arrives.
+	// OutcomePending indicates that the attempt may still complete although the
+	// caller has its final answer. The entry must continue to report events until
+	// a step with ActionRecord is returned.
 	OutcomePending bool
 }
