--- a/lib/claim/backlog.go
+++ b/lib/claim/backlog.go
@@ -7,9 +7,9 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// update is a release, or a result when result is set, that the store has not
-// confirmed.
-type update struct {
+// pendingUpdate is an update that the store has not confirmed: a result, or a
+// release if result is nil.
+type pendingUpdate struct {
 	key     Key
 	attempt model.AttemptID
 	now     time.Time
@@ -21,40 +21,40 @@
 	attempt model.AttemptID
 }
 
-func (u update) id() updateID { return updateID{u.key, u.attempt} }
+func (u pendingUpdate) id() updateID { return updateID{u.key, u.attempt} }
 
-func (u update) size() int {
+func (u pendingUpdate) size() int {
 	if u.result == nil {
 		return 0
 	}
 	return len(u.result.Body)
 }
 
-// backlog keeps unconfirmed updates in bounded memory. It is safe for
+// backlog holds unconfirmed updates in bounded memory. It is safe for
 // concurrent use.
 type backlog struct {
 	limit     int
 	byteLimit int
 
 	mu      sync.Mutex
-	updates map[updateID]update
+	updates map[updateID]pendingUpdate
 	order   []updateID
 	bytes   int
 }
 
 func newBacklog(limit, byteLimit int) *backlog {
-	return &backlog{limit: limit, byteLimit: byteLimit, updates: make(map[updateID]update)}
+	return &backlog{limit: limit, byteLimit: byteLimit, updates: make(map[updateID]pendingUpdate)}
 }
 
-// full is true from half of the limit on: claims in progress may still need a
-// place each.
-func (b *backlog) full() bool {
+// nearlyFull reports whether the backlog is at least half full. The other half
+// is reserved for claims in progress, which may need one place each.
+func (b *backlog) nearlyFull() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.updates) >= b.limit/2
 }
 
-func (b *backlog) add(u update) error {
+func (b *backlog) add(u pendingUpdate) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old, exists := b.updates[u.id()]
@@ -69,26 +69,27 @@
 	return nil
 }
 
-// releases reports whether the attempt is known here never to have run.
-func (b *backlog) releases(key Key, attempt model.AttemptID) bool {
+// hasRelease reports whether a release of the attempt is pending, which means
+// that the attempt never ran.
+func (b *backlog) hasRelease(key Key, attempt model.AttemptID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u, ok := b.updates[updateID{key, attempt}]
 	return ok && u.result == nil
 }
 
-// oldest returns up to n updates in the order in which they were added.
-func (b *backlog) oldest(n int) []update {
+// oldest returns up to n updates in insertion order.
+func (b *backlog) oldest(n int) []pendingUpdate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]update, 0, min(n, len(b.order)))
+	out := make([]pendingUpdate, 0, min(n, len(b.order)))
 	for _, id := range b.order[:min(n, len(b.order))] {
 		out = append(out, b.updates[id])
 	}
 	return out
 }
 
-func (b *backlog) remove(u update) {
+func (b *backlog) remove(u pendingUpdate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := u.id()
--- a/lib/claim/batch.go
+++ b/lib/claim/batch.go
@@ -2,11 +2,11 @@
 
 import "github.com/auburnbend/auburnbend/lib/backing"
 
-// batch is one group of writes of different rows.
+// batch is a group of writes to different rows that are committed together.
 type batch struct {
 	writes []backing.Write
 	errs   []error
-	closed chan struct{} // closed when no further write joins
+	closed chan struct{} // closed when the batch accepts no more writes
 	done   chan struct{} // closed when errs is set
 }
 
@@ -14,14 +14,15 @@
 	return &batch{closed: make(chan struct{}), done: make(chan struct{})}
 }
 
-func (g *batch) add(w backing.Write) int {
-	g.writes = append(g.writes, w)
-	return len(g.writes) - 1
+func (b *batch) add(w backing.Write) int {
+	b.writes = append(b.writes, w)
+	return len(b.writes) - 1
 }
 
-// has reports whether the group writes the same row. Groups are small.
-func (g *batch) has(w backing.Write) bool {
-	for _, other := range g.writes {
+// writesSameRow reports whether the batch already has a write to the row of w.
+// Batches are small enough for a linear search.
+func (b *batch) writesSameRow(w backing.Write) bool {
+	for _, other := range b.writes {
 		if other.Key == w.Key && other.Table == w.Table {
 			return true
 		}
--- a/lib/claim/batcher.go
+++ b/lib/claim/batcher.go
@@ -10,20 +10,23 @@
 )
 
 const (
-	// defaultBatchSize bounds the writes of a transaction.
+	// defaultBatchSize is the maximum number of writes in a transaction.
 	defaultBatchSize = 64
-	// defaultBatchDelay bounds the time that a write waits for others.
+	// defaultBatchDelay is the maximum time for which a batch waits for further
+	// writes.
 	defaultBatchDelay = 20 * time.Millisecond
-	// defaultCommitTimeout bounds a commit, whoever waits for it.
+	// defaultCommitTimeout is the time limit of a commit, independent of the
+	// contexts of its writers.
 	defaultCommitTimeout = 2 * time.Second
 )
 
-// BatcherConfig holds the limits of a Batcher. Zero values take defaults.
+// BatcherConfig holds the parameters of a Batcher. Zero values take their
+// defaults.
 type BatcherConfig struct {
 	Size          int
 	Delay         time.Duration
 	CommitTimeout time.Duration
-	// After is time.After, unless a test controls time.
+	// After replaces time.After in tests.
 	After func(time.Duration) <-chan time.Time
 }
 
@@ -44,7 +47,8 @@
 }
 
 // Batcher groups concurrent writes into transactions. The first writer of a
-// group waits for others and commits for all; there is no background goroutine.
+// batch waits for others and commits for all of them; there is no background
+// goroutine. It is safe for concurrent use.
 type Batcher struct {
 	config BatcherConfig
 	table  backing.TableService
@@ -53,17 +57,18 @@
 	open *batch
 }
 
-// NewBatcher returns a batcher over a table service.
+// NewBatcher returns a Batcher that writes to table.
 func NewBatcher(config BatcherConfig, table backing.TableService) *Batcher {
 	return &Batcher{config: config.applyDefaults(), table: table}
 }
 
-// Write applies w together with others and returns what became of w alone. When
-// ctx ends before the commit is confirmed, it returns backing.ErrUnknown.
+// Write commits w together with concurrent writes and returns the result of w
+// alone. If ctx ends before the commit is confirmed, it returns an error that
+// wraps backing.ErrUnknown.
 func (b *Batcher) Write(ctx context.Context, w backing.Write) error {
 	g, index, leads := b.join(w)
 	if leads {
-		b.lead(ctx, g)
+		b.commitAsLeader(ctx, g)
 	}
 	select {
 	case <-g.done:
@@ -73,12 +78,13 @@
 	}
 }
 
-// join adds w to the open group. A second write of a row does not share a
-// transaction with the first: it opens the next group.
+// join adds w to the open batch. Two writes to the same row must not share a
+// transaction; the second one starts the next batch. leads reports whether the
+// caller must commit the batch.
 func (b *Batcher) join(w backing.Write) (g *batch, index int, leads bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open != nil && b.open.has(w) {
+	if b.open != nil && b.open.writesSameRow(w) {
 		b.close(b.open)
 	}
 	if b.open == nil {
@@ -93,7 +99,7 @@
 	return g, index, leads
 }
 
-// close ends the waiting of a group; b.mu is held.
+// close stops the batch from accepting writes. The caller must hold b.mu.
 func (b *Batcher) close(g *batch) {
 	if b.open == g {
 		b.open = nil
@@ -101,7 +107,7 @@
 	}
 }
 
-func (b *Batcher) lead(ctx context.Context, g *batch) {
+func (b *Batcher) commitAsLeader(ctx context.Context, g *batch) {
 	select {
 	case <-g.closed:
 	case <-b.config.After(b.config.Delay):
@@ -109,9 +115,10 @@
 	b.mu.Lock()
 	b.close(g)
 	b.mu.Unlock()
-	// The leader's own request may be withdrawn; the others' writes go on.
+	// The leader's request may be cancelled; the other writes must still be
+	// committed.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.config.CommitTimeout)
 	defer cancel()
-	g.errs = commitAll(ctx, b.table, g.writes)
+	g.errs = commitEach(ctx, b.table, g.writes)
 	close(g.done)
 }
--- a/lib/claim/batcher_test.go
+++ b/lib/claim/batcher_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// never is a delay that does not end.
+// never replaces time.After with a delay that never ends.
 func never(time.Duration) <-chan time.Time { return nil }
 
 func writeAll(b *Batcher, writes []backing.Write) []error {
@@ -36,8 +36,8 @@
 }
 
 var _ = Describe("Batcher", func() {
-	// Guards against one caller's conflict that fails the claims of others.
-	It("fails a conflicting write alone", func() {
+	// Guards against one caller's conflict failing the claims of others.
+	It("fails only the conflicting write of a batch", func() {
 		table := tabletest.New()
 		taken := inserts(8)[3]
 		Expect(table.Commit(context.Background(), backing.Transaction{Writes: []backing.Write{taken}})).To(Succeed())
@@ -52,7 +52,7 @@
 		Expect(table.Commits()).To(Equal(1 + 2))
 	})
 
-	It("tells every writer of a lost reply", func() {
+	It("returns ErrUnknown to every writer if the reply is lost", func() {
 		table := tabletest.New()
 		table.Fault = func(bool) tabletest.Fault { return tabletest.LostAfter }
 		for _, err := range writeAll(NewBatcher(BatcherConfig{Size: 4, After: never}, table), inserts(4)) {
@@ -60,7 +60,7 @@
 		}
 	})
 
-	It("keeps two writes of a row apart and lets one win", func() {
+	It("commits two writes to a row separately, so that one succeeds", func() {
 		table := tabletest.New()
 		b := NewBatcher(BatcherConfig{Size: 8, Delay: time.Millisecond}, table)
 		errs := writeAll(b, append(inserts(1), inserts(1)...))
@@ -68,8 +68,8 @@
 		Expect(errs).To(ContainElement(Satisfy(isConflict)))
 	})
 
-	// Guards against a withdrawn request that takes the group down with it.
-	It("commits for the others when the leader's context ends", func() {
+	// Guards against a cancelled request failing the whole batch.
+	It("commits the other writes if the leader's context ends", func() {
 		table := tabletest.New()
 		b := NewBatcher(BatcherConfig{Size: 2, After: never}, table)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -83,7 +83,8 @@
 	})
 })
 
-// BenchmarkClaim is one claim and its result, with and without grouping.
+// BenchmarkClaim measures one claim with its completion, with and without
+// batching.
 func BenchmarkClaim(b *testing.B) {
 	now := time.Now()
 	body := make([]byte, 200)
--- a/lib/claim/claim.go
+++ b/lib/claim/claim.go
@@ -1,27 +1,30 @@
 // Package claim keeps at-most-once records of non-repeatable requests in the
 // platform's table service.
 //
-// An entry claims a key under its own attempt id before it dispatches. The
-// claim is not a lease: no other process takes over a claim whose request may
-// have been dispatched, so a holder that pauses and resumes cannot cause a
-// second run. Only three kinds of rows are written over, each on condition of
-// its version: rows older than the retention, released rows, and rows whose
-// attempt is known never to have been dispatched.
+// Before dispatching, an entry claims a key under its own attempt ID. A claim
+// is not a lease: no other process takes over a claim whose request may have
+// been dispatched, so a holder that pauses and resumes cannot cause a second
+// run. Only three kinds of rows are overwritten, each conditional on its
+// version: rows older than the retention, released rows, and rows whose attempt
+// is known never to have been dispatched.
 //
-// A row that stands for an undispatched attempt arises when the reply to the
-// claim is lost and the read-back fails. The entry then never dispatches and
-// answers not run, which stays true. The row may exist all the same, or may yet
-// appear when the delayed write lands. Three measures keep the key usable:
+// A row of an undispatched attempt can remain if the reply to the claim is lost
+// and reading it back fails. The entry then never dispatches the request and
+// answers not_run, which remains true. The row may nevertheless exist, or
+// appear later when the delayed write is applied. Three measures keep the key
+// usable:
 //
-//   - Sweep replaces the row by a released one, or inserts a released row where
-//     there is none, so that the delayed write fails.
-//   - The same entry writes over the row when it is asked again before that.
-//   - Answer.Proofs is handed to the caller. A caller that presents all that it
-//     was given under the key may write over the row, even when the first entry
-//     is gone. Attempt ids are random and shown to callers in this case only.
+//   - RetryPending replaces the row by a released one, or inserts a released row
+//     where there is none, so that the delayed write fails.
+//   - Until then, the same entry overwrites the row if the request is sent again.
+//   - Decision.Proofs is returned to the caller. A caller that presents all
+//     proofs it was given for the key may overwrite the row, even if the first
+//     entry is gone. Attempt IDs are random and disclosed to callers only in this
+//     case.
 //
-// When the entry dies before its sweep and the caller presents no proof, the
-// key answers unknown until the retention ends.
+// If the entry dies before RetryPending has succeeded and the caller presents
+// no proof, requests with this key end as unknown until the retention has
+// passed.
 //
 // A Ledger and a Batcher are safe for concurrent use.
 package claim
--- a/lib/claim/claiming.go
+++ b/lib/claim/claiming.go
@@ -9,59 +9,60 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// maxProofs bounds the proofs that a caller carries for one key.
+// maxProofs is the maximum number of proofs that a caller carries for one key.
 const maxProofs = 24
 
-// claiming is one Claim in progress.
-type claiming struct {
+// claimOperation is the state of one call of Ledger.Claim.
+type claimOperation struct {
 	ledger *Ledger
 	now    time.Time
 	key    Key
-	in     Intent
+	intent Intent
 
-	// version is the version of the row to write over; zero inserts.
+	// version is the version of the row to overwrite; 0 inserts a new row.
 	version uint64
-	// uncertain is set once a write may have taken effect, now or later.
-	uncertain bool
-	// foreign is set once a row of another attempt is known to exist.
-	foreign bool
+	// mayBeWritten is set once a write of this attempt may have been applied or
+	// may be applied later.
+	mayBeWritten bool
+	// otherHolds is set while the row is known to belong to another attempt.
+	otherHolds bool
 }
 
-// try writes the claim once and reads back where the reply does not say what
-// happened. It returns false when another try may help.
-func (t *claiming) try(ctx context.Context) (Decision, bool) {
-	w, err := writeOf(t.key, record{
+// try writes the claim once and reads it back if the reply does not tell the
+// result. It returns false if another try may succeed.
+func (o *claimOperation) try(ctx context.Context) (Decision, bool) {
+	w, err := newWrite(o.key, record{
 		Phase:       phaseClaimed,
-		Attempt:     t.in.Attempt,
-		Fingerprint: t.in.Fingerprint,
-		ClaimedAt:   t.now.UnixMilli(),
+		Attempt:     o.intent.Attempt,
+		Fingerprint: o.intent.Fingerprint,
+		ClaimedAt:   o.now.UnixMilli(),
 	})
 	if err != nil {
-		return t.giveUp(), true
+		return o.unresolved(), true
 	}
-	if t.version != 0 {
-		w.Condition, w.Version = backing.IfVersion, t.version
+	if o.version != 0 {
+		w.Condition, w.Version = backing.IfVersion, o.version
 	}
-	err = t.ledger.writer.Write(ctx, w)
+	err = o.ledger.writer.Write(ctx, w)
 	switch {
 	case err == nil:
-		return t.held()
+		return o.acquired()
 	case isConflict(err):
-		t.foreign = !t.uncertain
+		o.otherHolds = !o.mayBeWritten
 	case errors.Is(err, backing.ErrNotApplied):
 		return Decision{}, false
 	default:
-		t.uncertain = true
+		o.mayBeWritten = true
 	}
-	return t.readBack(ctx)
+	return o.readBack(ctx)
 }
 
-func (t *claiming) readBack(ctx context.Context) (Decision, bool) {
-	row, err := t.ledger.table.Get(ctx, Table, t.key.row())
+func (o *claimOperation) readBack(ctx context.Context) (Decision, bool) {
+	row, err := o.ledger.table.Get(ctx, Table, o.key.row())
 	if errors.Is(err, backing.ErrNotFound) {
-		// The write did not land yet. It may land later, and then finds the row
-		// that the next try inserts.
-		t.version, t.foreign = 0, false
+		// The write has not been applied yet. If it is applied later, it conflicts
+		// with the row inserted by the next try.
+		o.version, o.otherHolds = 0, false
 		return Decision{}, false
 	}
 	if err != nil {
@@ -69,69 +70,70 @@
 	}
 	r, err := decodeRecord(row.Value)
 	if err != nil {
-		t.foreign = true
+		o.otherHolds = true
 		return Decision{}, false
 	}
-	if r.Attempt == t.in.Attempt && r.Phase == phaseClaimed {
-		return t.held()
+	if r.Attempt == o.intent.Attempt && r.Phase == phaseClaimed {
+		return o.acquired()
 	}
-	if t.mayReplace(r) {
-		t.version, t.foreign = row.Version, false
+	if o.mayReplace(r) {
+		o.version, o.otherHolds = row.Version, false
 		return Decision{}, false
 	}
-	t.dropUncertain()
+	o.queueRelease()
 	switch {
-	case r.Fingerprint != t.in.Fingerprint:
-		return t.ledger.answer(StatusKeyReused), true
+	case r.Fingerprint != o.intent.Fingerprint:
+		return o.ledger.decision(StatusKeyReused), true
 	case r.Phase == phaseCompleted:
 		return Decision{Status: StatusEarlierResult, Result: r.Result}, true
 	default:
-		return t.ledger.answer(StatusNoResult), true
+		return o.ledger.decision(StatusNoResult), true
 	}
 }
 
-// mayReplace reports whether the row stands for no run of this key that still
-// counts: it has expired, was released, or its attempt was never dispatched.
-func (t *claiming) mayReplace(r record) bool {
+// mayReplace reports whether the row may be overwritten: it has expired, was
+// released, or its attempt was never dispatched.
+func (o *claimOperation) mayReplace(r record) bool {
 	switch {
-	case r.olderThan(t.now, t.ledger.retained()), r.Phase == phaseReleased:
+	case r.olderThan(o.now, o.ledger.currentRetention()), r.Phase == phaseReleased:
 		return true
 	case r.Phase == phaseClaimed:
-		return slices.Contains(t.in.Proofs, r.Attempt) || t.ledger.pending.releases(t.key, r.Attempt)
+		return slices.Contains(o.intent.Proofs, r.Attempt) || o.ledger.pending.hasRelease(o.key, r.Attempt)
 	default:
 		return false
 	}
 }
 
-func (t *claiming) held() (Decision, bool) {
+func (o *claimOperation) acquired() (Decision, bool) {
 	return Decision{Status: StatusHeld}, true
 }
 
-// dropUncertain handles a write of this attempt that is still under way while
-// the row belongs to another attempt. It can land only if that row goes away,
-// which a sweep prevents for as long as the process lives.
-func (t *claiming) dropUncertain() {
-	if t.uncertain {
-		_ = t.ledger.pending.add(update{key: t.key, attempt: t.in.Attempt, now: t.now})
+// queueRelease queues the release of a write of this attempt that may still be
+// in flight while the row belongs to another attempt. The write can be applied
+// only if that row is removed; RetryPending prevents this for as long as the
+// process lives.
+func (o *claimOperation) queueRelease() {
+	if o.mayBeWritten {
+		_ = o.ledger.pending.add(pendingUpdate{key: o.key, attempt: o.intent.Attempt, now: o.now})
 	}
 }
 
-// giveUp answers when the store did not settle the claim. The attempt is never
-// dispatched afterwards.
-func (t *claiming) giveUp() Decision {
+// unresolved returns the decision after all tries have ended without a definite
+// result. The attempt is never dispatched afterwards.
+func (o *claimOperation) unresolved() Decision {
 	switch {
-	case t.uncertain && t.foreign:
-		t.dropUncertain()
-		return t.ledger.answer(StatusUnknown)
-	case t.uncertain:
-		t.dropUncertain()
-		a := t.ledger.answer(StatusAbandoned)
-		a.Proofs = append(slices.Clone(t.in.Proofs), t.in.Attempt)
-		a.Proofs = a.Proofs[max(0, len(a.Proofs)-maxProofs):]
-		return a
-	case t.foreign:
-		return t.ledger.answer(StatusUnknown)
+	case o.mayBeWritten && o.otherHolds:
+		o.queueRelease()
+		return o.ledger.decision(StatusUnknown)
+	case o.mayBeWritten:
+		o.queueRelease()
+		d := o.ledger.decision(StatusAbandoned)
+		d.Proofs = append(slices.Clone(o.intent.Proofs), o.intent.Attempt)
+		d.Proofs = d.Proofs[max(0, len(d.Proofs)-maxProofs):]
+		return d
+	case o.otherHolds:
+		return o.ledger.decision(StatusUnknown)
 	default:
-		return t.ledger.answer(StatusNotRun)
+		return o.ledger.decision(StatusNotRun)
 	}
 }
--- a/lib/claim/commit.go
+++ b/lib/claim/commit.go
@@ -7,10 +7,10 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// commitAll applies independent writes in one transaction. A write whose
-// condition does not hold is taken out and the others are tried again, so each
-// write succeeds or fails by itself. It returns one error per write.
-func commitAll(ctx context.Context, table backing.TableService, writes []backing.Write) []error {
+// commitEach commits independent writes in one transaction. A write whose
+// condition fails is removed and the others are committed again, so that each
+// write succeeds or fails on its own. It returns one error per write.
+func commitEach(ctx context.Context, table backing.TableService, writes []backing.Write) []error {
 	errs := make([]error, len(writes))
 	left := make([]int, len(writes))
 	for i := range left {
--- a/lib/claim/config.go
+++ b/lib/claim/config.go
@@ -6,32 +6,36 @@
 )
 
 const (
-	// defaultRetention is the declared retention when none is declared.
+	// defaultRetention applies if the configuration declares no retention.
 	defaultRetention = 24 * time.Hour
-	// defaultPruneMargin delays the deletion of expired rows, so that entries
-	// whose clocks differ agree that a row has expired before it is gone.
+	// defaultPruneMargin delays the deletion of expired rows, so that all entries
+	// regard a row as expired before it is deleted, despite clock differences.
 	defaultPruneMargin = 10 * time.Minute
-	// defaultTries bounds the writes of one claim while replies are lost.
-	defaultTries = 3
-	// defaultPause is the pause between tries.
-	defaultPause = 100 * time.Millisecond
-	// defaultMaxPending bounds the unconfirmed updates that an entry keeps.
+	// defaultMaxTries is the maximum number of writes of one claim while replies
+	// are lost.
+	defaultMaxTries = 3
+	// defaultBackoff is the time between two tries.
+	defaultBackoff = 100 * time.Millisecond
+	// defaultMaxPending is the maximum number of unconfirmed updates of an entry.
 	defaultMaxPending = 1024
-	// defaultMaxResult bounds a stored body in bytes: a table row is no place for
-	// large answers.
-	defaultMaxResult = 256 << 10
-	// defaultMaxPendingBytes bounds the bodies among the unconfirmed updates.
+	// defaultMaxResultBytes limits a stored body: table rows are not meant for
+	// large values.
+	defaultMaxResultBytes = 256 << 10
+	// defaultMaxPendingBytes limits the total size of the bodies of unconfirmed
+	// updates.
 	defaultMaxPendingBytes = 16 << 20
-	// defaultRetryAfter is the advice to callers while the store is down.
+	// defaultRetryAfter is the retry advice to callers while the store is
+	// unavailable.
 	defaultRetryAfter = 2 * time.Second
 )
 
-// Config holds the limits of a Ledger. Zero values take defaults.
+// Config holds the parameters of a Ledger. Values that are not positive take
+// their defaults.
 type Config struct {
 	Retention   time.Duration
 	PruneMargin time.Duration
 	MaxTries    int
-	// Backoff waits between tries. It returns early when ctx ends.
+	// Backoff waits between two tries. It returns early if ctx ends.
 	Backoff         func(ctx context.Context)
 	MaxPending      int
 	MaxPendingBytes int
@@ -47,10 +51,10 @@
 		c.PruneMargin = defaultPruneMargin
 	}
 	if c.MaxTries <= 0 {
-		c.MaxTries = defaultTries
+		c.MaxTries = defaultMaxTries
 	}
 	if c.Backoff == nil {
-		c.Backoff = pause
+		c.Backoff = backoff
 	}
 	if c.MaxPending <= 0 {
 		c.MaxPending = defaultMaxPending
@@ -59,7 +63,7 @@
 		c.MaxPendingBytes = defaultMaxPendingBytes
 	}
 	if c.MaxResultBytes <= 0 {
-		c.MaxResultBytes = defaultMaxResult
+		c.MaxResultBytes = defaultMaxResultBytes
 	}
 	if c.RetryAfter <= 0 {
 		c.RetryAfter = defaultRetryAfter
@@ -67,8 +71,8 @@
 	return c
 }
 
-func pause(ctx context.Context) {
-	timer := time.NewTimer(defaultPause)
+func backoff(ctx context.Context) {
+	timer := time.NewTimer(defaultBackoff)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/lib/claim/intent.go
+++ b/lib/claim/intent.go
@@ -2,12 +2,14 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// Intent is what an entry wants to claim a key for.
+// Intent describes the request that an entry claims a key for.
 type Intent struct {
-	// Attempt is the id of the first attempt. It is random and never reused. It
-	// stays the claim's id when a proved not-run attempt is followed by others.
+	// Attempt is the ID of the first attempt. It is random and never reused. It
+	// remains the ID of the claim if the first attempt is proved not run and
+	// others follow.
 	Attempt     model.AttemptID
 	Fingerprint model.Fingerprint
-	// Proofs is what the caller presents from the last Answer under this key.
+	// Proofs holds the IDs that the caller presents from the last Decision for
+	// this key.
 	Proofs []model.AttemptID
 }
--- a/lib/claim/key.go
+++ b/lib/claim/key.go
@@ -2,7 +2,7 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// Table is the table that holds the claims.
+// Table is the name of the table that holds the claims.
 const Table = "claims"
 
 // Key identifies a non-repeatable request of a tenant.
@@ -12,8 +12,8 @@
 	IdempotencyKey string
 }
 
-// row returns the row key. The caller's part is hashed, so that its length and
-// characters do not matter.
+// row returns the row key. The idempotency key is hashed, so that its length
+// and characters do not matter.
 func (k Key) row() string {
 	return string(k.Service) + "/" + string(k.Tenant) + "/" + model.Sum([]byte(k.IdempotencyKey)).String()
 }
--- a/lib/claim/ledger.go
+++ b/lib/claim/ledger.go
@@ -9,13 +9,13 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// Writer applies one conditional write. It returns what
-// backing.TableService.Commit returns. Batcher implements it.
+// Writer applies one conditional write and returns the same errors as
+// backing.TableService.Commit. Batcher implements it.
 type Writer interface {
 	Write(ctx context.Context, w backing.Write) error
 }
 
-// Ledger claims, completes and releases keys.
+// Ledger claims, completes and releases keys. It is safe for concurrent use.
 type Ledger struct {
 	config  Config
 	table   backing.TableService
@@ -25,12 +25,12 @@
 	retention atomic.Int64
 }
 
-// New returns a ledger over a table service. Writes go through writer; nil
-// commits each on its own.
+// New returns a Ledger that stores its rows in table. Writes go through writer;
+// if it is nil, each write is committed in its own transaction.
 func New(config Config, table backing.TableService, writer Writer) *Ledger {
 	config = config.applyDefaults()
 	if writer == nil {
-		writer = single{table}
+		writer = directWriter{table}
 	}
 	l := &Ledger{
 		config:  config,
@@ -42,21 +42,21 @@
 	return l
 }
 
-// SetRetention sets the declared retention, which may change while the ledger is
-// in use.
+// SetRetention sets the time for which keys are kept. It may be called while
+// the ledger is in use.
 func (l *Ledger) SetRetention(d time.Duration) { l.retention.Store(int64(d)) }
 
-func (l *Ledger) retained() time.Duration { return time.Duration(l.retention.Load()) }
+func (l *Ledger) currentRetention() time.Duration { return time.Duration(l.retention.Load()) }
 
-// single commits each write in a transaction of its own.
-type single struct{ table backing.TableService }
+// directWriter commits each write in its own transaction.
+type directWriter struct{ table backing.TableService }
 
-func (s single) Write(ctx context.Context, w backing.Write) error {
-	return classify(s.table.Commit(ctx, backing.Transaction{Writes: []backing.Write{w}}))
+func (d directWriter) Write(ctx context.Context, w backing.Write) error {
+	return classify(d.table.Commit(ctx, backing.Transaction{Writes: []backing.Write{w}}))
 }
 
-// classify keeps the errors that say what happened and takes any other for a
-// lost reply.
+// classify returns conflicts and errors with a known result unchanged and marks
+// any other error as backing.ErrUnknown, because the reply may have been lost.
 func classify(err error) error {
 	var conflict *backing.ConflictError
 	if err == nil || errors.As(err, &conflict) || errors.Is(err, backing.ErrNotApplied) {
@@ -73,51 +73,51 @@
 	return errors.As(err, &conflict)
 }
 
-// Claim tries to become the one attempt that may run the request of a key. now
-// is wall-clock time.
-func (l *Ledger) Claim(ctx context.Context, now time.Time, key Key, in Intent) Decision {
-	if l.pending.full() {
-		// Without room to remember an unconfirmed claim none may be made.
-		return l.answer(StatusNotRun)
+// Claim tries to acquire key for the attempt in intent, which alone may then
+// run the request. now is wall-clock time.
+func (l *Ledger) Claim(ctx context.Context, now time.Time, key Key, intent Intent) Decision {
+	if l.pending.nearlyFull() {
+		// An unconfirmed claim could not be recorded, so no claim may be made.
+		return l.decision(StatusNotRun)
 	}
-	t := claiming{ledger: l, now: now, key: key, in: in}
+	o := claimOperation{ledger: l, now: now, key: key, intent: intent}
 	for range l.config.MaxTries {
-		if a, done := t.try(ctx); done {
-			return a
+		if d, done := o.try(ctx); done {
+			return d
 		}
 		l.config.Backoff(ctx)
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return t.giveUp()
+	return o.unresolved()
 }
 
-// Lookup returns what is stored under a key without claiming it: a result, a
-// claim without a result, StatusNotRun when no claim stands, or StatusUnknown
-// when the store does not answer.
+// Lookup returns the state of key without claiming it: a result, a claim
+// without a result, StatusNotRun if there is no claim, or StatusUnknown if the
+// store does not answer. now is wall-clock time.
 func (l *Ledger) Lookup(ctx context.Context, now time.Time, key Key) Decision {
 	row, err := l.table.Get(ctx, Table, key.row())
 	if errors.Is(err, backing.ErrNotFound) {
-		return l.answer(StatusNotRun)
+		return l.decision(StatusNotRun)
 	}
 	if err != nil {
-		return l.answer(StatusUnknown)
+		return l.decision(StatusUnknown)
 	}
 	r, err := decodeRecord(row.Value)
 	switch {
 	case err != nil:
-		return l.answer(StatusUnknown)
-	case r.olderThan(now, l.retained()) || r.Phase == phaseReleased:
-		return l.answer(StatusNotRun)
+		return l.decision(StatusUnknown)
+	case r.olderThan(now, l.currentRetention()) || r.Phase == phaseReleased:
+		return l.decision(StatusNotRun)
 	case r.Phase == phaseCompleted:
 		return Decision{Status: StatusEarlierResult, Result: r.Result}
 	default:
-		return l.answer(StatusNoResult)
+		return l.decision(StatusNoResult)
 	}
 }
 
-func writeOf(key Key, r record) (backing.Write, error) {
+func newWrite(key Key, r record) (backing.Write, error) {
 	value, err := r.encode()
 	return backing.Write{Table: Table, Key: key.row(), Condition: backing.IfAbsent, Value: value}, err
 }
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -19,7 +19,7 @@
 	key := Key{Service: "orders", Tenant: "umurage", IdempotencyKey: "k"}
 	result := Result{Outcome: outcome.Completed, Status: 201, Body: []byte("order 17")}
 	var table *tabletest.Table
-	var faults []tabletest.Fault // of the next writes
+	var faults []tabletest.Fault // injected into the next writes, in order
 	var readsFail bool
 	open := func() *Ledger { return New(Config{MaxTries: 2, Backoff: func(context.Context) {}}, table, nil) }
 	intent := func(id model.AttemptID, proofs ...model.AttemptID) Intent { return Intent{Attempt: id, Proofs: proofs} }
@@ -39,8 +39,8 @@
 		}
 	})
 
-	// Guards against a second run when a caller asks again.
-	It("answers a second claim with what the first came to", func() {
+	// Guards against a second run when a caller repeats a request.
+	It("returns the state of the first claim to a second one", func() {
 		l := open()
 		Expect(l.Claim(ctx, now, key, intent("a1")).Status).To(Equal(StatusHeld))
 		Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusNoResult))
@@ -51,19 +51,19 @@
 		Expect(open().Claim(ctx, now, key, other).Status).To(Equal(StatusKeyReused))
 	})
 
-	// Guards against a claim that is taken for lost although it was written.
-	DescribeTable("resolves a lost reply by reading back", func(f tabletest.Fault) {
+	// Guards against treating a claim as lost although it was written.
+	DescribeTable("reads the row back if the reply is lost", func(f tabletest.Fault) {
 		faults = []tabletest.Fault{f}
 		Expect(open().Claim(ctx, now, key, intent("a1")).Status).To(Equal(StatusHeld))
 		table.Land()
 		Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusNoResult))
 	},
-		Entry("after the write", tabletest.LostAfter),
-		Entry("before the write", tabletest.LostBefore),
-		Entry("and the write lands late", tabletest.Late),
+		Entry("if the write was applied", tabletest.LostAfter),
+		Entry("if the write was not applied", tabletest.LostBefore),
+		Entry("if the write is applied later", tabletest.Late),
 	)
 
-	It("is not run when the store certainly has no claim", func() {
+	It("returns not run if no write of the claim was applied", func() {
 		faults = []tabletest.Fault{tabletest.Down, tabletest.Down}
 		a := open().Claim(ctx, now, key, intent("a1"))
 		Expect(a.Status).To(Equal(StatusNotRun))
@@ -71,14 +71,14 @@
 		Expect(a.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("is unknown when another attempt's row exists and cannot be read", func() {
+	It("returns unknown if another attempt's row exists but cannot be read", func() {
 		open().Claim(ctx, now, key, intent("a1"))
 		readsFail = true
 		Expect(open().Claim(ctx, now, key, intent("a2")).Outcome).To(Equal(outcome.Unknown))
 	})
 
-	// Guards against a key that is refused for ever after its caller was told
-	// not_run, in each of the ways that the package comment names.
+	// Guards against a key that is blocked permanently after its caller got
+	// not_run, in each of the ways listed in the package comment.
 	Describe("after an abandoned claim", func() {
 		var first *Ledger
 		abandon := func(f tabletest.Fault) {
@@ -89,31 +89,32 @@
 			Expect(a.Proofs).To(Equal([]model.AttemptID{"a1"}))
 			readsFail = false
 		}
-		DescribeTable("the sweep frees the key", func(f tabletest.Fault) {
+		DescribeTable("RetryPending frees the key", func(f tabletest.Fault) {
 			abandon(f)
 			Expect(first.RetryPending(ctx, 10)).To(BeZero())
 			table.Land()
 			Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
 		},
-			Entry("when the row exists", tabletest.LostAfter),
-			Entry("when it does not", tabletest.LostBefore),
-			Entry("when it appears after the sweep", tabletest.Late),
+			Entry("if the row exists", tabletest.LostAfter),
+			Entry("if the row does not exist", tabletest.LostBefore),
+			Entry("if the row appears after RetryPending", tabletest.Late),
 		)
-		It("the same entry writes over the row", func() {
+		It("lets the same entry overwrite the row", func() {
 			abandon(tabletest.LostAfter)
 			Expect(first.Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
 			Expect(first.RetryPending(ctx, 10)).To(BeZero())
 			Expect(open().Claim(ctx, now, key, intent("a3")).Status).To(Equal(StatusNoResult))
 		})
-		It("the caller's proof frees the key when the entry is gone", func() {
+		It("accepts the caller's proof if the entry is gone", func() {
 			abandon(tabletest.LostAfter)
 			Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusNoResult))
 			Expect(open().Claim(ctx, now, key, intent("a3", "a1")).Status).To(Equal(StatusHeld))
 		})
 	})
 
-	// Guards against a release or a result of one attempt that hits another's row.
-	It("fences releases and results by the attempt id", func() {
+	// Guards against a release or a result of one attempt changing the row of
+	// another.
+	It("fences releases and results by attempt ID", func() {
 		l := open()
 		l.Claim(ctx, now, key, intent("a1"))
 		Expect(l.Release(ctx, now, key, "a0")).To(MatchError(ErrFenced))
@@ -125,8 +126,8 @@
 		Expect(l.Release(ctx, now, key, "a2")).To(MatchError(ErrFenced))
 	})
 
-	// Guards against a result that is lost in an outage.
-	It("keeps a result until the store takes it", func() {
+	// Guards against losing a result during an outage.
+	It("keeps a result until the store confirms it", func() {
 		l := open()
 		l.Claim(ctx, now, key, intent("a1"))
 		readsFail = true
@@ -138,7 +139,7 @@
 		Expect(open().Claim(ctx, now, key, intent("a2")).Result).To(Equal(&result))
 	})
 
-	It("makes no claim without room to remember it", func() {
+	It("makes no claim if the backlog has no room for it", func() {
 		l := New(Config{MaxTries: 1, MaxPending: 2}, table, nil)
 		readsFail, faults = true, []tabletest.Fault{tabletest.LostBefore}
 		Expect(l.Claim(ctx, now, key, intent("a1")).Status).To(Equal(StatusAbandoned))
@@ -147,7 +148,7 @@
 		Expect(table.Commits()).To(Equal(commits))
 	})
 
-	It("treats a key as new after the retention, and prunes later", func() {
+	It("treats a key as new after the retention and deletes its row after the margin", func() {
 		l := open()
 		l.Claim(ctx, now, key, intent("a1"))
 		later := now.Add(24*time.Hour + time.Minute)
@@ -162,8 +163,8 @@
 		Expect(table.Rows()).To(BeZero())
 	})
 
-	// Guards against a declared retention that has no effect.
-	It("follows a declared retention that changes", func() {
+	// Guards against a retention setting without effect.
+	It("applies a changed retention", func() {
 		l := open()
 		l.Claim(ctx, now, key, intent("a1"))
 		later := now.Add(2 * time.Hour)
@@ -172,7 +173,7 @@
 		Expect(l.Claim(ctx, later, key, intent("a2")).Status).To(Equal(StatusHeld))
 	})
 
-	It("keeps the outcome and omits a body that is too large", func() {
+	It("stores the outcome without the body if the body is too large", func() {
 		l := New(Config{MaxResultBytes: 4}, table, nil)
 		l.Claim(ctx, now, key, intent("a1"))
 		Expect(l.Complete(ctx, now, key, "a1", result)).To(Succeed())
@@ -181,14 +182,14 @@
 		Expect(got.Outcome).To(Equal(outcome.Completed))
 	})
 
-	It("reads the proofs that it formats", func() {
+	It("parses the proofs that FormatProofs encodes", func() {
 		proofs := []model.AttemptID{"a1", "a2"}
 		Expect(ParseProofs(FormatProofs(proofs))).To(Equal(proofs))
 		Expect(ParseProofs(" a1 ,, a2,")).To(Equal(proofs))
 		Expect(ParseProofs("")).To(BeEmpty())
 	})
 
-	It("takes an error that says nothing for a lost reply", func() {
+	It("classifies an unspecific error as a lost reply", func() {
 		Expect(classify(errors.New("reset"))).To(MatchError(ContainSubstring("unknown")))
 	})
 })
--- a/lib/claim/proof.go
+++ b/lib/claim/proof.go
@@ -6,10 +6,10 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// proofSeparator stands between the ids in a header.
+// proofSeparator separates the IDs in a header value.
 const proofSeparator = ","
 
-// FormatProofs returns the form in which proofs travel in a header.
+// FormatProofs encodes proofs as a header value.
 func FormatProofs(proofs []model.AttemptID) string {
 	parts := make([]string, len(proofs))
 	for i, p := range proofs {
@@ -18,8 +18,8 @@
 	return strings.Join(parts, proofSeparator)
 }
 
-// ParseProofs reads what a caller presents: one or several results of
-// FormatProofs, separated by commas. Those beyond the bound are dropped.
+// ParseProofs decodes a header value sent by a caller: one or several results
+// of FormatProofs, separated by commas. IDs beyond the limit are dropped.
 func ParseProofs(s string) []model.AttemptID {
 	var out []model.AttemptID
 	for part := range strings.SplitSeq(s, proofSeparator) {
--- a/lib/claim/prune.go
+++ b/lib/claim/prune.go
@@ -7,9 +7,10 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// Prune deletes rows that are older than the retention and its margin. It scans
-// up to limit rows after the row key from and returns where to go on, which is
-// empty at the end of the table. Several entries may prune at once.
+// Prune deletes rows older than the retention plus the prune margin. It scans
+// up to limit rows after the row key from and returns the key from which to
+// continue, or "" at the end of the table. Several entries may prune at the
+// same time. now is wall-clock time.
 func (l *Ledger) Prune(ctx context.Context, now time.Time, from string, limit int) (next string, deleted int, err error) {
 	rows, err := l.table.Scan(ctx, Table, "", from, limit)
 	if err != nil {
@@ -18,17 +19,17 @@
 	var writes []backing.Write
 	for _, row := range rows {
 		r, err := decodeRecord(row.Value)
-		if err == nil && !r.olderThan(now, l.retained()+l.config.PruneMargin) {
+		if err == nil && !r.olderThan(now, l.currentRetention()+l.config.PruneMargin) {
 			continue
 		}
 		if err != nil {
-			continue // Not a row of this version of the program.
+			continue // row of another version of the program
 		}
 		writes = append(writes, backing.Write{
 			Table: Table, Key: row.Key, Condition: backing.IfVersion, Version: row.Version, Delete: true,
 		})
 	}
-	for _, err := range commitAll(ctx, l.table, writes) {
+	for _, err := range commitEach(ctx, l.table, writes) {
 		if err == nil {
 			deleted++
 		}
--- a/lib/claim/result.go
+++ b/lib/claim/result.go
@@ -9,7 +9,7 @@
 	Status      int             `msgpack:"s"` // HTTP status of the backend server
 	ContentType string          `msgpack:"c"`
 	Body        []byte          `msgpack:"b"`
-	// BodyOmitted says that the body was over the limit and was not stored: the
-	// outcome is known, the answer cannot be given again.
+	// BodyOmitted indicates that the body exceeded Config.MaxResultBytes and was
+	// not stored: the outcome is known, but the answer cannot be sent again.
 	BodyOmitted bool `msgpack:"x"`
 }
--- a/lib/claim/settle.go
+++ b/lib/claim/settle.go
@@ -12,22 +12,24 @@
 )
 
 // Complete stores the result of the attempt that holds the key. It returns
-// ErrFenced when another attempt holds it, ErrPending when the store did not
-// confirm and Sweep will try again, and ErrBacklog when Sweep will not.
+// ErrFenced if this attempt no longer holds the key, ErrPending if the store
+// did not confirm the write and RetryPending will retry it, and ErrBacklogFull
+// if the update is lost.
 func (l *Ledger) Complete(ctx context.Context, now time.Time, key Key, attempt model.AttemptID, result Result) error {
 	if len(result.Body) > l.config.MaxResultBytes {
 		result.Body, result.BodyOmitted = nil, true
 	}
-	return l.settle(ctx, update{key: key, attempt: attempt, now: now, result: &result})
+	return l.applyWithRetries(ctx, pendingUpdate{key: key, attempt: attempt, now: now, result: &result})
 }
 
-// Release frees the key of an attempt that was proved not run. Its errors are
-// those of Complete.
+// Release frees the key of an attempt that was proved not run. It returns the
+// same errors as Complete.
 func (l *Ledger) Release(ctx context.Context, now time.Time, key Key, attempt model.AttemptID) error {
-	return l.settle(ctx, update{key: key, attempt: attempt, now: now})
+	return l.applyWithRetries(ctx, pendingUpdate{key: key, attempt: attempt, now: now})
 }
 
-// RetryPending tries up to limit unconfirmed updates again and returns how many remain.
+// RetryPending retries up to limit unconfirmed updates and returns how many
+// remain.
 func (l *Ledger) RetryPending(ctx context.Context, limit int) int {
 	for _, u := range l.pending.oldest(limit) {
 		if ctx.Err() != nil {
@@ -40,10 +42,10 @@
 	return l.pending.len()
 }
 
-// Pending returns the number of updates that the store has not confirmed.
+// Pending returns the number of unconfirmed updates.
 func (l *Ledger) Pending() int { return l.pending.len() }
 
-func (l *Ledger) settle(ctx context.Context, u update) error {
+func (l *Ledger) applyWithRetries(ctx context.Context, u pendingUpdate) error {
 	for try := range l.config.MaxTries {
 		if try > 0 {
 			l.config.Backoff(ctx)
@@ -61,17 +63,19 @@
 	return merry.Wrap(ErrPending)
 }
 
-// apply reads the row and writes the update on condition of what it read. It
-// returns done when the store has settled the matter. A write whose reply is
-// lost is resolved by the next apply, which finds the row as it left it.
-func (l *Ledger) apply(ctx context.Context, u update) (done bool, err error) {
+// apply reads the row and writes the update conditional on the version read.
+// done reports whether the update needs no further try. If the reply to the
+// write is lost, the next apply finds the row as this one left it.
+func (l *Ledger) apply(ctx context.Context, u pendingUpdate) (done bool, err error) {
 	row, err := l.table.Get(ctx, Table, u.key.row())
 	if errors.Is(err, backing.ErrNotFound) {
 		if u.result != nil {
-			// Only pruning removes a claimed row: the result came too late to count.
+			// Only Prune removes a claimed row: the result comes too late to be
+			// stored.
 			return true, merry.Wrap(ErrFenced)
 		}
-		// The claim's own write may still be on its way: a released row stops it.
+		// The claim's own write may still be in flight; a released row makes it
+		// fail.
 		return l.write(ctx, u, record{}, backing.IfAbsent, 0)
 	}
 	if err != nil {
@@ -92,12 +96,12 @@
 	return l.write(ctx, u, r, backing.IfVersion, row.Version)
 }
 
-func (l *Ledger) write(ctx context.Context, u update, r record, c backing.Condition, version uint64) (bool, error) {
+func (l *Ledger) write(ctx context.Context, u pendingUpdate, r record, c backing.Condition, version uint64) (bool, error) {
 	r.Phase, r.Attempt, r.Result = u.phase(), u.attempt, u.result
 	if c == backing.IfAbsent {
 		r.ClaimedAt = u.now.UnixMilli()
 	}
-	w, err := writeOf(u.key, r)
+	w, err := newWrite(u.key, r)
 	if err != nil {
 		return true, err
 	}
@@ -106,7 +110,7 @@
 	return err == nil, err
 }
 
-func (u update) phase() phase {
+func (u pendingUpdate) phase() phase {
 	if u.result != nil {
 		return phaseCompleted
 	}
