--- a/lib/reservation/guard.go
+++ b/lib/reservation/guard.go
@@ -2,14 +2,16 @@
 
 const (
 	// defaultWindow is the number of sequence numbers per issuer that an agent
-	// remembers, 512 bytes each. It bounds the unused tokens that an entry may
-	// have out for one agent.
+	// remembers. A window takes 512 bytes. It limits the unused tokens that an
+	// entry may have outstanding for one agent.
 	defaultWindow = 4096
-	// defaultMaxIssuers bounds the entries that one agent keeps windows for.
+	// defaultMaxIssuers is the maximum number of entries for which an agent keeps
+	// windows.
 	defaultMaxIssuers = 256
 )
 
-// Config holds the limits of a Guard. Zero values take defaults.
+// Config holds the limits of a Guard. Values that are not positive take their
+// defaults.
 type Config struct {
 	Window     int
 	MaxIssuers int
@@ -19,7 +21,7 @@
 	if c.Window <= 0 {
 		c.Window = defaultWindow
 	}
-	// One word more than asked for: the bitmap slides by whole words.
+	// One extra word, because the bitmap slides by whole words.
 	c.Window += wordBits
 	if c.MaxIssuers <= 0 {
 		c.MaxIssuers = defaultMaxIssuers
@@ -27,21 +29,21 @@
 	return c
 }
 
-// Guard is the agent's side: it accepts each token at most once.
+// Guard is used by an agent and accepts each token at most once. It is not safe
+// for concurrent use.
 type Guard struct {
 	config  Config
 	self    Process
 	windows map[Process]*window
 }
 
-// NewGuard returns the guard of one generation of an agent.
+// NewGuard returns the Guard of one generation of an agent.
 func NewGuard(config Config, self Process) *Guard {
 	return &Guard{config: config.applyDefaults(), self: self, windows: make(map[Process]*window)}
 }
 
-// Redeem decides about a token and marks it as used when it is accepted. Windows
-// are never dropped to make room: a dropped window would accept its numbers
-// again.
+// Redeem checks a token and marks it as used if it is accepted. Windows are
+// never evicted: a new window would accept the same sequence numbers again.
 func (g *Guard) Redeem(t Token) Verdict {
 	if t.Agent != g.self {
 		return VerdictWrongAgent
@@ -57,5 +59,5 @@
 		w = newWindow(g.config.Window)
 		g.windows[t.Issuer] = w
 	}
-	return w.use(t.Sequence)
+	return w.redeem(t.Sequence)
 }
--- a/lib/reservation/reservation.go
+++ b/lib/reservation/reservation.go
@@ -1,13 +1,13 @@
-// Package reservation is a way to run a request at most once without a write to
-// the store. An entry issues a token that is bound to one generation of one
-// agent and carries a sequence number. Only that generation may run it, and it
-// marks used numbers in a sliding bitmap, as anti-replay windows of network
-// protocols do. docs/decisions/claims-and-reservations.md compares it with
+// Package reservation runs requests at most once without a write to the store.
+// An entry issues a token that is bound to one generation of one agent and
+// carries a sequence number. Only that generation may run the request. It marks
+// used numbers in a sliding bitmap, like the anti-replay windows of network
+// protocols. docs/decisions/claims-and-reservations.md compares this with
 // claims.
 //
-// A number below the window counts as used: the agent cannot tell any more. When
-// the agent's generation ends, its unused tokens end with it.
+// A number below the window counts as used, because the agent no longer knows.
+// When the generation of the agent ends, its unused tokens become invalid.
 //
-// Nothing here is safe for concurrent use. Tokens carry no signature: they
-// travel between the system's own processes only.
+// The types are not safe for concurrent use. Tokens are not signed, because
+// they are exchanged only between the system's own processes.
 package reservation
--- a/lib/reservation/reservation_test.go
+++ b/lib/reservation/reservation_test.go
@@ -16,8 +16,8 @@
 var _ = Describe("Guard", func() {
 	entry, agent := Process{"entry-1", 7}, Process{"agent-1", 9}
 
-	// Guards against a second run of a token, whatever the order of arrival.
-	It("accepts a number once and nothing that it may have forgotten", func() {
+	// Guards against a token running twice, whatever the order of arrival.
+	It("accepts each number once and none below the window", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := NewGuard(Config{Window: 128}, agent)
 			used := make(map[uint64]bool)
@@ -30,11 +30,11 @@
 				v := g.Redeem(Token{Issuer: entry, Agent: agent, Sequence: seq})
 				switch {
 				case v == VerdictAccepted && used[seq]:
-					t.Fatalf("%d ran twice", seq)
+					t.Fatalf("token %d was accepted twice", seq)
 				case v == VerdictUsed && !used[seq]:
-					t.Fatalf("%d is unused", seq)
+					t.Fatalf("token %d was reported as used, but was not", seq)
 				case v == VerdictTooOld && seq+128 > top:
-					t.Fatalf("%d is within the window below %d", seq, top)
+					t.Fatalf("token %d was reported as too old, but is within the window below %d", seq, top)
 				}
 				used[seq] = used[seq] || v == VerdictAccepted
 				if v == VerdictAccepted {
@@ -44,21 +44,21 @@
 		})
 	})
 
-	It("refuses tokens for another generation and numbers of zero", func() {
+	It("rejects tokens for another generation and sequence number 0", func() {
 		g := NewGuard(Config{}, agent)
 		t := NewIssuer(entry).Issue(Process{"agent-1", 8})
 		Expect(g.Redeem(t)).To(Equal(VerdictWrongAgent))
 		Expect(g.Redeem(Token{Issuer: entry, Agent: agent})).To(Equal(VerdictInvalid))
 	})
 
-	It("keeps no more windows than allowed and drops none", func() {
+	It("limits the number of windows and never evicts one", func() {
 		g := NewGuard(Config{MaxIssuers: 1}, agent)
 		Expect(g.Redeem(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictAccepted))
 		Expect(g.Redeem(Token{Issuer: Process{"entry-2", 1}, Agent: agent, Sequence: 1})).To(Equal(VerdictTooManyIssuers))
 		Expect(g.Redeem(Token{Issuer: entry, Agent: agent, Sequence: 1})).To(Equal(VerdictUsed))
 	})
 
-	It("reads what it writes", func() {
+	It("parses encoded tokens and rejects malformed ones", func() {
 		t := NewIssuer(entry).Issue(agent)
 		Expect(ParseToken(t.String())).To(Equal(t))
 		for _, s := range []string{"", "a~1~b~2", "a~1~b~2~x", "~1~b~2~3", t.String() + "~1"} {
--- a/lib/reservation/token.go
+++ b/lib/reservation/token.go
@@ -10,31 +10,32 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ErrMalformed means that a text is not a token.
+// ErrMalformed means that a string is not a valid token.
 var ErrMalformed = merry.New("malformed reservation token")
 
-// Process is one generation of an instance.
+// Process identifies one generation of an instance.
 type Process struct {
 	Instance   model.InstanceID `msgpack:"i"`
 	Generation model.Generation `msgpack:"g"`
 }
 
-// Token allows one run on one generation of one agent.
+// Token permits one run on one generation of an agent.
 type Token struct {
 	Issuer   Process `msgpack:"i"`
 	Agent    Process `msgpack:"a"`
 	Sequence uint64  `msgpack:"s"`
 }
 
-// tokenFields is the number of fields of a token's text.
+// tokenFields is the number of fields of an encoded token.
 const tokenFields = 5
 
-// String returns the text form, which ParseToken reads.
+// String returns the encoded token, which ParseToken decodes.
 func (t Token) String() string {
 	return fmt.Sprintf("%s~%x~%s~%x~%x", t.Issuer.Instance, uint64(t.Issuer.Generation), t.Agent.Instance, uint64(t.Agent.Generation), t.Sequence)
 }
 
-// ParseToken reads the form that String returns.
+// ParseToken decodes a token encoded by Token.String. It returns ErrMalformed
+// if s is invalid.
 func ParseToken(s string) (Token, error) {
 	f := strings.Split(s, "~")
 	if len(f) != tokenFields || f[0] == "" || f[2] == "" {
--- a/lib/reservation/window.go
+++ b/lib/reservation/window.go
@@ -3,24 +3,24 @@
 // wordBits is the number of sequence numbers in one word of the bitmap.
 const wordBits = 64
 
-// window remembers which of the last numbers were used.
+// window records which of the most recent sequence numbers were used.
 type window struct {
-	top  uint64 // highest number seen
-	bits []uint64
+	highest uint64 // sequence number
+	bits    []uint64
 }
 
 func newWindow(size int) *window {
 	return &window{bits: make([]uint64, (size+wordBits-1)/wordBits)}
 }
 
-// use marks a number. The bitmap slides by whole words, so it remembers at
-// least size - wordBits numbers below the highest.
-func (w *window) use(seq uint64) Verdict {
+// redeem marks a number as used. The bitmap slides by whole words, so it covers
+// at least size - wordBits numbers below the highest.
+func (w *window) redeem(seq uint64) Verdict {
 	if seq == 0 {
 		return VerdictInvalid
 	}
 	word := seq / wordBits
-	topWord := w.top / wordBits
+	topWord := w.highest / wordBits
 	count := uint64(len(w.bits))
 	switch {
 	case word > topWord:
@@ -30,7 +30,7 @@
 	case topWord-word >= count:
 		return VerdictTooOld
 	}
-	w.top = max(w.top, seq)
+	w.highest = max(w.highest, seq)
 	mask := uint64(1) << (seq % wordBits)
 	if w.bits[word%count]&mask != 0 {
 		return VerdictUsed
