--- a/lib/retry/budget.go
+++ b/lib/retry/budget.go
@@ -1,44 +1,47 @@
-// Package retry bounds how often an entry sends a request once more, so that a
-// fault does not multiply the load of the backend servers.
+// Package retry limits how often an entry retries requests, so that a fault
+// does not multiply the load of the backend servers.
 package retry
 
 import "time"
 
-// Config holds the bounds that all entries of a deployment share.
+// Config holds the limits that apply to all entries of a deployment together.
 type Config struct {
-	// Ratio is the share of the requests to a service that may be sent again.
+	// Ratio is the number of retries allowed per request to a service.
 	Ratio float64
-	// Window is the span in which requests and repeats are counted.
+	// Window is the period over which requests and retries are counted.
 	Window time.Duration
-	// Slack are repeats in a window that need no requests.
+	// Slack is the number of retries per window that are allowed regardless of
+	// the number of requests.
 	Slack float64
 }
 
 const (
-	// safety keeps an entry's share below the bound, as windows of other
-	// observers begin at other moments.
-	safety = 0.8
-	// buckets is the number of parts into which a window is divided.
-	buckets = 20
+	// safetyFactor keeps an entry below its share of the limit, because the
+	// windows of other observers start at different times.
+	safetyFactor = 0.8
+	// bucketsPerWindow is the number of buckets that make up a window.
+	bucketsPerWindow = 20
 )
 
-// Budget counts the requests and repeats of one entry for each service. It is
-// not safe for concurrent use.
+// Budget counts the requests and retries of one entry per service. It is not
+// safe for concurrent use.
 type Budget struct {
 	config   Config
 	entries  int
 	services map[string]*counts
 }
 
-// New returns a Budget. entries is the number of entries that share the slack.
+// New returns a Budget. entries is the number of entries that share
+// Config.Slack.
 func New(config Config, entries int) *Budget {
 	return &Budget{config: config, entries: max(1, entries), services: make(map[string]*counts)}
 }
 
-// SetEntries sets the number of entries that share the slack.
+// SetEntries sets the number of entries that share Config.Slack.
 func (b *Budget) SetEntries(n int) { b.entries = max(1, n) }
 
-// SetConfig changes the bounds. A window of another length begins anew.
+// SetConfig changes the limits. If the window length changes, counting
+// restarts.
 func (b *Budget) SetConfig(config Config) {
 	if config.Window != b.config.Window {
 		b.services = make(map[string]*counts)
@@ -49,24 +52,25 @@
 // CountRequest counts the first dispatch of a request.
 func (b *Budget) CountRequest(service string, now time.Time) { b.counts(service, now).requests[0]++ }
 
-// Take spends one repeat, or reports that none is left.
+// Take counts a retry and returns true, or returns false if none is left.
 func (b *Budget) Take(service string, now time.Time) bool {
 	c := b.counts(service, now)
-	if float64(c.sum(&c.repeats))+1 > b.limit(c) {
+	if float64(c.sum(&c.retries))+1 > b.limit(c) {
 		return false
 	}
-	c.repeats[0]++
+	c.retries[0]++
 	return true
 }
 
-// Remaining returns the number of repeats that are left in this window.
+// Remaining returns the number of retries left in the current window, which may
+// be fractional.
 func (b *Budget) Remaining(service string, now time.Time) float64 {
 	c := b.counts(service, now)
-	return max(0, b.limit(c)-float64(c.sum(&c.repeats)))
+	return max(0, b.limit(c)-float64(c.sum(&c.retries)))
 }
 
 func (b *Budget) limit(c *counts) float64 {
-	return safety * (b.config.Ratio*float64(c.sum(&c.requests)) + b.config.Slack/float64(b.entries))
+	return safetyFactor * (b.config.Ratio*float64(c.sum(&c.requests)) + b.config.Slack/float64(b.entries))
 }
 
 func (b *Budget) counts(service string, now time.Time) *counts {
@@ -75,32 +79,33 @@
 		c = &counts{}
 		b.services[service] = c
 	}
-	c.advance(now, b.config.Window/buckets)
+	c.advance(now, b.config.Window/bucketsPerWindow)
 	return c
 }
 
-// counts are the requests and repeats of the last window, newest part first.
+// counts holds the requests and retries of the current window by bucket, newest
+// bucket first.
 type counts struct {
-	requests, repeats [buckets]int
-	// part is the number of the newest part since the Unix epoch.
-	part int64
+	requests, retries [bucketsPerWindow]int
+	// newestBucket is the number of the newest bucket since the Unix epoch.
+	newestBucket int64
 }
 
-func (c *counts) advance(now time.Time, length time.Duration) {
-	part := now.UnixNano() / int64(max(length, time.Millisecond))
-	shift := part - c.part
+func (c *counts) advance(now time.Time, bucketLength time.Duration) {
+	bucket := now.UnixNano() / int64(max(bucketLength, time.Millisecond))
+	shift := bucket - c.newestBucket
 	if shift <= 0 {
 		return
 	}
-	n := int(min(shift, buckets))
-	for _, counts := range []*[buckets]int{&c.requests, &c.repeats} {
-		copy(counts[n:], counts[:buckets-n])
+	n := int(min(shift, bucketsPerWindow))
+	for _, counts := range []*[bucketsPerWindow]int{&c.requests, &c.retries} {
+		copy(counts[n:], counts[:bucketsPerWindow-n])
 		clear(counts[:n])
 	}
-	c.part = part
+	c.newestBucket = bucket
 }
 
-func (c *counts) sum(counts *[buckets]int) int {
+func (c *counts) sum(counts *[bucketsPerWindow]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
--- a/lib/retry/budget_test.go
+++ b/lib/retry/budget_test.go
@@ -14,31 +14,32 @@
 	config := retry.Config{Ratio: 0.2, Window: 10 * time.Second, Slack: 80}
 	start := time.Unix(1000, 0)
 
-	It("never allows more repeats in any window than its share of the bound", func() {
-		// Guards against retry storms: the bound is the sum over all entries.
+	It("limits the retries in any window to the entry's share", func() {
+		// Guards against retry storms: the limit applies to the sum over all
+		// entries.
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			const entries = 8
 			b := retry.New(config, entries)
 			now := start
-			var requests, repeats []time.Time
+			var requests, retries []time.Time
 			for range rapid.IntRange(1, 400).Draw(t, "events") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 				if rapid.Bool().Draw(t, "request") {
 					b.CountRequest("s", now)
 					requests = append(requests, now)
 				} else if b.Take("s", now) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 				since := now.Add(-config.Window)
 				bound := config.Ratio*float64(after(requests, since)) + config.Slack/entries
-				if float64(after(repeats, since.Add(config.Window/20))) > bound {
-					t.Fatalf("%d repeats in a window with a bound of %.1f", after(repeats, since), bound)
+				if float64(after(retries, since.Add(config.Window/20))) > bound {
+					t.Fatalf("%d retries in a window with a limit of %.1f", after(retries, since), bound)
 				}
 			}
 		})
 	})
 
-	It("counts services apart and forgets old repeats", func() {
+	It("counts services separately and drops retries outside the window", func() {
 		b := retry.New(config, 8)
 		taken := 0
 		for b.Take("s", start) {
@@ -50,7 +51,7 @@
 		Expect(b.Take("s", start.Add(11*time.Second))).To(BeTrue())
 	})
 
-	It("shares the slack among the entries that it is told of", func() {
+	It("divides the slack by the number of entries", func() {
 		b := retry.New(config, 1)
 		Expect(b.Remaining("s", start)).To(BeNumerically("~", 64, 0.01))
 		b.SetEntries(16)
