--- a/lib/route/cache_event.go
+++ b/lib/route/cache_event.go
@@ -1,37 +1,38 @@
 package route
 
-// CacheEvent is one change of an engine's prefix cache.
+// CacheEvent is a change of an engine's prefix cache.
 type CacheEvent struct {
-	// Sequence grows by one with each event of a generation, from 1.
+	// Sequence starts at 1 and increases by one with each event of a generation.
 	Sequence uint64
 	Stored   []uint64
 	Removed  []uint64
 }
 
-// CacheSnapshot is the whole prefix cache of an engine after an event.
+// CacheSnapshot is the complete content of an engine's prefix cache after the
+// event with number Sequence.
 type CacheSnapshot struct {
 	Sequence uint64
 	Blocks   []uint64
 }
 
-// cacheSync tells gaps in the cache events of one generation.
+// cacheSync detects gaps in the cache events of one generation.
 type cacheSync struct {
 	lastSeq uint64
-	// unsynced is true from a gap until the next snapshot. Until then only the
-	// entry's own requests add blocks.
+	// unsynced is set from a gap until the next snapshot. Meanwhile only the
+	// entry's own requests add blocks to the index.
 	unsynced bool
 }
 
-// verdict says what to do with a cache event.
-type verdict uint8
+// cacheAction tells what to do with a cache event.
+type cacheAction uint8
 
 const (
-	cacheApply verdict = iota
+	cacheApply cacheAction = iota
 	cacheIgnore
 	cacheGap
 )
 
-func (c *cacheSync) next(sequence uint64) verdict {
+func (c *cacheSync) check(sequence uint64) cacheAction {
 	switch {
 	case sequence <= c.lastSeq:
 		return cacheIgnore
--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -6,67 +6,73 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Config holds the parameters of a Picker. Zero fields take the defaults. Loads
-// and penalties are in shares of an instance's capacity.
+// Config holds the parameters of a Picker. Zero fields take their defaults.
+// Loads and penalties are fractions of an instance's capacity.
 type Config struct {
-	// Domain is the failure domain of the entry, Region its region.
+	// Domain and Region are the failure domain and region of the entry.
 	Domain model.FailureDomain
 	Region model.Region
-	// MaxReportAge is how old an instance's last report may be. Instances with an
-	// older one are picked only when there is no other.
+	// MaxReportAge is the maximum age of an instance's last report. Instances
+	// with older reports are picked only if there are no others.
 	MaxReportAge time.Duration
-	// ReportHalfLife is the age at which a load report counts half.
+	// ReportHalfLife is the age at which a load report has half its weight.
 	ReportHalfLife time.Duration
-	// DefaultCapacity is used for instances that report none.
+	// DefaultCapacity is the capacity, in concurrent requests, of instances that
+	// report none.
 	DefaultCapacity int
-	// ScoreTolerance is how much worse than the best score an instance may be to
-	// take part in the random choice.
+	// ScoreTolerance is the difference to the best score up to which an instance
+	// takes part in the random choice.
 	ScoreTolerance float64
-	// CacheBonus is the value of a cached prefix that covers the whole prompt.
+	// CacheBonus is the score reduction for a cached prefix that covers the whole
+	// prompt.
 	CacheBonus float64
-	// AffinityBonus is the value of being the prefix's rendezvous choice.
+	// AffinityBonus is the score reduction for the rendezvous choice of the
+	// prefix.
 	AffinityBonus float64
-	// LoadBoundFactor is the factor over the mean load up to which an instance may
+	// LoadBoundFactor is the ratio to the mean load up to which an instance may
 	// be a rendezvous choice.
 	LoadBoundFactor float64
-	// MinFreeShare is the share of instances that must be free for a request to
-	// take one without its prefix. When nearly all are full, the only free one
-	// is the one whose answer ended last: without waiting, it gets a request of
-	// any kind, and prefix caches lose their use just when they matter most.
+	// MinFreeShare is the share of candidates that must have free capacity for a
+	// request to take one without its prefix immediately. When nearly all are
+	// full, the only available instance is the one that finished a request last.
+	// Without waiting, it would get an arbitrary request, and prefix caches would
+	// become useless when they matter most.
 	MinFreeShare float64
-	// MinWaitGain is how much better the score of a full instance must be for a
-	// request to wait for it.
+	// MinWaitGain is the score advantage of a full instance that makes a request
+	// wait for it.
 	MinWaitGain float64
-	// MaxWait bounds that wait. It must leave time for the first token: the
-	// default is two thirds of a target of 1.4 s.
+	// MaxWait is the maximum duration of that wait. It must leave time for the
+	// first token: the default is two thirds of a target of 1.4 s.
 	MaxWait time.Duration
-	// PrefixTTL is the age at which a prefix entry no longer counts.
+	// PrefixTTL is the time after which an unconfirmed entry of the prefix index
+	// expires.
 	PrefixTTL time.Duration
-	// MaxPrefixes bounds the blocks in the prefix index: at most twice as many
-	// are kept.
+	// MaxPrefixes limits the blocks per epoch of the prefix index, which keeps
+	// two epochs.
 	MaxPrefixes int
-	// SpillThreshold is the load of the best instance of the entry's own domain
-	// from which other domains are considered.
+	// SpillThreshold is the load of the best instance in the entry's own failure
+	// domain above which other domains are considered.
 	SpillThreshold float64
-	// DomainDelay and RegionDelay are the round trips to other domains of the
-	// region and to other regions, by which they delay the first token.
+	// DomainDelay and RegionDelay are the round-trip times to other failure
+	// domains of the region and to other regions, which delay the first token.
 	DomainDelay, RegionDelay time.Duration
-	// FullLoadDelay is by how much a full load delays the first token. The ratio of
-	// the two delays is added to the score of an instance in another domain.
+	// FullLoadDelay is the delay of the first token on a fully loaded instance.
+	// The ratio of DomainDelay or RegionDelay to it is added to the score of an
+	// instance in another domain.
 	FullLoadDelay time.Duration
-	// SlowStart is the time in which a new instance, or one that has just
-	// loaded other weights, comes to its full share.
+	// SlowStart is the time over which an instance that is new, has loaded other
+	// weights or was readmitted reaches its full share.
 	SlowStart time.Duration
-	// SlowStartShare is the share with which it begins.
+	// SlowStartShare is the share at the beginning of the slow start.
 	SlowStartShare float64
 	// EjectThreshold is the number of consecutive errors that eject an instance.
 	EjectThreshold int
-	// EjectDuration is the time of the first ejection. It doubles with each further
-	// one, up to EjectMax.
+	// EjectDuration is the duration of the first ejection. It doubles with each
+	// further one, up to MaxEjectDuration.
 	EjectDuration, MaxEjectDuration time.Duration
-	// MaxEjectedShare is the largest share of a pool that is ejected.
+	// MaxEjectedShare is the maximum share of a pool that may be ejected at once.
 	MaxEjectedShare float64
-	// RetryAfter is the advice in refusals that no known event will end.
+	// RetryAfter is the retry advice in refusals.
 	RetryAfter time.Duration
 }
 
@@ -79,8 +85,8 @@
 		{&c.ReportHalfLife, 2 * time.Second},
 		{&c.DomainDelay, 2 * time.Millisecond},
 		{&c.RegionDelay, 4 * time.Millisecond},
-		// The model of engines shows 79 ms at a quarter of the capacity and
-		// 138 ms at just over half (95th percentile).
+		// The engine model shows 79 ms at a quarter of the capacity and 138 ms at
+		// just over half (95th percentile).
 		{&c.FullLoadDelay, 200 * time.Millisecond},
 		{&c.MaxWait, 900 * time.Millisecond},
 		{&c.PrefixTTL, 2 * time.Minute},
--- a/lib/route/ejection.go
+++ b/lib/route/ejection.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Ejected returns the number of ejected instances of a pool and the largest
-// number allowed now.
+// Ejected returns the number of ejected instances of a pool and the current
+// maximum.
 func (p *Picker) Ejected(now time.Time, pool string) (ejected, limit int) {
-	return p.ejected(p.instant(now), pool), p.ejectionCap(pool)
+	return p.countEjected(p.instant(now), pool), p.maxEjected(pool)
 }
 
-func (p *Picker) ejected(now instant, pool string) int {
+func (p *Picker) countEjected(now instant, pool string) int {
 	n := 0
 	for _, s := range p.slots {
 		if s != nil && s.Pool == pool && s.outlier.ejected(now) {
@@ -18,7 +18,7 @@
 	return n
 }
 
-func (p *Picker) ejectionCap(pool string) int {
+func (p *Picker) maxEjected(pool string) int {
 	size := 0
 	for _, s := range p.slots {
 		if s != nil && s.Pool == pool {
@@ -28,19 +28,19 @@
 	return int(p.cfg.MaxEjectedShare * float64(size))
 }
 
-// keepEjectionCap readmits the instances whose ejection ends first until the
-// cap holds.
-func (p *Picker) keepEjectionCap(now instant, pool string) {
-	for p.ejected(now, pool) > p.ejectionCap(pool) {
+// enforceEjectionCap readmits instances, those whose ejection ends first, until
+// the number of ejected instances is within the maximum.
+func (p *Picker) enforceEjectionCap(now instant, pool string) {
+	for p.countEjected(now, pool) > p.maxEjected(pool) {
 		var first *slot
 		for _, s := range p.slots {
 			if s == nil || s.Pool != pool || !s.outlier.ejected(now) {
 				continue
 			}
-			if first == nil || s.outlier.until < first.outlier.until {
+			if first == nil || s.outlier.ejectedUntil < first.outlier.ejectedUntil {
 				first = s
 			}
 		}
-		first.outlier.until = now
+		first.outlier.ejectedUntil = now
 	}
 }
--- a/lib/route/fuzz_test.go
+++ b/lib/route/fuzz_test.go
@@ -36,22 +36,22 @@
 
 func keyOf(id string) route.Key { return route.Key{Instance: model.InstanceID(id), Generation: 1} }
 
-// known is what the oracle keeps of an instance.
-type known struct {
+// instanceModel is the reference model of an instance.
+type instanceModel struct {
 	live     []model.Weights
 	draining bool
-	ejected  time.Time // until
+	ejected  time.Time // end of the ejection
 	pool     string
 	role     route.Role
 	started  int
 }
 
-var _ = Describe("Picker under any order of events", func() {
-	It("returns only instances that may run the request and keeps the ejection cap", func() {
+var _ = Describe("Picker under random operations", func() {
+	It("picks only eligible instances and respects the maximum of ejections", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			p := newPicker(route.Config{EjectThreshold: 2})
 			now := start
-			state := make(map[route.Key]*known)
+			state := make(map[route.Key]*instanceModel)
 			weights := rapid.SampledFrom([]model.Weights{oldWeights, newWeights})
 			pools := rapid.SampledFrom([]string{"model", "booking"})
 			roles := rapid.SampledFrom([]route.Role{route.RoleAny, route.RolePrefill, route.RoleDecode})
@@ -65,7 +65,7 @@
 				"": func(t *rapid.T) {
 					for _, pool := range []string{"model", "booking"} {
 						if ejected, limit := p.Ejected(now, pool); ejected > limit {
-							t.Fatalf("%d instances of %s are ejected, cap %d", ejected, pool, limit)
+							t.Fatalf("%d instances of pool %s are ejected, maximum %d", ejected, pool, limit)
 						}
 					}
 				},
@@ -73,7 +73,7 @@
 					k := key()
 					s := state[k]
 					if s == nil {
-						s = &known{pool: pools.Draw(t, "pool"), role: roles.Draw(t, "role")}
+						s = &instanceModel{pool: pools.Draw(t, "pool"), role: roles.Draw(t, "role")}
 						state[k] = s
 					}
 					s.live = rapid.SliceOfN(weights, 0, 2).Draw(t, "live")
@@ -118,11 +118,12 @@
 					s.started--
 					result := rapid.SampledFrom([]route.Result{route.ResultOK, route.ResultError, route.ResultError, route.ResultNeutral}).Draw(t, "result")
 					if p.Finished(now, k, result) {
-						// The shortest ejection; readmission by the cap comes earlier.
+						// Minimum duration of an ejection; enforcing the maximum may
+						// readmit the instance earlier.
 						s.ejected = now.Add(5 * time.Second)
 					}
 					if got := p.Outstanding(k); got != s.started {
-						t.Fatalf("%v has %d outstanding, picker counts %d", k, s.started, got)
+						t.Fatalf("%v has %d outstanding requests, Outstanding() = %d", k, s.started, got)
 					}
 				},
 				"pick": func(t *rapid.T) {
@@ -136,13 +137,13 @@
 					}
 					s := state[choice.Key]
 					if s == nil || s.draining || s.pool != r.Pool || choice.Key == excluded {
-						t.Fatalf("picked %v: %+v", choice.Key, s)
+						t.Fatalf("picked ineligible instance %v: %+v", choice.Key, s)
 					}
 					if !serves(s, r) {
-						t.Fatalf("picked %v, which does not serve the request: %+v", choice.Key, s)
+						t.Fatalf("picked instance %v, which does not serve the request: %+v", choice.Key, s)
 					}
 					if ejected, _ := p.Ejected(now, s.pool); now.Before(s.ejected) && ejected >= countEjected(state, s.pool, now) {
-						t.Fatalf("picked %v, which is ejected", choice.Key)
+						t.Fatalf("picked ejected instance %v", choice.Key)
 					}
 					p.Started(now, choice.Key, r.Prefix)
 					s.started++
@@ -152,7 +153,7 @@
 	})
 })
 
-func serves(s *known, r *route.Request) bool {
+func serves(s *instanceModel, r *route.Request) bool {
 	if s.role != route.RoleAny && s.role != r.Role {
 		return false
 	}
@@ -164,7 +165,7 @@
 	return false
 }
 
-func countEjected(state map[route.Key]*known, pool string, now time.Time) int {
+func countEjected(state map[route.Key]*instanceModel, pool string, now time.Time) int {
 	n := 0
 	for _, s := range state {
 		if s.pool == pool && now.Before(s.ejected) {
@@ -174,11 +175,11 @@
 	return n
 }
 
-// checkRefusal fails when an instance could have run the request.
-func checkRefusal(t *rapid.T, state map[route.Key]*known, r *route.Request, excluded route.Key, now time.Time, err error) {
+// checkRefusal fails the test if an instance could have run the request.
+func checkRefusal(t *rapid.T, state map[route.Key]*instanceModel, r *route.Request, excluded route.Key, now time.Time, err error) {
 	refusal := new(route.Refusal)
 	if !errors.As(err, &refusal) || refusal.RetryAfter <= 0 {
-		t.Fatalf("refusal %v has no retry time", err)
+		t.Fatalf("error %v is not a *Refusal with RetryAfter", err)
 	}
 	matching := false
 	for k, s := range state {
@@ -187,10 +188,10 @@
 		}
 		matching = true
 		if k != excluded && s.ejected.IsZero() {
-			t.Fatalf("refused with %s, but %v can run the request", refusal.Reason, k)
+			t.Fatalf("refused with reason %s, but instance %v can run the request", refusal.Reason, k)
 		}
 	}
 	if matching != (refusal.Reason == outcome.ReasonOverloaded) {
-		t.Fatalf("reason %s, instances that serve the request: %v", refusal.Reason, matching)
+		t.Fatalf("refused with reason %s, but an instance that serves the request exists: %v", refusal.Reason, matching)
 	}
 }
--- a/lib/route/instance.go
+++ b/lib/route/instance.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Role says which part of a generation an engine runs.
+// Role is the phase of text generation that an engine runs.
 type Role uint8
 
 const (
@@ -16,23 +16,24 @@
 	RoleDecode
 )
 
-// serves reports whether an instance of this role can take work for another.
+// serves reports whether an instance with role r can run work that requires
+// role wanted.
 func (r Role) serves(wanted Role) bool { return r == RoleAny || r == wanted }
 
-// Instance is what the Picker knows of one backend server instance.
+// Instance describes one backend server instance.
 type Instance struct {
 	ID         model.InstanceID
 	Generation model.Generation
 	Location   model.Location
 	Pool       string
 	Role       Role
-	// Live holds the weights that the instance may serve; it is empty for plain
-	// services, which serve requests without weights.
+	// Live holds the weights that the instance may serve. It is empty for plain
+	// services, whose requests have no weights.
 	Live     []model.Weights
 	Draining bool
 }
 
-// Key names one generation of an instance.
+// Key identifies one generation of an instance.
 type Key struct {
 	Instance   model.InstanceID
 	Generation model.Generation
--- a/lib/route/instant.go
+++ b/lib/route/instant.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// instant is a time as the distance from a base that a Picker chooses once. A
-// pick compares hundreds of times, and integers compare in a fraction of the
-// time that time.Time takes. The zero value is before all instants that occur.
+// instant is a time relative to a base that a Picker chooses once. A pick
+// compares hundreds of times, and comparing integers is much faster than
+// comparing time.Time values. The zero value is before all instants that occur.
 type instant time.Duration
 
-// baseAge keeps all instants positive.
-const baseAge = 24 * time.Hour
+// baseOffset keeps all instants positive.
+const baseOffset = 24 * time.Hour
 
-// instant converts a time. The first one sets the base.
+// instant converts a time. The first call sets the base.
 func (p *Picker) instant(now time.Time) instant {
 	if p.base.IsZero() {
-		p.base = now.Add(-baseAge)
+		p.base = now.Add(-baseOffset)
 	}
 	return instant(now.Sub(p.base))
 }
--- a/lib/route/load.go
+++ b/lib/route/load.go
@@ -4,33 +4,34 @@
 	"time"
 )
 
-// historySize and historyStep bound how far back the own outstanding count is
-// known: two seconds cover the lag of load reports.
+// historySize and historyStep determine how far back the entry's own
+// outstanding count is known: 2 s cover the lag of load reports.
 const (
 	historySize = 8
 	historyStep = 250 * time.Millisecond
 )
 
-// loadTracker estimates the load of one instance from what the entry sent
-// itself, which is exact, and the lagging report, which also covers others.
+// loadTracker estimates the load of one instance from the requests that this
+// entry sent, which is exact, and from the lagging load report, which also
+// covers other entries.
 type loadTracker struct {
-	outstanding int
-	capacity    int
-	others      float64 // reported load that is not the entry's own
-	sampledAt   instant // when the report was taken on the instance
+	outstanding   int
+	capacity      int
+	otherRequests float64 // reported requests that are not from this entry
+	sampledAt     instant // time at which the instance took the report
 
 	history [historySize]historyPoint
 	newest  int
 }
 
-// historyPoint is the own outstanding count just before a time.
+// historyPoint is the entry's own outstanding count just before a time.
 type historyPoint struct {
 	at          instant
 	outstanding int
 }
 
-// add changes the own outstanding count.
-func (l *loadTracker) add(now instant, n int) {
+// addOutstanding changes the entry's own outstanding count by n.
+func (l *loadTracker) addOutstanding(now instant, n int) {
 	if now.sub(l.history[l.newest].at) >= historyStep {
 		l.newest = (l.newest + 1) % historySize
 		l.history[l.newest] = historyPoint{now, l.outstanding}
@@ -38,7 +39,8 @@
 	l.outstanding += n
 }
 
-// outstandingAt returns the own count at an earlier time, as far as known.
+// outstandingAt returns the entry's own outstanding count at an earlier time,
+// as far back as the history reaches.
 func (l *loadTracker) outstandingAt(at instant) int {
 	count := l.outstanding
 	for i := range historySize {
@@ -51,25 +53,27 @@
 	return count
 }
 
-// report takes a load report that the instance sampled age ago.
-func (l *loadTracker) report(now instant, running, queued, capacity int, age time.Duration) {
+// applyReport applies a load report that the instance took age ago. Reports
+// older than the last one are ignored.
+func (l *loadTracker) applyReport(now instant, running, queued, capacity int, age time.Duration) {
 	sampled := now.add(-age)
 	if sampled < l.sampledAt {
 		return
 	}
 	l.sampledAt = sampled
-	l.others = float64(max(0, running+queued-l.outstandingAt(sampled)))
+	l.otherRequests = float64(max(0, running+queued-l.outstandingAt(sampled)))
 	if capacity > 0 {
 		l.capacity = capacity
 	}
 }
 
-// requests estimates how many requests the instance has. A report counts half at
-// the age of halfLife; the hyperbola costs less than an exponential.
+// requests estimates the number of requests on the instance. The weight of a
+// report is halved at the age halfLife; a hyperbola is cheaper to compute than
+// an exponential.
 func (l *loadTracker) requests(now instant, halfLife time.Duration) float64 {
-	if l.others == 0 {
+	if l.otherRequests == 0 {
 		return float64(l.outstanding)
 	}
 	age := now.sub(l.sampledAt)
-	return float64(l.outstanding) + l.others*float64(halfLife)/float64(halfLife+age)
+	return float64(l.outstanding) + l.otherRequests*float64(halfLife)/float64(halfLife+age)
 }
--- a/lib/route/numbering.go
+++ b/lib/route/numbering.go
@@ -1,16 +1,16 @@
 package route
 
-// numbering gives names small numbers, so that a pick compares numbers instead
-// of digests and strings. Numbers are not reused: a process sees some thousand
-// versions and pools in its life.
-type numbering[K comparable] map[K]uint32
+// idTable assigns small integer IDs to names, so that a pick compares integers
+// instead of digests and strings. IDs are not reused: a process sees a few
+// thousand versions and pools in its lifetime.
+type idTable[K comparable] map[K]uint32
 
-// of returns the number of a name, from 1.
-func (n numbering[K]) of(name K) uint32 {
-	id, ok := n[name]
+// id returns the ID of a name, assigning one if necessary. IDs start at 1.
+func (t idTable[K]) id(name K) uint32 {
+	id, ok := t[name]
 	if !ok {
-		id = uint32(len(n)) + 1
-		n[name] = id
+		id = uint32(len(t)) + 1
+		t[name] = id
 	}
 	return id
 }
--- a/lib/route/outlier.go
+++ b/lib/route/outlier.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// outlier counts the errors of one instance.
+// outlier tracks the errors and ejections of one instance.
 type outlier struct {
-	consecutive int
-	ejections   int
-	until       instant
+	consecutive  int
+	ejections    int
+	ejectedUntil instant
 }
 
-func (o *outlier) ejected(now instant) bool { return now < o.until }
+func (o *outlier) ejected(now instant) bool { return now < o.ejectedUntil }
 
-// result counts one result and reports whether the instance should be ejected.
-func (o *outlier) result(r Result, limit int) bool {
+// record records a result and reports whether the instance should be ejected.
+func (o *outlier) record(r Result, limit int) bool {
 	switch r {
 	case ResultOK:
 		o.consecutive = 0
@@ -26,14 +26,14 @@
 	return o.consecutive >= limit
 }
 
-// eject takes the instance out until the returned time. One error after the
-// end ejects it again.
+// eject ejects the instance; the duration doubles with each ejection, up to
+// longest. A single error after the end ejects it again.
 func (o *outlier) eject(now instant, limit int, first, longest time.Duration) {
 	d := first
 	for range min(o.ejections, 16) {
 		d = min(2*d, longest)
 	}
 	o.ejections++
-	o.until = now.add(d)
+	o.ejectedUntil = now.add(d)
 	o.consecutive = limit - 1
 }
--- a/lib/route/picker_test.go
+++ b/lib/route/picker_test.go
@@ -11,7 +11,8 @@
 	"github.com/auburnbend/auburnbend/lib/route"
 )
 
-// shares counts the picks of n requests that all stay outstanding.
+// shares picks instances for n requests that all stay outstanding and returns
+// the number of picks per instance.
 func shares(p *route.Picker, now time.Time, r *route.Request, n int) map[model.InstanceID]int {
 	counts := make(map[model.InstanceID]int)
 	for range n {
@@ -26,8 +27,9 @@
 var _ = Describe("Picker", func() {
 	request := func() *route.Request { return &route.Request{Pool: "model", Weights: oldWeights} }
 
-	It("gives a new instance and one with new weights a slow start", func() {
-		// Guards against a cold cache that gets a full share of the load at once.
+	It("starts new instances and instances with new weights slowly", func() {
+		// Guards against giving an instance with a cold cache its full share of the
+		// load at once.
 		p := newPicker(route.Config{})
 		for _, id := range []string{"a", "b", "c"} {
 			p.Update(start, instance(id, oldWeights))
@@ -39,7 +41,7 @@
 		Expect(shares(p, later, request(), 30)["a"]).To(BeZero())
 	})
 
-	It("counts a report less the older it is and never its own requests twice", func() {
+	It("reduces the weight of a report with its age and does not count its own requests twice", func() {
 		p := newPicker(route.Config{})
 		for _, id := range []string{"a", "b"} {
 			p.Update(start, instance(id, oldWeights))
@@ -47,20 +49,22 @@
 		now := start.Add(time.Minute)
 		counts := shares(p, now, request(), 20)
 		Expect(counts["a"]).To(Equal(10))
-		// b reports exactly what this entry sent: nothing of others.
+		// Both report exactly the requests that this entry sent, none of others.
 		now = now.Add(time.Second)
 		p.RecordLoad(now, keyOf("a"), route.LoadReport{Running: 10})
 		p.RecordLoad(now, keyOf("b"), route.LoadReport{Running: 10})
 		Expect(shares(p, now, request(), 10)["a"]).To(Equal(5))
-		// a has 20 requests of others; 30 s later the report says little.
+		// a has 20 requests of other entries; after 30 s the report has little
+		// weight.
 		p.RecordLoad(now, keyOf("a"), route.LoadReport{Running: 35})
 		Expect(shares(p, now, request(), 10)["a"]).To(BeZero())
 		now = now.Add(30 * time.Second)
 		Expect(shares(p, now, request(), 20)["a"]).To(BeNumerically(">", 10))
 	})
 
-	It("uses an instance without a fresh report only when there is no other", func() {
-		// Guards against work for a leaving instance whose notice was lost.
+	It("uses an instance without a fresh report only if there is no other", func() {
+		// Guards against sending requests to a leaving instance whose drain notice
+		// was lost.
 		p := newPicker(route.Config{})
 		p.Update(start, instance("a", oldWeights))
 		p.Update(start, instance("b", oldWeights))
@@ -70,7 +74,7 @@
 		Expect(shares(p, start.Add(time.Minute), request(), 40)).To(HaveLen(2))
 	})
 
-	It("sends equal prefixes to one instance until that has more than its part", func() {
+	It("sends equal prefixes to one instance until it exceeds the load bound", func() {
 		p := newPicker(route.Config{AffinityBonus: 0.5, CacheBonus: 0.5})
 		for i := range 10 {
 			p.Update(start, instance(fmt.Sprint("i", i), oldWeights))
@@ -86,7 +90,7 @@
 		Expect(len(shares(p, now, r, 60))).To(BeNumerically(">", 1))
 	})
 
-	It("asks for a snapshot after a gap in cache events and drops the hints", func() {
+	It("requests a snapshot after a gap in the cache events and drops the hints", func() {
 		p := newPicker(route.Config{})
 		p.Update(start, instance("a", oldWeights))
 		r := request()
@@ -108,7 +112,7 @@
 		Expect(cached(start.Add(3 * time.Minute))).To(BeZero())
 	})
 
-	It("spills to another domain only past the threshold", func() {
+	It("spills to another failure domain only above the threshold", func() {
 		p := newPicker(route.Config{DefaultCapacity: 10})
 		p.Update(start, instance("near", oldWeights))
 		far := instance("far", oldWeights)
@@ -120,7 +124,7 @@
 		Expect(shares(p, now, request(), 4)["far"]).To(BeNumerically(">=", 3))
 	})
 
-	It("waits for a full instance that has the prefix while few are free", func() {
+	It("waits for a full instance with the prefix while few have free capacity", func() {
 		p := newPicker(route.Config{})
 		for i := range 8 {
 			p.Update(start, instance(fmt.Sprint("i", i), oldWeights))
@@ -138,7 +142,7 @@
 		Expect(choice.Key).To(Equal(keyOf("i5")))
 	})
 
-	It("does not spill because all local instances have just loaded", func() {
+	It("does not spill because all local instances are in slow start", func() {
 		p := newPicker(route.Config{})
 		far := instance("far", oldWeights)
 		far.Location.FailureDomain = "d2"
@@ -148,8 +152,8 @@
 		Expect(shares(p, now, request(), 8)).To(Equal(map[model.InstanceID]int{"near": 8}))
 	})
 
-	It("ejects nothing for lost connections, whichever number of them", func() {
-		// Guards against a path fault that takes healthy backend servers out.
+	It("does not eject instances for lost connections", func() {
+		// Guards against a network fault ejecting healthy backend servers.
 		p := newPicker(route.Config{})
 		for _, id := range []string{"a", "b", "c", "d"} {
 			p.Update(start, instance(id, oldWeights))
--- a/lib/route/prefix_index.go
+++ b/lib/route/prefix_index.go
@@ -4,17 +4,18 @@
 	"time"
 )
 
-// prefixIndex knows which prompt blocks instances are believed to have cached.
-// Everything in it is a hint: engines report late and with gaps.
+// prefixIndex records which prompt blocks the instances are believed to have
+// cached. All entries are hints, because engines report late and with gaps.
 //
-// Entries decay in two epochs: an entry that is not confirmed during a whole
-// epoch is dropped with the epoch's map, without a time per entry.
+// Entries expire by epoch: an entry that is not confirmed during a whole epoch
+// is dropped together with the map of that epoch, so no entry needs a
+// timestamp.
 type prefixIndex struct {
 	current, previous map[uint64]bitset
 	epochEnds         time.Time
 	epoch             time.Duration
 	maxBlocks         int
-	depths            [maxNumbered]int // result of the last match
+	depths            [maxIndexed]int // result of the last match, by slot index
 }
 
 func newPrefixIndex(ttl time.Duration, maxBlocks int) *prefixIndex {
@@ -26,7 +27,7 @@
 	}
 }
 
-// rotate begins an epoch when the current one has ended or is full.
+// rotate starts a new epoch if the current one has ended or is full.
 func (x *prefixIndex) rotate(now time.Time) {
 	if now.Before(x.epochEnds) && len(x.current) < x.maxBlocks {
 		return
@@ -39,58 +40,59 @@
 	x.epochEnds = now.Add(x.epoch)
 }
 
-// add notes blocks as cached by an instance.
-func (x *prefixIndex) add(now time.Time, number int, blocks []uint64) {
-	if number >= maxNumbered {
+// add records blocks as cached by an instance.
+func (x *prefixIndex) add(now time.Time, index int, blocks []uint64) {
+	if index >= maxIndexed {
 		return
 	}
 	x.rotate(now)
 	for _, b := range blocks {
 		set := x.current[b]
-		if !set.has(number) {
-			set.set(number)
+		if !set.has(index) {
+			set.set(index)
 			x.current[b] = set
 		}
 	}
 }
 
-// has reports whether a block is believed to be cached anywhere.
+// has reports whether a block is believed to be cached on any instance.
 func (x *prefixIndex) has(block uint64) bool {
 	var none bitset
 	return x.current[block] != none || x.previous[block] != none
 }
 
-// remove notes that an instance no longer has blocks.
-func (x *prefixIndex) remove(number int, blocks []uint64) {
-	if number >= maxNumbered {
+// remove records that an instance no longer caches blocks.
+func (x *prefixIndex) remove(index int, blocks []uint64) {
+	if index >= maxIndexed {
 		return
 	}
 	for _, m := range []map[uint64]bitset{x.current, x.previous} {
 		for _, b := range blocks {
-			clearIn(m, b, number)
+			clearInstance(m, b, index)
 		}
 	}
 }
 
-// removeAll forgets an instance. It is rare: the instance left or lost its
-// cache, or its events have a gap.
-func (x *prefixIndex) removeAll(number int) {
-	if number >= maxNumbered {
+// removeAll removes all blocks of an instance. It scans the whole index, which
+// is acceptable because it is rare: the instance left, lost its cache, or its
+// events have a gap.
+func (x *prefixIndex) removeAll(index int) {
+	if index >= maxIndexed {
 		return
 	}
 	for _, m := range []map[uint64]bitset{x.current, x.previous} {
 		for b := range m {
-			clearIn(m, b, number)
+			clearInstance(m, b, index)
 		}
 	}
 }
 
-func clearIn(m map[uint64]bitset, block uint64, number int) {
+func clearInstance(m map[uint64]bitset, block uint64, index int) {
 	set, ok := m[block]
 	if !ok {
 		return
 	}
-	set.clear(number)
+	set.clear(index)
 	if set.empty() {
 		delete(m, block)
 		return
@@ -98,12 +100,12 @@
 	m[block] = set
 }
 
-// match calculates for all instances how many leading blocks they have. depth
-// returns the result until the next call.
+// match computes, for each instance, the number of leading blocks that it has
+// cached. depth returns the result until the next call.
 func (x *prefixIndex) match(now time.Time, blocks []uint64) {
 	x.rotate(now)
-	x.depths = [maxNumbered]int{}
-	var alive bitset // instances that have all blocks so far
+	x.depths = [maxIndexed]int{}
+	var alive bitset // instances that have cached all blocks so far
 	for i, b := range blocks {
 		set := x.current[b]
 		old := x.previous[b]
@@ -124,9 +126,9 @@
 	alive.each(func(n int) { x.depths[n] = len(blocks) })
 }
 
-func (x *prefixIndex) depth(number int) int {
-	if number >= maxNumbered {
+func (x *prefixIndex) depth(index int) int {
+	if index >= maxIndexed {
 		return 0
 	}
-	return x.depths[number]
+	return x.depths[index]
 }
--- a/lib/route/refusal.go
+++ b/lib/route/refusal.go
@@ -6,15 +6,15 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Refusal says that no instance can take a request now. The request was not
-// run.
+// Refusal is the error returned if no instance can take a request now. The
+// request was not run.
 type Refusal struct {
 	Reason     outcome.Reason
 	RetryAfter time.Duration
-	// Deferred is true when an instance is free, but the request should wait for a
-	// better one.
+	// Deferred indicates that an instance is available but the request should
+	// wait for a better one.
 	Deferred bool
 }
 
-// Error returns the reason.
+// Error implements error.
 func (r *Refusal) Error() string { return "no instance picked: " + string(r.Reason) }
--- a/lib/route/request.go
+++ b/lib/route/request.go
@@ -6,28 +6,28 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Request says what an instance is picked for.
+// Request describes the request that an instance is picked for.
 type Request struct {
 	Pool    string
 	Role    Role
 	Weights model.Weights
-	// Prefix holds one hash per block of the prompt. Each covers the prompt
-	// from its start to the end of the block and the weights, so that equal
-	// text under other weights never matches.
+	// Prefix holds one hash per block of the prompt. Each hash covers the prompt
+	// from its start to the end of the block and the weights, so that equal text
+	// with other weights never matches.
 	Prefix []uint64
 	// AffinityBlocks is the number of leading blocks that requests of one kind
-	// share. The last of them is the key of the rendezvous choice; 0 means no
-	// affinity.
+	// share. The last of them is the rendezvous key; 0 disables affinity.
 	AffinityBlocks int
-	// Allowed excludes instances for this request: those that already failed
-	// it, or that run another suspect. Nil allows all.
+	// Allowed reports whether an instance may be used for this request. It
+	// excludes instances on which the request failed before or that run another
+	// suspect request. Nil allows all.
 	Allowed func(Key) bool
-	// HasCapacity excludes instances that are full by their concurrency limit. Nil
-	// means that none is full.
+	// HasCapacity reports whether an instance is below its concurrency limit. Nil
+	// means that all are.
 	HasCapacity func(Key) bool
-	// OfferedAt is when the request was first offered for placing. Until
-	// Config.Patience after it, the request waits for an instance that has its
-	// prefix if few instances are free. Zero means that it does not wait.
+	// OfferedAt is the time at which placing the request was first tried. Until
+	// Config.MaxWait after it, the request waits for an instance that has its
+	// prefix if few instances are available. The zero value disables waiting.
 	OfferedAt time.Time
 }
 
@@ -39,12 +39,12 @@
 	return r.Prefix[n-1], true
 }
 
-// Choice is a picked instance.
+// Choice is the instance selected by Pick.
 type Choice struct {
 	Key Key
-	// Spilled is true when the instance is in another failure domain.
+	// Spilled indicates that the instance is in another failure domain.
 	Spilled bool
-	// CachedBlocks is the number of leading blocks that the instance is
-	// believed to have cached. It is a hint.
+	// CachedBlocks is the number of leading prompt blocks that the instance is
+	// believed to have cached. It is only a hint.
 	CachedBlocks int
 }
--- a/lib/route/result.go
+++ b/lib/route/result.go
@@ -1,16 +1,17 @@
 package route
 
-// Result says how an attempt on an instance ended, as far as it tells about
-// the instance.
+// Result is the result of an attempt, as far as it concerns the health of the
+// instance.
 type Result uint8
 
 const (
 	// ResultOK is a complete answer.
 	ResultOK Result = iota
-	// ResultError is an error of the backend server. Consecutive ones eject it.
+	// ResultError is an error of the backend server. Config.EjectThreshold
+	// consecutive errors eject it.
 	ResultError
-	// ResultNeutral says nothing about the backend server: a refusal of the
-	// agent, a cancellation, or a lost connection. A lost connection is judged
-	// by lib/member, which tells a dead path from a dead backend server.
+	// ResultNeutral allows no conclusion about the backend server: a refusal by
+	// the agent, a cancellation, or a lost connection. lib/member judges lost
+	// connections and distinguishes a network fault from a dead backend server.
 	ResultNeutral
 )
--- a/lib/route/slot.go
+++ b/lib/route/slot.go
@@ -6,40 +6,41 @@
 	"github.com/auburnbend/auburnbend/lib/rendezvous"
 )
 
-// slot is the state of one instance in a Picker.
+// slot holds the state of one instance in a Picker.
 type slot struct {
 	Instance
-	pool    uint32   // number in Picker.pools
-	live    []uint32 // numbers in Picker.live
-	number  int      // position in Picker.slots and in the prefix index
-	hash    uint64
-	load    loadTracker
-	outlier outlier
-	cache   cacheSync
-	// warmSince is when the instance joined, loaded other weights, or came back
-	// from an ejection: the begin of its slow start.
-	warmSince instant
-	heard     instant // when the last report arrived
+	poolID    uint32   // ID in Picker.poolIDs
+	weightIDs []uint32 // IDs in Picker.weightIDs
+	index     int      // index in Picker.slots and in the prefix index
+	hash      uint64
+	load      loadTracker
+	outlier   outlier
+	cache     cacheSync
+	// warmingSince is the start of the slow start: when the instance joined or
+	// loaded other weights. The end of an ejection starts it again.
+	warmingSince instant
+	reportedAt   instant // arrival time of the last report
 }
 
 func newSlot(now instant, in Instance, capacity int) *slot {
 	return &slot{
-		Instance:  in,
-		hash:      rendezvous.Hash(string(in.ID)),
-		load:      loadTracker{capacity: capacity},
-		warmSince: now,
+		Instance:     in,
+		hash:         rendezvous.Hash(string(in.ID)),
+		load:         loadTracker{capacity: capacity},
+		warmingSince: now,
 	}
 }
 
-// hasWeights reports whether the instance may serve weights with a number of
-// Picker.live. Number 0 stands for a request without weights.
-func (s *slot) hasWeights(number uint32) bool {
-	return number == 0 || slices.Contains(s.live, number)
+// hasWeights reports whether the instance may serve the weights with an ID of
+// Picker.weightIDs. ID 0 stands for a request without weights.
+func (s *slot) hasWeights(id uint32) bool {
+	return id == 0 || slices.Contains(s.weightIDs, id)
 }
 
-// warmth returns the share of its full work that the instance may get.
-func (s *slot) warmth(now instant, cfg *Config) float64 {
-	age := now.sub(max(s.warmSince, s.outlier.until))
+// slowStartFactor returns the share of its full load that the instance may get
+// now, from Config.SlowStartShare to 1.
+func (s *slot) slowStartFactor(now instant, cfg *Config) float64 {
+	age := now.sub(max(s.warmingSince, s.outlier.ejectedUntil))
 	if age >= cfg.SlowStart {
 		return 1
 	}
@@ -47,8 +48,8 @@
 	return cfg.SlowStartShare + (1-cfg.SlowStartShare)*share
 }
 
-// use returns the requests that the instance is believed to have, and the share
-// of its capacity that one of them fills.
-func (s *slot) use(now instant, cfg *Config) (requests, one float64) {
-	return s.load.requests(now, cfg.ReportHalfLife), 1 / (float64(s.load.capacity) * s.warmth(now, cfg))
+// usage returns the estimated number of requests on the instance and the share
+// of its capacity that one of them uses.
+func (s *slot) usage(now instant, cfg *Config) (requests, share float64) {
+	return s.load.requests(now, cfg.ReportHalfLife), 1 / (float64(s.load.capacity) * s.slowStartFactor(now, cfg))
 }
