--- a/lib/subset/config.go
+++ b/lib/subset/config.go
@@ -1,32 +1,34 @@
 package subset
 
 const (
-	// DefaultMaxPerEntry bounds an entry's connections. With a 60-byte heartbeat
-	// in both directions each second it costs 7.2 KB/s, under the budget of
-	// 8 KB/s for control.
+	// DefaultMaxPerEntry is the maximum number of connections of an entry. With a
+	// 60-byte heartbeat per second in both directions, 60 connections cost 7.2
+	// KB/s, below the control budget of 8 KB/s.
 	DefaultMaxPerEntry = 60
-	// DefaultMinPerAgent is the number of entries that reach an agent: two may
-	// be lost at once and it still gets work.
+	// DefaultMinPerAgent is the minimum number of entries that connect to an
+	// agent: if two are lost at once, the agent still gets work.
 	DefaultMinPerAgent = 3
-	// DefaultMinPerPool is the number of agents of each pool that an entry
-	// reaches, so that the loss of one leaves another.
+	// DefaultMinPerPool is the minimum number of agents of each pool that an
+	// entry connects to, so that one remains if the other is lost.
 	DefaultMinPerPool = 2
-	// DefaultSpillConnections bounds an entry's connections into other failure
-	// domains.
+	// DefaultSpillConnections is the maximum number of connections of an entry to
+	// other failure domains.
 	DefaultSpillConnections = 8
 )
 
-// Config holds the bounds of the assignment. Zero fields take the defaults.
+// Config holds the limits of the assignment. Zero fields take their defaults.
 type Config struct {
-	// MaxPerEntry bounds the connections of an entry. It gives way where
-	// MinPerAgent could not be kept: with too few entries for the agents.
+	// MaxPerEntry is the maximum number of connections of an entry. It is
+	// exceeded if MinPerAgent could not be met otherwise, with too few entries
+	// for the agents.
 	MaxPerEntry int
-	// MinPerAgent is the least number of entries per agent.
+	// MinPerAgent is the minimum number of entries per agent.
 	MinPerAgent int
-	// MinPerPool is the number of agents of each pool that an entry gets at
-	// least where MaxPerEntry allows it. It gets one in any case.
+	// MinPerPool is the minimum number of agents of each pool per entry, as far
+	// as MaxPerEntry allows. An entry always gets one agent of each pool.
 	MinPerPool int
-	// SpillConnections bounds the connections to other failure domains.
+	// SpillConnections is the maximum number of connections of an entry to other
+	// failure domains.
 	SpillConnections int
 }
 
--- a/lib/subset/matching.go
+++ b/lib/subset/matching.go
@@ -8,20 +8,20 @@
 	"github.com/auburnbend/auburnbend/lib/rendezvous"
 )
 
-// candidate is a possible partner with the weight of the pair.
+// candidate is a possible partner in the matching with the weight of the pair.
 type candidate struct {
 	index  int
 	weight uint64
 }
 
-// proposer is the state of one agent in the matching.
+// proposer holds the state of one agent in the matching.
 type proposer struct {
-	ranking []candidate // entries in falling order of weight
-	next    int         // first entry not proposed to
-	missing int         // connections still wanted
+	ranking []candidate // entries by descending weight
+	next    int         // index in ranking of the next entry to propose to
+	wanted  int         // connections still wanted
 }
 
-// matching holds the state of one calculation.
+// matching holds the state of one call of Assign.
 type matching struct {
 	cfg         Config
 	entries     []model.InstanceID
@@ -29,9 +29,9 @@
 	entryHashes []uint64
 	agentHashes []uint64
 	proposers   []proposer
-	accepted    [][]candidate // by entry: agents in falling order of weight
+	accepted    [][]candidate // by entry: agents by descending weight
 	capacities  []int         // by entry
-	pending     []int         // agents that may have to propose
+	pending     []int         // stack of agents that may have proposals to make
 }
 
 func newMatching(cfg Config, entries []model.InstanceID, agents []Agent) *matching {
@@ -56,41 +56,42 @@
 		}
 		slices.SortFunc(ranking, byWeight)
 		wanted := degree(cfg, len(m.entries), len(m.agents), hash)
-		m.proposers = append(m.proposers, proposer{ranking: ranking, missing: wanted})
+		m.proposers = append(m.proposers, proposer{ranking: ranking, wanted: wanted})
 		m.pending = append(m.pending, len(m.pending))
 	}
 	return m
 }
 
-// match runs proposals until each agent has the connections that it wants or
-// has been refused by all entries.
+// match runs proposals until each agent has its wanted connections or has been
+// rejected by all entries.
 func (m *matching) match() {
 	for len(m.pending) > 0 {
 		agent := m.pending[len(m.pending)-1]
 		p := &m.proposers[agent]
-		if p.missing == 0 || p.next == len(p.ranking) {
+		if p.wanted == 0 || p.next == len(p.ranking) {
 			m.pending = m.pending[:len(m.pending)-1]
 			continue
 		}
 		proposal := p.ranking[p.next]
 		p.next++
-		p.missing--
+		p.wanted--
 		entry := proposal.index
 		list := m.accepted[entry]
 		c := candidate{agent, proposal.weight}
 		at, _ := slices.BinarySearchFunc(list, c, byWeight)
 		m.accepted[entry] = slices.Insert(list, at, c)
-		m.shrink(entry)
+		m.trimToCapacity(entry)
 	}
 }
 
-// shrink drops the agents that an entry has over its capacity.
-func (m *matching) shrink(entry int) {
+// trimToCapacity rejects the agents with the lowest weights that exceed the
+// capacity of an entry.
+func (m *matching) trimToCapacity(entry int) {
 	list := m.accepted[entry]
 	for len(list) > m.capacities[entry] {
 		last := list[len(list)-1].index
 		list = list[:len(list)-1]
-		m.proposers[last].missing++
+		m.proposers[last].wanted++
 		m.pending = append(m.pending, last)
 	}
 	m.accepted[entry] = list
--- a/lib/subset/plan.go
+++ b/lib/subset/plan.go
@@ -6,22 +6,23 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Agent is an agent of the failure domain with its pool.
+// Agent is an agent with its pool.
 type Agent struct {
 	ID   model.InstanceID
 	Pool string
 }
 
-// Plan is the set of connections of one failure domain.
+// Plan is the set of connections of one failure domain. It is immutable and
+// safe for concurrent use.
 type Plan struct {
 	byEntry map[model.InstanceID][]model.InstanceID
 }
 
-// Agents returns the agents that an entry connects to, in order of their ids.
-// The caller does not change the slice.
+// Agents returns the agents that an entry connects to, sorted by ID. Callers
+// must not modify the slice.
 func (p Plan) Agents(entry model.InstanceID) []model.InstanceID { return p.byEntry[entry] }
 
-// Connections returns the number of connections of all entries.
+// Connections returns the total number of connections.
 func (p Plan) Connections() int {
 	n := 0
 	for _, agents := range p.byEntry {
@@ -30,8 +31,8 @@
 	return n
 }
 
-// CountMoved counts the connections of p that are not in old, leaving out those of
-// members that old did not have.
+// CountMoved returns the number of connections of p that are not in old,
+// without those of new members.
 func (p Plan) CountMoved(old Plan, isNew func(model.InstanceID) bool) int {
 	moved := 0
 	for entry, agents := range p.byEntry {
--- a/lib/subset/pool_fill.go
+++ b/lib/subset/pool_fill.go
@@ -7,10 +7,10 @@
 	"github.com/auburnbend/auburnbend/lib/rendezvous"
 )
 
-// makeRoom lowers the capacity of full entries that have no agent of some pool,
-// so that fillPools can add one within the bound. Keeping the room at all
-// entries would displace more connections with each change.
-func (m *matching) makeRoom() {
+// reservePoolRoom lowers the capacity of full entries that lack an agent of
+// some pool, so that fillPools can add one within MaxPerEntry. Reserving room
+// at all entries would move more connections with each change.
+func (m *matching) reservePoolRoom() {
 	pools := m.pools()
 	for changed := true; changed; {
 		changed = false
@@ -19,7 +19,7 @@
 			room := max(0, m.cfg.MaxPerEntry-absent)
 			if absent > 0 && len(m.accepted[entry]) > room && m.capacities[entry] == m.cfg.MaxPerEntry {
 				m.capacities[entry] = room
-				m.shrink(entry)
+				m.trimToCapacity(entry)
 				m.match()
 				changed = true
 			}
@@ -33,23 +33,23 @@
 	names := slices.Sorted(maps.Keys(pools))
 	for entry := range m.entries {
 		have := m.poolCounts(entry)
-		// The first agent of each pool goes before the second of any.
+		// Each pool gets its first agent before any pool gets its second.
 		for wanted := 1; wanted <= m.cfg.MinPerPool; wanted++ {
 			for _, name := range names {
 				full := wanted > 1 && len(m.accepted[entry]) >= m.cfg.MaxPerEntry
 				if have[name] >= min(wanted, len(pools[name])) || full {
 					continue
 				}
-				m.accepted[entry] = append(m.accepted[entry], m.preferred(entry, pools[name]))
+				m.accepted[entry] = append(m.accepted[entry], m.bestCandidate(entry, pools[name]))
 				have[name]++
 			}
 		}
 	}
 }
 
-// preferred returns the agent with the highest weight among those that the
-// entry does not have.
-func (m *matching) preferred(entry int, agents []int) candidate {
+// bestCandidate returns the agent with the highest weight among those that the
+// entry is not connected to.
+func (m *matching) bestCandidate(entry int, agents []int) candidate {
 	best := candidate{index: -1}
 	for _, i := range agents {
 		c := candidate{i, rendezvous.Combine(m.agentHashes[i], m.entryHashes[entry])}
@@ -61,7 +61,7 @@
 	return best
 }
 
-// pools returns the agents of each pool.
+// pools returns the indexes of the agents by pool.
 func (m *matching) pools() map[string][]int {
 	pools := make(map[string][]int)
 	for i, a := range m.agents {
@@ -70,7 +70,8 @@
 	return pools
 }
 
-// poolCounts returns how many agents of each pool an entry has.
+// poolCounts returns the number of agents of each pool that an entry is
+// connected to.
 func (m *matching) poolCounts(entry int) map[string]int {
 	have := make(map[string]int)
 	for _, c := range m.accepted[entry] {
--- a/lib/subset/subset.go
+++ b/lib/subset/subset.go
@@ -1,7 +1,8 @@
-// Package subset decides which entries of a failure domain connect to which
-// agents. All functions are pure: every process that sees the same members
-// calculates the same connections, whatever order it learnt them in, and a
-// process that sees one member more or less calculates almost the same.
+// Package subset determines which entries of a failure domain connect to which
+// agents. All functions are pure: processes that see the same members compute
+// the same connections, independent of the order in which they learned of them,
+// and a process that sees one member more or less computes almost the same
+// connections.
 package subset
 
 import (
@@ -13,28 +14,29 @@
 	"github.com/auburnbend/auburnbend/lib/rendezvous"
 )
 
-// Assign calculates the connections of one failure domain.
+// Assign computes the connections of one failure domain.
 //
 // Agents and entries are matched by deferred acceptance (Gale and Shapley,
-// 1962). Both sides prefer by the same rendezvous weights, so the matching is
-// unique and does not depend on the order of the input. A change displaces
-// further connections only where an entry is full. Each entry then adds its
-// preferred agents of any pool of which it has fewer than Config.MinPerPool,
-// as far as the bound allows; one of each pool it gets in any case.
+// 1962). Both sides rank by the same rendezvous weights, so the matching is
+// unique and independent of the input order. A change moves further connections
+// only where an entry is full. Each entry then adds its preferred agents of any
+// pool of which it has fewer than Config.MinPerPool, as far as
+// Config.MaxPerEntry allows; it always gets one agent of each pool.
 //
-// With few agents per entry an agent connects to more entries than the least
-// number, up to all of them, in proportion to the free room.
+// If there are few agents per entry, an agent connects to more than the minimum
+// number of entries, up to all of them, in proportion to the free capacity.
 func Assign(cfg Config, entries []model.InstanceID, agents []Agent) Plan {
 	cfg.applyDefaults()
 	m := newMatching(cfg, entries, agents)
 	m.match()
-	m.makeRoom()
+	m.reservePoolRoom()
 	m.fillPools()
 	return m.plan()
 }
 
 // Spill returns the agents of other failure domains that an entry connects to,
-// at most Config.SpillConnections and evenly over their pools.
+// at most Config.SpillConnections, spread evenly over their pools and sorted by
+// ID.
 func Spill(cfg Config, entry model.InstanceID, others []Agent) []model.InstanceID {
 	cfg.applyDefaults()
 	byPool := make(map[string][]model.InstanceID)
@@ -59,14 +61,15 @@
 	return out
 }
 
-// degree returns how many entries an agent connects to. The fraction is spread
-// over agents by their hash, so that it changes smoothly with the sizes.
+// degree returns the number of entries that an agent connects to. The
+// fractional part is distributed over the agents by hash, so that the total
+// changes smoothly with the number of members.
 func degree(cfg Config, entries, agents int, agentHash uint64) int {
-	least := min(cfg.MinPerAgent, entries)
-	// Half of the bound is used for more than the least number, the rest is
-	// room for growth.
+	minimum := min(cfg.MinPerAgent, entries)
+	// Half of MaxPerEntry is used for connections above the minimum; the rest is
+	// reserved for growth.
 	want := float64(cfg.MaxPerEntry) / 2 * float64(entries) / float64(agents)
-	want = min(max(want, float64(least)), float64(entries))
+	want = min(max(want, float64(minimum)), float64(entries))
 	whole := int(want)
 	const hashRange = float64(math.MaxUint64)
 	if float64(agentHash)/hashRange < want-float64(whole) {
@@ -75,19 +78,19 @@
 	return min(whole, entries)
 }
 
-// capacity returns how many agents an entry accepts. An agent that is refused
-// by all entries has fewer than the least number of connections, so all but at
-// most least-1 entries are full. The bound gives way before that can happen.
+// capacity returns the number of agents that an entry accepts. An agent that is
+// rejected by all entries has fewer connections than the minimum, so all but at
+// most minimum-1 entries are full. The limit is raised before that can happen.
 func capacity(cfg Config, entries, agents int) int {
 	if entries == 0 {
 		return 0
 	}
-	least := min(cfg.MinPerAgent, entries)
-	needed := int(math.Ceil(float64(least*agents) / float64(entries-least+1)))
+	minimum := min(cfg.MinPerAgent, entries)
+	needed := int(math.Ceil(float64(minimum*agents) / float64(entries-minimum+1)))
 	return max(cfg.MaxPerEntry, min(needed, agents))
 }
 
-// byWeight orders candidates by falling weight, then by index.
+// byWeight orders candidates by descending weight, then by index.
 func byWeight(a, b candidate) int {
 	if c := cmp.Compare(b.weight, a.weight); c != 0 {
 		return c
--- a/lib/subset/subset_test.go
+++ b/lib/subset/subset_test.go
@@ -28,8 +28,9 @@
 	return out
 }
 
-// faultOf returns which guarantee a plan breaks, or nothing.
-func faultOf(plan subset.Plan, entries []model.InstanceID, agents []subset.Agent) string {
+// violatedGuarantee describes a guarantee that the plan violates, or returns an
+// empty string.
+func violatedGuarantee(plan subset.Plan, entries []model.InstanceID, agents []subset.Agent) string {
 	reached := make(map[model.InstanceID]int)
 	poolOf := make(map[model.InstanceID]string)
 	pools := make(map[string]bool)
@@ -43,13 +44,13 @@
 		have := make(map[string]bool)
 		for i, a := range got {
 			if i > 0 && got[i-1] == a {
-				return fmt.Sprintf("entry %s has %s twice", e, a)
+				return fmt.Sprintf("entry %s is connected to %s twice", e, a)
 			}
 			reached[a]++
 			have[poolOf[a]] = true
 		}
 		if len(have) != len(pools) {
-			return fmt.Sprintf("entry %s reaches %d of %d pools", e, len(have), len(pools))
+			return fmt.Sprintf("entry %s is connected to %d of %d pools", e, len(have), len(pools))
 		}
 		if feasible && len(got) > subset.DefaultMaxPerEntry {
 			return fmt.Sprintf("entry %s has %d connections", e, len(got))
@@ -57,21 +58,21 @@
 	}
 	for _, a := range agents {
 		if reached[a.ID] < min(3, len(entries)) {
-			return fmt.Sprintf("%d of %d entries reach agent %s", reached[a.ID], len(entries), a.ID)
+			return fmt.Sprintf("%d of %d entries are connected to agent %s", reached[a.ID], len(entries), a.ID)
 		}
 	}
 	return ""
 }
 
 var _ = Describe("Assign", func() {
-	It("connects all to all at small sizes", func() {
+	It("connects all entries to all agents in small deployments", func() {
 		plan := subset.Assign(subset.Config{}, entryIDs(8), agentsOf(30, 3))
 		Expect(plan.Connections()).To(Equal(8 * 30))
 	})
 
-	It("keeps its guarantees for all sizes and any order of the input", func() {
-		// Guards against agents that too few entries reach, entries without a
-		// pool, and processes that disagree on the connections.
+	It("meets its guarantees for all sizes, independent of the input order", func() {
+		// Guards against agents with too few entries, entries without an agent of
+		// some pool, and processes that compute different connections.
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			entries := entryIDs(rapid.IntRange(1, 30).Draw(t, "entries"))
 			pools := rapid.IntRange(1, 4).Draw(t, "pools")
@@ -83,30 +84,30 @@
 			again := subset.Assign(subset.Config{}, entries, agents)
 			for _, e := range entries {
 				if fmt.Sprint(plan.Agents(e)) != fmt.Sprint(again.Agents(e)) {
-					t.Fatalf("entry %s depends on the order of the input", e)
+					t.Fatalf("connections of entry %s depend on the input order", e)
 				}
 			}
-			if fault := faultOf(plan, entries, agents); fault != "" {
-				t.Fatal(fault)
+			if violation := violatedGuarantee(plan, entries, agents); violation != "" {
+				t.Fatal(violation)
 			}
 		})
 	})
 
-	It("keeps its guarantees at the design size with one small pool and lost entries", func() {
-		// A full entry has to give up an agent to reach the small pool.
+	It("meets its guarantees at the design size with a small pool and lost entries", func() {
+		// A full entry has to drop an agent to connect to the small pool.
 		agents := agentsOf(667, 1)
 		for i := range 12 {
 			agents[i*50].Pool = "booking"
 		}
 		for n := 36; n <= 42; n++ {
 			plan := subset.Assign(subset.Config{}, entryIDs(n), agents)
-			Expect(faultOf(plan, entryIDs(n), agents)).To(BeEmpty(), "%d entries", n)
+			Expect(violatedGuarantee(plan, entryIDs(n), agents)).To(BeEmpty(), "%d entries", n)
 		}
 	})
 })
 
 var _ = Describe("Spill", func() {
-	It("is bounded and covers all pools of other domains", func() {
+	It("limits the connections and covers all pools of other domains", func() {
 		got := subset.Spill(subset.Config{}, "entry-1", agentsOf(200, 3))
 		Expect(got).To(HaveLen(subset.DefaultSpillConnections))
 		pools := make(map[string]bool)
@@ -117,6 +118,6 @@
 				}
 			}
 		}
-		Expect(pools).To(HaveLen(2)) // i*i%3 gives two pools
+		Expect(pools).To(HaveLen(2)) // i*i%3 yields two pools
 	})
 })
