--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -14,50 +14,51 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// placer reserves instances; *fleet.Fleet is one.
-type placer interface {
+// reserver reserves instances for requests. *fleet.Fleet implements it.
+type reserver interface {
 	Reserve(w *fleet.Requirements) (*fleet.Slot, error)
-	WithdrawSuspect(finger model.Fingerprint)
+	WithdrawSuspect(fingerprint model.Fingerprint)
 }
 
-// admission holds the queues of an entry, one for each pool. Its mutex is taken
-// before that of the fleet, never the other way round.
+// admission holds the queues of an entry, one per pool. Lock order: its mutex
+// is taken before that of the fleet, never the other way round.
 type admission struct {
-	cfg    admit.Config
-	clock  clock.Clock
-	placer placer
-	// queued wakes run when a request starts to wait.
-	queued chan struct{}
+	cfg      admit.Config
+	clock    clock.Clock
+	reserver reserver
+	// wake tells run that a request was queued.
+	wake chan struct{}
 
-	mu      sync.Mutex
-	queues  map[string]*admit.Queue
-	waiters map[model.RequestID]*waiter
-	tenants []config.Tenant
-	starts  map[string]*admit.StartEstimator
+	mu         sync.Mutex
+	queues     map[string]*admit.Queue
+	waiters    map[model.RequestID]*waiter
+	tenants    []config.Tenant
+	estimators map[string]*admit.StartEstimator
 }
 
-func newAdmission(cfg admit.Config, c clock.Clock, p placer) *admission {
+func newAdmission(cfg admit.Config, c clock.Clock, r reserver) *admission {
 	return &admission{
-		cfg:     cfg,
-		clock:   c,
-		placer:  p,
-		queued:  make(chan struct{}, 1),
-		queues:  make(map[string]*admit.Queue),
-		waiters: make(map[model.RequestID]*waiter),
-		starts:  make(map[string]*admit.StartEstimator),
+		cfg:        cfg,
+		clock:      c,
+		reserver:   r,
+		wake:       make(chan struct{}, 1),
+		queues:     make(map[string]*admit.Queue),
+		waiters:    make(map[model.RequestID]*waiter),
+		estimators: make(map[string]*admit.StartEstimator),
 	}
 }
 
-// run places waiting requests when instances become free, until ctx ends. While
-// requests wait it also looks at every tick, for those that are too late or held
-// back; without any it sleeps, which keeps an idle entry cheap.
+// run places queued requests when instances become available, until ctx ends.
+// While requests are queued it also polls them at every tick, for requests that
+// expire or stop waiting for a better instance. Otherwise the timer is stopped,
+// which keeps an idle entry cheap.
 func (a *admission) run(ctx context.Context, changed <-chan struct{}, tick time.Duration) {
 	timer := time.NewTimer(tick)
 	defer timer.Stop()
 	for {
 		select {
 		case <-changed:
-		case <-a.queued:
+		case <-a.wake:
 		case <-timer.C:
 		case <-ctx.Done():
 			return
@@ -65,7 +66,7 @@
 		a.mu.Lock()
 		waiting := len(a.waiters) > 0
 		if waiting {
-			a.pump()
+			a.placeAll()
 		}
 		a.mu.Unlock()
 		if waiting {
@@ -76,17 +77,17 @@
 	}
 }
 
-// setTenants takes the declared limits of tenants.
+// setTenants applies the configured limits of the tenants to all queues.
 func (a *admission) setTenants(tenants []config.Tenant) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tenants = tenants
 	for _, q := range a.queues {
-		declare(q, tenants)
+		applyTenantLimits(q, tenants)
 	}
 }
 
-func declare(q *admit.Queue, tenants []config.Tenant) {
+func applyTenantLimits(q *admit.Queue, tenants []config.Tenant) {
 	limits := make(map[model.Tenant]admit.TenantLimits, len(tenants))
 	for _, t := range tenants {
 		limits[t.Name] = admit.TenantLimits{Share: t.Share, MaxQueued: t.MaxQueued}
@@ -94,7 +95,8 @@
 	q.SetTenants(limits)
 }
 
-// startBy returns when a request must be dispatched to be in time.
+// startBy returns the latest dispatch time of a request that must meet the
+// first-token target and the deadline.
 func (a *admission) startBy(pool string, arrival time.Time, target time.Duration, deadline time.Time) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,18 +107,18 @@
 	return by
 }
 
-// observeStart takes the time from a dispatch to the first frame.
-func (a *admission) observeStart(pool string, d time.Duration) {
+// observeFirstFrame records the time from a dispatch to its first frame.
+func (a *admission) observeFirstFrame(pool string, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.estimator(pool).Observe(d)
 }
 
 func (a *admission) estimator(pool string) *admit.StartEstimator {
-	e := a.starts[pool]
+	e := a.estimators[pool]
 	if e == nil {
 		e = &admit.StartEstimator{}
-		a.starts[pool] = e
+		a.estimators[pool] = e
 	}
 	return e
 }
@@ -125,73 +127,75 @@
 	q := a.queues[pool]
 	if q == nil {
 		q = admit.New(a.cfg)
-		declare(q, a.tenants)
+		applyTenantLimits(q, a.tenants)
 		a.queues[pool] = q
 	}
 	return q
 }
 
-// wait queues a request until an instance takes it, it is shed, or ctx ends.
-func (a *admission) wait(ctx context.Context, w *waiter, r admit.Request) grant {
-	w.granted = make(chan grant, 1)
+// wait queues a request until an instance is reserved for it, it is refused, or
+// ctx ends.
+func (a *admission) wait(ctx context.Context, w *waiter, r admit.Request) admissionResult {
+	w.result = make(chan admissionResult, 1)
 	a.mu.Lock()
-	if shed, ok := a.queue(w.pool).Enqueue(a.clock.Now(), r); !ok {
+	if refusal, ok := a.queue(w.pool).Enqueue(a.clock.Now(), r); !ok {
 		a.mu.Unlock()
-		return grant{reason: shed.Reason, retryAfter: shed.RetryAfter}
+		return admissionResult{reason: refusal.Reason, retryAfter: refusal.RetryAfter}
 	}
 	a.waiters[w.id] = w
-	a.pumpPool(w.pool)
+	a.placePool(w.pool)
 	a.mu.Unlock()
 	select {
-	case a.queued <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case g := <-w.granted:
-		return g
+	case res := <-w.result:
+		return res
 	case <-ctx.Done():
 		return a.cancel(w)
 	}
 }
 
-// cancel takes a request out of its queue. It may have been placed meanwhile;
-// then the place stands.
-func (a *admission) cancel(w *waiter) grant {
+// cancel removes a request from its queue. If the request was placed in the
+// meantime, cancel returns the reserved slot, which remains valid.
+func (a *admission) cancel(w *waiter) admissionResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	select {
-	case g := <-w.granted:
-		return g
+	case res := <-w.result:
+		return res
 	default:
 	}
 	a.queue(w.pool).Cancel(a.clock.Now(), w.id)
 	delete(a.waiters, w.id)
-	a.placer.WithdrawSuspect(w.requirements.Fingerprint)
-	return grant{reason: outcome.ReasonCanceled}
+	a.reserver.WithdrawSuspect(w.requirements.Fingerprint)
+	return admissionResult{reason: outcome.ReasonCanceled}
 }
 
-// settle corrects the charge of a request that has ended.
-func (a *admission) settle(pool string, tenant model.Tenant, estimated, actual int) {
+// correctCharge replaces the estimated tokens of an ended request by the actual
+// ones.
+func (a *admission) correctCharge(pool string, tenant model.Tenant, estimated, actual int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.queue(pool).CorrectCharge(tenant, estimated, actual)
 }
 
-func (a *admission) pump() {
+func (a *admission) placeAll() {
 	for pool := range a.queues {
-		a.pumpPool(pool)
+		a.placePool(pool)
 	}
 }
 
-// pumpPool answers requests that are too late and places others while any
-// instance takes one. The caller holds the mutex.
-func (a *admission) pumpPool(pool string) {
+// placePool refuses expired requests and places others until no instance
+// accepts one. The caller must hold a.mu.
+func (a *admission) placePool(pool string) {
 	q := a.queue(pool)
 	now := a.clock.Now()
-	for _, shed := range q.Expire(now) {
-		if w := a.waiters[shed.Request.ID]; w != nil {
-			a.placer.WithdrawSuspect(w.requirements.Fingerprint)
-			a.grant(w, grant{reason: shed.Reason, retryAfter: shed.RetryAfter})
+	for _, refusal := range q.Expire(now) {
+		if w := a.waiters[refusal.Request.ID]; w != nil {
+			a.reserver.WithdrawSuspect(w.requirements.Fingerprint)
+			a.resolve(w, admissionResult{reason: refusal.Reason, retryAfter: refusal.RetryAfter})
 		}
 	}
 	for {
@@ -201,19 +205,19 @@
 	}
 }
 
-// place tries to start one request.
+// place tries to reserve an instance for a request. The caller must hold a.mu.
 func (a *admission) place(r admit.Request) admit.Placement {
 	w := a.waiters[r.ID]
 	if w == nil {
 		return admit.Placed
 	}
 	w.requirements.OfferedAt = r.OfferedAt
-	slot, err := a.placer.Reserve(&w.requirements)
+	slot, err := a.reserver.Reserve(&w.requirements)
 	switch {
 	case err == nil:
-		a.grant(w, grant{slot: slot})
+		a.resolve(w, admissionResult{slot: slot})
 	case errors.Is(err, fleet.ErrQuarantined):
-		a.grant(w, grant{reason: outcome.ReasonQuarantined})
+		a.resolve(w, admissionResult{reason: outcome.ReasonQuarantined})
 	case errors.Is(err, fleet.ErrShouldWait):
 		return admit.Deferred
 	default:
@@ -222,7 +226,7 @@
 	return admit.Placed
 }
 
-func (a *admission) grant(w *waiter, g grant) {
+func (a *admission) resolve(w *waiter, res admissionResult) {
 	delete(a.waiters, w.id)
-	w.granted <- g
+	w.result <- res
 }
--- a/entry/dispatch/claims.go
+++ b/entry/dispatch/claims.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// resultPatience bounds the wait for the result of a request with the same
-	// key, firstResultPause is the time to the first look.
-	resultPatience   = 4 * time.Second
-	firstResultPause = 100 * time.Millisecond
-	sweepInterval    = time.Second
-	// pruneLimit is the number of rows that are looked at in one prune.
+	// resultWaitTimeout limits the wait for the result of another request with
+	// the same key. firstResultPoll is the time to the first lookup.
+	resultWaitTimeout    = 4 * time.Second
+	firstResultPoll      = 100 * time.Millisecond
+	retryPendingInterval = time.Second
+	// pruneLimit is the number of rows that one prune scans.
 	pruneLimit = 200
-	// sweepLimit bounds the claim updates that are tried again at one time.
-	sweepLimit = 32
+	// retryPendingLimit is the maximum number of claim updates retried at once.
+	retryPendingLimit = 32
 )
 
-// claim takes the key of a non-repeatable request. It returns false when the
-// request has its final answer.
+// claim acquires the key of a non-repeatable request. It returns false if the
+// request already has its final answer.
 func (r *run) claim(ctx context.Context) bool {
 	if r.request.Service.Repeatable || r.request.IdempotencyKey == "" {
 		return true
@@ -36,65 +36,66 @@
 		Tenant:         r.request.Tenant.Name,
 		IdempotencyKey: r.request.IdempotencyKey,
 	}
-	answer := r.awaitResult(ctx, r.tryClaim(ctx))
-	switch answer.Status {
+	decision := r.awaitResult(ctx, r.tryClaim(ctx))
+	switch decision.Status {
 	case claim.StatusHeld:
 		r.claimed = true
 		return true
 	case claim.StatusEarlierResult:
-		r.replay(answer.Result)
+		r.sendStoredResult(decision.Result)
 		return false
 	case claim.StatusNoResult:
 		d.cfg.Log.Log(eventlog.ClaimWithoutResult, "service", r.key.Service, "tenant", r.key.Tenant)
 	}
-	d.end(r.request, r.answer, caller.Result{
-		Outcome:    answer.Outcome,
-		Reason:     answer.Reason,
-		RetryAfter: answer.RetryAfter,
-		ClaimProof: claim.FormatProofs(answer.Proofs),
+	d.endResponse(r.request, r.response, caller.Result{
+		Outcome:    decision.Outcome,
+		Reason:     decision.Reason,
+		RetryAfter: decision.RetryAfter,
+		ClaimProof: claim.FormatProofs(decision.Proofs),
 	})
 	return false
 }
 
 func (r *run) tryClaim(ctx context.Context) claim.Decision {
 	d := r.dispatcher
-	// After its deadline the caller has no use for the claim.
+	// The caller has no use for the claim after its deadline.
 	ctx, cancel := context.WithTimeout(ctx, min(d.cfg.ClaimTimeout, r.request.Deadline.Sub(d.cfg.Clock.Now())))
 	defer cancel()
 	return d.cfg.Ledger.Claim(ctx, d.cfg.Clock.Now(), r.key, claim.Intent{
 		Attempt:     r.claimID,
-		Fingerprint: r.finger,
+		Fingerprint: r.fingerprint,
 		Proofs:      claim.ParseProofs(r.request.ClaimProof),
 	})
 }
 
-// awaitResult waits a while for the result of another request with the same key
-// that may be running: a caller that sends again after a lost connection gets
-// the answer of its first call. The pauses double, so that a claim without a
-// result costs few reads of the store.
-func (r *run) awaitResult(ctx context.Context, answer claim.Decision) claim.Decision {
+// awaitResult waits for the result of another request with the same key that
+// may be running, so that a caller that sends again after a lost connection
+// gets the answer of its first call. The intervals between lookups double, so
+// that a claim without a result costs few reads of the store.
+func (r *run) awaitResult(ctx context.Context, decision claim.Decision) claim.Decision {
 	d := r.dispatcher
-	ctx, cancel := context.WithTimeout(ctx, min(resultPatience, r.request.Deadline.Sub(d.cfg.Clock.Now())))
+	ctx, cancel := context.WithTimeout(ctx, min(resultWaitTimeout, r.request.Deadline.Sub(d.cfg.Clock.Now())))
 	defer cancel()
-	for pause := firstResultPause; answer.Status == claim.StatusNoResult; pause *= 2 {
+	for interval := firstResultPoll; decision.Status == claim.StatusNoResult; interval *= 2 {
 		select {
-		case <-time.After(pause):
+		case <-time.After(interval):
 		case <-ctx.Done():
-			return answer
+			return decision
 		}
-		switch found := d.cfg.Ledger.Lookup(ctx, d.cfg.Clock.Now(), r.key); found.Status {
+		switch latest := d.cfg.Ledger.Lookup(ctx, d.cfg.Clock.Now(), r.key); latest.Status {
 		case claim.StatusEarlierResult:
-			return found
+			return latest
 		case claim.StatusNotRun:
-			// The other request was proved not run and has released the key.
-			answer = r.tryClaim(ctx)
+			// The other request was proved not run and released the key.
+			decision = r.tryClaim(ctx)
 		}
 	}
-	return answer
+	return decision
 }
 
-// replay gives the stored answer of the run under the same key.
-func (r *run) replay(stored *claim.Result) {
+// sendStoredResult answers with the stored result of the earlier run with the
+// same key.
+func (r *run) sendStoredResult(stored *claim.Result) {
 	result := caller.Result{
 		Outcome:     stored.Outcome,
 		Reason:      stored.Reason,
@@ -102,15 +103,16 @@
 		ContentType: stored.ContentType,
 	}
 	if stored.BodyOmitted {
-		result.Detail = "the request ran; its answer was too large to be stored"
-	} else if r.answer.Write(stored.Body) != nil {
+		result.Detail = "the request was run earlier with this idempotency key, but its answer was too large to be stored"
+	} else if r.response.Write(stored.Body) != nil {
 		return
 	}
-	r.dispatcher.end(r.request, r.answer, result)
+	r.dispatcher.endResponse(r.request, r.response, result)
 }
 
-// recordClaim stores what became of a claimed request. It returns a proof for the
-// caller when the request was not run and its key may still look taken.
+// recordClaim stores the result of a claimed request, or releases its key if it
+// was not run. If the release is not confirmed, it returns a proof with which
+// the caller can use the key again.
 func (r *run) recordClaim(o outcome.Outcome, reason outcome.Reason, status int, contentType string) (proof string) {
 	if !r.claimed || o == outcome.Unknown {
 		return ""
@@ -137,10 +139,10 @@
 	return ""
 }
 
-// sweepClaims tries unconfirmed claim updates again, and deletes claims that are
-// older than the retention, until ctx ends.
-func (d *Dispatcher) sweepClaims(ctx context.Context) {
-	ticker := time.NewTicker(sweepInterval)
+// maintainClaims retries unconfirmed claim updates and deletes claims older
+// than the retention, until ctx ends.
+func (d *Dispatcher) maintainClaims(ctx context.Context) {
+	ticker := time.NewTicker(retryPendingInterval)
 	defer ticker.Stop()
 	prune := time.NewTicker(d.cfg.PruneInterval)
 	defer prune.Stop()
@@ -148,7 +150,7 @@
 	for {
 		select {
 		case <-prune.C:
-			// A page that fails is read again next time.
+			// A failed page is read again next time.
 			if next, _, err := d.cfg.Ledger.Prune(ctx, d.cfg.Clock.Now(), page, pruneLimit); err == nil {
 				page = next
 			}
@@ -157,7 +159,7 @@
 			return
 		}
 		if d.cfg.Ledger.Pending() > 0 {
-			d.cfg.Ledger.RetryPending(ctx, sweepLimit)
+			d.cfg.Ledger.RetryPending(ctx, retryPendingLimit)
 		}
 	}
 }
--- a/entry/dispatch/config.go
+++ b/entry/dispatch/config.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// defaultReattachWait bounds the wait for a new connection to an agent: with
-	// 3 s for the detection of a silent one it leaves room in the 5 s within
-	// which the first success is due.
-	defaultReattachWait = 1500 * time.Millisecond
-	// defaultFirstToken is the target of classes that declare none.
+	// defaultReattachTimeout limits the wait for a new connection to an agent.
+	// Together with the 3 s after which a silent connection is detected, it stays
+	// within the 5 s in which the first success is due.
+	defaultReattachTimeout = 1500 * time.Millisecond
+	// defaultFirstToken is the first-token target of classes that declare none.
 	defaultFirstToken = 1400 * time.Millisecond
-	// defaultClaimTimeout bounds one call of the table service for a claim.
+	// defaultClaimTimeout limits the calls of the table service for one claim
+	// operation.
 	defaultClaimTimeout = 2 * time.Second
-	// defaultPruneInterval spends one read a second over 600 entries.
+	// defaultPruneInterval results in one read per second for 600 entries.
 	defaultPruneInterval = 10 * time.Minute
-	// defaultTick is the time between two looks at queues without an event.
-	defaultTick = 20 * time.Millisecond
+	// defaultQueuePollInterval is the time between two polls of the queues
+	// without an event.
+	defaultQueuePollInterval = 20 * time.Millisecond
 )
 
-// Config sets up a Dispatcher.
+// Config configures a Dispatcher. Zero durations take their defaults.
 type Config struct {
 	Clock   clock.Clock
 	Log     *eventlog.Logger
@@ -39,18 +41,18 @@
 	Attempt attempt.Config
 	Budget  attempt.BudgetConfig
 	Queue   admit.Config
-	// ReattachTimeout bounds the wait for a new connection to an agent.
+	// ReattachTimeout limits the wait for a new connection to an agent.
 	ReattachTimeout time.Duration
 	ClaimTimeout    time.Duration
-	// PruneInterval is the time between two pages of claims that are looked at
-	// for pruning.
+	// PruneInterval is the time between two scans for expired claims, one page
+	// each.
 	PruneInterval     time.Duration
 	QueuePollInterval time.Duration
 }
 
 func (c Config) applyDefaults() Config {
 	if c.ReattachTimeout == 0 {
-		c.ReattachTimeout = defaultReattachWait
+		c.ReattachTimeout = defaultReattachTimeout
 	}
 	if c.ClaimTimeout == 0 {
 		c.ClaimTimeout = defaultClaimTimeout
@@ -59,7 +61,7 @@
 		c.PruneInterval = defaultPruneInterval
 	}
 	if c.QueuePollInterval == 0 {
-		c.QueuePollInterval = defaultTick
+		c.QueuePollInterval = defaultQueuePollInterval
 	}
 	return c
 }
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -14,31 +14,31 @@
 	"github.com/auburnbend/auburnbend/standin/fault"
 )
 
-var _ = Describe("A dispatcher", func() {
-	var w *world
+var _ = Describe("Dispatcher", func() {
+	var h *harness
 
-	BeforeEach(func() { w = newWorld() })
+	BeforeEach(func() { h = newHarness() })
 
-	Describe("with a key", func() {
+	Describe("with an idempotency key", func() {
 		var a *agenttest.Agent
 
-		BeforeEach(func() { a = w.agent("runner-a") })
+		BeforeEach(func() { a = h.agent("runner-a") })
 
-		// Guards against a second run of an order that was answered.
-		It("runs the holder and repeats its result", func() {
-			first := w.send("k", "plate")
+		// Guards against a second run of an order that was already answered.
+		It("runs the first request and returns its result to later ones", func() {
+			first := h.send("k", "plate")
 			answer(started(a), "engraved")
 			expectBody(first, "engraved")
-			expectBody(w.send("k", "plate"), "engraved")
+			expectBody(h.send("k", "plate"), "engraved")
 			Expect(a.Starts).To(BeEmpty())
 		})
 
-		// Guards against a caller that lost its connection and gets no result
-		// though one comes.
-		It("waits for the result of the same request that runs", func() {
-			first := w.send("k", "plate")
+		// Guards against a caller that repeats a request after a lost connection
+		// and gets no result although one arrives.
+		It("waits for the result of a running request with the same key", func() {
+			first := h.send("k", "plate")
 			run := started(a)
-			second := w.send("k", "plate")
+			second := h.send("k", "plate")
 			Consistently(second.ended).WithTimeout(300 * time.Millisecond).ShouldNot(Receive())
 			answer(run, "engraved")
 			expectBody(first, "engraved")
@@ -46,11 +46,11 @@
 			Expect(a.Starts).To(BeEmpty())
 		})
 
-		// Guards against a key that stays blocked by a request that did not run.
-		It("claims a key that was released meanwhile", func() {
-			first := w.send("k", "plate")
+		// Guards against a key that stays blocked by a request that was not run.
+		It("claims the key if the first request releases it", func() {
+			first := h.send("k", "plate")
 			run := started(a)
-			second := w.send("k", "plate")
+			second := h.send("k", "plate")
 			refuse(run, outcome.ReasonDeadline)
 			expectResult(first, outcome.NotRun, outcome.ReasonDeadline)
 			answer(started(a), "engraved")
@@ -58,9 +58,9 @@
 		})
 
 		// Guards against an order that runs without a claim.
-		It("runs nothing while the store is down", func() {
-			w.table.Faults.Set(fault.Faults{Down: true})
-			c := w.send("k", "plate")
+		It("does not run requests while the store is down", func() {
+			h.table.Faults.Set(fault.Faults{Down: true})
+			c := h.send("k", "plate")
 			r := c.result()
 			Expect(r.Outcome).To(Equal(outcome.NotRun))
 			Expect(r.Reason).To(Equal(outcome.ReasonStoreUnavailable))
@@ -68,71 +68,72 @@
 			Expect(a.Starts).To(BeEmpty())
 		})
 
-		// Guards against a final answer that waits for a store which hangs.
-		It("answers at the deadline while the store hangs", func() {
-			w.table.Faults.Set(fault.Faults{Stall: true})
-			c := w.send("k", "plate", within(200*time.Millisecond))
+		// Guards against a final answer that is delayed by a store that does not
+		// respond.
+		It("answers at the deadline if the store does not respond", func() {
+			h.table.Faults.Set(fault.Faults{Stall: true})
+			c := h.send("k", "plate", within(200*time.Millisecond))
 			Eventually(c.ended).WithTimeout(time.Second).Should(Receive(HaveField("Outcome", outcome.NotRun)))
 			Expect(a.Starts).To(BeEmpty())
 		})
 
-		// Guards against an answer to another request than the caller's.
-		It("refuses a key that belongs to other content", func() {
-			first := w.send("k", "plate")
+		// Guards against returning the answer of a different request.
+		It("refuses a key that was used with different content", func() {
+			first := h.send("k", "plate")
 			answer(started(a), "engraved")
 			expectBody(first, "engraved")
-			expectResult(w.send("k", "goblet"), outcome.NotRun, outcome.ReasonInvalid)
+			expectResult(h.send("k", "goblet"), outcome.NotRun, outcome.ReasonInvalid)
 			Expect(a.Starts).To(BeEmpty())
 		})
 
-		// Guards against a claim that stays without a result because its caller
-		// did not wait.
-		It("completes the claim after the caller has gone", func() {
-			first := w.send("k", "plate")
+		// Guards against a claim that never gets its result because the caller did
+		// not wait.
+		It("completes the claim after the caller has disconnected", func() {
+			first := h.send("k", "plate")
 			run := started(a)
-			first.leave()
+			first.disconnect()
 			expectResult(first, outcome.Unknown, outcome.ReasonCanceled)
 			answer(run, "engraved")
-			expectBody(w.send("k", "plate"), "engraved")
+			expectBody(h.send("k", "plate"), "engraved")
 			Expect(a.Starts).To(BeEmpty())
 		})
 
 		// Guards against an entry that exits while a claim waits for its result.
-		It("drains only when attempts of callers that have gone are settled", func() {
-			first := w.send("k", "plate")
+		It("waits in Drain for attempts of callers that have disconnected", func() {
+			first := h.send("k", "plate")
 			run := started(a)
-			first.leave()
+			first.disconnect()
 			expectResult(first, outcome.Unknown, outcome.ReasonCanceled)
 			drained := make(chan error, 1)
-			go func() { drained <- w.dispatcher.Drain(context.Background()) }()
+			go func() { drained <- h.dispatcher.Drain(context.Background()) }()
 			Consistently(drained).WithTimeout(100 * time.Millisecond).ShouldNot(Receive())
 			answer(run, "engraved")
-			Eventually(drained).WithTimeout(patience).Should(Receive(BeNil()))
+			Eventually(drained).WithTimeout(testTimeout).Should(Receive(BeNil()))
 		})
 
-		// Guards against a result that is lost when the caller goes while the
+		// Guards against losing a result if the caller disconnects while the
 		// connection to the agent is down.
-		It("completes the claim over a new connection after the caller has gone", func() {
-			first := w.send("k", "plate")
+		It("completes the claim over a new connection after the caller has disconnected", func() {
+			first := h.send("k", "plate")
 			run := started(a)
 			address := a.Identity().Address
 			a.Stop()
-			Eventually(w.fleet.UsableAgents).WithTimeout(patience).Should(BeZero())
-			first.leave()
+			Eventually(h.fleet.UsableAgents).WithTimeout(testTimeout).Should(BeZero())
+			first.disconnect()
 			expectResult(first, outcome.Unknown, outcome.ReasonCanceled)
 			Expect(a.Listen(address)).To(Succeed())
 			again := reattached(a, run)
 			answer(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
-			expectBody(w.send("k", "plate"), "engraved")
+			expectBody(h.send("k", "plate"), "engraved")
 			Expect(a.Starts).To(BeEmpty())
 		})
 	})
 
-	// Guards against a result that is lost because the agent was away for longer
-	// than a caller waits.
-	It("completes the claim after the caller was told that the connection is lost", func() {
-		a := w.agent("runner-a")
-		first := w.send("k", "plate")
+	// Guards against losing a result because the agent was unreachable for longer
+	// than the caller waits.
+	It("completes the claim after the caller was answered with connection_lost", func() {
+		a := h.agent("runner-a")
+		first := h.send("k", "plate")
 		run := started(a)
 		address := a.Identity().Address
 		a.Stop()
@@ -140,23 +141,23 @@
 		Expect(a.Listen(address)).To(Succeed())
 		again := reattached(a, run)
 		answer(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
-		expectBody(w.send("k", "plate"), "engraved")
+		expectBody(h.send("k", "plate"), "engraved")
 		Expect(a.Starts).To(BeEmpty())
 	})
 
-	// Guards against a request that waits in the queue past its deadline, and
-	// against one that is called unknown though it never left.
-	It("answers not run at the deadline of a queued request", func() {
-		c := w.send("", "plate", within(200*time.Millisecond))
+	// Guards against a request that is queued past its deadline, and against the
+	// outcome unknown for a request that was never sent.
+	It("answers not_run at the deadline of a queued request", func() {
+		c := h.send("", "plate", within(200*time.Millisecond))
 		sent := time.Now()
 		expectResult(c, outcome.NotRun, outcome.ReasonDeadline)
 		Expect(time.Since(sent)).To(BeNumerically("<", time.Second))
 	})
 
-	// Guards against a retry that meets the fault of its first attempt again.
+	// Guards against a retry on the instance where the first attempt failed.
 	It("sends a retry to another instance", func() {
-		agents := map[model.InstanceID]*agenttest.Agent{"runner-a": w.agent("runner-a"), "runner-b": w.agent("runner-b")}
-		c := w.send("", "plate")
+		agents := map[model.InstanceID]*agenttest.Agent{"runner-a": h.agent("runner-a"), "runner-b": h.agent("runner-b")}
+		c := h.send("", "plate")
 		first, second := agents["runner-a"], agents["runner-b"]
 		var run agenttest.Received
 		select {
@@ -170,17 +171,18 @@
 		Expect(first.Starts).To(BeEmpty())
 	})
 
-	// Guards against a request that reaches backend servers after it crashed two.
+	// Guards against sending a request to backend servers after it has crashed
+	// two of them.
 	It("refuses a quarantined request without sending it", func() {
-		a, b := w.agent("runner-a"), w.agent("runner-b")
+		a, b := h.agent("runner-a"), h.agent("runner-b")
 		f := model.FingerprintOf("desk", "order", []byte("poison"))
 		for _, one := range []*agenttest.Agent{a, b} {
 			one.Broadcast(&wire.CrashReport{Incarnation: 1, InFlight: []model.Fingerprint{f}})
 			one.SetLoad(wire.Load{Queued: 7})
-			Eventually(w.fleet.Members).WithTimeout(patience).Should(ContainElement(SatisfyAll(
+			Eventually(h.fleet.Members).WithTimeout(testTimeout).Should(ContainElement(SatisfyAll(
 				HaveField("Identity.Instance", one.Identity().Instance), HaveField("Heartbeat.Load.Queued", 7))))
 		}
-		expectResult(w.send("", "poison"), outcome.NotRun, outcome.ReasonQuarantined)
+		expectResult(h.send("", "poison"), outcome.NotRun, outcome.ReasonQuarantined)
 		Expect(a.Starts).To(BeEmpty())
 		Expect(b.Starts).To(BeEmpty())
 	})
--- a/entry/dispatch/dispatcher.go
+++ b/entry/dispatch/dispatcher.go
@@ -1,6 +1,6 @@
 // Package dispatch runs callers' requests at an entry: it queues them, claims
-// keys of non-repeatable ones, sends attempts to agents, and gives each caller
-// one final answer that is true.
+// the keys of non-repeatable requests, sends attempts to agents, and gives each
+// caller exactly one final answer.
 package dispatch
 
 import (
@@ -19,14 +19,14 @@
 	cfg       Config
 	admission *admission
 	budget    *attempt.Budget
-	// settling holds requests whose callers have their answers while an attempt
-	// may still run.
-	settling atomic.Int64
+	// outcomePending counts the requests whose callers have their final answer
+	// while an attempt may still be running.
+	outcomePending atomic.Int64
 }
 
 var _ caller.Handler = (*Dispatcher)(nil)
 
-// New returns a dispatcher; Run starts its queues.
+// New returns a Dispatcher. Run processes its queues.
 func New(cfg Config) *Dispatcher {
 	cfg = cfg.applyDefaults()
 	return &Dispatcher{
@@ -36,21 +36,22 @@
 	}
 }
 
-// Run works on queues and unconfirmed claims until ctx ends.
+// Run processes the queues and unconfirmed claims until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	go d.sweepClaims(ctx)
+	go d.maintainClaims(ctx)
 	d.admission.run(ctx, d.cfg.Fleet.CapacityChanged(), d.cfg.QueuePollInterval)
 }
 
-// drainPoll is the time between two looks at what a drain waits for.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is the time between two checks of Drain.
+const drainPollInterval = 50 * time.Millisecond
 
-// Drain waits until no attempt runs whose fate a claim needs, and until the store
-// has taken all claim updates. It returns an error when ctx ends first.
+// Drain waits until no attempt is running whose outcome a claim needs and until
+// the store has confirmed all claim updates. It returns the error of ctx if ctx
+// ends first.
 func (d *Dispatcher) Drain(ctx context.Context) error {
-	for d.settling.Load() > 0 || d.cfg.Ledger.Pending() > 0 {
+	for d.outcomePending.Load() > 0 || d.cfg.Ledger.Pending() > 0 {
 		select {
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// ApplyConfig takes a configuration that has come in force.
+// ApplyConfig applies a configuration that has come into force.
 func (d *Dispatcher) ApplyConfig(c *config.Config) {
 	d.admission.setTenants(c.Tenants)
 	if c.Deployment.ClaimRetention > 0 {
@@ -69,9 +70,9 @@
 	}
 }
 
-// Handle runs one request to its final answer.
-func (d *Dispatcher) Handle(ctx context.Context, r *caller.Request, a caller.ResponseWriter) {
-	run := newRun(d, r, a)
+// Handle runs one request until its final answer is sent.
+func (d *Dispatcher) Handle(ctx context.Context, r *caller.Request, w caller.ResponseWriter) {
+	run := newRun(d, r, w)
 	if !run.claim(ctx) {
 		return
 	}
@@ -80,12 +81,12 @@
 	run.serve(ctx)
 }
 
-func (d *Dispatcher) end(r *caller.Request, a caller.ResponseWriter, result caller.Result) {
+func (d *Dispatcher) endResponse(r *caller.Request, w caller.ResponseWriter, result caller.Result) {
 	d.cfg.Metrics.ObserveTotal(r.Tenant.Name, r.Class.Name, d.cfg.Clock.Now().Sub(r.Received), result.Outcome, result.Reason)
-	a.End(result)
+	w.End(result)
 }
 
-// firstTokenTarget returns the declared target of a class.
+// firstTokenTarget returns the first-token target of a class.
 func firstTokenTarget(c config.Class) time.Duration {
 	if c.FirstToken > 0 {
 		return c.FirstToken
@@ -93,9 +94,9 @@
 	return defaultFirstToken
 }
 
-// routesOf returns the weights that may serve a request; it is empty when the
-// configuration declares none.
-func routesOf(c *config.Config, s config.Service) []model.Weights {
+// servingWeights returns the weights that may serve a request. It is empty if
+// the configuration declares none for the service.
+func servingWeights(c *config.Config, s config.Service) []model.Weights {
 	if s.Kind == config.KindPlain {
 		return []model.Weights{{}}
 	}
--- a/entry/dispatch/metrics.go
+++ b/entry/dispatch/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Metrics takes the measurements of requests. Implementations are safe for
-// concurrent use and do not block.
+// Metrics records measurements of requests. Implementations must be safe for
+// concurrent use and must not block.
 type Metrics interface {
 	ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration)
 	ObserveFirstToken(tenant model.Tenant, class model.Class, d time.Duration)
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -22,58 +22,58 @@
 )
 
 const (
-	// settleTimeout bounds the wait for the fate of an attempt whose caller has
-	// its final answer.
-	settleTimeout = 10 * time.Minute
-	// bytesPerToken estimates the tokens of a prompt from its length.
+	// followTimeout limits the wait for the outcome of an attempt after the
+	// caller got its final answer.
+	followTimeout = 10 * time.Minute
+	// bytesPerToken is used to estimate the tokens of a prompt from its length.
 	bytesPerToken = 4
 	// defaultAnswerTokens is the assumed length of an answer.
 	defaultAnswerTokens = 64
 )
 
-// run is the life of one request. It belongs to one goroutine at a time.
+// run holds the state of one request. It is used by one goroutine at a time.
 type run struct {
-	dispatcher *Dispatcher
-	request    *caller.Request
-	answer     caller.ResponseWriter
-	machine    *attempt.Machine
-	finger     model.Fingerprint
-	claimID    model.AttemptID
-	key        claim.Key
-	claimed    bool
-	// body collects the answer of a claimed request for callers that ask again.
+	dispatcher  *Dispatcher
+	request     *caller.Request
+	response    caller.ResponseWriter
+	machine     *attempt.Machine
+	fingerprint model.Fingerprint
+	claimID     model.AttemptID
+	key         claim.Key
+	claimed     bool
+	// body collects the answer of a claimed request, to be stored with the claim.
 	body []byte
 
 	slot    *fleet.Slot
 	inbox   *link.Inbox
 	attempt model.AttemptID
-	// result and fate say how the current attempt ended.
-	result route.Result
-	fate   outcome.Outcome
-	end    *wire.ResponseEnd
-
-	timing   timing
-	unacked  int
-	unackedB int
-	tokens   int
-	answered bool
-	settling bool
+	// routeResult and attemptOutcome describe the end of the current attempt.
+	routeResult    route.Result
+	attemptOutcome outcome.Outcome
+	responseEnd    *wire.ResponseEnd
+
+	timing         timing
+	unackedFrames  int
+	unackedBytes   int
+	tokens         int
+	responded      bool
+	outcomePending bool
 }
 
-func newRun(d *Dispatcher, r *caller.Request, a caller.ResponseWriter) *run {
+func newRun(d *Dispatcher, r *caller.Request, w caller.ResponseWriter) *run {
 	return &run{
-		dispatcher: d,
-		request:    r,
-		answer:     a,
-		finger:     model.FingerprintOf(r.Tenant.Name, r.Service.Name, r.Body),
-		claimID:    model.AttemptID(uuid.NewString()),
-		tokens:     len(r.Body)/bytesPerToken + defaultAnswerTokens,
+		dispatcher:  d,
+		request:     r,
+		response:    w,
+		fingerprint: model.FingerprintOf(r.Tenant.Name, r.Service.Name, r.Body),
+		claimID:     model.AttemptID(uuid.NewString()),
+		tokens:      len(r.Body)/bytesPerToken + defaultAnswerTokens,
 		machine: attempt.New(d.cfg.Attempt, attempt.Request{
 			ID:         r.ID,
 			Tenant:     r.Tenant.Name,
 			Deadline:   r.Deadline,
 			Repeatable: r.Service.Repeatable,
-			Buffered:   a.Buffered(),
+			Buffered:   w.Buffered(),
 		}, d.budget),
 	}
 }
@@ -82,41 +82,41 @@
 
 // serve runs the request until the caller has its final answer. An attempt that
 // may still be running is followed to its end in the background, because its
-// fate decides what a claim says.
+// outcome determines what becomes of the claim.
 func (r *run) serve(ctx context.Context) {
 	step := r.machine.Queued(r.now())
 	for {
-		step = r.act(ctx, step)
-		if r.answered {
+		step = r.execute(ctx, step)
+		if r.responded {
 			break
 		}
 	}
-	if r.settling {
-		r.dispatcher.settling.Add(1)
+	if r.outcomePending {
+		r.dispatcher.outcomePending.Add(1)
 		go func() {
-			defer r.dispatcher.settling.Add(-1)
-			r.settle()
+			defer r.dispatcher.outcomePending.Add(-1)
+			r.followAttempt()
 		}()
 		return
 	}
 	r.release()
 }
 
-// settle follows an attempt after the final answer.
-func (r *run) settle() {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
+// followAttempt follows an attempt after the final answer.
+func (r *run) followAttempt() {
+	ctx, cancel := context.WithTimeout(context.Background(), followTimeout)
 	defer cancel()
 	step := attempt.Step{}
-	for r.settling && ctx.Err() == nil {
-		step = r.act(ctx, step)
+	for r.outcomePending && ctx.Err() == nil {
+		step = r.execute(ctx, step)
 	}
 	r.release()
 }
 
-// act carries out one step and returns the next one.
-func (r *run) act(ctx context.Context, step attempt.Step) attempt.Step {
+// execute carries out a step and returns the next one.
+func (r *run) execute(ctx context.Context, step attempt.Step) attempt.Step {
 	if step.Discard {
-		r.answer.Reset()
+		r.response.Reset()
 		r.body = nil
 	}
 	if step.Cancel != "" && r.slot != nil {
@@ -131,11 +131,11 @@
 		r.finish(step)
 		return attempt.Step{}
 	case attempt.ActionRecord:
-		r.settling = false
+		r.outcomePending = false
 		r.recordClaim(step.Outcome, step.Reason, step.Status, step.ContentType)
 		return attempt.Step{}
 	default:
-		return r.await(ctx)
+		return r.awaitEvent(ctx)
 	}
 }
 
@@ -145,8 +145,8 @@
 	d := r.dispatcher
 	requirements := fleet.Requirements{
 		Pool:        r.request.Service.Pool,
-		Weights:     routesOf(d.cfg.Current(), r.request.Service),
-		Fingerprint: r.finger,
+		Weights:     servingWeights(d.cfg.Current(), r.request.Service),
+		Fingerprint: r.fingerprint,
 		Avoid:       r.machine.TriedInstances(),
 	}
 	if step.Pinned {
@@ -156,21 +156,22 @@
 		requirements.Prefix = engine.PrefixOf(r.request.Body)
 	}
 	queued := r.now()
-	// Callers choose request ids, so the queue needs one of its own.
+	// Request IDs are chosen by callers and may repeat; the queue needs unique
+	// ones.
 	offer := r.admitRequest(model.RequestID(uuid.NewString()))
-	g := d.admission.wait(ctx, &waiter{id: offer.ID, pool: requirements.Pool, requirements: requirements}, offer)
+	res := d.admission.wait(ctx, &waiter{id: offer.ID, pool: requirements.Pool, requirements: requirements}, offer)
 	d.cfg.Metrics.ObserveQueueTime(r.request.Tenant.Name, r.request.Class.Name, r.now().Sub(queued))
-	if g.slot == nil {
-		return r.refused(ctx, g)
+	if res.slot == nil {
+		return r.notAdmitted(ctx, res)
 	}
-	r.slot = g.slot
+	r.slot = res.slot
 	return r.send()
 }
 
-func (r *run) refused(ctx context.Context, g grant) attempt.Step {
+func (r *run) notAdmitted(ctx context.Context, res admissionResult) attempt.Step {
 	switch {
-	case g.reason != outcome.ReasonCanceled:
-		return r.machine.NotAdmitted(r.now(), g.reason, g.retryAfter)
+	case res.reason != outcome.ReasonCanceled:
+		return r.machine.NotAdmitted(r.now(), res.reason, res.retryAfter)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return r.machine.DeadlinePassed(r.now())
 	default:
@@ -194,7 +195,7 @@
 	}
 }
 
-// send hands the request to the agent of the reserved place.
+// send sends the request to the agent of the reserved slot.
 func (r *run) send() attempt.Step {
 	r.attempt = r.claimID
 	if len(r.machine.TriedInstances()) > 0 || r.machine.Attempt() != "" {
@@ -202,8 +203,8 @@
 	}
 	now := r.now()
 	r.timing.start(now)
-	r.result, r.fate, r.end = route.ResultNeutral, outcome.Unknown, nil
-	r.unacked, r.unackedB = 0, 0
+	r.routeResult, r.attemptOutcome, r.responseEnd = route.ResultNeutral, outcome.Unknown, nil
+	r.unackedFrames, r.unackedBytes = 0, 0
 	hop := r.machine.Hop()
 	step := r.machine.Dispatched(now, attempt.Dispatch{
 		Attempt:  r.attempt,
@@ -211,7 +212,7 @@
 		Weights:  r.slot.Weights,
 	})
 	if step.Action == attempt.ActionFinish {
-		r.fate = outcome.NotRun
+		r.attemptOutcome = outcome.NotRun
 		return step
 	}
 	inbox, err := r.slot.Link.Start(&wire.RequestStart{
@@ -221,7 +222,7 @@
 		Class:          r.request.Class.Name,
 		Service:        r.request.Service.Name,
 		Weights:        r.slot.Weights,
-		Finger:         r.finger,
+		Finger:         r.fingerprint,
 		Suspect:        r.slot.Suspect,
 		Remaining:      r.machine.Remaining(now).Milliseconds(),
 		Hop:            hop,
@@ -232,8 +233,8 @@
 		Body:           r.request.Body,
 	})
 	if err != nil {
-		// The link proves that nothing was sent.
-		r.fate = outcome.NotRun
+		// Start returns an error only if nothing was sent.
+		r.attemptOutcome = outcome.NotRun
 		return r.machine.Refused(now, r.attempt, outcome.ReasonNoBackendServer, 0)
 	}
 	r.inbox = inbox
--- a/entry/dispatch/run_end.go
+++ b/entry/dispatch/run_end.go
@@ -8,7 +8,7 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// finish gives the caller its final answer.
+// finish sends the final answer to the caller.
 func (r *run) finish(step attempt.Step) {
 	result := caller.Result{
 		Outcome:     step.Outcome,
@@ -18,16 +18,16 @@
 		RetryAfter:  step.RetryAfter,
 		Frames:      r.machine.NextSequence(),
 	}
-	if r.end != nil {
-		result.Digest = r.end.Digest
+	if r.responseEnd != nil {
+		result.Digest = r.responseEnd.Digest
 	}
-	r.settling = step.OutcomePending
+	r.outcomePending = step.OutcomePending
 	if !step.OutcomePending {
 		result.ClaimProof = r.recordClaim(step.Outcome, step.Reason, step.Status, step.ContentType)
 	}
 	r.logOutcome(result)
-	r.answered = true
-	r.dispatcher.end(r.request, r.answer, result)
+	r.responded = true
+	r.dispatcher.endResponse(r.request, r.response, result)
 }
 
 func (r *run) logOutcome(result caller.Result) {
@@ -43,7 +43,8 @@
 		"tenant", r.request.Tenant.Name, "reason", result.Reason)
 }
 
-// release gives the place of the current attempt back.
+// release frees the slot of the current attempt and reports the outcome to the
+// fleet.
 func (r *run) release() {
 	if r.slot == nil {
 		return
@@ -52,8 +53,8 @@
 	if mean, ok := r.timing.betweenFrames(); ok && r.request.Service.Kind == config.KindModel {
 		d.cfg.Fleet.ObserveBetweenTokens(r.slot, mean)
 	}
-	d.admission.settle(r.request.Service.Pool, r.request.Tenant.Name, r.tokens, len(r.request.Body)/bytesPerToken+r.timing.frames)
+	d.admission.correctCharge(r.request.Service.Pool, r.request.Tenant.Name, r.tokens, len(r.request.Body)/bytesPerToken+r.timing.frames)
 	r.slot.Link.Finish(r.attempt)
-	d.cfg.Fleet.Finish(r.slot, r.fate, r.result)
+	d.cfg.Fleet.Finish(r.slot, r.attemptOutcome, r.routeResult)
 	r.slot, r.inbox = nil, nil
 }
--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// ackEvery is the number of frames after which the agent may free its replay
-	// buffer; ackBytes is the same in bytes.
+	// ackEvery and ackBytes are the number of frames and of bytes after which a
+	// ResponseAck lets the agent free its replay buffer.
 	ackEvery = 16
 	ackBytes = 32 << 10
 )
 
-// await takes the next event of the current attempt.
-func (r *run) await(ctx context.Context) attempt.Step {
+// awaitEvent waits for the next event of the current attempt.
+func (r *run) awaitEvent(ctx context.Context) attempt.Step {
 	e, err := r.inbox.Next(ctx)
 	if err != nil {
 		return r.interrupted(ctx)
@@ -31,9 +31,9 @@
 	case link.ConnectionLost:
 		return r.machine.ConnectionLost(r.now(), r.attempt)
 	case link.AgentReplaced:
-		return r.crashed()
+		return r.serverCrashed()
 	case link.Reconnected:
-		// The caller went away while the connection was down.
+		// The caller disconnected while the connection was down.
 		if r.slot.Link.Send(&wire.Reattach{Attempt: r.attempt, Next: r.machine.NextSequence()}) != nil {
 			return attempt.Step{}
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-func (r *run) crashed() attempt.Step {
-	r.result, r.fate = route.ResultNeutral, outcome.Unknown
+func (r *run) serverCrashed() attempt.Step {
+	r.routeResult, r.attemptOutcome = route.ResultNeutral, outcome.Unknown
 	return r.machine.ServerCrashed(r.now(), r.attempt)
 }
 
@@ -60,16 +60,16 @@
 func (r *run) receive(m wire.Message) attempt.Step {
 	switch m := m.(type) {
 	case *wire.RequestRefused:
-		r.fate = outcome.NotRun
+		r.attemptOutcome = outcome.NotRun
 		if m.Reason == outcome.ReasonOverloaded {
 			r.dispatcher.cfg.Fleet.ObserveRefusal(r.slot)
 		}
 		return r.machine.Refused(r.now(), r.attempt, m.Reason, time.Duration(m.RetryAfterMillis)*time.Millisecond)
 	case *wire.ResponseFrame:
-		return r.frame(m)
+		return r.forwardFrame(m)
 	case *wire.ResponseEnd:
-		r.end = m
-		r.judge(m)
+		r.responseEnd = m
+		r.recordServerResult(m)
 		step := r.machine.End(r.now(), m)
 		if step.Action == attempt.ActionFinish || step.Action == attempt.ActionRecord {
 			_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, Next: m.Frames + 1})
@@ -80,41 +80,42 @@
 	}
 }
 
-// judge notes what an end says about the backend server.
-func (r *run) judge(m *wire.ResponseEnd) {
-	r.fate = m.Outcome
+// recordServerResult records what the end of an attempt tells about the backend
+// server.
+func (r *run) recordServerResult(m *wire.ResponseEnd) {
+	r.attemptOutcome = m.Outcome
 	switch {
 	case m.Outcome == outcome.Completed:
-		r.result = route.ResultOK
+		r.routeResult = route.ResultOK
 	case m.Reason == outcome.ReasonBackendCrashed || m.Status >= http.StatusInternalServerError:
-		r.result = route.ResultError
+		r.routeResult = route.ResultError
 	}
 }
 
-// frame passes a piece of the answer on.
-func (r *run) frame(m *wire.ResponseFrame) attempt.Step {
+// forwardFrame passes a frame of the answer on to the caller.
+func (r *run) forwardFrame(m *wire.ResponseFrame) attempt.Step {
 	step := r.machine.Frame(r.now(), m.Attempt, m.Sequence, m.Data)
 	if !step.Forward {
 		return step
 	}
 	r.measureFrame()
 	r.acknowledge(len(m.Data))
-	piece := m.Data[step.SkipBytes:]
+	data := m.Data[step.SkipBytes:]
 	if r.claimed {
-		r.body = append(r.body, piece...)
+		r.body = append(r.body, data...)
 	}
-	if !r.answered && r.answer.Write(piece) != nil {
+	if !r.responded && r.response.Write(data) != nil {
 		return r.machine.Canceled(r.now())
 	}
 	return step
 }
 
 func (r *run) acknowledge(size int) {
-	r.unacked++
-	r.unackedB += size
-	if r.unacked >= ackEvery || r.unackedB >= ackBytes {
+	r.unackedFrames++
+	r.unackedBytes += size
+	if r.unackedFrames >= ackEvery || r.unackedBytes >= ackBytes {
 		_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, Next: r.machine.NextSequence()})
-		r.unacked, r.unackedB = 0, 0
+		r.unackedFrames, r.unackedBytes = 0, 0
 	}
 }
 
@@ -129,17 +130,17 @@
 	d.cfg.Metrics.ObserveFirstToken(tenant, class, r.now().Sub(r.request.Received))
 	if r.request.Service.Kind == config.KindModel {
 		d.cfg.Fleet.ObserveFirstToken(r.slot, gap)
-		d.admission.observeStart(r.request.Service.Pool, gap)
+		d.admission.observeFirstFrame(r.request.Service.Pool, gap)
 	}
 }
 
-// reattach waits for a new connection to the same agent and asks for the rest
+// reattach waits for a new connection to the same agent and requests the rest
 // of the answer.
 func (r *run) reattach(ctx context.Context, step attempt.Step) attempt.Step {
 	wait := ctx
-	if !r.settling {
-		// With its final answer the caller waits for nothing, and a later result
-		// is as good for the claim.
+	if !r.outcomePending {
+		// No timeout once the caller has its final answer: a late result is just as
+		// useful for the claim.
 		var cancel context.CancelFunc
 		wait, cancel = context.WithTimeout(ctx, r.dispatcher.cfg.ReattachTimeout)
 		defer cancel()
@@ -152,7 +153,7 @@
 		case err != nil:
 			return r.machine.ReattachFailed(r.now(), step.Attempt)
 		case e.Kind == link.AgentReplaced:
-			return r.crashed()
+			return r.serverCrashed()
 		case e.Kind == link.Reconnected:
 			if r.slot.Link.Send(&wire.Reattach{Attempt: step.Attempt, Next: step.NextSequence}) != nil {
 				continue
--- a/entry/dispatch/timing.go
+++ b/entry/dispatch/timing.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// timing measures one attempt.
+// timing holds the time measurements of one attempt.
 type timing struct {
 	dispatched time.Time
 	first      time.Time
@@ -12,8 +12,8 @@
 
 func (t *timing) start(now time.Time) { *t = timing{dispatched: now} }
 
-// frame takes the arrival of a frame. It returns the time since the dispatch
-// for the first frame, and since the frame before for others.
+// frame records the arrival of a frame. It returns the time since the dispatch
+// for the first frame, and the time since the previous frame for others.
 func (t *timing) frame(now time.Time) (gap time.Duration, first bool) {
 	t.frames++
 	if t.frames == 1 {
@@ -25,8 +25,8 @@
 	return gap, false
 }
 
-// betweenFrames returns the mean time between frames; ok is false with fewer
-// than two.
+// betweenFrames returns the mean time between frames. ok is false for fewer
+// than two frames.
 func (t *timing) betweenFrames() (mean time.Duration, ok bool) {
 	if t.frames < 2 {
 		return 0, false
--- a/entry/dispatch/waiter.go
+++ b/entry/dispatch/waiter.go
@@ -8,18 +8,19 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// grant is what a waiting request gets: a place, or why there is none.
-type grant struct {
+// admissionResult is the result of waiting in a queue: a reserved slot, or the
+// reason for a refusal.
+type admissionResult struct {
 	slot       *fleet.Slot
 	reason     outcome.Reason
 	retryAfter time.Duration
 }
 
-// waiter is one request in a queue.
+// waiter is a queued request.
 type waiter struct {
 	id           model.RequestID
 	pool         string
 	requirements fleet.Requirements
-	// granted has room for one grant, so that the queue never blocks on it.
-	granted chan grant
+	// result has a buffer of one, so that sending to it never blocks.
+	result chan admissionResult
 }
--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -27,13 +27,13 @@
 
 const (
 	pool = "orders"
-	// patience bounds waits of the tests; it decides no bound of the product.
-	patience = 10 * time.Second
+	// testTimeout limits waits in the tests; it is not a limit of the product.
+	testTimeout = 10 * time.Second
 )
 
 var location = model.Location{Region: "kigali", FailureDomain: "kigali"}
 
-// noMetrics drops all measurements.
+// noMetrics implements dispatch.Metrics and discards all measurements.
 type noMetrics struct{}
 
 func (noMetrics) ObserveQueueTime(model.Tenant, model.Class, time.Duration)     {}
@@ -42,11 +42,11 @@
 func (noMetrics) ObserveTotal(model.Tenant, model.Class, time.Duration, outcome.Outcome, outcome.Reason) {
 }
 
-// call is one request and its answer.
+// call is one request with its answer. It implements caller.ResponseWriter.
 type call struct {
 	caller.Request
-	leave context.CancelFunc
-	ended chan caller.Result
+	disconnect context.CancelFunc
+	ended      chan caller.Result
 
 	mu   sync.Mutex
 	body string
@@ -65,13 +65,13 @@
 // result waits for the final answer.
 func (c *call) result() caller.Result {
 	var r caller.Result
-	EventuallyWithOffset(1, c.ended).WithTimeout(patience).Should(Receive(&r))
+	EventuallyWithOffset(1, c.ended).WithTimeout(testTimeout).Should(Receive(&r))
 	return r
 }
 
-// world is a dispatcher with a fleet of fake agents and the stand-in of the
+// harness is a dispatcher with a fleet of fake agents and a stand-in of the
 // table service.
-type world struct {
+type harness struct {
 	list       *instances.List
 	table      *table.Service
 	fleet      *fleet.Fleet
@@ -79,52 +79,52 @@
 	calls      atomic.Int32
 }
 
-func newWorld() *world {
-	w := &world{list: instances.New(instances.Config{}), table: table.New()}
-	w.fleet = fleet.New(agenttest.FleetConfig(location, w.list))
-	w.dispatcher = dispatch.New(dispatch.Config{
-		Clock: clock.System{}, Log: eventlog.Discard(), Fleet: w.fleet, Metrics: noMetrics{},
-		Ledger:  claim.New(claim.Config{}, w.table, nil),
+func newHarness() *harness {
+	h := &harness{list: instances.New(instances.Config{}), table: table.New()}
+	h.fleet = fleet.New(agenttest.FleetConfig(location, h.list))
+	h.dispatcher = dispatch.New(dispatch.Config{
+		Clock: clock.System{}, Log: eventlog.Discard(), Fleet: h.fleet, Metrics: noMetrics{},
+		Ledger:  claim.New(claim.Config{}, h.table, nil),
 		Current: func() *config.Config { return &config.Config{} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var ends sync.WaitGroup
-	ends.Go(func() { w.fleet.Run(ctx) })
-	ends.Go(func() { w.dispatcher.Run(ctx) })
+	ends.Go(func() { h.fleet.Run(ctx) })
+	ends.Go(func() { h.dispatcher.Run(ctx) })
 	DeferCleanup(func() {
 		cancel()
 		ends.Wait()
 	})
-	return w
+	return h
 }
 
-func (w *world) agent(name model.InstanceID) *agenttest.Agent {
+func (h *harness) agent(name model.InstanceID) *agenttest.Agent {
 	a, err := agenttest.Start(model.Identity{Instance: name, Generation: 1, Location: location}, pool)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(a.Stop)
-	before := w.fleet.UsableAgents()
-	w.list.Set(a.Instance())
-	Eventually(w.fleet.UsableAgents).WithTimeout(patience).Should(Equal(before + 1))
+	before := h.fleet.UsableAgents()
+	h.list.Set(a.Instance())
+	Eventually(h.fleet.UsableAgents).WithTimeout(testTimeout).Should(Equal(before + 1))
 	return a
 }
 
-// send starts a request; it may not be repeated when it has a key.
-func (w *world) send(key, body string, change ...func(*call)) *call {
+// send starts a request, which is non-repeatable if key is not empty.
+func (h *harness) send(key, body string, change ...func(*call)) *call {
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	now := time.Now()
-	c := &call{leave: cancel, ended: make(chan caller.Result, 1), Request: caller.Request{
-		ID:       model.RequestID("call-" + strconv.Itoa(int(w.calls.Add(1)))),
+	c := &call{disconnect: cancel, ended: make(chan caller.Result, 1), Request: caller.Request{
+		ID:       model.RequestID("call-" + strconv.Itoa(int(h.calls.Add(1)))),
 		Tenant:   config.Tenant{Name: "desk", Share: 1},
 		Class:    config.Class{Name: "interactive"},
 		Service:  config.Service{Name: "order", Kind: config.KindPlain, Pool: pool, Repeatable: key == ""},
-		Received: now, Deadline: now.Add(patience),
+		Received: now, Deadline: now.Add(testTimeout),
 		IdempotencyKey: key, Body: []byte(body),
 	}}
 	for _, f := range change {
 		f(c)
 	}
-	go w.dispatcher.Handle(ctx, &c.Request, c)
+	go h.dispatcher.Handle(ctx, &c.Request, c)
 	return c
 }
 
@@ -132,17 +132,17 @@
 	return func(c *call) { c.Deadline = c.Received.Add(d) }
 }
 
-// started waits for an attempt at an agent.
+// started waits until an attempt arrives at an agent.
 func started(a *agenttest.Agent) agenttest.Received {
 	var r agenttest.Received
-	EventuallyWithOffset(1, a.Starts).WithTimeout(patience).Should(Receive(&r))
+	EventuallyWithOffset(1, a.Starts).WithTimeout(testTimeout).Should(Receive(&r))
 	return r
 }
 
-// reattached waits until an entry asks for the rest of an attempt.
+// reattached waits until an entry requests the rest of an attempt.
 func reattached(a *agenttest.Agent, run agenttest.Received) agenttest.Received {
 	var r agenttest.Received
-	EventuallyWithOffset(1, a.Others).WithTimeout(patience).Should(Receive(&r, HaveField("Message", &wire.Reattach{Attempt: run.Attempt()})))
+	EventuallyWithOffset(1, a.Others).WithTimeout(testTimeout).Should(Receive(&r, HaveField("Message", &wire.Reattach{Attempt: run.Attempt()})))
 	return r
 }
 
