--- a/entry/caller/answer.go
+++ b/entry/caller/answer.go
@@ -1,17 +1,17 @@
 package caller
 
-// ResponseWriter receives the answer to one request. Its methods are called by one
-// goroutine: Write any number of times, then End once.
+// ResponseWriter receives the answer to one request. It is used by one
+// goroutine, which calls Write any number of times and then End once.
 type ResponseWriter interface {
-	// Write passes on a piece of the answer. An error means that the caller has
-	// gone.
+	// Write appends data to the answer. An error means that the answer cannot be
+	// continued, usually because the caller has disconnected.
 	Write(data []byte) error
-	// Buffered reports whether pieces reach the caller only at the end, so that
-	// an answer can be started again.
+	// Buffered reports whether the answer is sent only at the end, so that it can
+	// be restarted with Reset.
 	Buffered() bool
-	// Reset drops the pieces of an earlier attempt that have not reached the
+	// Reset discards data of an earlier attempt that has not been sent to the
 	// caller.
 	Reset()
-	// End closes the answer with its outcome.
+	// End completes the answer with its outcome.
 	End(r Result)
 }
--- a/entry/caller/buffered_answer.go
+++ b/entry/caller/buffered_answer.go
@@ -10,50 +10,51 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// maxBufferedAnswer bounds an answer that is not streamed, in bytes.
-const maxBufferedAnswer = 64 << 20
+// maxBufferedBytes is the maximum size of an answer that is not streamed.
+const maxBufferedBytes = 64 << 20
 
-// errAnswerTooLarge ends an answer that does not fit into the buffer.
-var errAnswerTooLarge = merry.New("answer too large to buffer; ask for a stream")
+// errResponseTooLarge is returned by Write if the answer exceeds
+// maxBufferedBytes.
+var errResponseTooLarge = merry.New("answer too large to buffer; request a stream with Accept: text/event-stream")
 
-// bufferedAnswer collects the answer and passes it on only when it is whole.
-type bufferedAnswer struct {
+// bufferedResponse buffers the answer and sends it only when it is complete.
+type bufferedResponse struct {
 	ctx     *app.RequestContext
 	request string
 	data    []byte
 }
 
-func newBufferedAnswer(ctx *app.RequestContext, request string) *bufferedAnswer {
-	return &bufferedAnswer{ctx: ctx, request: request}
+func newBufferedResponse(ctx *app.RequestContext, request string) *bufferedResponse {
+	return &bufferedResponse{ctx: ctx, request: request}
 }
 
-func (a *bufferedAnswer) Buffered() bool { return true }
+func (w *bufferedResponse) Buffered() bool { return true }
 
-func (a *bufferedAnswer) Reset() { a.data = a.data[:0] }
+func (w *bufferedResponse) Reset() { w.data = w.data[:0] }
 
-func (a *bufferedAnswer) Write(data []byte) error {
-	if len(a.data)+len(data) > maxBufferedAnswer {
-		return merry.Wrap(errAnswerTooLarge)
+func (w *bufferedResponse) Write(data []byte) error {
+	if len(w.data)+len(data) > maxBufferedBytes {
+		return merry.Wrap(errResponseTooLarge)
 	}
-	a.data = append(a.data, data...)
+	w.data = append(w.data, data...)
 	return nil
 }
 
-func (a *bufferedAnswer) End(r Result) {
-	answered := r.Outcome == outcome.Completed || r.Outcome == outcome.Failed && len(a.data) > 0
+func (w *bufferedResponse) End(r Result) {
+	answered := r.Outcome == outcome.Completed || r.Outcome == outcome.Failed && len(w.data) > 0
 	if !answered {
-		writePlainEnd(a.ctx, a.request, r)
+		writeOutcomeOnly(w.ctx, w.request, r)
 		return
 	}
-	setOutcomeHeaders(a.ctx, a.request, r)
+	setOutcomeHeaders(w.ctx, w.request, r)
 	if r.Outcome == outcome.Completed {
-		a.ctx.Response.Header.Set(HeaderDigest, r.Digest.String())
+		w.ctx.Response.Header.Set(HeaderDigest, r.Digest.String())
 	}
 	contentType := r.ContentType
 	if contentType == "" {
 		contentType = "text/plain; charset=utf-8"
 	}
-	a.ctx.Data(HTTPStatus(r), contentType, a.data)
+	w.ctx.Data(HTTPStatus(r), contentType, w.data)
 }
 
 func setOutcomeHeaders(ctx *app.RequestContext, request string, r Result) {
@@ -71,8 +72,8 @@
 	}
 }
 
-// writePlainEnd answers without any piece of an answer from a backend server.
-func writePlainEnd(ctx *app.RequestContext, request string, r Result) {
+// writeOutcomeOnly sends a response without any data of a backend server.
+func writeOutcomeOnly(ctx *app.RequestContext, request string, r Result) {
 	setOutcomeHeaders(ctx, request, r)
 	ctx.JSON(HTTPStatus(r), streamEnd(request, r))
 }
--- a/entry/caller/headers.go
+++ b/entry/caller/headers.go
@@ -1,6 +1,6 @@
 package caller
 
-// Headers of the callers' protocol.
+// HTTP headers of the protocol with callers.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderTenant         = "X-Tenant"
--- a/entry/caller/parse.go
+++ b/entry/caller/parse.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// maxDeadline bounds the deadline that a caller may ask for.
+	// maxDeadline is the longest deadline that a caller may request.
 	maxDeadline = 10 * time.Minute
-	// maxIDLength bounds request ids and idempotency keys in bytes.
+	// maxIDLength is the maximum length of request IDs and idempotency keys in
+	// bytes.
 	maxIDLength = 128
-	// maxProofLength bounds the proofs of a caller in bytes.
+	// maxProofLength is the maximum length of the claim proof header in bytes.
 	maxProofLength = 1024
-	// maxBodyBytes bounds a body so that it fits into one frame to an agent.
+	// maxBodyBytes is the maximum size of a body, so that it fits into one frame
+	// to an agent.
 	maxBodyBytes = 4 << 20
-	// defaultTimeout applies where neither caller nor service names one.
+	// defaultTimeout applies if neither the caller nor the service specifies one.
 	defaultTimeout = time.Minute
 )
 
-// rawRequest is what a caller sent.
+// rawRequest holds the unvalidated parts of a caller's request.
 type rawRequest struct {
 	service        string
 	requestID      string
@@ -36,7 +38,7 @@
 	body           []byte
 }
 
-// refusal says why a request is invalid.
+// refusal describes why a request is invalid.
 type refusal struct {
 	reason outcome.Reason
 	detail string
@@ -46,7 +48,7 @@
 	return &refusal{reason: reason, detail: fmt.Sprintf(format, args...)}
 }
 
-// parse checks a request against the configuration in force.
+// parse validates a request against the configuration in force.
 func parse(raw rawRequest, cfg *config.Config, now time.Time) (*Request, *refusal) {
 	service, ok := cfg.FindService(model.Service(raw.service))
 	if !ok {
@@ -68,7 +70,7 @@
 		return nil, bad
 	}
 	if limit := bodyLimit(service); int64(len(raw.body)) > limit {
-		return nil, refuse(outcome.ReasonTooLarge, "body has %d bytes, service %q allows %d", len(raw.body), service.Name, limit)
+		return nil, refuse(outcome.ReasonTooLarge, "body has %d bytes, service %q allows at most %d", len(raw.body), service.Name, limit)
 	}
 	return &Request{
 		ID:             model.RequestID(raw.requestID),
@@ -90,11 +92,11 @@
 		{HeaderIdempotencyKey, raw.idempotencyKey},
 	} {
 		if len(header.value) > maxIDLength {
-			return refuse(outcome.ReasonInvalid, "header %s has %d bytes, allowed are %d", header.name, len(header.value), maxIDLength)
+			return refuse(outcome.ReasonInvalid, "header %s has %d bytes, at most %d are allowed", header.name, len(header.value), maxIDLength)
 		}
 	}
 	if len(raw.claimProof) > maxProofLength {
-		return refuse(outcome.ReasonInvalid, "header %s has %d bytes, allowed are %d", HeaderClaimProof, len(raw.claimProof), maxProofLength)
+		return refuse(outcome.ReasonInvalid, "header %s has %d bytes, at most %d are allowed", HeaderClaimProof, len(raw.claimProof), maxProofLength)
 	}
 	return nil
 }
@@ -106,8 +108,8 @@
 	return maxBodyBytes
 }
 
-// parseClass returns the named class, or the first declared one where the
-// caller names none.
+// parseClass returns the class with the given name, or the first declared class
+// if the name is empty.
 func parseClass(name string, cfg *config.Config) (config.Class, *refusal) {
 	if name == "" {
 		if len(cfg.Classes) == 0 {
@@ -131,7 +133,7 @@
 	}
 	millis, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || millis < 1 || millis > maxDeadline.Milliseconds() {
-		return 0, refuse(outcome.ReasonInvalid, "header %s: %q is not a number of milliseconds from 1 to %d", HeaderDeadlineMillis, value, maxDeadline.Milliseconds())
+		return 0, refuse(outcome.ReasonInvalid, "header %s: %q is not an integer number of milliseconds from 1 to %d", HeaderDeadlineMillis, value, maxDeadline.Milliseconds())
 	}
 	return time.Duration(millis) * time.Millisecond, nil
 }
--- a/entry/caller/parse_test.go
+++ b/entry/caller/parse_test.go
@@ -20,7 +20,7 @@
 	now := time.Unix(1000, 0)
 
 	// Guards against malformed requests that reach a backend server, and against
-	// refusals that do not name what was wrong.
+	// refusals that do not name the fault.
 	DescribeTable("refuses invalid requests",
 		func(change func(*rawRequest), reason outcome.Reason, detail string) {
 			raw := rawRequest{service: "draft", tenant: "huye"}
@@ -33,14 +33,14 @@
 		Entry("unknown service", func(r *rawRequest) { r.service = "x" }, outcome.ReasonUnknownService, `"x"`),
 		Entry("unknown tenant", func(r *rawRequest) { r.tenant = "y" }, outcome.ReasonUnknownTenant, HeaderTenant),
 		Entry("unknown class", func(r *rawRequest) { r.class = "z" }, outcome.ReasonInvalid, HeaderClass),
-		Entry("deadline in words", func(r *rawRequest) { r.deadlineMillis = "soon" }, outcome.ReasonInvalid, HeaderDeadlineMillis),
+		Entry("deadline that is not a number", func(r *rawRequest) { r.deadlineMillis = "soon" }, outcome.ReasonInvalid, HeaderDeadlineMillis),
 		Entry("deadline of zero", func(r *rawRequest) { r.deadlineMillis = "0" }, outcome.ReasonInvalid, HeaderDeadlineMillis),
-		Entry("long key", func(r *rawRequest) { r.idempotencyKey = strings.Repeat("k", 129) }, outcome.ReasonInvalid, HeaderIdempotencyKey),
-		Entry("long request id", func(r *rawRequest) { r.requestID = strings.Repeat("k", 129) }, outcome.ReasonInvalid, HeaderRequestID),
-		Entry("large body", func(r *rawRequest) { r.body = make([]byte, 11) }, outcome.ReasonTooLarge, "11 bytes"),
+		Entry("idempotency key that is too long", func(r *rawRequest) { r.idempotencyKey = strings.Repeat("k", 129) }, outcome.ReasonInvalid, HeaderIdempotencyKey),
+		Entry("request ID that is too long", func(r *rawRequest) { r.requestID = strings.Repeat("k", 129) }, outcome.ReasonInvalid, HeaderRequestID),
+		Entry("body that is too large", func(r *rawRequest) { r.body = make([]byte, 11) }, outcome.ReasonTooLarge, "11 bytes"),
 	)
 
-	It("fills in what the caller leaves out", func() {
+	It("uses defaults for omitted headers", func() {
 		r, bad := parse(rawRequest{service: "draft", tenant: "huye"}, cfg, now)
 		Expect(bad).To(BeNil())
 		Expect(r.Class.Name).To(BeEquivalentTo("interactive"))
--- a/entry/caller/request.go
+++ b/entry/caller/request.go
@@ -7,18 +7,18 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Request is one caller's request after validation.
+// Request is a validated request of a caller.
 type Request struct {
 	ID      model.RequestID
 	Tenant  config.Tenant
 	Class   config.Class
 	Service config.Service
-	// Deadline is the time after which an answer is of no use to the caller.
+	// Deadline is the time after which the caller no longer needs the answer.
 	Deadline       time.Time
 	Received       time.Time
 	IdempotencyKey string
-	// ClaimProof is what an earlier answer gave the caller to present when it
-	// asks again with the same key.
+	// ClaimProof is the proof that the caller received with an earlier answer and
+	// sends with a retry under the same key.
 	ClaimProof  string
 	ContentType string
 	Body        []byte
--- a/entry/caller/result.go
+++ b/entry/caller/result.go
@@ -7,22 +7,24 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Result is the final state of a request.
+// Result is the final result of a request.
 type Result struct {
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
-	// Status is the HTTP status of the backend server, where it answered.
+	// Status is the HTTP status of the backend server, or 0 if it did not answer.
 	Status int
-	// ContentType is that of a whole answer.
+	// ContentType is the content type of a complete answer.
 	ContentType string
-	// RetryAfter tells the caller when to come back; zero gives no advice.
+	// RetryAfter tells the caller when to retry; 0 gives no advice.
 	RetryAfter time.Duration
-	// Frames and Digest are the checked length and digest of the answer.
+	// Frames and Digest are the verified number of frames and digest of the
+	// answer.
 	Frames uint64
 	Digest model.Digest
-	// ClaimProof is for the caller to present when it asks again with the same
+	// ClaimProof must be sent by the caller with a retry under the same
 	// idempotency key.
 	ClaimProof string
-	// Detail says in words what was wrong with an invalid request.
+	// Detail is a message for the caller, for example what is wrong with an
+	// invalid request.
 	Detail string
 }
--- a/entry/caller/server.go
+++ b/entry/caller/server.go
@@ -1,6 +1,6 @@
-// Package caller serves callers over HTTP: it checks each request against the
-// configuration in force, hands it to a Handler, and writes the answer as a
-// stream of events or as one body. The outcome stands in a header or in the
+// Package caller serves callers over HTTP: it validates each request against
+// the configuration in force, passes it to a Handler, and sends the answer as
+// server-sent events or as a single body. The outcome is in a header or in the
 // final event.
 package caller
 
@@ -24,22 +24,23 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Handler runs a request and ends its answer exactly once. ctx ends when the
-// caller goes away.
+// Handler runs a request and calls End exactly once. ctx ends when the caller
+// disconnects. Implementations must be safe for concurrent use.
 type Handler interface {
-	Handle(ctx context.Context, r *Request, a ResponseWriter)
+	Handle(ctx context.Context, r *Request, w ResponseWriter)
 }
 
-// InvalidCounter counts requests that were refused as invalid.
+// InvalidCounter counts requests that were refused as invalid. Implementations
+// must be safe for concurrent use.
 type InvalidCounter interface {
 	CountInvalid(reason outcome.Reason)
 }
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
 	Listener net.Listener
 	Clock    clock.Clock
-	// Current returns the configuration in force, or nil before there is one.
+	// Current returns the configuration in force, or nil if there is none yet.
 	Current func() *config.Config
 	Handler Handler
 	Invalid InvalidCounter
@@ -47,35 +48,36 @@
 }
 
 const (
-	// exitWait is far beyond any drain: the library would otherwise cut requests
-	// off at a limit of its own; the context of Drain decides.
-	exitWait = 24 * time.Hour
-	// closeWait bounds the end of idle connections once no request runs.
-	closeWait = time.Second
-	// drainPoll is the time between two looks at running requests.
-	drainPoll = 20 * time.Millisecond
+	// hertzExitTimeout is longer than any drain. The library would otherwise
+	// abort requests after its own limit; the context of Drain decides instead.
+	hertzExitTimeout = 24 * time.Hour
+	// closeTimeout limits the closing of idle connections after the last request.
+	closeTimeout = time.Second
+	// drainPollInterval is the time between two checks for running requests.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Server serves callers. It is safe for concurrent use.
+// Server is the HTTP server for callers. It is safe for concurrent use.
 type Server struct {
 	cfg      Config
 	hertz    *server.Hertz
 	draining atomic.Bool
-	// closing says that connections are to be closed after their request.
-	closing atomic.Bool
-	running atomic.Int64
+	// closeConnections makes each connection close after its current request.
+	closeConnections atomic.Bool
+	running          atomic.Int64
 }
 
-// NewServer returns a server that serves when Run is called.
+// NewServer returns a Server. Run starts it.
 func NewServer(cfg Config) *Server {
 	s := &Server{cfg: cfg}
 	options := []hertzconfig.Option{
 		server.WithListener(cfg.Listener),
 		server.WithTransport(netpoll.NewTransporter),
 		server.WithSenseClientDisconnection(true),
-		// Bodies over the limit are read so far that the refusal can name it.
+		// Bodies slightly over the limit are still read, so that the refusal can
+		// state the limit.
 		server.WithMaxRequestBodySize(maxBodyBytes + 1<<20),
-		server.WithExitWaitTime(exitWait),
+		server.WithExitWaitTime(hertzExitTimeout),
 		server.WithDisablePrintRoute(true),
 	}
 	s.hertz = server.New(options...)
@@ -84,19 +86,19 @@
 	return s
 }
 
-// Run serves until Drain or Close has ended.
+// Run serves requests until Drain or Close has completed.
 func (s *Server) Run() error { return s.hertz.Run() }
 
-// SetDraining makes the readiness check fail, so that the balancer stops
-// sending; requests that still arrive are served.
+// SetDraining makes the readiness check fail, so that the load balancer stops
+// sending requests. Requests that still arrive are served.
 func (s *Server) SetDraining() { s.draining.Store(true) }
 
-// Drain waits until no request runs and then closes the connections. Requests
-// that still arrive are served, each as the last one of its connection. It
-// returns an error when ctx ends first.
+// Drain waits until no request is running and then closes the connections.
+// Requests that still arrive are served, each as the last one on its
+// connection. It returns the error of ctx if ctx ends first.
 func (s *Server) Drain(ctx context.Context) error {
-	s.closing.Store(true)
-	ticker := time.NewTicker(drainPoll)
+	s.closeConnections.Store(true)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for s.running.Load() > 0 {
 		select {
@@ -105,15 +107,15 @@
 			return ctx.Err()
 		}
 	}
-	s.Close(closeWait)
+	s.Close(closeTimeout)
 	return nil
 }
 
-// Close ends the server; requests that run get at most the given time.
-func (s *Server) Close(wait time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+// Close stops the server. Running requests have at most timeout to complete.
+func (s *Server) Close(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	// Idle connections may outlast the wait; they end with the process.
+	// Idle connections may outlast the timeout; they end with the process.
 	_ = s.hertz.Shutdown(ctx)
 }
 
@@ -131,31 +133,31 @@
 func (s *Server) serve(c context.Context, ctx *app.RequestContext) {
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	if s.closing.Load() {
+	if s.closeConnections.Load() {
 		ctx.SetConnectionClose()
 	}
 	raw := readRaw(ctx)
 	if raw.requestID == "" {
 		raw.requestID = uuid.NewString()
 	}
-	answer := newAnswer(ctx, raw.requestID)
+	response := newResponseWriter(ctx, raw.requestID)
 	current := s.cfg.Current()
 	if current == nil {
-		answer.End(Result{Outcome: outcome.NotRun, Reason: outcome.ReasonNoBackendServer, RetryAfter: time.Second, Detail: "no configuration is in force yet"})
+		response.End(Result{Outcome: outcome.NotRun, Reason: outcome.ReasonNoBackendServer, RetryAfter: time.Second, Detail: "no configuration is in force yet"})
 		return
 	}
 	request, bad := parse(raw, current, s.cfg.Clock.Now())
 	if bad != nil {
 		s.cfg.Invalid.CountInvalid(bad.reason)
 		s.cfg.Log.Log(eventlog.RequestInvalid, "request", raw.requestID, "reason", bad.reason, "detail", bad.detail)
-		answer.End(Result{Outcome: outcome.NotRun, Reason: bad.reason, Detail: bad.detail})
+		response.End(Result{Outcome: outcome.NotRun, Reason: bad.reason, Detail: bad.detail})
 		return
 	}
-	s.cfg.Handler.Handle(c, request, newAnswer(ctx, string(request.ID)))
+	s.cfg.Handler.Handle(c, request, newResponseWriter(ctx, string(request.ID)))
 }
 
-// readRaw copies what it takes: hertz reuses its buffers after the handler
-// returns, and an attempt may still be on its way to an agent then.
+// readRaw copies all values: hertz reuses its buffers after the handler
+// returns, while an attempt may still be in transit to an agent.
 func readRaw(ctx *app.RequestContext) rawRequest {
 	header := func(name string) string { return strings.Clone(string(ctx.GetHeader(name))) }
 	body := ctx.Request.Body()
@@ -172,9 +174,9 @@
 	}
 }
 
-func newAnswer(ctx *app.RequestContext, request string) ResponseWriter {
+func newResponseWriter(ctx *app.RequestContext, request string) ResponseWriter {
 	if strings.Contains(string(ctx.GetHeader("Accept")), "text/event-stream") {
-		return newStreamAnswer(ctx, request)
+		return newStreamResponse(ctx, request)
 	}
-	return newBufferedAnswer(ctx, request)
+	return newBufferedResponse(ctx, request)
 }
--- a/entry/caller/server_test.go
+++ b/entry/caller/server_test.go
@@ -20,24 +20,24 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// script is what a fakeHandler answers.
+// script is the answer of a fakeHandler.
 type script struct {
-	pieces []string
+	parts  []string
 	result Result
 }
 
-// fakeHandler holds its script in an atomic pointer: the server runs handlers
-// on goroutines of its own.
+// fakeHandler sends a scripted answer. The script is atomic because the server
+// calls handlers on its own goroutines.
 type fakeHandler struct{ script atomic.Pointer[script] }
 
-func (f *fakeHandler) Handle(_ context.Context, _ *Request, a ResponseWriter) {
+func (f *fakeHandler) Handle(_ context.Context, _ *Request, w ResponseWriter) {
 	s := f.script.Load()
-	for _, p := range s.pieces {
-		if a.Write([]byte(p)) != nil {
+	for _, p := range s.parts {
+		if w.Write([]byte(p)) != nil {
 			return
 		}
 	}
-	a.End(s.result)
+	w.End(s.result)
 }
 
 type fakeInvalid struct{ reasons chan outcome.Reason }
@@ -57,7 +57,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		handler = &fakeHandler{}
-		// Idle connections would hold up the shutdown of each spec.
+		// Idle connections would delay the shutdown in each spec.
 		client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		invalid = &fakeInvalid{reasons: make(chan outcome.Reason, 4)}
 		cfg := &config.Config{
@@ -95,9 +95,9 @@
 		return response, string(body)
 	}
 
-	It("streams pieces and names the outcome in the final event", func() {
+	It("streams the answer and sends the outcome in the final event", func() {
 		handler.script.Store(&script{
-			pieces: []string{"a", "b"},
+			parts:  []string{"a", "b"},
 			result: Result{Outcome: outcome.Completed, Frames: 2, Digest: model.Sum([]byte("ab"))},
 		})
 		_, body := send("draft", "text/event-stream")
@@ -111,11 +111,11 @@
 		Expect(body).To(ContainSubstring(`"outcome":"completed"`))
 	})
 
-	// Guards against answers that are damaged because a piece ends inside a
-	// character, or because a service answers with bytes that are no text.
-	It("passes on every byte whatever the pieces are", func() {
+	// Guards against corrupting answers whose parts end inside a character or are
+	// not text.
+	It("forwards every byte however the answer is split", func() {
 		handler.script.Store(&script{
-			pieces: []string{"caf\xc3", "\xa9", "\xff\xfe"},
+			parts:  []string{"caf\xc3", "\xa9", "\xff\xfe"},
 			result: Result{Outcome: outcome.Completed},
 		})
 		_, body := send("draft", "text/event-stream")
@@ -125,9 +125,9 @@
 	})
 
 	// Guards against a truncated answer that looks like a success.
-	It("does not pass on a buffered answer that did not complete", func() {
+	It("does not send a buffered answer that is incomplete", func() {
 		handler.script.Store(&script{
-			pieces: []string{"partial"},
+			parts:  []string{"partial"},
 			result: Result{Outcome: outcome.Unknown, Reason: outcome.ReasonConnectionLost},
 		})
 		response, body := send("draft", "*/*")
@@ -136,7 +136,7 @@
 		Expect(body).NotTo(ContainSubstring("partial"))
 	})
 
-	It("gives a request that was not run its status, reason and retry time", func() {
+	It("sets status, outcome and Retry-After for a request that was not run", func() {
 		handler.script.Store(&script{
 			result: Result{Outcome: outcome.NotRun, Reason: outcome.ReasonOverloaded, RetryAfter: 1500 * time.Millisecond},
 		})
--- a/entry/caller/status.go
+++ b/entry/caller/status.go
@@ -6,8 +6,9 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// HTTPStatus maps a result to the status of the caller's response. The outcome
-// header is authoritative; the status serves clients that look at nothing else.
+// HTTPStatus returns the status code of the response for a result. The outcome
+// header is authoritative; the status code is for clients that evaluate nothing
+// else.
 func HTTPStatus(r Result) int {
 	switch r.Outcome {
 	case outcome.Completed:
--- a/entry/caller/stream_answer.go
+++ b/entry/caller/stream_answer.go
@@ -11,11 +11,12 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// Names of server-sent events.
+// Names of the server-sent events.
 const (
-	// EventChunk carries a piece of text as a JSON string.
+	// EventChunk carries a part of the answer as a JSON string.
 	EventChunk = "chunk"
-	// EventBinary carries a piece that is not UTF-8 as a JSON string in base64.
+	// EventBinary carries a part that is not valid UTF-8 as a JSON string in
+	// base64.
 	EventBinary = "binary"
 	EventEnd    = "end"
 )
@@ -31,38 +32,40 @@
 	Message          string `json:"message,omitempty"`
 }
 
-// streamAnswer passes pieces on as server-sent events. The response starts with
-// the first piece, so that a request that was not run still gets a plain status.
-type streamAnswer struct {
+// streamResponse sends data as server-sent events. The response starts with the
+// first data, so that a request that was not run still gets a regular status
+// code.
+type streamResponse struct {
 	ctx     *app.RequestContext
 	request string
 	writer  *sse.Writer
-	next    uint64
-	// held are the first bytes of a character that is not complete yet.
-	held []byte
+	nextID  uint64
+	// partialRune holds the first bytes of an incomplete UTF-8 character.
+	partialRune []byte
 }
 
-func newStreamAnswer(ctx *app.RequestContext, request string) *streamAnswer {
-	return &streamAnswer{ctx: ctx, request: request}
+func newStreamResponse(ctx *app.RequestContext, request string) *streamResponse {
+	return &streamResponse{ctx: ctx, request: request}
 }
 
-func (a *streamAnswer) Buffered() bool { return false }
+func (w *streamResponse) Buffered() bool { return false }
 
-func (a *streamAnswer) Reset() {}
+func (w *streamResponse) Reset() {}
 
-func (a *streamAnswer) Write(data []byte) error {
-	if a.writer == nil {
-		a.ctx.Response.Header.Set(HeaderRequestID, a.request)
-		a.writer = sse.NewWriter(a.ctx)
+func (w *streamResponse) Write(data []byte) error {
+	if w.writer == nil {
+		w.ctx.Response.Header.Set(HeaderRequestID, w.request)
+		w.writer = sse.NewWriter(w.ctx)
 	}
-	// A piece may end inside a character, whose bytes wait for the next piece.
-	data = append(a.held, data...)
+	// The data may end inside a character, whose bytes are kept for the next
+	// call.
+	data = append(w.partialRune, data...)
 	whole := len(data) - incompleteTail(data)
-	a.held = append([]byte(nil), data[whole:]...)
-	return a.writePiece(data[:whole])
+	w.partialRune = append([]byte(nil), data[whole:]...)
+	return w.writeData(data[:whole])
 }
 
-func (a *streamAnswer) writePiece(data []byte) error {
+func (w *streamResponse) writeData(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
@@ -74,13 +77,13 @@
 	if err != nil {
 		return err
 	}
-	id := strconv.FormatUint(a.next, 10)
-	a.next++
-	return a.writer.WriteEvent(id, event, encoded)
+	id := strconv.FormatUint(w.nextID, 10)
+	w.nextID++
+	return w.writer.WriteEvent(id, event, encoded)
 }
 
-// incompleteTail returns the number of bytes at the end of data that begin a
-// character without ending it.
+// incompleteTail returns the length of an incomplete UTF-8 character at the end
+// of data.
 func incompleteTail(data []byte) int {
 	for n := 1; n < utf8.UTFMax && n <= len(data); n++ {
 		if b := data[len(data)-n]; utf8.RuneStart(b) {
@@ -93,23 +96,23 @@
 	return 0
 }
 
-func (a *streamAnswer) End(r Result) {
-	if a.writer == nil && r.Outcome != outcome.Completed {
-		writePlainEnd(a.ctx, a.request, r)
+func (w *streamResponse) End(r Result) {
+	if w.writer == nil && r.Outcome != outcome.Completed {
+		writeOutcomeOnly(w.ctx, w.request, r)
 		return
 	}
-	if a.writer == nil {
-		a.ctx.Response.Header.Set(HeaderRequestID, a.request)
-		a.writer = sse.NewWriter(a.ctx)
+	if w.writer == nil {
+		w.ctx.Response.Header.Set(HeaderRequestID, w.request)
+		w.writer = sse.NewWriter(w.ctx)
 	}
-	if a.writePiece(a.held) != nil {
+	if w.writeData(w.partialRune) != nil {
 		return
 	}
-	encoded, err := json.Marshal(streamEnd(a.request, r))
+	encoded, err := json.Marshal(streamEnd(w.request, r))
 	if err == nil {
-		_ = a.writer.WriteEvent("", EventEnd, encoded)
+		_ = w.writer.WriteEvent("", EventEnd, encoded)
 	}
-	_ = a.writer.Close()
+	_ = w.writer.Close()
 }
 
 func streamEnd(request string, r Result) StreamEnd {
