--- a/lib/admit/fuzz_test.go
+++ b/lib/admit/fuzz_test.go
@@ -76,7 +76,7 @@
 						}
 					}
 				},
-				"enqueue": func(t *rapid.T) {
+				"offer": func(t *rapid.T) {
 					serial++
 					r := admit.Request{
 						ID: model.RequestID(fmt.Sprint(serial)), Tenant: tenants.Draw(t, "tenant"),
@@ -135,7 +135,7 @@
 					now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 					expire()
 				},
-				"correct charge": func(t *rapid.T) {
+				"settle": func(t *rapid.T) {
 					q.CorrectCharge(tenants.Draw(t, "tenant"), 100, rapid.IntRange(0, 500).Draw(t, "actual"))
 				},
 			})
