--- a/lib/config/bytes.go
+++ b/lib/config/bytes.go
@@ -7,13 +7,14 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// byteUnit is a unit of sizes in the declaration file.
+// byteUnit is a size suffix accepted in the declaration file.
 type byteUnit struct {
 	suffix string
 	bytes  int64
 }
 
-// byteUnits are in descending order; the last has no suffix.
+// byteUnits lists the units from largest to smallest. The last one, plain bytes,
+// has no suffix and therefore matches any text.
 var byteUnits = []byteUnit{
 	{"TiB", 1 << 40},
 	{"GiB", 1 << 30},
@@ -24,7 +25,7 @@
 
 const bytesAllowed = "a whole number of bytes, or with KiB, MiB, GiB or TiB"
 
-// formatBytes uses the largest unit that is exact.
+// formatBytes formats n in the largest unit that divides it exactly.
 func formatBytes(n int64) string {
 	for _, u := range byteUnits {
 		if n != 0 && n%u.bytes == 0 {
@@ -45,12 +46,13 @@
 			return 0, merry.Wrap(err)
 		}
 		if n > (1<<62)/u.bytes || n < -(1<<62)/u.bytes {
-			return 0, merry.Errorf("%s is out of range", text)
+			return 0, merry.Errorf("size %q is out of range", text)
 		}
 		return n * u.bytes, nil
 	}
-	return 0, merry.Errorf("%s is not a size", text)
+	return 0, merry.Errorf("%q is not a size", text)
 }
 
-// ParseBytes reads a size as the declaration file has it, such as 4MiB.
+// ParseBytes parses a size in the syntax of the declaration file, such as 4MiB,
+// and returns it in bytes.
 func ParseBytes(text string) (int64, error) { return parseBytes(text) }
--- a/lib/config/compress.go
+++ b/lib/config/compress.go
@@ -8,11 +8,12 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxMerged bounds the uncompressed changes of a merged revision, so that
-// damaged data cannot claim memory. A whole configuration is far smaller.
-const maxMerged = 16 << 20
+// maxMergedBytes limits the uncompressed delta of a merged revision, so that
+// damaged data cannot make the process allocate much memory. A whole
+// configuration is far smaller.
+const maxMergedBytes = 16 << 20
 
-// compress shortens data that repeats the names of fields.
+// compress deflates an encoded delta, which repeats field names many times.
 func compress(data []byte) ([]byte, error) {
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.DefaultCompression)
@@ -28,14 +29,15 @@
 	return buf.Bytes(), nil
 }
 
-// decompress returns ErrMalformed for damaged or too long data.
+// decompress inflates data. It returns ErrMalformed if the data is damaged or
+// inflates to more than maxMergedBytes.
 func decompress(data []byte) ([]byte, error) {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxMerged+1))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxMergedBytes+1))
 	if err != nil {
 		return nil, merry.Wrap(ErrMalformed, merry.WithCause(err))
 	}
-	if len(raw) > maxMerged {
-		return nil, merry.Wrap(ErrMalformed, merry.AppendMessagef("more than %d bytes", maxMerged))
+	if len(raw) > maxMergedBytes {
+		return nil, merry.Wrap(ErrMalformed, merry.AppendMessagef("merged delta is larger than %d bytes", maxMergedBytes))
 	}
 	return raw, nil
 }
--- a/lib/config/conflict.go
+++ b/lib/config/conflict.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// RevisionConflictError means that the configuration is no longer at the
-// revision that the request was made from. The request was not and will not be
-// accepted.
+// RevisionConflictError reports that the current revision is not the one that
+// the request was based on. The request was not accepted and will not be.
 type RevisionConflictError struct {
 	Expected uint64
 	Current  Head
-	// Author and Operation are those of the current revision.
+	// Author and Operation identify the change that created the current
+	// revision.
 	Author    string
 	Operation string
-	// Differences leads from the expected to the current revision.
+	// Differences lists the changes from the expected to the current revision.
 	Differences []Difference
 }
 
 func (e *RevisionConflictError) Error() string {
-	return fmt.Sprintf("expected revision %d, current is %d by %s", e.Expected, e.Current.Number, e.Author)
+	return fmt.Sprintf("configuration conflict: request is based on revision %d, current revision is %d by %s", e.Expected, e.Current.Number, e.Author)
 }
 
-// UnknownOutcomeError means that the store did not say whether the request took
-// effect. The operation id tells later.
+// UnknownOutcomeError reports that the store did not confirm whether the request
+// took effect. Store.Operation resolves the operation ID later.
 type UnknownOutcomeError struct {
 	Operation string
 	Cause     error
@@ -30,5 +30,5 @@
 	return fmt.Sprintf("outcome of operation %s is unknown: %v", e.Operation, e.Cause)
 }
 
-// Unwrap returns the store's error.
+// Unwrap returns the last error from the store.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
--- a/lib/config/declaration.go
+++ b/lib/config/declaration.go
@@ -9,7 +9,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Format writes a configuration as the declaration file that operators edit.
+// Format returns a configuration in the format of the declaration file that
+// operators edit.
 func Format(c *Config) []byte {
 	var buf bytes.Buffer
 	for i, s := range c.sections() {
@@ -24,35 +25,37 @@
 	return buf.Bytes()
 }
 
-// Parse reads a declaration file and validates it. It returns *InvalidError
-// with every fault and its line. Left out keys get the defaults that
-// docs/configuration.md lists; a file without [deployment] gets its defaults.
+// Parse parses and validates a declaration file. On failure it returns an
+// *InvalidError that lists all violations with their line numbers. Omitted keys,
+// and an omitted [deployment] section, get the defaults that
+// docs/configuration.md lists.
 func Parse(data []byte) (*Config, error) {
-	lines, faults := scanLines(data)
-	if len(faults) > 0 {
-		return nil, merry.Wrap(&InvalidError{Violations: faults})
+	lines, syntax := scanLines(data)
+	if len(syntax) > 0 {
+		return nil, merry.Wrap(&InvalidError{Violations: syntax})
 	}
 	file, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation:       true,
 		SpaceBeforeInlineComment: true,
 		KeyValueDelimiters:       "=",
-		// Versions contain dots, which would make a section inherit keys.
+		// The default delimiter is a dot, which occurs in versions and would
+		// make sections inherit keys from one another.
 		ChildSectionDelimiter: "\x00",
 	}, data)
 	if err != nil {
 		return nil, merry.Wrap(&InvalidError{Violations: []Violation{{Path: "file", Value: err.Error(), Allowed: "INI sections and keys"}}})
 	}
 	c := &Config{Deployment: defaultDeployment()}
-	var read []Violation
+	var violations []Violation
 	for _, s := range file.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
 		}
 		r := newSectionReader(s)
-		r.into(c)
-		read = append(read, r.faults...)
+		r.addTo(c)
+		violations = append(violations, r.violations...)
 	}
-	if len(read) == 0 {
+	if len(violations) == 0 {
 		err := c.Validate()
 		var invalid *InvalidError
 		if err == nil {
@@ -61,32 +64,33 @@
 		if !errors.As(err, &invalid) {
 			return nil, err
 		}
-		read = invalid.Violations
+		violations = invalid.Violations
 	}
-	for i := range read {
-		read[i].Line = lines.find(read[i].Path)
+	for i := range violations {
+		violations[i].Line = lines.find(violations[i].Path)
 	}
-	return nil, merry.Wrap(&InvalidError{Violations: read})
+	return nil, merry.Wrap(&InvalidError{Violations: violations})
 }
 
-// lineIndex maps the path of a section or key to its line.
+// lineIndex maps the path of a section or key to its line number, starting at 1.
 type lineIndex map[string]int
 
-// find returns the line of a path, or of its section if the key was left out.
-func (l lineIndex) find(name string) int {
-	if line, ok := l[name]; ok {
+// find returns the line of a path, or that of its section if the file does not
+// contain the key.
+func (l lineIndex) find(path string) int {
+	if line, ok := l[path]; ok {
 		return line
 	}
-	object, _, _ := strings.Cut(name, ": ")
+	object, _, _ := strings.Cut(path, ": ")
 	return l[object]
 }
 
-// scanLines finds the lines of sections and keys. It refuses what the INI
-// library would accept silently: repeated sections and keys, of which the last
-// would win.
+// scanLines returns the lines of all sections and keys. It reports lines that are
+// neither, and repeated sections and keys, for which the INI library would
+// silently use the last value.
 func scanLines(data []byte) (lineIndex, []Violation) {
 	lines := make(lineIndex)
-	var faults []Violation
+	var violations []Violation
 	object := ""
 	for i, text := range strings.Split(string(data), "\n") {
 		text = strings.TrimSpace(strings.TrimPrefix(text, "\ufeff"))
@@ -99,22 +103,22 @@
 		case isSection:
 			end := strings.IndexByte(text, ']')
 			if end < 0 {
-				faults = append(faults, Violation{Path: "section", Value: text, Allowed: "[name]", Line: i + 1})
+				violations = append(violations, Violation{Path: "section", Value: text, Allowed: "[name]", Line: i + 1})
 				continue
 			}
 			object = strings.TrimSpace(text[1:end])
 			name = object
 		case !isKey:
-			faults = append(faults, Violation{Path: path(object, "line"), Value: text, Allowed: "key = value", Line: i + 1})
+			violations = append(violations, Violation{Path: path(object, "line"), Value: text, Allowed: "key = value", Line: i + 1})
 			continue
 		default:
 			name = path(object, strings.TrimSpace(name))
 		}
 		if lines[name] > 0 {
-			faults = append(faults, Violation{Path: name, Value: strings.TrimSpace(value), Allowed: "each section and key once", Line: i + 1})
+			violations = append(violations, Violation{Path: name, Value: strings.TrimSpace(value), Allowed: "each section and key once", Line: i + 1})
 			continue
 		}
 		lines[name] = i + 1
 	}
-	return lines, faults
+	return lines, violations
 }
--- a/lib/config/delta.go
+++ b/lib/config/delta.go
@@ -9,8 +9,8 @@
 	"github.com/auburnbend/auburnbend/lib/msgstream"
 )
 
-// Delta is what changes between two configurations. Objects are set whole;
-// removed ones are named by key.
+// Delta is the difference between two configurations. Added and changed objects
+// are included as a whole; removed objects are listed by key.
 type Delta struct {
 	Deployment       *Deployment `msgpack:"d"`
 	Models           []Model     `msgpack:"m"`
@@ -23,22 +23,23 @@
 	RemoveTenants    []string    `msgpack:"rt"`
 	Classes          []Class     `msgpack:"c"`
 	RemoveClasses    []string    `msgpack:"rc"`
-	// StateDigest is the digest of the configuration that the delta leads to.
+	// StateDigest is the digest of the configuration that results from applying
+	// the delta.
 	StateDigest model.Digest `msgpack:"z"`
 }
 
-// NewDelta returns what leads from one configuration to another.
+// NewDelta returns the delta that turns one configuration into another.
 func NewDelta(from, to *Config) (Delta, error) {
 	var d Delta
 	if from.Deployment != to.Deployment {
 		deployment := to.Deployment
 		d.Deployment = &deployment
 	}
-	d.Models, d.RemoveModels = deltaOf(from.Models, to.Models, modelKey)
-	d.Placements, d.RemovePlacements = deltaOf(from.Placements, to.Placements, placementKey)
-	d.Services, d.RemoveServices = deltaOf(from.Services, to.Services, serviceKey)
-	d.Tenants, d.RemoveTenants = deltaOf(from.Tenants, to.Tenants, tenantKey)
-	d.Classes, d.RemoveClasses = deltaOf(from.Classes, to.Classes, classKey)
+	d.Models, d.RemoveModels = diffObjects(from.Models, to.Models, modelKey)
+	d.Placements, d.RemovePlacements = diffObjects(from.Placements, to.Placements, placementKey)
+	d.Services, d.RemoveServices = diffObjects(from.Services, to.Services, serviceKey)
+	d.Tenants, d.RemoveTenants = diffObjects(from.Tenants, to.Tenants, tenantKey)
+	d.Classes, d.RemoveClasses = diffObjects(from.Classes, to.Classes, classKey)
 	state, err := to.Digest()
 	d.StateDigest = state
 	return d, err
@@ -54,16 +55,16 @@
 		len(d.Classes)+len(d.RemoveClasses) == 0
 }
 
-// Apply returns the configuration that the delta leads to from another. It
-// returns ErrChain if the result is not the one that the delta was made for.
+// Apply returns the configuration that results from applying the delta to from.
+// It returns ErrChainBroken if the digest of the result is not StateDigest.
 func (d *Delta) Apply(from *Config) (*Config, error) {
 	to := &Config{
 		Deployment: from.Deployment,
-		Models:     merge(from.Models, d.Models, d.RemoveModels, modelKey),
-		Placements: merge(from.Placements, d.Placements, d.RemovePlacements, placementKey),
-		Services:   merge(from.Services, d.Services, d.RemoveServices, serviceKey),
-		Tenants:    merge(from.Tenants, d.Tenants, d.RemoveTenants, tenantKey),
-		Classes:    merge(from.Classes, d.Classes, d.RemoveClasses, classKey),
+		Models:     mergeObjects(from.Models, d.Models, d.RemoveModels, modelKey),
+		Placements: mergeObjects(from.Placements, d.Placements, d.RemovePlacements, placementKey),
+		Services:   mergeObjects(from.Services, d.Services, d.RemoveServices, serviceKey),
+		Tenants:    mergeObjects(from.Tenants, d.Tenants, d.RemoveTenants, tenantKey),
+		Classes:    mergeObjects(from.Classes, d.Classes, d.RemoveClasses, classKey),
 	}
 	if d.Deployment != nil {
 		to.Deployment = *d.Deployment
@@ -73,15 +74,15 @@
 		return nil, err
 	}
 	if state != d.StateDigest {
-		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("state is %s, the delta leads to %s", state.Short(), d.StateDigest.Short()))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("resulting state is %s, the delta requires %s", state.Short(), d.StateDigest.Short()))
 	}
 	return to, nil
 }
 
-// Encode returns the encoding over which the digest chain is computed.
+// Encode returns the msgpack encoding of the delta.
 func (d *Delta) Encode() ([]byte, error) { return encode(d) }
 
-// DecodeDelta reads an encoded delta.
+// DecodeDelta decodes a delta. It returns ErrMalformed for invalid data.
 func DecodeDelta(data []byte) (Delta, error) {
 	var d Delta
 	if err := msgstream.Unmarshal(data, &d); err != nil {
@@ -90,7 +91,9 @@
 	return d, nil
 }
 
-func deltaOf[T comparable](from, to []T, key func(T) string) (set []T, removed []string) {
+// diffObjects returns the objects of to that are new or changed, and the keys of
+// the objects that only from contains. Both are sorted by key.
+func diffObjects[T comparable](from, to []T, key func(T) string) (set []T, removed []string) {
 	before := make(map[string]T, len(from))
 	for _, v := range from {
 		before[key(v)] = v
@@ -108,7 +111,9 @@
 	return sortedBy(set, key), removed
 }
 
-func merge[T any](from, set []T, removed []string, key func(T) string) []T {
+// mergeObjects returns from with the objects in set added or replaced and the
+// removed ones left out, sorted by key.
+func mergeObjects[T any](from, set []T, removed []string, key func(T) string) []T {
 	replaced := make(map[string]bool, len(set)+len(removed))
 	for _, v := range set {
 		replaced[key(v)] = true
--- a/lib/config/delta_merge.go
+++ b/lib/config/delta_merge.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Merge returns one delta that has the effect of two applied in sequence. Values
-// that both set are contained once.
+// Merge returns one delta that has the same effect as applying d and then next.
+// Objects that both deltas change are included once, as next sets them.
 func (d Delta) Merge(next Delta) Delta {
-	merged := d.without(next)
+	merged := d.withoutObjectsOf(next)
 	if next.Deployment != nil {
 		merged.Deployment = next.Deployment
 	}
@@ -23,22 +23,24 @@
 	return merged
 }
 
-// without returns a copy that lacks the objects that next sets or removes. It
-// leads to no state of its own; State stays empty.
-func (d Delta) without(next Delta) Delta {
+// withoutObjectsOf returns d without the objects that next sets or removes. The
+// result does not describe a complete step, so its StateDigest is zero.
+func (d Delta) withoutObjectsOf(next Delta) Delta {
 	var rest Delta
 	if next.Deployment == nil {
 		rest.Deployment = d.Deployment
 	}
-	rest.Models, rest.RemoveModels = less(d.Models, d.RemoveModels, next.Models, next.RemoveModels, modelKey)
-	rest.Placements, rest.RemovePlacements = less(d.Placements, d.RemovePlacements, next.Placements, next.RemovePlacements, placementKey)
-	rest.Services, rest.RemoveServices = less(d.Services, d.RemoveServices, next.Services, next.RemoveServices, serviceKey)
-	rest.Tenants, rest.RemoveTenants = less(d.Tenants, d.RemoveTenants, next.Tenants, next.RemoveTenants, tenantKey)
-	rest.Classes, rest.RemoveClasses = less(d.Classes, d.RemoveClasses, next.Classes, next.RemoveClasses, classKey)
+	rest.Models, rest.RemoveModels = withoutReplaced(d.Models, d.RemoveModels, next.Models, next.RemoveModels, modelKey)
+	rest.Placements, rest.RemovePlacements = withoutReplaced(d.Placements, d.RemovePlacements, next.Placements, next.RemovePlacements, placementKey)
+	rest.Services, rest.RemoveServices = withoutReplaced(d.Services, d.RemoveServices, next.Services, next.RemoveServices, serviceKey)
+	rest.Tenants, rest.RemoveTenants = withoutReplaced(d.Tenants, d.RemoveTenants, next.Tenants, next.RemoveTenants, tenantKey)
+	rest.Classes, rest.RemoveClasses = withoutReplaced(d.Classes, d.RemoveClasses, next.Classes, next.RemoveClasses, classKey)
 	return rest
 }
 
-func less[T any](set []T, removed []string, nextSet []T, nextRemoved []string, key func(T) string) (keptSet []T, keptRemoved []string) {
+// withoutReplaced returns set and removed without the objects that nextSet or
+// nextRemoved contain.
+func withoutReplaced[T any](set []T, removed []string, nextSet []T, nextRemoved []string, key func(T) string) (keptSet []T, keptRemoved []string) {
 	replaced := make(map[string]bool, len(nextSet)+len(nextRemoved))
 	for _, v := range nextSet {
 		replaced[key(v)] = true
--- a/lib/config/delta_merge_test.go
+++ b/lib/config/delta_merge_test.go
@@ -8,8 +8,8 @@
 	"github.com/auburnbend/auburnbend/lib/config"
 )
 
-// Guards against merged deltas that bring back removed objects, drop changes or
-// keep overwritten values.
+// Guards against merged deltas that restore removed objects, lose changes or keep
+// overwritten values.
 func TestMergedDeltaEqualsSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := drawConfig(t, "from").Canonical()
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if d := config.Diff(got, current); len(d) != 0 {
-			t.Fatalf("merged delta leads elsewhere: %v", d)
+			t.Fatalf("merged delta yields a different configuration: %v", d)
 		}
 	})
 }
--- a/lib/config/delta_objects.go
+++ b/lib/config/delta_objects.go
@@ -1,7 +1,7 @@
 package config
 
-// ChangedObjects names the sections of the declaration file that a delta touches;
-// removed ones start with a minus sign.
+// ChangedObjects returns the names of the declaration sections that the delta
+// changes. Names of removed sections are prefixed with a minus sign.
 func (d *Delta) ChangedObjects() []string {
 	var names []string
 	if d.Deployment != nil {
--- a/lib/config/delta_test.go
+++ b/lib/config/delta_test.go
@@ -8,8 +8,9 @@
 	"github.com/auburnbend/auburnbend/lib/config"
 )
 
-// Guards against deltas that lose, keep or reorder objects, and against
-// declaration files that do not read back as what was accepted.
+// Guards against deltas that lose, wrongly keep or reorder objects, and against
+// declaration files that parse to a different configuration than the formatted
+// one.
 func TestDeltaAndDeclarationRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawConfig(t, "from"), drawConfig(t, "to")
@@ -33,7 +34,7 @@
 			t.Fatal(err)
 		}
 		if d := config.Diff(got, to); len(d) != 0 {
-			t.Fatalf("delta leads elsewhere: %v", d)
+			t.Fatalf("delta yields a different configuration: %v", d)
 		}
 		parsed, err := config.Parse(config.Format(to))
 		if err != nil {
@@ -41,10 +42,10 @@
 		}
 		want, _ := to.Digest()
 		if state, _ := parsed.Digest(); state != want {
-			t.Fatalf("declaration reads back as\n%s", config.Format(parsed))
+			t.Fatalf("formatted declaration parses as\n%s", config.Format(parsed))
 		}
 		if delta.Empty() != (len(config.Diff(from, to)) == 0) {
-			t.Fatal("delta and diff disagree about whether anything changes")
+			t.Fatal("Delta.Empty and Diff disagree on whether anything changes")
 		}
 	})
 }
--- a/lib/config/diff.go
+++ b/lib/config/diff.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Difference is one changed value. Old is empty for an added object, New for a
-// removed one.
+// Difference is one changed value. Old is empty if the value was added, New if it
+// was removed.
 type Difference struct {
-	// Object names the section of the declaration file.
+	// Object is the name of the section in the declaration file.
 	Object string
 	Key    string
 	Old    string
 	New    string
 }
 
-// String returns the difference as one line.
+// String formats the difference as one line.
 func (d Difference) String() string {
 	switch {
 	case d.Old == "":
@@ -24,8 +24,8 @@
 	}
 }
 
-// Diff returns what changes from one configuration to another, in the order of
-// the declaration file: changed and added values, then removed ones.
+// Diff returns the differences between two configurations: first the changed and
+// added values, then the removed ones, each in the order of the declaration file.
 func Diff(from, to *Config) []Difference {
 	type position struct{ object, key string }
 	before := make(map[position]string)
--- a/lib/config/encode.go
+++ b/lib/config/encode.go
@@ -12,8 +12,8 @@
 	"github.com/auburnbend/auburnbend/lib/msgstream"
 )
 
-// Canonical returns a copy whose lists are sorted by key, so that equal
-// declarations have equal encodings.
+// Canonical returns a copy with all lists sorted by key, so that equal
+// configurations have equal encodings.
 func (c *Config) Canonical() *Config {
 	return &Config{
 		Deployment: c.Deployment,
@@ -25,12 +25,12 @@
 	}
 }
 
-// Encode returns the canonical encoding.
+// Encode returns the msgpack encoding of the canonical form.
 func (c *Config) Encode() ([]byte, error) { return encode(c.Canonical()) }
 
 // Digest returns the digest of the canonical encoding. Each revision carries the
-// digest of the state that it leads to, so that a replica detects a delta that
-// was applied to another state.
+// digest of its resulting configuration, so that a replica detects when a delta
+// was applied to the wrong configuration.
 func (c *Config) Digest() (model.Digest, error) {
 	b, err := c.Encode()
 	if err != nil {
@@ -39,7 +39,7 @@
 	return model.Sum(b), nil
 }
 
-// Decode reads an encoded configuration.
+// Decode decodes a configuration. It returns ErrMalformed for invalid data.
 func Decode(data []byte) (*Config, error) {
 	var c Config
 	if err := msgstream.Unmarshal(data, &c); err != nil {
@@ -48,9 +48,9 @@
 	return &c, nil
 }
 
-// encode writes fields by name and leaves out unset ones. A release that adds a
-// field therefore agrees with the digests of an older one until operators use
-// the field.
+// encode encodes structs as maps by field name and omits empty fields. A release
+// that adds a field therefore computes the same digests as an older one until
+// operators use the field.
 func encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	e := msgpack.NewEncoder(&buf)
@@ -62,6 +62,7 @@
 	return buf.Bytes(), nil
 }
 
+// sortedBy returns a copy of list sorted by key, or nil if list is empty.
 func sortedBy[T any](list []T, key func(T) string) []T {
 	if len(list) == 0 {
 		return nil
--- a/lib/config/errors.go
+++ b/lib/config/errors.go
@@ -5,21 +5,21 @@
 )
 
 var (
-	// ErrMalformed means that bytes are not an encoded configuration, delta or
-	// revision.
+	// ErrMalformed means that data is not a valid encoding of a configuration,
+	// delta, revision or stored record.
 	ErrMalformed = merry.New("malformed configuration data")
-	// ErrChainBroken means that a revision does not continue the digest chain of the
-	// state that it was applied to.
+	// ErrChainBroken means that a revision does not continue the digest chain of
+	// the revision that it was applied to.
 	ErrChainBroken = merry.New("configuration digest chain broken")
-	// ErrRevisionGap means that revisions between the replica's and the offered ones
-	// are missing; the caller fetches them.
+	// ErrRevisionGap means that revisions between the one that the replica holds
+	// and the received ones are missing. The caller has to fetch them first.
 	ErrRevisionGap = merry.New("configuration revisions missing")
-	// ErrStoreUnavailable means that the store did not answer and that nothing
-	// was written.
+	// ErrStoreUnavailable means that the store did not answer and nothing was
+	// written.
 	ErrStoreUnavailable = merry.New("configuration store unavailable")
-	// ErrRevisionNotFound means that a revision was never accepted.
+	// ErrRevisionNotFound means that the store holds no such revision.
 	ErrRevisionNotFound = merry.New("configuration revision not found")
-	// ErrOperationReused means that an operation id was used for another change
-	// or was abandoned; the operator picks a new one.
-	ErrOperationReused = merry.New("operation id already used")
+	// ErrOperationReused means that the operation ID belongs to another change or
+	// was abandoned. The operator has to choose a new one.
+	ErrOperationReused = merry.New("operation ID already used")
 )
--- a/lib/config/fault.go
+++ b/lib/config/fault.go
@@ -5,36 +5,36 @@
 	"strings"
 )
 
-// Violation is one thing that is wrong with a configuration.
+// Violation is one invalid value in a configuration.
 type Violation struct {
-	// Path names the value, such as "service drafts: timeout".
+	// Path identifies the value, for example "service drafts: timeout".
 	Path string
-	// Value is what was declared.
+	// Value is the declared value.
 	Value string
-	// Allowed says what is accepted.
+	// Allowed describes the valid values.
 	Allowed string
-	// Line is the line of the declaration file; 0 if there is none.
+	// Line is the line in the declaration file, or 0 if unknown.
 	Line int
 }
 
-// String returns the fault as one line.
-func (f Violation) String() string {
-	text := fmt.Sprintf("%s: %q is not allowed; allowed: %s", f.Path, f.Value, f.Allowed)
-	if f.Line > 0 {
-		return fmt.Sprintf("line %d: %s", f.Line, text)
+// String formats the violation as one line.
+func (v Violation) String() string {
+	text := fmt.Sprintf("%s: %q is not allowed; allowed: %s", v.Path, v.Value, v.Allowed)
+	if v.Line > 0 {
+		return fmt.Sprintf("line %d: %s", v.Line, text)
 	}
 	return text
 }
 
-// InvalidError lists every fault of a configuration.
+// InvalidError lists all violations in a configuration or request.
 type InvalidError struct {
 	Violations []Violation
 }
 
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Violations))
-	for i, f := range e.Violations {
-		lines[i] = f.String()
+	for i, v := range e.Violations {
+		lines[i] = v.String()
 	}
 	return "invalid configuration: " + strings.Join(lines, "; ")
 }
--- a/lib/config/fields.go
+++ b/lib/config/fields.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// field is one key of a section of the declaration file.
+// field is one key and its value in the declaration file.
 type field struct {
 	key   string
 	value string
 }
 
-// section is one declared object in the form of the declaration file.
+// section is one declared object as it appears in the declaration file.
 type section struct {
 	name   string
 	fields []field
@@ -25,8 +25,8 @@
 func tenantSection(t Tenant) string   { return "tenant " + string(t.Name) }
 func classSection(c Class) string     { return "class " + string(c.Name) }
 
-// sections returns all declared objects in canonical order. Empty optional
-// values are left out.
+// sections returns all declared objects in canonical order. It omits base and
+// base_version of base models, and model and version of plain services.
 func (c *Config) sections() []section {
 	c = c.Canonical()
 	list := []section{{"deployment", deploymentFields(c.Deployment)}}
--- a/lib/config/generate_test.go
+++ b/lib/config/generate_test.go
@@ -10,9 +10,9 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// sample returns a valid configuration with a number of models, of which each
-// has a placement and a service. Variant changes one value.
-func sample(models, variant int) *config.Config {
+// sampleConfig returns a valid configuration with the given number of models, each
+// with one placement and one service. The variant sets the share of the tenant.
+func sampleConfig(models, variant int) *config.Config {
 	c := &config.Config{
 		Deployment: config.Deployment{TimeWeight: 0.5, OriginCopies: 2, TransferShare: 0.5, ClaimRetention: 24 * time.Hour},
 		Tenants:    []config.Tenant{{Name: "engravers", Share: 1 + variant, MaxQueued: 100, RetryShare: 0.1}},
@@ -33,10 +33,10 @@
 	return c
 }
 
-// drawConfig draws a valid configuration whose objects overlap with those of
-// other draws.
+// drawConfig generates a random valid configuration. Configurations from
+// different calls have objects in common.
 func drawConfig(t *rapid.T, label string) *config.Config {
-	c := sample(rapid.IntRange(0, 4).Draw(t, label+" models"), rapid.IntRange(0, 3).Draw(t, label+" variant"))
+	c := sampleConfig(rapid.IntRange(0, 4).Draw(t, label+" models"), rapid.IntRange(0, 3).Draw(t, label+" variant"))
 	c.Deployment.TimeWeight = rapid.Float64Range(0, 1).Draw(t, label+" weight")
 	c.Services[0].MaxBodyBytes = rapid.Int64Range(1, config.MaxBodyBytes).Draw(t, label+" body")
 	c.Classes[0].FirstToken = time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(time.Minute)).Draw(t, label+" first token"))
--- a/lib/config/keys.go
+++ b/lib/config/keys.go
@@ -1,7 +1,7 @@
 package config
 
-// Keys name one declared object within its kind. Names cannot contain the
-// separator.
+// The functions below return the key that identifies an object among those of its
+// kind. Validated names do not contain the separator.
 
 func modelKey(m Model) string         { return m.Name + "/" + m.Version }
 func placementKey(p Placement) string { return p.Pool + "/" + string(p.FailureDomain) }
--- a/lib/config/lookup.go
+++ b/lib/config/lookup.go
@@ -2,7 +2,7 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// FindService returns a declared service.
+// FindService returns the service with the given name.
 func (c *Config) FindService(name model.Service) (Service, bool) {
 	for _, s := range c.Services {
 		if s.Name == name {
@@ -12,7 +12,7 @@
 	return Service{}, false
 }
 
-// FindTenant returns a declared tenant.
+// FindTenant returns the tenant with the given name.
 func (c *Config) FindTenant(name model.Tenant) (Tenant, bool) {
 	for _, t := range c.Tenants {
 		if t.Name == name {
@@ -22,7 +22,7 @@
 	return Tenant{}, false
 }
 
-// FindModel returns a declared version of a model.
+// FindModel returns the declaration of a model or adapter version.
 func (c *Config) FindModel(name, version string) (Model, bool) {
 	for _, m := range c.Models {
 		if m.Name == name && m.Version == version {
@@ -32,7 +32,7 @@
 	return Model{}, false
 }
 
-// FindClass returns a declared class.
+// FindClass returns the request class with the given name.
 func (c *Config) FindClass(name model.Class) (Class, bool) {
 	for _, cl := range c.Classes {
 		if cl.Name == name {
@@ -52,8 +52,8 @@
 	return Placement{}, false
 }
 
-// Weights returns what an instance must have loaded to serve a version: the
-// manifest itself for a base model, base and adapter for an adapter.
+// Weights returns the weights that an instance must have loaded to serve a
+// version: the base model only, or the base model and the adapter.
 func (c *Config) Weights(name, version string) (model.Weights, bool) {
 	m, ok := c.FindModel(name, version)
 	if !ok {
--- a/lib/config/operation.go
+++ b/lib/config/operation.go
@@ -8,21 +8,22 @@
 	"github.com/auburnbend/auburnbend/lib/msgstream"
 )
 
-// OperationState says what became of an operation id.
+// OperationState is the outcome of an operation.
 type OperationState uint8
 
 const (
-	// OperationNotFound means that no revision with the id was seen. A write
-	// whose reply was lost may still take effect, unless the id was settled.
+	// OperationNotFound means that the operation ID is not recorded. A write
+	// whose reply was lost may still take effect, until Store.Operation is called
+	// with settle.
 	OperationNotFound OperationState = iota
 	// OperationApplied means that the change was accepted.
 	OperationApplied
-	// OperationAbandoned means that the change was not and will never be
-	// accepted.
+	// OperationAbandoned means that the change was not accepted and never will
+	// be.
 	OperationAbandoned
 )
 
-// String returns the name that tables show.
+// String returns the name of the state as shown to operators.
 func (s OperationState) String() string {
 	switch s {
 	case OperationApplied:
@@ -34,15 +35,15 @@
 	}
 }
 
-// Operation is what the store knows about an operation id.
+// Operation is the recorded outcome of an operation ID.
 type Operation struct {
 	State OperationState
-	// Head is the accepted revision of an applied operation.
+	// Head is the revision that an applied operation created.
 	Head Head
 	Time time.Time
 }
 
-// operationRow is the stored form of an Operation.
+// operationRow is the stored encoding of an Operation.
 type operationRow struct {
 	Head       Head  `msgpack:"h"`
 	UnixMillis int64 `msgpack:"t"`
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -9,108 +9,111 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// PeerID names one connection to another process.
+// PeerID identifies one generation of another process.
 type PeerID struct {
 	Instance   model.InstanceID
 	Generation model.Generation
 }
 
-// peer is what is known about the other end of a connection.
+// peer is the state of one connected peer.
 type peer struct {
-	head      Head
-	announced Head
-	at        time.Time // of the last announcement
-	failed    time.Time // of the last fetch without an answer
-	// leaf is true on connections between an entry and an agent.
+	head        Head
+	announced   Head
+	announcedAt time.Time // when the last announcement was sent
+	failedAt    time.Time // when the last fetch from the peer timed out
+	// leaf is true for connections between an entry and an agent.
 	leaf bool
-	// asked is true once the peer has fetched from this process.
-	asked bool
+	// fetches is true if the peer has fetched revisions from this process.
+	fetches bool
 }
 
-// Peers decides which peers are told about a new revision before their next
-// heartbeat, and from which one revisions are fetched. Heartbeats alone, at up
-// to 3 s on an idle connection, would take longer than 9 s over several
-// processes. It belongs to one owner.
+// Peers decides which peers get a new revision announced before their next
+// regular heartbeat, and from which peer revisions are fetched. Regular
+// heartbeats are up to 3 s apart on idle connections, so that a change passed on
+// through several processes would take longer than 9 s without announcements.
+// Peers is not safe for concurrent use.
 type Peers struct {
-	cfg     PeersConfig
-	rng     *rand.Rand
-	peers   map[PeerID]*peer
-	fetch   PeerID
-	fetched time.Time // when the outstanding fetch was sent; zero if none
-	source  PeerID    // that answered the last fetch
-	// highest is the highest revision that any peer reported so far.
+	cfg         PeersConfig
+	rng         *rand.Rand
+	peers       map[PeerID]*peer
+	fetchPeer   PeerID
+	fetchSentAt time.Time // when the outstanding fetch was sent; zero if none
+	lastSource  PeerID    // peer that answered the last fetch
+	// highest is the highest revision number reported by any peer so far.
 	highest uint64
-	// pausedFrom is when the last answered fetch was sent; zero after a failure.
-	pausedFrom time.Time
+	// answeredFetchSentAt is when the last answered fetch was sent; zero after a
+	// rejected answer or a lost connection.
+	answeredFetchSentAt time.Time
 }
 
-// NewPeers returns Peers without connections.
+// NewPeers returns Peers without any connections.
 func NewPeers(cfg PeersConfig, rng *rand.Rand) *Peers {
 	cfg.applyDefaults()
 	return &Peers{cfg: cfg, rng: rng, peers: make(map[PeerID]*peer)}
 }
 
-// Add tells what kind of connection leads to a peer. Leaf is true between an
-// entry and an agent, seen from either end: an agent passes nothing on and is
-// connected to several entries, of which only the one that it fetches from
-// announces changes. The heartbeats of the others serve if that one fails.
-// Without Joined, a connection counts as no leaf.
-func (p *Peers) Add(id PeerID, leaf bool) { p.peer(id).leaf = leaf }
+// Add registers a peer. Leaf is true for connections between an entry and an
+// agent, at both ends. An agent does not pass revisions on and is connected to
+// several entries. Only the entry that it fetches from announces changes to it;
+// the regular heartbeats of the others are the fallback if that entry fails.
+// Peers that were not added count as non-leaf.
+func (p *Peers) Add(id PeerID, leaf bool) { p.getOrAdd(id).leaf = leaf }
 
-// MarkFetching notes that a peer fetches from this process.
-func (p *Peers) MarkFetching(id PeerID) { p.peer(id).asked = true }
+// MarkFetching records that a peer has fetched from this process.
+func (p *Peers) MarkFetching(id PeerID) { p.getOrAdd(id).fetches = true }
 
-// ObserveHead takes the head in a heartbeat of a peer. A damaged or foreign history,
-// for which Replica.Observe returns ErrChain, is reported with Refused instead.
+// ObserveHead records the head from a peer's heartbeat. If Replica.ObserveHead
+// returned ErrChainBroken for the head, call Reject instead.
 func (p *Peers) ObserveHead(id PeerID, head Head) {
-	p.peer(id).head = head
+	p.getOrAdd(id).head = head
 	p.highest = max(p.highest, head.Number)
 }
 
-// Reject makes Fetch pass over a peer until it reports another head.
+// Reject excludes a peer from fetches until it reports its head again.
 func (p *Peers) Reject(id PeerID) {
 	if known := p.peers[id]; known != nil {
 		known.head = Head{}
 	}
 	p.FetchAnswered(id)
-	p.pausedFrom = time.Time{}
+	p.answeredFetchSentAt = time.Time{}
 }
 
-// Remove forgets a peer whose connection ended.
+// Remove deletes a peer whose connection ended.
 func (p *Peers) Remove(id PeerID) {
 	delete(p.peers, id)
 	p.FetchAnswered(id)
-	p.pausedFrom = time.Time{}
+	p.answeredFetchSentAt = time.Time{}
 }
 
-// FetchAnswered ends the outstanding fetch from a peer.
+// FetchAnswered completes the outstanding fetch if it was sent to the peer.
 func (p *Peers) FetchAnswered(id PeerID) {
-	if p.fetch == id {
-		p.pausedFrom = p.fetched
-		p.fetch, p.fetched = PeerID{}, time.Time{}
-		p.source = id
+	if p.fetchPeer == id {
+		p.answeredFetchSentAt = p.fetchSentAt
+		p.fetchPeer, p.fetchSentAt = PeerID{}, time.Time{}
+		p.lastSource = id
 	}
 }
 
-// MarkAnnounced notes that a heartbeat with the head was sent to a peer.
+// MarkAnnounced records that a heartbeat with the head was sent to a peer.
 func (p *Peers) MarkAnnounced(id PeerID, head Head, now time.Time) {
-	known := p.peer(id)
-	known.announced, known.at = head, now
+	known := p.getOrAdd(id)
+	known.announced, known.announcedAt = head, now
 }
 
-// AnnounceTargets returns the peers that do not know the head and may be sent a
-// heartbeat now. The caller reports each with Announced.
+// AnnounceTargets returns the peers that hold a lower revision than head and are
+// due for an announcement. The caller sends each a heartbeat and calls
+// MarkAnnounced.
 func (p *Peers) AnnounceTargets(head Head, now time.Time) []PeerID {
 	var ids []PeerID
 	for id, known := range p.peers {
-		if known.leaf && !known.asked {
+		if known.leaf && !known.fetches {
 			continue
 		}
-		pause := p.cfg.AnnounceInterval
+		interval := p.cfg.AnnounceInterval
 		if known.leaf {
-			pause = p.cfg.LeafInterval
+			interval = p.cfg.LeafInterval
 		}
-		if known.head.Number < head.Number && known.announced != head && now.Sub(known.at) >= pause {
+		if known.head.Number < head.Number && known.announced != head && now.Sub(known.announcedAt) >= interval {
 			ids = append(ids, id)
 		}
 	}
@@ -119,32 +122,34 @@
 }
 
 // StartFetch returns a peer to send a ConfigFetch to, if one holds a higher
-// revision and no fetch is outstanding. Fetches over leaf connections keep a
-// distance, so that one merged revision carries several changes of a burst.
+// revision and no fetch is outstanding, and records the fetch as outstanding.
+// Fetches over leaf connections are at least LeafInterval apart, so that one
+// merged revision carries several changes of a burst.
 func (p *Peers) StartFetch(head Head, now time.Time) (PeerID, bool) {
-	if !p.fetched.IsZero() {
-		if now.Sub(p.fetched) < p.cfg.FetchTimeout {
+	if !p.fetchSentAt.IsZero() {
+		if now.Sub(p.fetchSentAt) < p.cfg.FetchTimeout {
 			return PeerID{}, false
 		}
-		if known := p.peers[p.fetch]; known != nil {
-			known.failed = now
+		if known := p.peers[p.fetchPeer]; known != nil {
+			known.failedAt = now
 		}
 	}
-	id, ok := p.best(head, now)
-	if ok && p.peers[id].leaf && !p.pausedFrom.IsZero() && now.Sub(p.pausedFrom) < p.cfg.LeafInterval {
+	id, ok := p.bestSource(head, now)
+	if ok && p.peers[id].leaf && !p.answeredFetchSentAt.IsZero() && now.Sub(p.answeredFetchSentAt) < p.cfg.LeafInterval {
 		return PeerID{}, false
 	}
 	if ok {
-		p.fetch, p.fetched = id, now
+		p.fetchPeer, p.fetchSentAt = id, now
 	}
 	return id, ok
 }
 
-// best picks the highest head, and among equals the source of the last fetch,
-// which therefore announces to this process, or else one at random, so that not
-// all processes fetch from the one that announced first. Peers that just failed
-// to answer come last.
-func (p *Peers) best(head Head, now time.Time) (PeerID, bool) {
+// bestSource returns the peer with the highest head. Among equals it prefers the
+// source of the last fetch, because that peer announces changes to this process,
+// and otherwise picks one at random, so that not all processes fetch from the
+// first one to announce. Peers whose last fetch timed out recently are used only
+// if no other peer qualifies.
+func (p *Peers) bestSource(head Head, now time.Time) (PeerID, bool) {
 	if p.highest <= head.Number {
 		return PeerID{}, false
 	}
@@ -152,7 +157,7 @@
 	var highest uint64
 	for _, failed := range []bool{false, true} {
 		for id, known := range p.peers {
-			recent := !known.failed.IsZero() && now.Sub(known.failed) < 3*p.cfg.FetchTimeout
+			recent := !known.failedAt.IsZero() && now.Sub(known.failedAt) < 3*p.cfg.FetchTimeout
 			if recent != failed || known.head.Number <= head.Number || known.head.Number < highest {
 				continue
 			}
@@ -168,14 +173,15 @@
 	if len(ids) == 0 {
 		return PeerID{}, false
 	}
-	if slices.Contains(ids, p.source) {
-		return p.source, true
+	if slices.Contains(ids, p.lastSource) {
+		return p.lastSource, true
 	}
 	slices.SortFunc(ids, comparePeers)
 	return ids[p.rng.Intn(len(ids))], true
 }
 
-func (p *Peers) peer(id PeerID) *peer {
+// getOrAdd returns the state of a peer and creates it if necessary.
+func (p *Peers) getOrAdd(id PeerID) *peer {
 	known := p.peers[id]
 	if known == nil {
 		known = &peer{}
--- a/lib/config/peers_config.go
+++ b/lib/config/peers_config.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// defaultFetchTimeout is the time after which another peer is asked.
+	// defaultFetchTimeout is how long to wait for an answer before fetching from
+	// another peer.
 	defaultFetchTimeout = time.Second
-	// defaultAnnounceEvery is the shortest time between two announcements to
-	// one peer, so that a burst of changes costs few messages. The first change
-	// after a pause is announced at once.
-	defaultAnnounceEvery = time.Second
-	// defaultLeafPause is the shortest time between two announcements to one
-	// agent and between two of its fetches. It adds to the time that a change
-	// takes among entries; both together have to stay within 9 s.
-	defaultLeafPause = 2 * time.Second
+	// defaultAnnounceInterval limits the messages that a burst of changes
+	// causes. The first change after a quiet period is announced immediately.
+	defaultAnnounceInterval = time.Second
+	// defaultLeafInterval adds to the time that a change takes to spread among
+	// entries; both together must stay within 9 s.
+	defaultLeafInterval = 2 * time.Second
 )
 
-// PeersConfig holds the pace of Peers.
+// PeersConfig configures Peers. Zero fields get default values.
 type PeersConfig struct {
-	FetchTimeout     time.Duration
+	// FetchTimeout is how long a fetch may stay unanswered before another one is
+	// sent.
+	FetchTimeout time.Duration
+	// AnnounceInterval is the minimum time between two announcements to the same
+	// peer.
 	AnnounceInterval time.Duration
-	// LeafInterval is the shortest time between two announcements and between two
-	// answered fetches over leaf connections; the first after a longer pause is
-	// sent at once.
+	// LeafInterval is the minimum time between two announcements, and between a
+	// fetch that was answered and the next one, over leaf connections. The first
+	// one after a longer pause is sent immediately.
 	LeafInterval time.Duration
 }
 
@@ -30,9 +33,9 @@
 		c.FetchTimeout = defaultFetchTimeout
 	}
 	if c.AnnounceInterval == 0 {
-		c.AnnounceInterval = defaultAnnounceEvery
+		c.AnnounceInterval = defaultAnnounceInterval
 	}
 	if c.LeafInterval == 0 {
-		c.LeafInterval = defaultLeafPause
+		c.LeafInterval = defaultLeafInterval
 	}
 }
--- a/lib/config/peers_test.go
+++ b/lib/config/peers_test.go
@@ -10,7 +10,7 @@
 	"github.com/auburnbend/auburnbend/lib/config"
 )
 
-var _ = Describe("the pace of leaf connections", func() {
+var _ = Describe("Peers on leaf connections", func() {
 	start := time.Unix(1_800_000_000, 0)
 	first, second := config.PeerID{Instance: "entry-1"}, config.PeerID{Instance: "entry-2"}
 
@@ -21,8 +21,8 @@
 		return p
 	}
 
-	// Guards against a burst that costs one message per change and agent.
-	It("fetches at once after a pause and then waits", func() {
+	// Guards against bursts of changes that cause one message per change and agent.
+	It("fetches immediately after a pause and then waits for LeafInterval", func() {
 		p := newPeers()
 		_, ok := p.StartFetch(config.Head{Number: 4}, start)
 		Expect(ok).To(BeTrue())
@@ -34,8 +34,9 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	// Guards against a wait after a failure, which would delay the change further.
-	It("asks another peer at once after a refused answer or a lost connection", func() {
+	// Guards against waiting for LeafInterval after a failed fetch, which would delay
+	// the change further.
+	It("fetches from another peer immediately after a rejected answer or a lost connection", func() {
 		for _, fail := range []func(*config.Peers){
 			func(p *config.Peers) { p.Reject(first) },
 			func(p *config.Peers) { p.FetchAnswered(first); p.Remove(first) },
--- a/lib/config/poller.go
+++ b/lib/config/poller.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// readsPerStart is what the first poll of a new entry costs.
-	readsPerStart = 2
-	// maxBackoffFactor bounds the wait after failures as a multiple of the
-	// regular one.
+	// readsPerFirstPoll is the number of reads in the first poll of an entry.
+	readsPerFirstPoll = 2
+	// maxBackoffFactor limits the wait after failures in large domains, as a
+	// multiple of the regular interval. The wait before further revisions are
+	// read is the regular interval divided by it.
 	maxBackoffFactor = 4
-	// backoffEntries is the number of entries of a domain up to which each of
-	// them keeps MaxBackoff; with more, the polls of a domain are dense enough.
-	backoffEntries = 8
+	// smallDomainEntries is the number of entries in a failure domain up to which
+	// MaxBackoff applies unchanged. With more entries the domain as a whole polls
+	// often enough even if each entry waits longer.
+	smallDomainEntries = 8
 )
 
-// FleetSize is what an entry knows about its peers.
+// FleetSize is the number of entries that an entry knows, including itself.
 type FleetSize struct {
 	// Entries is the number of live entries of the deployment.
 	Entries int
-	// DomainEntries is the number of live entries of the own failure domain.
+	// DomainEntries is the number of live entries in its own failure domain.
 	DomainEntries int
 }
 
-// Poller decides when an entry polls the store. It is not safe for concurrent
-// use.
+// Poller schedules the polls of the store by one entry. It is not safe for
+// concurrent use.
 type Poller struct {
 	cfg      PollerConfig
 	rng      *rand.Rand
@@ -33,12 +35,13 @@
 	failures int
 }
 
-// NewPoller returns a poller whose first poll is spread over the time in which
-// all entries may read the store once, because they may all start at once.
+// NewPoller returns a poller whose first poll is at a random time within the
+// period that the first polls of all entries take at the budgeted read rate,
+// because all entries may start at the same time.
 func NewPoller(cfg PollerConfig, fleet FleetSize, rng *rand.Rand, now time.Time) *Poller {
 	cfg.applyDefaults()
 	p := &Poller{cfg: cfg, rng: rng}
-	spread := seconds(float64(max(1, fleet.Entries)*readsPerStart) / cfg.ReadRate)
+	spread := seconds(float64(max(1, fleet.Entries)*readsPerFirstPoll) / cfg.ReadRate)
 	p.next = now.Add(time.Duration(rng.Float64() * float64(spread)))
 	return p
 }
@@ -46,8 +49,8 @@
 // Next returns the time of the next poll.
 func (p *Poller) Next() time.Time { return p.next }
 
-// PollDone takes the end of a poll and sets the next time. More reports that the
-// store holds further revisions, which are fetched after a shorter wait.
+// PollDone records the result of a poll and schedules the next one. More means
+// that the store holds further revisions, which are read after a shorter wait.
 func (p *Poller) PollDone(err error, more bool, fleet FleetSize, now time.Time) {
 	wait := p.interval(fleet)
 	switch {
@@ -63,21 +66,23 @@
 	p.next = now.Add(p.jitter(wait))
 }
 
-// interval grows with the fleet so that the reads of all entries together stay
-// within the budget.
+// interval returns the regular time between polls. It grows with the number of
+// entries, so that all of them together stay within the read budget.
 func (p *Poller) interval(fleet FleetSize) time.Duration {
 	return max(p.cfg.Interval, seconds(float64(fleet.Entries)/p.cfg.ReadRate))
 }
 
-// backoff doubles with each failure. Its bound grows with the entries of a
-// large domain, because one of them that reaches the store is enough for all.
+// backoff returns the wait after a failed poll, which doubles with each failure.
+// Its limit grows with the number of entries in a large domain, because one entry
+// that reaches the store is enough for the whole domain.
 func (p *Poller) backoff(interval time.Duration, fleet FleetSize) time.Duration {
-	large := p.cfg.MaxBackoff * time.Duration(fleet.DomainEntries) / backoffEntries
-	bound := max(interval, p.cfg.MaxBackoff, min(large, interval*maxBackoffFactor))
+	scaled := p.cfg.MaxBackoff * time.Duration(fleet.DomainEntries) / smallDomainEntries
+	limit := max(interval, p.cfg.MaxBackoff, min(scaled, interval*maxBackoffFactor))
 	shift := min(p.failures+1, 8)
-	return min(bound, interval<<shift)
+	return min(limit, interval<<shift)
 }
 
+// jitter changes a wait randomly by up to the configured share.
 func (p *Poller) jitter(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) * (1 + p.cfg.Jitter*(2*p.rng.Float64()-1)))
 }
--- a/lib/config/poller_config.go
+++ b/lib/config/poller_config.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// defaultInterval is the time between two polls of a small deployment.
+	// defaultInterval is the time between two polls in a small deployment.
 	defaultInterval = 2 * time.Second
-	// defaultReadRate is the reads per second that all entries together use at
-	// rest. It is half of a tenth of the store's 2,000 reads/s; the other half
-	// is for jitter, starting entries and operators.
+	// defaultReadRate is half of the tenth of the store's 2,000 reads/s that the
+	// configuration may use. The other half is reserved for jitter, starting
+	// entries and operators.
 	defaultReadRate = 100
-	// defaultMaxBackoff bounds the wait of the only entry of a domain after
-	// failures, so that it learns of changes within 9 s of the store's return.
+	// defaultMaxBackoff lets the only entry of a failure domain learn of changes
+	// within 9 s after the store has recovered.
 	defaultMaxBackoff = 5 * time.Second
-	// defaultJitter is the share by which a wait is shortened or lengthened.
+	// defaultJitter shortens or lengthens each wait by up to a quarter.
 	defaultJitter = 0.25
 )
 
-// PollerConfig holds the pace of a Poller.
+// PollerConfig configures a Poller. Zero fields get default values.
 type PollerConfig struct {
+	// Interval is the minimum time between regular polls.
 	Interval time.Duration
-	// ReadRate is the budget of reads per second of all live entries together.
+	// ReadRate is the budget for all live entries together, in reads per second.
 	ReadRate float64
-	// MaxBackoff bounds the wait after failures, unless the regular wait is
-	// longer or the domain has many entries.
+	// MaxBackoff limits the wait after failures, unless the regular interval is
+	// longer or the failure domain has many entries.
 	MaxBackoff time.Duration
-	// Jitter is between 0 and 1.
+	// Jitter is the maximum relative change of each wait, 0 to 1.
 	Jitter float64
 }
 
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -10,31 +10,37 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Replica is a process's copy of the accepted configuration. It takes what the
-// store, peers and agents offer and applies only higher revisions that continue
-// its digest chain, so that no stale source can lower it. Current may be called
-// from any goroutine; all other methods belong to one owner.
+// Replica is the copy of the accepted configuration in one process. It accepts
+// revisions from the store and from other processes, and applies only higher ones
+// that continue its digest chain, so that a stale source cannot take it back to
+// an older revision. Current is safe for concurrent use; all other methods are
+// not.
 type Replica struct {
 	cfg   ReplicaConfig
 	start time.Time
 	view  atomic.Pointer[View]
 
-	// settled is false while a new replica collects offers.
-	settled bool
-	// candidate is the highest offer while not settled, and otherwise the
-	// state that view shows.
-	state     replicaState
-	confirmed time.Time
-	// highest is the highest revision that any source reported.
-	highest  uint64
-	retained []retainedStep
-	bytes    int
-	// answers holds what was served since the last revision, by the index of the
-	// first retained step: in a burst many agents ask for the same.
-	answers map[int][]byte
+	// startWindowOver is false while a new replica collects revisions without
+	// putting them in force.
+	startWindowOver bool
+	// state is the highest revision applied. It is in force, and equal to view,
+	// once the start window is over.
+	state replicaState
+	// confirmedAt is when the store last confirmed, directly or through peers,
+	// that state is the newest revision.
+	confirmedAt time.Time
+	// highestReported is the highest revision number reported by any source.
+	highestReported uint64
+	retained        []retainedStep
+	retainedBytes   int
+	// responses caches the encoded answers since the last revision, by the index
+	// of their first retained step, because many agents request the same
+	// revisions in a burst of changes.
+	responses map[int][]byte
 }
 
-// replicaState is a configuration with what is needed to send it as a snapshot.
+// replicaState is a configuration together with the data that is needed to send it
+// as a snapshot.
 type replicaState struct {
 	head     Head
 	config   *Config
@@ -43,42 +49,45 @@
 	accepted time.Time
 }
 
-// retainedStep is one encoded revision kept for others. It leads from base to
-// number, over several revisions if it is merged.
+// retainedStep is one encoded revision kept for other processes. It leads from
+// base to the revision with the given number and spans several revisions if it is
+// merged.
 type retainedStep struct {
 	base   Head
 	number uint64
 	data   []byte
 }
 
-// NewReplica returns a replica without a configuration.
+// NewReplica returns a replica without a configuration. Its start window begins at
+// now.
 func NewReplica(cfg ReplicaConfig, now time.Time) *Replica {
 	cfg.applyDefaults()
 	return &Replica{cfg: cfg, start: now, state: replicaState{config: &Config{}}}
 }
 
-// Current returns the configuration in force, or nil before the first one. It
-// is safe for concurrent use.
+// Current returns the configuration in force, or nil if there is none yet. It is
+// safe for concurrent use.
 func (r *Replica) Current() *View { return r.view.Load() }
 
-// Head returns the highest revision that the replica holds.
+// Head returns the highest revision that the replica holds, which may not be in
+// force yet.
 func (r *Replica) Head() Head { return r.state.head }
 
-// Age returns the time since the store confirmed, directly or through peers,
-// that the replica's revision was the newest.
+// Age returns the time since the store last confirmed, directly or through peers,
+// that the revision of the replica was the newest one.
 func (r *Replica) Age(now time.Time) time.Duration {
-	if r.confirmed.IsZero() {
+	if r.confirmedAt.IsZero() {
 		return now.Sub(r.start)
 	}
-	return max(0, now.Sub(r.confirmed))
+	return max(0, now.Sub(r.confirmedAt))
 }
 
-// ObserveHead takes the head that a source reports, with the age of the source's
-// own confirmation (0 for the store). It reports whether revisions are to be
-// fetched from the source, and returns ErrChain if the source holds another
-// history.
+// ObserveHead processes the head reported by a source. Age is the time since the
+// source's own head was confirmed, 0 for the store. It reports whether the replica
+// is behind the source, and returns ErrChainBroken if the source holds a different
+// revision under the same number.
 func (r *Replica) ObserveHead(head Head, age time.Duration, now time.Time) (behind bool, err error) {
-	r.highest = max(r.highest, head.Number)
+	r.highestReported = max(r.highestReported, head.Number)
 	if head.Number > r.state.head.Number {
 		return true, nil
 	}
@@ -86,25 +95,25 @@
 		return false, nil
 	}
 	if head.Digest != r.state.head.Digest {
-		return false, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d is %s here and %s at the source", head.Number, r.state.head.Digest.Short(), head.Digest.Short()))
+		return false, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d has digest %s in the replica and %s at the source", head.Number, r.state.head.Digest.Short(), head.Digest.Short()))
 	}
-	if at := now.Add(-age); at.After(r.confirmed) {
-		r.confirmed = at
+	if at := now.Add(-age); at.After(r.confirmedAt) {
+		r.confirmedAt = at
 	}
 	return false, nil
 }
 
-// Apply takes encoded revisions in order. It applies those that are higher and
-// continue the chain, and reports how many. On an error the earlier ones stay
-// applied: ErrMalformed and ErrChain mean damaged data, ErrGap that revisions
-// before it are missing.
+// Apply applies encoded revisions in order. It skips those that are not higher
+// than the replica's and returns the number of applied ones. On an error the
+// earlier ones remain applied: ErrMalformed and ErrChainBroken mean damaged data,
+// ErrRevisionGap means that preceding revisions are missing.
 func (r *Replica) Apply(encoded [][]byte, now time.Time) (applied int, err error) {
 	for _, data := range encoded {
 		revision, err := DecodeRevision(data)
 		if err != nil {
 			return applied, err
 		}
-		ok, err := r.take(revision)
+		ok, err := r.applyRevision(revision)
 		if err != nil {
 			return applied, err
 		}
@@ -116,30 +125,32 @@
 	return applied, nil
 }
 
-// Tick ends the start window when its time is over, or later while a reported
-// higher revision is still being fetched.
+// Tick ends the start window when its time is over. While a reported higher
+// revision is still missing, the window is extended to at most maxStartWindows
+// times its length.
 func (r *Replica) Tick(now time.Time) {
-	if r.settled {
+	if r.startWindowOver {
 		return
 	}
 	elapsed := now.Sub(r.start)
-	if elapsed >= startPatience*r.cfg.StartWindow || elapsed >= r.cfg.StartWindow && r.state.head.Number >= r.highest {
+	if elapsed >= maxStartWindows*r.cfg.StartWindow || elapsed >= r.cfg.StartWindow && r.state.head.Number >= r.highestReported {
 		r.EndStartWindow()
 	}
 }
 
-// EndStartWindow ends the start window early. The assembly calls it when every known
-// source has answered.
+// EndStartWindow ends the start window early if the replica holds a revision. It
+// is called when all known sources have answered.
 func (r *Replica) EndStartWindow() {
-	if r.settled || r.state.head.Number == 0 {
+	if r.startWindowOver || r.state.head.Number == 0 {
 		return
 	}
-	r.settled = true
+	r.startWindowOver = true
 	r.publish()
 }
 
-// take applies one revision if it is higher.
-func (r *Replica) take(revision Revision) (bool, error) {
+// applyRevision applies a revision if it is higher than the replica's, and reports
+// whether it did.
+func (r *Replica) applyRevision(revision Revision) (bool, error) {
 	if revision.Number <= r.state.head.Number {
 		return false, nil
 	}
@@ -150,22 +161,23 @@
 		next.config, err = revision.ApplyTo(r.state.head, r.state.config)
 	case revision.IsMerged():
 		next.previous = Head{Number: revision.Number - 1}
-		next.config, err = r.advance(revision)
+		next.config, err = r.applyMerged(revision)
 		if err == nil {
 			next.previous.Digest = *revision.PreviousDigest
 		}
 	case revision.IsSnapshot():
-		// A snapshot over a gap proves that its state belongs to its digest, not
-		// that the digest continues this replica's. It comes from the store or
-		// an authorised peer, which accept only what the store committed.
+		// A snapshot across a gap only proves that its configuration matches
+		// its digest, not that the digest continues this replica's chain. It
+		// is accepted because the store and authorized peers hold only
+		// revisions that the store committed.
 		next.config, err = revision.SnapshotConfig()
 		next.previous = Head{Number: revision.Number - 1}
 		if err == nil {
 			next.previous.Digest = *revision.PreviousDigest
-			r.retained, r.bytes = nil, 0
+			r.retained, r.retainedBytes = nil, 0
 		}
 	default:
-		err = merry.Wrap(ErrRevisionGap, merry.AppendMessagef("revision %d offered, %d held", revision.Number, r.state.head.Number))
+		err = merry.Wrap(ErrRevisionGap, merry.AppendMessagef("received revision %d, replica holds %d", revision.Number, r.state.head.Number))
 	}
 	if err != nil {
 		return false, err
@@ -179,28 +191,30 @@
 	if revision.IsMerged() {
 		base = r.state.head
 	}
-	r.state, r.answers = next, nil
+	r.state, r.responses = next, nil
 	r.retain(base, revision)
-	if r.settled {
+	if r.startWindowOver {
 		r.publish()
 	}
 	return true, nil
 }
 
-// advance applies a merged revision. Its base must lie in this replica's history
-// as far as that is retained. A base that this replica passed over within an
-// earlier merged revision leaves the checks of a snapshot over a gap.
-func (r *Replica) advance(revision Revision) (*Config, error) {
+// applyMerged applies a merged revision. Its base must be part of this replica's
+// history, as far as that is retained. If an earlier merged revision spanned the
+// base, the replica does not know its digest, and only the checks of a snapshot
+// across a gap remain.
+func (r *Replica) applyMerged(revision Revision) (*Config, error) {
 	if revision.BaseNumber > r.state.head.Number {
-		return nil, merry.Wrap(ErrRevisionGap, merry.AppendMessagef("revisions after %d offered, %d held", revision.BaseNumber, r.state.head.Number))
+		return nil, merry.Wrap(ErrRevisionGap, merry.AppendMessagef("received merged revision on base %d, replica holds %d", revision.BaseNumber, r.state.head.Number))
 	}
 	if known, ok := r.digestOf(revision.BaseNumber); ok && known != *revision.BaseDigest {
-		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d continues another revision %d", revision.Number, revision.BaseNumber))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d is based on a different revision %d", revision.Number, revision.BaseNumber))
 	}
 	return revision.ApplyMergedTo(r.state.config)
 }
 
-// digestOf returns the chain digest of a revision that the replica held.
+// digestOf returns the chain digest of a revision if it is the current or a
+// retained one.
 func (r *Replica) digestOf(number uint64) (model.Digest, bool) {
 	if number == r.state.head.Number {
 		return r.state.head.Digest, true
@@ -213,12 +227,13 @@
 	return model.Digest{}, false
 }
 
+// publish puts the state in force.
 func (r *Replica) publish() {
 	r.view.Store(&View{Config: r.state.config, Head: r.state.head, Accepted: r.state.accepted})
 }
 
-// IsDamaged reports whether an error of Offer or Observe means that the source
-// holds a damaged or foreign copy.
+// IsDamaged reports whether an error from Apply or ObserveHead means that the
+// source holds a damaged copy or a different history.
 func IsDamaged(err error) bool {
 	return errors.Is(err, ErrChainBroken) || errors.Is(err, ErrMalformed)
 }
--- a/lib/config/replica_config.go
+++ b/lib/config/replica_config.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// defaultStartWindow is how long a new replica collects offers before it
-	// takes the highest: heartbeats arrive every second.
+	// defaultStartWindow leaves time for heartbeats, which arrive every second
+	// and report the heads of the peers.
 	defaultStartWindow = 1500 * time.Millisecond
-	// startPatience bounds the wait for a reported higher revision that does not
-	// arrive, as a multiple of the start window.
-	startPatience = 3
-	// defaultRetained is the number of revisions kept to send as deltas: at
-	// 6,000 changes a day about two hours.
-	defaultRetained = 512
-	// defaultRetainedBytes bounds the memory of the kept revisions.
-	defaultRetainedBytes = 1 << 20
+	// maxStartWindows limits the wait for a reported higher revision that does
+	// not arrive, as a multiple of the start window.
+	maxStartWindows = 3
+	// defaultMaxRetained covers about two hours at 6,000 changes per day.
+	defaultMaxRetained = 512
+	// defaultMaxRetainedBytes limits the memory for retained revisions.
+	defaultMaxRetainedBytes = 1 << 20
 )
 
-// ReplicaConfig holds the limits of a Replica.
+// ReplicaConfig configures a Replica. Zero fields get default values.
 type ReplicaConfig struct {
-	// StartWindow is the time during which a new replica collects offers.
+	// StartWindow is how long a new replica collects revisions before it puts the
+	// highest one in force.
 	StartWindow time.Duration
-	// MaxRetained and RetainedBytes bound the revisions kept for others.
+	// MaxRetained and MaxRetainedBytes limit the revisions kept to send to other
+	// processes as deltas.
 	MaxRetained      int
 	MaxRetainedBytes int
 }
@@ -30,9 +31,9 @@
 		c.StartWindow = defaultStartWindow
 	}
 	if c.MaxRetained == 0 {
-		c.MaxRetained = defaultRetained
+		c.MaxRetained = defaultMaxRetained
 	}
 	if c.MaxRetainedBytes == 0 {
-		c.MaxRetainedBytes = defaultRetainedBytes
+		c.MaxRetainedBytes = defaultMaxRetainedBytes
 	}
 }
--- a/lib/config/replica_serve.go
+++ b/lib/config/replica_serve.go
@@ -1,13 +1,13 @@
 package config
 
-// maxAnswers bounds the answers that are kept until the next revision; the
-// agents of one entry are at few different revisions.
-const maxAnswers = 16
+// maxCachedResponses limits the responses that are cached until the next revision.
+// The agents of one entry are at few different revisions.
+const maxCachedResponses = 16
 
-// RevisionsAfter returns encoded revisions that lead a holder of the given revision
-// towards this replica's: one delta, merged if it leads over several revisions,
-// or a snapshot if the steps are not retained. It returns nil if the holder is
-// up to date.
+// RevisionsAfter returns encoded revisions that bring a replica from the given
+// revision to the head of this one: a delta, merged if it spans several revisions,
+// or a snapshot if the steps are not retained. It returns nil if the given
+// revision is not lower than the head.
 func (r *Replica) RevisionsAfter(number uint64) ([][]byte, error) {
 	if number >= r.state.head.Number {
 		return nil, nil
@@ -18,23 +18,23 @@
 			first = i
 		}
 	}
-	data := r.answers[first]
+	data := r.responses[first]
 	if data == nil {
 		var err error
-		if data, err = r.answer(first); err != nil {
+		if data, err = r.encodeResponse(first); err != nil {
 			return nil, err
 		}
-		if r.answers == nil || len(r.answers) >= maxAnswers {
-			r.answers = make(map[int][]byte)
+		if r.responses == nil || len(r.responses) >= maxCachedResponses {
+			r.responses = make(map[int][]byte)
 		}
-		r.answers[first] = data
+		r.responses[first] = data
 	}
 	return [][]byte{data}, nil
 }
 
-// answer encodes one revision that leads from the base of a retained step to
-// the head, or a snapshot for -1.
-func (r *Replica) answer(first int) ([]byte, error) {
+// encodeResponse encodes one revision that leads from the base of the retained step
+// with the given index to the head, or a snapshot if the index is -1.
+func (r *Replica) encodeResponse(first int) ([]byte, error) {
 	var revision Revision
 	var err error
 	switch {
@@ -51,27 +51,27 @@
 	return revision.Encode()
 }
 
-// retain keeps a step for others and drops the oldest beyond the limits, which
-// also bound the size of a merged revision.
+// retain stores a step for other processes and drops the oldest ones beyond the
+// limits, which also limit the size of a merged revision.
 func (r *Replica) retain(base Head, revision Revision) {
 	revision.Snapshot = nil
 	if base.Number+1 == revision.Number {
 		revision.PreviousDigest, revision.MergedDelta, revision.BaseNumber, revision.BaseDigest = nil, nil, 0, nil
 	} else {
-		// The merged revision may lead from further back; the digest of the own
-		// revision is the one that others can check.
+		// The base of the received revision may be older. This replica can
+		// only vouch for the revision that it applied the step to.
 		revision.BaseNumber, revision.BaseDigest = base.Number, &base.Digest
 	}
 	data, err := revision.Encode()
 	if err != nil {
-		// The steps before this one no longer lead to the head.
-		r.retained, r.bytes = nil, 0
+		// Without this step, the earlier ones no longer lead to the head.
+		r.retained, r.retainedBytes = nil, 0
 		return
 	}
 	r.retained = append(r.retained, retainedStep{base: base, number: revision.Number, data: data})
-	r.bytes += len(data)
-	for len(r.retained) > r.cfg.MaxRetained || r.bytes > r.cfg.MaxRetainedBytes && len(r.retained) > 1 {
-		r.bytes -= len(r.retained[0].data)
+	r.retainedBytes += len(data)
+	for len(r.retained) > r.cfg.MaxRetained || r.retainedBytes > r.cfg.MaxRetainedBytes && len(r.retained) > 1 {
+		r.retainedBytes -= len(r.retained[0].data)
 		r.retained = r.retained[1:]
 	}
 }
--- a/lib/config/replica_test.go
+++ b/lib/config/replica_test.go
@@ -9,7 +9,7 @@
 	"github.com/auburnbend/auburnbend/lib/config"
 )
 
-var _ = Describe("the replica", func() {
+var _ = Describe("Replica", func() {
 	start := time.Unix(1_800_000_000, 0)
 	var encoded [][]byte
 	var heads []config.Head
@@ -17,7 +17,7 @@
 		encoded, heads = nil, nil
 		head, current := config.Head{}, &config.Config{}
 		for i := range 5 {
-			next := sample(1, i).Canonical()
+			next := sampleConfig(1, i).Canonical()
 			delta, err := config.NewDelta(current, next)
 			Expect(err).NotTo(HaveOccurred())
 			r, err := config.NewRevision(head, config.Change{Author: "ops", Operation: "op", UnixMillis: int64(i), Delta: delta})
@@ -28,8 +28,8 @@
 		}
 	})
 
-	// Guards against a damaged copy that comes into force.
-	It("never puts a revision with a damaged byte into force", func() {
+	// Guards against damaged data that is put in force.
+	It("never puts a revision with a damaged byte in force", func() {
 		intact := config.NewReplica(config.ReplicaConfig{}, start)
 		Expect(intact.Apply(encoded[:2], start)).To(Equal(2))
 		intact.EndStartWindow()
@@ -40,8 +40,8 @@
 			damaged[i] ^= 1
 			applied, err := r.Apply([][]byte{damaged}, start)
 			r.EndStartWindow()
-			// Damage outside of what the chain covers changes nothing; a damaged
-			// number reads as a revision that is already held.
+			// Damage outside of the data that the chain covers has no effect. A
+			// damaged number may look like a revision that is already held.
 			if applied == 1 {
 				Expect(r.Current()).To(Equal(intact.Current()), "byte %d", i)
 			} else {
@@ -50,9 +50,9 @@
 		}
 	})
 
-	// Guards against a restarted process that serves an older revision although
-	// a neighbour reported a newer one.
-	It("waits at a start for the highest revision that was reported", func() {
+	// Guards against a restarted process that puts an older revision in force
+	// although a peer has reported a newer one.
+	It("waits for the highest reported revision during the start window", func() {
 		r := config.NewReplica(config.ReplicaConfig{StartWindow: time.Second}, start)
 		Expect(r.ObserveHead(heads[4], 0, start)).To(BeTrue())
 		Expect(r.Apply(encoded[:2], start)).To(Equal(2))
@@ -68,7 +68,7 @@
 		Expect(r.Current().Head).To(Equal(heads[1]))
 	})
 
-	It("reports gaps, foreign histories and its age", func() {
+	It("reports gaps, different histories and its age", func() {
 		r := config.NewReplica(config.ReplicaConfig{}, start)
 		Expect(r.Apply(encoded[:1], start)).To(Equal(1))
 		_, err := r.Apply(encoded[3:], start)
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -2,10 +2,10 @@
 
 import "github.com/ansel1/merry/v2"
 
-// mergeSteps returns several steps as one revision that leads from the
-// base of the first step to the last. Previous is the digest before the last.
+// mergeSteps merges several steps into one revision that leads from the base of the
+// first step to last. Previous is the head of the revision that precedes last.
 func mergeSteps(steps []retainedStep, last Revision, previous Head) (Revision, error) {
-	var rest Delta
+	var earlierDelta Delta
 	for i, step := range steps {
 		revision, err := DecodeRevision(step.data)
 		if err != nil {
@@ -16,19 +16,19 @@
 			return Revision{}, err
 		}
 		if revision.IsMerged() {
-			earlier, err := revision.earlier()
+			earlier, err := revision.earlierChanges()
 			if err != nil {
 				return Revision{}, err
 			}
-			rest = rest.Merge(earlier)
+			earlierDelta = earlierDelta.Merge(earlier)
 		}
 		if i == len(steps)-1 {
-			rest = rest.without(change.Delta)
+			earlierDelta = earlierDelta.withoutObjectsOf(change.Delta)
 		} else {
-			rest = rest.Merge(change.Delta)
+			earlierDelta = earlierDelta.Merge(change.Delta)
 		}
 	}
-	encoded, err := rest.Encode()
+	encoded, err := earlierDelta.Encode()
 	if err != nil {
 		return Revision{}, err
 	}
@@ -43,22 +43,22 @@
 	}, nil
 }
 
-// IsMerged reports whether the revision carries the values of earlier revisions
-// too.
+// IsMerged reports whether the revision also contains the changes of earlier
+// revisions.
 func (r Revision) IsMerged() bool { return r.BaseDigest != nil }
 
-// ApplyMergedTo applies a merged revision to a configuration between its base and
-// itself. It returns ErrChain unless the result is the state that the last
-// change leads to and the digest is that of the last change.
+// ApplyMergedTo applies a merged revision to the configuration of its base or of any
+// later revision before it. It returns ErrChainBroken if the result does not match
+// the state digest or the change does not match the chain digest.
 func (r Revision) ApplyMergedTo(c *Config) (*Config, error) {
-	if !r.IsMerged() || r.PreviousDigest == nil || chain(*r.PreviousDigest, r.Change) != r.Digest {
-		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("merged revision %d", r.Number))
+	if !r.IsMerged() || r.PreviousDigest == nil || chainDigest(*r.PreviousDigest, r.Change) != r.Digest {
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d is not a merged revision or does not match its chain digest", r.Number))
 	}
 	change, err := r.DecodeChange()
 	if err != nil {
 		return nil, err
 	}
-	earlier, err := r.earlier()
+	earlier, err := r.earlierChanges()
 	if err != nil {
 		return nil, err
 	}
@@ -66,8 +66,8 @@
 	return whole.Apply(c)
 }
 
-// earlier returns the changes before the last one.
-func (r Revision) earlier() (Delta, error) {
+// earlierChanges decodes the merged changes of the revisions before this one.
+func (r Revision) earlierChanges() (Delta, error) {
 	data, err := decompress(r.MergedDelta)
 	if err != nil {
 		return Delta{}, err
--- a/lib/config/routes.go
+++ b/lib/config/routes.go
@@ -7,9 +7,9 @@
 )
 
 // CandidateWeights returns the weights that may serve a model service, in order of
-// preference. A service that names a version has one. Otherwise the versions
-// that are placed in the service's pool come first, then the other declared
-// versions of the model, the last declared first.
+// preference. If the service specifies a version, that is the only candidate.
+// Otherwise the versions placed in the pool of the service come first, followed by
+// the other declared versions of the model, last declared first.
 func (c *Config) CandidateWeights(s Service) []model.Weights {
 	if s.Version != "" {
 		if w, ok := c.Weights(s.Model, s.Version); ok {
@@ -17,10 +17,10 @@
 		}
 		return nil
 	}
-	var routes []model.Weights
+	var candidates []model.Weights
 	add := func(name, version string) {
-		if w, ok := c.Weights(name, version); ok && !slices.Contains(routes, w) {
-			routes = append(routes, w)
+		if w, ok := c.Weights(name, version); ok && !slices.Contains(candidates, w) {
+			candidates = append(candidates, w)
 		}
 	}
 	for _, p := range c.Placements {
@@ -33,5 +33,5 @@
 			add(m.Name, m.Version)
 		}
 	}
-	return routes
+	return candidates
 }
--- a/lib/config/section_reader.go
+++ b/lib/config/section_reader.go
@@ -10,25 +10,27 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// sectionReader reads the keys of one section and collects faults.
+// sectionReader reads the keys of one section and collects violations.
 type sectionReader struct {
-	name   string
-	order  []string
-	values map[string]string
-	faults []Violation
+	name string
+	keys []string // in the order of the file
+	// values holds the values that have not been read yet.
+	values     map[string]string
+	violations []Violation
 }
 
 func newSectionReader(s *ini.Section) *sectionReader {
 	r := &sectionReader{name: s.Name(), values: make(map[string]string)}
 	for _, k := range s.Keys() {
-		r.order = append(r.order, k.Name())
+		r.keys = append(r.keys, k.Name())
 		r.values[k.Name()] = k.Value()
 	}
 	return r
 }
 
-// into adds the declared object to a configuration.
-func (r *sectionReader) into(c *Config) {
+// addTo adds the declared object to a configuration. Keys that the kind of object
+// does not have are violations.
+func (r *sectionReader) addTo(c *Config) {
 	words := strings.Fields(r.name)
 	kind := ""
 	if len(words) > 0 {
@@ -48,15 +50,15 @@
 	case kind == "class" && len(words) == 2:
 		c.Classes = append(c.Classes, r.class(model.Class(words[1])))
 	default:
-		r.faults = append(r.faults, Violation{
+		r.violations = append(r.violations, Violation{
 			Path: r.name, Value: r.name,
 			Allowed: "[deployment], [model NAME VERSION], [placement POOL DOMAIN], [service NAME], [tenant NAME], [class NAME]",
 		})
 		return
 	}
-	for _, key := range r.order {
-		if _, left := r.values[key]; left {
-			r.fault(key, r.values[key], "a key that ["+kind+"] has")
+	for _, key := range r.keys {
+		if _, unread := r.values[key]; unread {
+			r.addViolation(key, r.values[key], "a key that ["+kind+"] has")
 		}
 	}
 }
@@ -75,7 +77,7 @@
 	if text, ok := r.take("manifest"); ok {
 		digest, err := model.ParseDigest(text)
 		if err != nil {
-			r.fault("manifest", text, "the digest of a manifest, 64 hexadecimal digits")
+			r.addViolation("manifest", text, "the digest of a manifest, 64 hexadecimal digits")
 		}
 		m.Manifest = digest
 	}
@@ -99,7 +101,7 @@
 }
 
 func (r *sectionReader) service(name model.Service) Service {
-	s := Service{Name: name, Timeout: defaultTimeout, MaxBodyBytes: defaultMaxBody}
+	s := Service{Name: name, Timeout: defaultTimeout, MaxBodyBytes: defaultMaxBodyBytes}
 	kind := ""
 	r.text("kind", &kind)
 	s.Kind = ServiceKind(kind)
@@ -127,7 +129,7 @@
 	return c
 }
 
-// take returns a value and marks its key as known.
+// take returns the value of a key and removes it from the unread ones.
 func (r *sectionReader) take(key string) (string, bool) {
 	text, ok := r.values[key]
 	delete(r.values, key)
@@ -178,11 +180,11 @@
 func (r *sectionReader) parse(key, allowed string, read func(string) error) {
 	if text, ok := r.take(key); ok {
 		if read(text) != nil {
-			r.fault(key, text, allowed)
+			r.addViolation(key, text, allowed)
 		}
 	}
 }
 
-func (r *sectionReader) fault(key, value, allowed string) {
-	r.faults = append(r.faults, Violation{Path: path(r.name, key), Value: value, Allowed: allowed})
+func (r *sectionReader) addViolation(key, value, allowed string) {
+	r.violations = append(r.violations, Violation{Path: path(r.name, key), Value: value, Allowed: allowed})
 }
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -12,46 +12,47 @@
 	"github.com/auburnbend/auburnbend/lib/msgstream"
 )
 
-// Store keeps the accepted configuration in the platform's table service. It is
-// safe for concurrent use, by any number of processes at once.
+// Store stores the accepted configuration in the platform's table service. It is
+// safe for concurrent use, also by several processes.
 type Store struct {
 	cfg    StoreConfig
 	table  backing.TableService
 	cached atomic.Pointer[storeState]
 }
 
-// storeState is one revision with its configuration. It is immutable.
+// storeState is one revision together with its configuration. It is immutable once
+// it is shared.
 type storeState struct {
-	head    Head
-	change  Change
-	config  *Config
-	version uint64 // of the head row; 0 means that it does not exist
+	head        Head
+	change      Change
+	config      *Config
+	headVersion uint64 // version of the head row; 0 if it does not exist
 }
 
-// NewStore returns a store over a table service.
+// NewStore returns a store that uses the given table service.
 func NewStore(table backing.TableService, cfg StoreConfig) *Store {
 	cfg.applyDefaults()
 	return &Store{cfg: cfg, table: table}
 }
 
-// Head returns the newest revision that the store shows. The zero Head means
-// that nothing was accepted yet.
+// Head returns the newest revision. The zero Head means that no configuration was
+// accepted yet. It returns ErrStoreUnavailable if the store does not answer.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	head, _, err := s.readHead(ctx)
 	return head, err
 }
 
-// Get returns a revision's configuration; number 0 asks for the newest. It
-// returns ErrRevisionNotFound or ErrStoreUnavailable.
+// Get returns the configuration of a revision, or of the newest one if number is 0.
+// It returns ErrRevisionNotFound or ErrStoreUnavailable.
 func (s *Store) Get(ctx context.Context, number uint64) (View, error) {
 	if number == 0 {
-		state, err := s.latest(ctx)
+		state, err := s.latestState(ctx)
 		if err != nil {
 			return View{}, err
 		}
 		return state.view(), nil
 	}
-	state, err := s.at(ctx, number)
+	state, err := s.stateAt(ctx, number)
 	if err != nil {
 		return View{}, err
 	}
@@ -66,13 +67,14 @@
 	return view
 }
 
+// readHead returns the head and the version of its row.
 func (s *Store) readHead(ctx context.Context) (Head, uint64, error) {
 	row, err := s.table.Get(ctx, Table, headKey)
 	if errors.Is(err, backing.ErrNotFound) {
 		return Head{}, 0, nil
 	}
 	if err != nil {
-		return Head{}, 0, unavailable(err)
+		return Head{}, 0, storeUnavailable(err)
 	}
 	var head Head
 	if err := msgstream.Unmarshal(row.Value, &head); err != nil {
@@ -81,8 +83,8 @@
 	return head, row.Version, nil
 }
 
-// latest returns the state of the head row.
-func (s *Store) latest(ctx context.Context) (*storeState, error) {
+// latestState returns the state of the newest revision.
+func (s *Store) latestState(ctx context.Context) (*storeState, error) {
 	head, version, err := s.readHead(ctx)
 	if err != nil {
 		return nil, err
@@ -90,23 +92,24 @@
 	if head.Number == 0 {
 		return &storeState{config: &Config{}}, nil
 	}
-	if cached := s.cached.Load(); cached != nil && cached.head == head && cached.version == version {
+	if cached := s.cached.Load(); cached != nil && cached.head == head && cached.headVersion == version {
 		return cached, nil
 	}
-	state, err := s.at(ctx, head.Number)
+	state, err := s.stateAt(ctx, head.Number)
 	if err != nil {
 		return nil, err
 	}
 	if state.head != head {
-		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d", head.Number))
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d does not match the head row", head.Number))
 	}
-	state.version = version
+	state.headVersion = version
 	s.cached.Store(state)
 	return state, nil
 }
 
-// at returns the state of a revision, from the nearest state before it.
-func (s *Store) at(ctx context.Context, number uint64) (*storeState, error) {
+// stateAt returns the state of a revision. It starts from the cached state or the
+// nearest snapshot before it and applies the revisions in between.
+func (s *Store) stateAt(ctx context.Context, number uint64) (*storeState, error) {
 	state := storeState{config: &Config{}}
 	if cached := s.cached.Load(); cached != nil && cached.head.Number <= number {
 		state = storeState{head: cached.head, change: cached.change, config: cached.config}
@@ -117,9 +120,9 @@
 		}
 	}
 	for state.head.Number < number {
-		rows, err := s.table.Scan(ctx, Table, revisionPrefix, RevisionKey(state.head.Number), pollPage)
+		rows, err := s.table.Scan(ctx, Table, revisionPrefix, RevisionKey(state.head.Number), pollPageSize)
 		if err != nil {
-			return nil, unavailable(err)
+			return nil, storeUnavailable(err)
 		}
 		if len(rows) == 0 {
 			return nil, merry.Wrap(ErrRevisionNotFound, merry.AppendMessagef("revision %d", number))
@@ -128,7 +131,7 @@
 			if state.head.Number == number {
 				break
 			}
-			if err := state.advance(row.Value); err != nil {
+			if err := state.applyRevision(row.Value); err != nil {
 				return nil, err
 			}
 		}
@@ -136,12 +139,12 @@
 	return &state, nil
 }
 
-// readSnapshot moves state to the newest snapshot up to number, if there is one
-// beyond it.
+// readSnapshot sets state to that of the newest snapshot up to number if that is
+// later.
 func (s *Store) readSnapshot(ctx context.Context, number uint64, state *storeState) error {
 	rows, err := s.table.Scan(ctx, Table, snapshotPrefix, snapshotKey(number+1), 1)
 	if err != nil {
-		return unavailable(err)
+		return storeUnavailable(err)
 	}
 	if len(rows) == 0 {
 		return nil
@@ -165,7 +168,8 @@
 	return nil
 }
 
-func (s *storeState) advance(data []byte) error {
+// applyRevision applies an encoded revision to the state.
+func (s *storeState) applyRevision(data []byte) error {
 	revision, err := DecodeRevision(data)
 	if err != nil {
 		return err
@@ -182,9 +186,9 @@
 	return nil
 }
 
-// stateDigest returns the digest of the state's configuration.
+// stateDigest returns the digest of the configuration.
 func (s *storeState) stateDigest() model.Digest { return s.change.Delta.StateDigest }
 
-func unavailable(err error) error {
+func storeUnavailable(err error) error {
 	return merry.Wrap(ErrStoreUnavailable, merry.WithCause(err))
 }
--- a/lib/config/store_apply.go
+++ b/lib/config/store_apply.go
@@ -9,27 +9,28 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// operationWrite is the position of the operation id in the transaction.
-const operationWrite = 2
+// operationWriteIndex is the index of the write of the operation ID in the
+// transaction.
+const operationWriteIndex = 2
 
-// Apply validates a request and makes it the next revision. It returns
-// *InvalidError, *RevisionConflictError or ErrOperationReused when the request
-// was certainly not accepted, and *UnknownOutcomeError with the operation id
-// when the store did not tell. A dry run returns ErrStoreUnavailable instead.
-// Repeating a request with the same id is safe at any time: it can only become
-// the revision after Expected.
+// Apply validates a request and commits it as the next revision. The errors
+// *InvalidError, *RevisionConflictError and ErrOperationReused mean that the
+// request was definitely not accepted. *UnknownOutcomeError means that the store
+// did not confirm the outcome; a dry run returns the last error from the store
+// instead. Repeating a request with the same operation ID is always safe, because
+// it can only become the revision after Expected.
 func (s *Store) Apply(ctx context.Context, req Request) (Result, error) {
 	if err := validateRequest(req); err != nil {
 		return Result{}, err
 	}
 	var err error
-	for try := 0; ; try++ {
+	for retries := 0; ; retries++ {
 		var result Result
-		result, err = s.try(ctx, req)
+		result, err = s.attempt(ctx, req)
 		if !isRetryable(err) {
 			return result, err
 		}
-		if try == s.cfg.MaxRetries || s.cfg.Sleep(ctx, s.cfg.RetryDelay<<try) != nil {
+		if retries == s.cfg.MaxRetries || s.cfg.Sleep(ctx, s.cfg.RetryDelay<<retries) != nil {
 			break
 		}
 	}
@@ -39,14 +40,14 @@
 	return Result{}, merry.Wrap(&UnknownOutcomeError{Operation: req.Operation, Cause: err})
 }
 
-// errStale means that a read showed an older state than is known to exist.
-var errStale = merry.New("store showed an older state")
+// errStaleRead means that a read returned an older state than is known to exist.
+var errStaleRead = merry.New("configuration store returned stale data")
 
 func isRetryable(err error) bool {
 	if err == nil {
 		return false
 	}
-	for _, retryable := range []error{errStale, ErrStoreUnavailable, ErrRevisionNotFound, backing.ErrUnknown, backing.ErrNotApplied} {
+	for _, retryable := range []error{errStaleRead, ErrStoreUnavailable, ErrRevisionNotFound, backing.ErrUnknown, backing.ErrNotApplied} {
 		if errors.Is(err, retryable) {
 			return true
 		}
@@ -54,19 +55,19 @@
 	return false
 }
 
-// try makes one attempt. It is safe after an attempt of unknown outcome: that
-// one can only have become revision Expected+1, which this one finds, or will
-// lose against whatever this one commits.
-func (s *Store) try(ctx context.Context, req Request) (Result, error) {
-	state, err := s.latest(ctx)
+// attempt tries to apply a request once. It may follow an attempt with unknown
+// outcome: that one has either become revision Expected+1, which this attempt
+// finds, or will conflict with the revision that this attempt commits.
+func (s *Store) attempt(ctx context.Context, req Request) (Result, error) {
+	state, err := s.latestState(ctx)
 	if err != nil {
 		return Result{}, err
 	}
 	switch {
 	case state.head.Number < req.Expected:
-		return Result{}, s.refuseFuture(ctx, req, state)
+		return Result{}, s.rejectFuture(ctx, req, state)
 	case state.head.Number > req.Expected:
-		return s.resolvePassed(ctx, req, state)
+		return s.resolveOutdated(ctx, req, state)
 	}
 	delta, err := NewDelta(state.config, req.Config.Canonical())
 	if err != nil {
@@ -83,6 +84,7 @@
 	return s.commit(ctx, req, state, delta, result)
 }
 
+// commit writes the request as the revision after state.
 func (s *Store) commit(ctx context.Context, req Request, state *storeState, delta Delta, result Result) (Result, error) {
 	now := s.cfg.Clock.Now()
 	change := Change{Author: req.Author, Operation: req.Operation, UnixMillis: now.UnixMilli(), Delta: delta}
@@ -97,7 +99,7 @@
 	err = s.table.Commit(ctx, tx)
 	var conflict *backing.ConflictError
 	if errors.As(err, &conflict) {
-		return Result{}, s.afterConflict(ctx, req, conflict.Index)
+		return Result{}, s.resolveCommitConflict(ctx, req, conflict.Index)
 	}
 	if err != nil {
 		return Result{}, merry.Wrap(err)
@@ -106,8 +108,9 @@
 	return result, nil
 }
 
-// transaction inserts the revision, moves the head and inserts the operation
-// id, all or none, and adds a snapshot from time to time.
+// transaction returns the transaction that inserts the revision, updates the head
+// and inserts the operation ID, together with the encoded revision. Every
+// RevisionsPerSnapshot revisions it also inserts a snapshot.
 func (s *Store) transaction(req Request, state *storeState, revision Revision) (backing.Transaction, []byte, error) {
 	encoded, err := revision.Encode()
 	if err != nil {
@@ -122,12 +125,12 @@
 		return backing.Transaction{}, nil, err
 	}
 	headCondition := backing.IfVersion
-	if state.version == 0 {
+	if state.headVersion == 0 {
 		headCondition = backing.IfAbsent
 	}
 	tx := backing.Transaction{Writes: []backing.Write{
 		{Table: Table, Key: RevisionKey(revision.Number), Condition: backing.IfAbsent, Value: encoded},
-		{Table: Table, Key: headKey, Condition: headCondition, Version: state.version, Value: head},
+		{Table: Table, Key: headKey, Condition: headCondition, Version: state.headVersion, Value: head},
 		{Table: OperationTable, Key: req.Operation, Condition: backing.IfAbsent, Value: operation},
 	}}
 	if revision.Number%RevisionsPerSnapshot != 0 {
@@ -145,15 +148,16 @@
 	return tx, encoded, nil
 }
 
-// afterConflict decides whether the next try can find out more. Only an id that
-// was used for something else ends the request here.
-func (s *Store) afterConflict(ctx context.Context, req Request, index int) error {
-	if index != operationWrite {
-		return merry.Wrap(errStale)
+// resolveCommitConflict returns errStaleRead, on which Apply retries and resolves
+// the conflict from a new read, unless the operation ID belongs to another change
+// or was abandoned.
+func (s *Store) resolveCommitConflict(ctx context.Context, req Request, index int) error {
+	if index != operationWriteIndex {
+		return merry.Wrap(errStaleRead)
 	}
 	row, err := s.table.Get(ctx, OperationTable, req.Operation)
 	if err != nil {
-		return merry.Wrap(errStale, merry.WithCause(err))
+		return merry.Wrap(errStaleRead, merry.WithCause(err))
 	}
 	op, err := decodeOperation(row.Value)
 	if err != nil {
@@ -162,5 +166,5 @@
 	if op.State == OperationAbandoned || op.Head.Number != req.Expected+1 {
 		return merry.Wrap(ErrOperationReused, merry.AppendMessage(req.Operation))
 	}
-	return merry.Wrap(errStale)
+	return merry.Wrap(errStaleRead)
 }
--- a/lib/config/store_config.go
+++ b/lib/config/store_config.go
@@ -8,35 +8,36 @@
 )
 
 const (
-	// defaultRetries is the number of further tries after a lost reply or a
-	// stale read.
-	defaultRetries = 5
-	// defaultPause is the wait before the first further try; it doubles.
-	defaultPause = 50 * time.Millisecond
-	// defaultOperationRetention is how long operation ids are kept.
+	// defaultMaxRetries is the number of retries after a lost reply or a stale
+	// read.
+	defaultMaxRetries = 5
+	// defaultRetryDelay is the delay before the first retry.
+	defaultRetryDelay = 50 * time.Millisecond
+	// defaultOperationRetention is how long operation IDs are kept.
 	defaultOperationRetention = 24 * time.Hour
 )
 
-// StoreConfig holds the limits of a Store.
+// StoreConfig configures a Store. Zero fields get default values.
 type StoreConfig struct {
-	// MaxRetries is the number of further tries within one call.
+	// MaxRetries is the maximum number of retries within one call.
 	MaxRetries int
-	// RetryDelay is the wait before the first further try; it doubles each time.
+	// RetryDelay is the delay before the first retry. It doubles with each retry.
 	RetryDelay time.Duration
-	// OperationRetention is the age at which Prune drops operation ids.
+	// OperationRetention is the age at which Prune deletes operation IDs.
 	OperationRetention time.Duration
-	// Clock dates accepted revisions.
+	// Clock provides the time of acceptance of revisions.
 	Clock clock.Clock
-	// Sleep pauses between tries. Tests replace it.
+	// Sleep waits between retries until d has passed or ctx ends. Tests replace
+	// it.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
 func (c *StoreConfig) applyDefaults() {
 	if c.MaxRetries == 0 {
-		c.MaxRetries = defaultRetries
+		c.MaxRetries = defaultMaxRetries
 	}
 	if c.RetryDelay == 0 {
-		c.RetryDelay = defaultPause
+		c.RetryDelay = defaultRetryDelay
 	}
 	if c.OperationRetention == 0 {
 		c.OperationRetention = defaultOperationRetention
@@ -45,11 +46,12 @@
 		c.Clock = clock.System{}
 	}
 	if c.Sleep == nil {
-		c.Sleep = waitTimer
+		c.Sleep = sleepContext
 	}
 }
 
-func waitTimer(ctx context.Context, d time.Duration) error {
+// sleepContext waits for d. It returns the error of ctx if that ends first.
+func sleepContext(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/lib/config/store_history.go
+++ b/lib/config/store_history.go
@@ -6,20 +6,21 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxHistory bounds the revisions of one answer.
-const maxHistory = 500
+// maxHistoryEntries is the maximum number of revisions that History returns.
+const maxHistoryEntries = 500
 
-// HistoryEntry is one line of the history.
+// HistoryEntry is one revision in the history.
 type HistoryEntry struct {
 	Head   Head
 	Change Change
 }
 
-// History returns up to limit revisions before a number, newest first; before 0
-// starts at the newest.
+// History returns up to limit revisions below the number before, newest first. If
+// before is 0, it starts at the newest revision. A limit outside of 1 to
+// maxHistoryEntries means maxHistoryEntries.
 func (s *Store) History(ctx context.Context, before uint64, limit int) ([]HistoryEntry, error) {
-	if limit < 1 || limit > maxHistory {
-		limit = maxHistory
+	if limit < 1 || limit > maxHistoryEntries {
+		limit = maxHistoryEntries
 	}
 	if before == 0 {
 		head, err := s.Head(ctx)
@@ -34,7 +35,7 @@
 	}
 	rows, err := s.table.Scan(ctx, Table, revisionPrefix, RevisionKey(first-1), int(before-first))
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, storeUnavailable(err)
 	}
 	entries := make([]HistoryEntry, 0, len(rows))
 	for i := len(rows) - 1; i >= 0; i-- {
@@ -51,8 +52,8 @@
 	return entries, nil
 }
 
-// Rollback makes the configuration of an earlier revision the next one. Config
-// of the request is ignored. Errors are those of Apply, and ErrRevisionNotFound.
+// Rollback applies the configuration of an earlier revision as a new revision. The
+// Config of the request is ignored. It returns the errors of Get and Apply.
 func (s *Store) Rollback(ctx context.Context, to uint64, req Request) (Result, error) {
 	if to == 0 {
 		return Result{}, merry.Wrap(ErrRevisionNotFound, merry.AppendMessage("revision 0"))
--- a/lib/config/store_poll.go
+++ b/lib/config/store_poll.go
@@ -6,23 +6,24 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// PollResult is what the store holds beyond a replica's revision.
+// PollResult contains the revisions that the store holds beyond that of a replica.
 type PollResult struct {
-	// Head is the newest revision read; it equals the replica's if there is
-	// nothing new. It is zero when the store showed an older state than the
+	// Head is the newest revision read. It equals that of the replica if there is
+	// nothing new, and is zero if the store returned an older state than the
 	// replica's.
 	Head Head
-	// Revisions are the revisions for Replica.Offer, in order.
+	// Revisions are the encoded revisions for Replica.Apply, in order.
 	Revisions [][]byte
-	// More is true when the store holds further revisions.
+	// More is true if the store may hold further revisions.
 	More bool
-	// Reads is the number of reads that the poll took.
+	// Reads is the number of reads from the store that the poll made.
 	Reads int
 }
 
-// Poll reads what a replica at the given revision lacks. A replica that is up
-// to date costs one read, which includes its own revision to detect stale reads
-// and a foreign history; a new one costs two.
+// Poll reads the revisions that a replica at the given head lacks. For a replica
+// that is up to date it makes one read, which includes the replica's own revision
+// so that stale reads and different histories are detected. For a new replica it
+// makes two reads.
 func (s *Store) Poll(ctx context.Context, at Head) (PollResult, error) {
 	var p PollResult
 	from := at.Number
@@ -36,18 +37,18 @@
 		from--
 	}
 	p.Reads++
-	rows, err := s.table.Scan(ctx, Table, revisionPrefix, RevisionKey(from), pollPage)
+	rows, err := s.table.Scan(ctx, Table, revisionPrefix, RevisionKey(from), pollPageSize)
 	if err != nil {
-		return p, unavailable(err)
+		return p, storeUnavailable(err)
 	}
-	p.More = len(rows) == pollPage
+	p.More = len(rows) == pollPageSize
 	if p.More {
-		// A replica that is far behind skips the revisions before the newest
-		// snapshot, so that a healed domain does not page through days.
+		// A replica that is far behind skips to the newest snapshot, so that a
+		// failure domain that was cut off does not page through days of changes.
 		if _, err := s.newestSnapshot(ctx, &p); err != nil {
 			return p, err
 		}
-		if len(p.Revisions) > 0 && p.Head.Number > from+pollPage {
+		if len(p.Revisions) > 0 && p.Head.Number > from+pollPageSize {
 			return p, nil
 		}
 		p.Revisions = nil
@@ -55,11 +56,13 @@
 	return p, p.add(rows, at)
 }
 
+// newestSnapshot adds the newest snapshot to p, if there is one, and returns its
+// revision number or 0.
 func (s *Store) newestSnapshot(ctx context.Context, p *PollResult) (uint64, error) {
 	p.Reads++
 	rows, err := s.table.Scan(ctx, Table, snapshotPrefix, "", 1)
 	if err != nil {
-		return 0, unavailable(err)
+		return 0, storeUnavailable(err)
 	}
 	if len(rows) == 0 {
 		return 0, nil
@@ -73,6 +76,7 @@
 	return revision.Number, nil
 }
 
+// add sets the head to that of the last row and appends the rows above at.
 func (p *PollResult) add(rows []backing.Row, at Head) error {
 	for _, row := range rows {
 		revision, err := DecodeRevision(row.Value)
--- a/lib/config/store_prune.go
+++ b/lib/config/store_prune.go
@@ -9,20 +9,21 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// prunePage is the number of operation ids that Prune reads and deletes at once.
-const prunePage = 256
+// prunePageSize is the number of operation IDs that Prune reads and deletes at a
+// time.
+const prunePageSize = 256
 
-// Prune deletes the operation ids that are older than the retention and returns
-// their number. It may be called by any process, at any time; a call once an
-// hour is enough. A request that is repeated after its id was pruned is still
-// not accepted twice, because it names the revision that it expects.
+// Prune deletes the operation IDs that are older than OperationRetention and
+// returns their number. Any process may call it at any time; once an hour is
+// sufficient. A request repeated after its ID was pruned is still not accepted
+// twice, because it specifies the revision that it expects.
 func (s *Store) Prune(ctx context.Context) (int, error) {
-	limit := s.cfg.Clock.Now().Add(-s.cfg.OperationRetention)
+	cutoff := s.cfg.Clock.Now().Add(-s.cfg.OperationRetention)
 	pruned, after := 0, ""
 	for {
-		rows, err := s.table.Scan(ctx, OperationTable, "", after, prunePage)
+		rows, err := s.table.Scan(ctx, OperationTable, "", after, prunePageSize)
 		if err != nil {
-			return pruned, unavailable(err)
+			return pruned, storeUnavailable(err)
 		}
 		var tx backing.Transaction
 		for _, row := range rows {
@@ -30,7 +31,7 @@
 			if err != nil {
 				return pruned, err
 			}
-			if op.Time.Before(limit) {
+			if op.Time.Before(cutoff) {
 				tx.Writes = append(tx.Writes, backing.Write{Table: OperationTable, Key: row.Key, Condition: backing.IfVersion, Version: row.Version, Delete: true})
 			}
 			after = row.Key
@@ -45,7 +46,7 @@
 				pruned += len(tx.Writes)
 			}
 		}
-		if len(rows) < prunePage {
+		if len(rows) < prunePageSize {
 			return pruned, nil
 		}
 	}
--- a/lib/config/store_resolve.go
+++ b/lib/config/store_resolve.go
@@ -9,14 +9,15 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// resolvePassed answers a request whose expected revision is not the newest any
-// more: the revision after it tells whether this request was the one accepted.
-func (s *Store) resolvePassed(ctx context.Context, req Request, current *storeState) (Result, error) {
-	before, err := s.atOrEmpty(ctx, req.Expected)
+// resolveOutdated returns the result of a request whose expected revision is no
+// longer the newest. The revision after the expected one shows whether this
+// request was already accepted.
+func (s *Store) resolveOutdated(ctx context.Context, req Request, current *storeState) (Result, error) {
+	before, err := s.stateAtOrEmpty(ctx, req.Expected)
 	if err != nil {
 		return Result{}, err
 	}
-	next, err := s.at(ctx, req.Expected+1)
+	next, err := s.stateAt(ctx, req.Expected+1)
 	if err != nil {
 		return Result{}, err
 	}
@@ -39,17 +40,18 @@
 	})
 }
 
-func (s *Store) atOrEmpty(ctx context.Context, number uint64) (*storeState, error) {
+// stateAtOrEmpty is like stateAt, but returns the empty configuration for number 0.
+func (s *Store) stateAtOrEmpty(ctx context.Context, number uint64) (*storeState, error) {
 	if number == 0 {
 		return &storeState{config: &Config{}}, nil
 	}
-	return s.at(ctx, number)
+	return s.stateAt(ctx, number)
 }
 
-// refuseFuture answers a request from a revision that the store does not show.
-// The read may be stale, so the operation id is abandoned first; only then is
-// it certain that the request was not accepted.
-func (s *Store) refuseFuture(ctx context.Context, req Request, state *storeState) error {
+// rejectFuture rejects a request whose expected revision is higher than the newest
+// one read. The read may be stale, so the operation ID is abandoned first, which
+// ensures that the request was not and will not be accepted.
+func (s *Store) rejectFuture(ctx context.Context, req Request, state *storeState) error {
 	conflict := &RevisionConflictError{Expected: req.Expected, Current: state.head, Author: state.change.Author, Operation: state.change.Operation}
 	if req.DryRun {
 		return merry.Wrap(conflict)
@@ -59,15 +61,15 @@
 		return err
 	}
 	if op.State == OperationApplied {
-		return merry.Wrap(errStale)
+		return merry.Wrap(errStaleRead)
 	}
 	return merry.Wrap(conflict)
 }
 
-// Operation returns what became of an operation id. With settle, an id that was
-// not applied is abandoned, which makes the answer final: a write that is still
-// on its way can no longer take effect. It returns ErrStoreUnavailable while
-// the truth cannot be read.
+// Operation returns the outcome of an operation ID. If settle is true, an ID that
+// was not applied is abandoned. The result is then final, because a write in
+// flight can no longer take effect. It returns ErrStoreUnavailable if the outcome
+// cannot be read, and *InvalidError for an invalid ID.
 func (s *Store) Operation(ctx context.Context, id string, settle bool) (Operation, error) {
 	if err := validateOperation(id); err != nil {
 		return Operation{}, err
@@ -76,14 +78,14 @@
 		return s.readOperation(ctx, id)
 	}
 	var err error
-	for try := 0; ; try++ {
+	for retries := 0; ; retries++ {
 		var op Operation
 		op, err = s.abandon(ctx, id)
 		if !isRetryable(err) {
 			return op, err
 		}
-		if try == s.cfg.MaxRetries || s.cfg.Sleep(ctx, s.cfg.RetryDelay<<try) != nil {
-			return Operation{}, unavailable(err)
+		if retries == s.cfg.MaxRetries || s.cfg.Sleep(ctx, s.cfg.RetryDelay<<retries) != nil {
+			return Operation{}, storeUnavailable(err)
 		}
 	}
 }
@@ -94,13 +96,13 @@
 		return Operation{}, nil
 	}
 	if err != nil {
-		return Operation{}, unavailable(err)
+		return Operation{}, storeUnavailable(err)
 	}
 	return decodeOperation(row.Value)
 }
 
-// abandon inserts the operation id as abandoned unless it exists, and returns
-// what the id stands for now.
+// abandon records the operation ID as abandoned unless it is already recorded, and
+// returns the recorded outcome.
 func (s *Store) abandon(ctx context.Context, id string) (Operation, error) {
 	now := s.cfg.Clock.Now()
 	value, err := encode(operationRow{UnixMillis: now.UnixMilli(), Abandoned: true})
@@ -119,7 +121,7 @@
 	}
 	op, err := s.readOperation(ctx, id)
 	if err == nil && op.State == OperationNotFound {
-		return Operation{}, merry.Wrap(errStale)
+		return Operation{}, merry.Wrap(errStaleRead)
 	}
 	return op, err
 }
--- a/lib/config/store_test.go
+++ b/lib/config/store_test.go
@@ -17,7 +17,7 @@
 
 func noWait(context.Context, time.Duration) error { return nil }
 
-var _ = Describe("the store", func() {
+var _ = Describe("Store", func() {
 	var (
 		ctx   = context.Background()
 		clk   *clock.Fake
@@ -30,10 +30,10 @@
 		store = config.NewStore(rows, config.StoreConfig{Clock: clk, Sleep: noWait})
 	})
 	apply := func(variant int, expected uint64, operation string) (config.Result, error) {
-		return store.Apply(ctx, config.Request{Config: sample(1, variant), Expected: expected, Operation: operation, Author: "ops"})
+		return store.Apply(ctx, config.Request{Config: sampleConfig(1, variant), Expected: expected, Operation: operation, Author: "ops"})
 	}
 
-	It("tells the loser of a race what differs", func() {
+	It("reports the differences to the loser of a race", func() {
 		Expect(apply(0, 0, "a")).To(HaveField("Head.Number", uint64(1)))
 		Expect(apply(1, 1, "b")).To(HaveField("Head.Number", uint64(2)))
 		_, err := apply(2, 1, "c")
@@ -44,7 +44,7 @@
 		Expect(conflict.Differences).To(HaveExactElements(HaveField("Key", "share")))
 	})
 
-	It("accepts a request once whose replies were lost", func() {
+	It("accepts a request only once if replies are lost", func() {
 		rows.Faults.Set(fault.Faults{LoseAfter: 2})
 		Expect(apply(0, 0, "a")).To(HaveField("Replayed", true))
 		Expect(apply(0, 0, "a")).To(HaveField("Head.Number", uint64(1)))
@@ -52,7 +52,7 @@
 		Expect(apply(1, 1, "b")).To(HaveField("Head.Number", uint64(2)))
 	})
 
-	It("answers unknown while the store is down and settles later", func() {
+	It("returns an unknown outcome while the store is down and settles it later", func() {
 		rows.Faults.Set(fault.Faults{Down: true})
 		_, err := apply(0, 0, "a")
 		var unknown *config.UnknownOutcomeError
@@ -65,7 +65,7 @@
 		Expect(errors.Is(err, config.ErrOperationReused)).To(BeTrue())
 	})
 
-	It("refuses an operation id that stands for another change", func() {
+	It("rejects an operation ID that belongs to another change", func() {
 		Expect(apply(0, 0, "a")).Error().NotTo(HaveOccurred())
 		_, err := apply(1, 1, "a")
 		Expect(errors.Is(err, config.ErrOperationReused)).To(BeTrue())
@@ -73,7 +73,7 @@
 		Expect(errors.Is(err, config.ErrOperationReused)).To(BeTrue())
 	})
 
-	It("rolls back as a new revision, over snapshots", func() {
+	It("rolls back with a new revision, across snapshots", func() {
 		for i := range 130 {
 			Expect(apply(i, uint64(i), fmt.Sprint(i))).Error().NotTo(HaveOccurred())
 		}
@@ -83,15 +83,15 @@
 		view, err := fresh.Get(ctx, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(view.Head.Number).To(Equal(uint64(131)))
-		Expect(config.Diff(view.Config, sample(1, 69))).To(BeEmpty())
+		Expect(config.Diff(view.Config, sampleConfig(1, 69))).To(BeEmpty())
 		entries, err := fresh.History(ctx, 0, 2)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(entries).To(HaveLen(2))
 		Expect(entries[0].Change.Operation).To(Equal("back"))
 	})
 
-	It("writes nothing in a dry run and prunes old operation ids", func() {
-		_, err := store.Apply(ctx, config.Request{Config: sample(1, 0), DryRun: true})
+	It("writes nothing in a dry run and prunes old operation IDs", func() {
+		_, err := store.Apply(ctx, config.Request{Config: sampleConfig(1, 0), DryRun: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows.Stats().Commits).To(BeZero())
 		Expect(apply(0, 0, "a")).Error().NotTo(HaveOccurred())
--- a/lib/config/suite_test.go
+++ b/lib/config/suite_test.go
@@ -13,7 +13,7 @@
 	RunSpecs(t, "config")
 }
 
-// A fixed seed gives every run the same verdict.
+// init fixes the seed of property tests, so that every run has the same result.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261204", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/lib/config/tables.go
+++ b/lib/config/tables.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// Table holds the head, the revisions and the snapshots.
+	// Table is the name of the table with the head, the revisions and the
+	// snapshots.
 	Table = "config"
-	// OperationTable holds one row per operation id.
+	// OperationTable is the name of the table with one row per operation ID.
 	OperationTable = "config-operations"
-	// RevisionsPerSnapshot is the number of revisions between two snapshots.
+	// RevisionsPerSnapshot is the number of revisions per snapshot.
 	RevisionsPerSnapshot = 64
 
 	headKey        = "head"
 	revisionPrefix = "revision/"
 	snapshotPrefix = "snapshot/"
 
-	// pollPage is the number of revisions that one poll reads at most.
-	pollPage = 128
+	// pollPageSize is the maximum number of revisions in one scan.
+	pollPageSize = 128
 )
 
-// RevisionKey returns the key of a revision row. Keys sort in ascending order.
+// RevisionKey returns the row key of a revision. Keys sort in ascending order of
+// revision numbers.
 func RevisionKey(number uint64) string { return fmt.Sprintf("%s%020d", revisionPrefix, number) }
 
-// snapshotKey sorts snapshots in descending order, so that the first row of a
-// scan is the newest.
+// snapshotKey returns the row key of a snapshot. Keys sort in descending order of
+// revision numbers, so that the first row of a scan is the newest snapshot.
 func snapshotKey(number uint64) string {
 	return fmt.Sprintf("%s%020d", snapshotPrefix, math.MaxUint64-number)
 }
--- a/lib/config/validate.go
+++ b/lib/config/validate.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// MaxBodyBytes is the largest request body that fits into one frame.
+	// MaxBodyBytes is the maximum size of a request body, which must fit into one
+	// frame between processes.
 	MaxBodyBytes = 4 << 20
-	// MaxEncodedBytes bounds the encoded configuration, so that a snapshot fits into
-	// one frame between processes.
+	// MaxEncodedBytes is the maximum size of an encoded configuration. A snapshot
+	// must fit into one frame between processes.
 	MaxEncodedBytes = 3 << 20
 
-	maxObjectName     = 1024
-	maxModelBytes     = int64(4) << 40
-	maxReplicas       = 10_000
-	maxShare          = 1_000_000
-	maxQueued         = 100_000
-	maxPriority       = 1000
-	maxOriginCopies   = 64
-	minTimeout        = 10 * time.Millisecond
-	maxTimeout        = time.Hour
-	minClaimRetention = time.Minute
-	maxClaimRetention = 30 * 24 * time.Hour
-	minFirstToken     = time.Millisecond
-	maxFirstToken     = 10 * time.Minute
+	maxObjectNameBytes = 1024
+	maxModelBytes      = int64(4) << 40
+	maxReplicas        = 10_000
+	maxShare           = 1_000_000
+	maxQueued          = 100_000
+	maxPriority        = 1000
+	maxOriginCopies    = 64
+	minTimeout         = 10 * time.Millisecond
+	maxTimeout         = time.Hour
+	minClaimRetention  = time.Minute
+	maxClaimRetention  = 30 * 24 * time.Hour
+	minFirstToken      = time.Millisecond
+	maxFirstToken      = 10 * time.Minute
 )
 
 var (
-	nameForm    = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
-	versionForm = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
-	objectForm  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/:@+-]*$`)
-	idForm      = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:@-]{0,127}$`)
+	namePattern       = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+	versionPattern    = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
+	objectNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/:@+-]*$`)
+	idPattern         = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:@-]{0,127}$`)
 )
 
 const (
@@ -45,8 +46,8 @@
 	idAllowed      = "A-Z, a-z, 0-9, ., _, :, @ and -, 1 to 128 characters, starting with a letter or digit"
 )
 
-// Validate checks a whole configuration and returns *InvalidError with every
-// fault, or nil.
+// Validate checks the configuration. It returns an *InvalidError that lists all
+// violations, or nil.
 func (c *Config) Validate() error {
 	v := &validator{config: c}
 	v.deployment()
@@ -56,47 +57,49 @@
 	v.tenants()
 	v.classes()
 	if b, err := c.Encode(); err == nil && len(b) > MaxEncodedBytes {
-		v.fault("configuration", "size", len(b), fmt.Sprintf("up to %d bytes when encoded", MaxEncodedBytes))
+		v.addViolation("configuration", "size", len(b), fmt.Sprintf("up to %d bytes when encoded", MaxEncodedBytes))
 	}
-	if len(v.faults) == 0 {
+	if len(v.violations) == 0 {
 		return nil
 	}
-	return merry.Wrap(&InvalidError{Violations: v.faults})
+	return merry.Wrap(&InvalidError{Violations: v.violations})
 }
 
 func validateRequest(req Request) error {
-	var faults []Violation
+	var violations []Violation
 	if !req.DryRun || req.Operation != "" {
-		if !idForm.MatchString(req.Operation) {
-			faults = append(faults, Violation{Path: "operation", Value: req.Operation, Allowed: idAllowed})
+		if !idPattern.MatchString(req.Operation) {
+			violations = append(violations, Violation{Path: "operation", Value: req.Operation, Allowed: idAllowed})
 		}
 	}
-	if !req.DryRun && !idForm.MatchString(req.Author) {
-		faults = append(faults, Violation{Path: "author", Value: req.Author, Allowed: idAllowed})
+	if !req.DryRun && !idPattern.MatchString(req.Author) {
+		violations = append(violations, Violation{Path: "author", Value: req.Author, Allowed: idAllowed})
 	}
-	if len(faults) > 0 {
-		return merry.Wrap(&InvalidError{Violations: faults})
+	if len(violations) > 0 {
+		return merry.Wrap(&InvalidError{Violations: violations})
 	}
 	return req.Config.Validate()
 }
 
 func validateOperation(id string) error {
-	if idForm.MatchString(id) {
+	if idPattern.MatchString(id) {
 		return nil
 	}
 	return merry.Wrap(&InvalidError{Violations: []Violation{{Path: "operation", Value: id, Allowed: idAllowed}}})
 }
 
-// validator collects faults.
+// validator collects the violations in a configuration.
 type validator struct {
-	config *Config
-	faults []Violation
+	config     *Config
+	violations []Violation
 }
 
-func (v *validator) fault(object, key string, value any, allowed string) {
-	v.faults = append(v.faults, Violation{Path: path(object, key), Value: fmt.Sprint(value), Allowed: allowed})
+func (v *validator) addViolation(object, key string, value any, allowed string) {
+	v.violations = append(v.violations, Violation{Path: path(object, key), Value: fmt.Sprint(value), Allowed: allowed})
 }
 
+// path returns the path of a key, as in Violation.Path, or that of the object if
+// key is empty.
 func path(object, key string) string {
 	if key == "" {
 		return object
@@ -105,42 +108,43 @@
 }
 
 func (v *validator) name(object, key, value string) {
-	if !nameForm.MatchString(value) {
-		v.fault(object, key, value, nameAllowed)
+	if !namePattern.MatchString(value) {
+		v.addViolation(object, key, value, nameAllowed)
 	}
 }
 
 func (v *validator) version(object, key, value string) {
-	if !versionForm.MatchString(value) {
-		v.fault(object, key, value, versionAllowed)
+	if !versionPattern.MatchString(value) {
+		v.addViolation(object, key, value, versionAllowed)
 	}
 }
 
-func (v *validator) whole(object, key string, value, low, high int64) {
+func (v *validator) intRange(object, key string, value, low, high int64) {
 	if value < low || value > high {
-		v.fault(object, key, value, fmt.Sprintf("%d to %d", low, high))
+		v.addViolation(object, key, value, fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-func (v *validator) duration(object, key string, value, low, high time.Duration) {
+func (v *validator) durationRange(object, key string, value, low, high time.Duration) {
 	if value < low || value > high {
-		v.fault(object, key, value, fmt.Sprintf("%s to %s", low, high))
+		v.addViolation(object, key, value, fmt.Sprintf("%s to %s", low, high))
 	}
 }
 
-// fraction refuses NaN as well, because no comparison with it holds.
+// fraction checks that a value is between 0 and 1. It also rejects NaN, for which
+// every comparison is false.
 func (v *validator) fraction(object, key string, value float64, allowZero bool) {
 	if value >= 0 && value <= 1 && (allowZero || value > 0) {
 		return
 	}
-	allowed := "over 0 and up to 1"
+	allowed := "greater than 0 and at most 1"
 	if allowZero {
 		allowed = "0 to 1"
 	}
-	v.fault(object, key, strconv.FormatFloat(value, 'g', -1, 64), allowed)
+	v.addViolation(object, key, strconv.FormatFloat(value, 'g', -1, 64), allowed)
 }
 
-// duplicates reports keys that occur more than once.
+// duplicates adds a violation for each key that occurs more than once.
 func duplicates[T any](v *validator, kind string, list []T, key func(T) string) {
 	seen := make(map[string]int, len(list))
 	for _, item := range list {
@@ -154,6 +158,6 @@
 	}
 	slices.Sort(repeated)
 	for _, k := range repeated {
-		v.fault(kind, "", k, "each "+kind+" declared once")
+		v.addViolation(kind, "", k, "each "+kind+" declared once")
 	}
 }
--- a/lib/config/validate_objects.go
+++ b/lib/config/validate_objects.go
@@ -10,9 +10,9 @@
 	const object = "deployment"
 	d := v.config.Deployment
 	v.fraction(object, "time_weight", d.TimeWeight, true)
-	v.whole(object, "origin_copies", int64(d.OriginCopies), 1, maxOriginCopies)
+	v.intRange(object, "origin_copies", int64(d.OriginCopies), 1, maxOriginCopies)
 	v.fraction(object, "transfer_share", d.TransferShare, false)
-	v.duration(object, "claim_retention", d.ClaimRetention, minClaimRetention, maxClaimRetention)
+	v.durationRange(object, "claim_retention", d.ClaimRetention, minClaimRetention, maxClaimRetention)
 }
 
 func (v *validator) models() {
@@ -22,12 +22,12 @@
 		v.name(object, "name", m.Name)
 		v.version(object, "version", m.Version)
 		if m.Manifest.IsZero() {
-			v.fault(object, "manifest", m.Manifest, "the digest of a manifest, 64 hexadecimal digits")
+			v.addViolation(object, "manifest", m.Manifest, "the digest of a manifest, 64 hexadecimal digits")
 		}
-		if len(m.ManifestObject) > maxObjectName || !objectForm.MatchString(m.ManifestObject) {
-			v.fault(object, "manifest_object", m.ManifestObject, fmt.Sprintf("A-Z, a-z, 0-9, ., _, /, :, @, + and -, 1 to %d bytes, starting with a letter or digit", maxObjectName))
+		if len(m.ManifestObject) > maxObjectNameBytes || !objectNamePattern.MatchString(m.ManifestObject) {
+			v.addViolation(object, "manifest_object", m.ManifestObject, fmt.Sprintf("A-Z, a-z, 0-9, ., _, /, :, @, + and -, 1 to %d bytes, starting with a letter or digit", maxObjectNameBytes))
 		}
-		v.whole(object, "bytes", m.Bytes, 1, maxModelBytes)
+		v.intRange(object, "bytes", m.Bytes, 1, maxModelBytes)
 		v.base(object, m)
 	}
 }
@@ -38,11 +38,11 @@
 	}
 	base, ok := v.config.FindModel(m.Base, m.BaseVersion)
 	if !ok {
-		v.fault(object, "base", m.Base+" "+m.BaseVersion, "a declared model and version, or neither base nor base_version")
+		v.addViolation(object, "base", m.Base+" "+m.BaseVersion, "a declared model and version, or neither base nor base_version")
 		return
 	}
 	if base.Base != "" {
-		v.fault(object, "base", m.Base+" "+m.BaseVersion, "a base model, not an adapter")
+		v.addViolation(object, "base", m.Base+" "+m.BaseVersion, "a base model, not an adapter")
 	}
 }
 
@@ -53,19 +53,19 @@
 		v.name(object, "pool", p.Pool)
 		v.name(object, "failure_domain", string(p.FailureDomain))
 		if _, ok := v.config.FindModel(p.Model, p.Version); !ok {
-			v.fault(object, "model", p.Model+" "+p.Version, "a declared model and version")
+			v.addViolation(object, "model", p.Model+" "+p.Version, "a declared model and version")
 		}
 		if !p.Role.Valid() {
-			v.fault(object, "role", p.Role, "mixed, prefill or decode")
+			v.addViolation(object, "role", p.Role, "mixed, prefill or decode")
 		}
-		v.whole(object, "replicas", int64(p.Replicas), 0, maxReplicas)
+		v.intRange(object, "replicas", int64(p.Replicas), 0, maxReplicas)
 		high := int64(maxReplicas)
 		if p.Replicas > 0 {
-			// At least one instance must be able to leave the old version, or
-			// a rollout could never start.
+			// At least one instance must be allowed to stop serving the old
+			// version, or a rollout could never start.
 			high = int64(p.Replicas) - 1
 		}
-		v.whole(object, "min_live", int64(p.MinLive), 0, high)
+		v.intRange(object, "min_live", int64(p.MinLive), 0, high)
 	}
 }
 
@@ -75,8 +75,8 @@
 		object := serviceSection(s)
 		v.name(object, "name", string(s.Name))
 		v.name(object, "pool", s.Pool)
-		v.duration(object, "timeout", s.Timeout, minTimeout, maxTimeout)
-		v.whole(object, "max_body", s.MaxBodyBytes, 1, MaxBodyBytes)
+		v.durationRange(object, "timeout", s.Timeout, minTimeout, maxTimeout)
+		v.intRange(object, "max_body", s.MaxBodyBytes, 1, MaxBodyBytes)
 		v.route(object, s)
 	}
 }
@@ -87,22 +87,22 @@
 		v.modelRoute(object, s)
 	case KindPlain:
 		if s.Model != "" || s.Version != "" {
-			v.fault(object, "model", s.Model+" "+s.Version, "no model and no version when kind is plain")
+			v.addViolation(object, "model", s.Model+" "+s.Version, "no model and no version when kind is plain")
 		}
 		for _, p := range v.config.Placements {
 			if p.Pool == s.Pool {
-				v.fault(object, "pool", s.Pool, "a pool without placements when kind is plain")
+				v.addViolation(object, "pool", s.Pool, "a pool without placements when kind is plain")
 				return
 			}
 		}
 	default:
-		v.fault(object, "kind", s.Kind, "model or plain")
+		v.addViolation(object, "kind", s.Kind, "model or plain")
 	}
 }
 
 func (v *validator) modelRoute(object string, s Service) {
 	if len(v.config.CandidateWeights(s)) == 0 {
-		v.fault(object, "model", s.Model+" "+s.Version, "a declared model and version, or a model without a version")
+		v.addViolation(object, "model", s.Model+" "+s.Version, "a declared model and version, or a model without a version")
 		return
 	}
 	for _, p := range v.config.Placements {
@@ -110,7 +110,7 @@
 			return
 		}
 	}
-	v.fault(object, "pool", s.Pool, fmt.Sprintf("a pool with a mixed placement of %s %s", s.Model, s.Version))
+	v.addViolation(object, "pool", s.Pool, fmt.Sprintf("a pool with a mixed placement of %s %s", s.Model, s.Version))
 }
 
 func (v *validator) tenants() {
@@ -118,8 +118,8 @@
 	for _, t := range v.config.Tenants {
 		object := tenantSection(t)
 		v.name(object, "name", string(t.Name))
-		v.whole(object, "share", int64(t.Share), 1, maxShare)
-		v.whole(object, "max_queued", int64(t.MaxQueued), 1, maxQueued)
+		v.intRange(object, "share", int64(t.Share), 1, maxShare)
+		v.intRange(object, "max_queued", int64(t.MaxQueued), 1, maxQueued)
 		v.fraction(object, "retry_share", t.RetryShare, true)
 	}
 }
@@ -129,7 +129,7 @@
 	for _, c := range v.config.Classes {
 		object := classSection(c)
 		v.name(object, "name", string(c.Name))
-		v.whole(object, "priority", int64(c.Priority), -maxPriority, maxPriority)
-		v.duration(object, "first_token", c.FirstToken, minFirstToken, maxFirstToken)
+		v.intRange(object, "priority", int64(c.Priority), -maxPriority, maxPriority)
+		v.durationRange(object, "first_token", c.FirstToken, minFirstToken, maxFirstToken)
 	}
 }
--- a/lib/config/view.go
+++ b/lib/config/view.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// View is the configuration in force at one moment. It is immutable.
+// View is one revision of the configuration. It is immutable.
 type View struct {
 	Config *Config
 	Head   Head
-	// Accepted is when the revision was accepted by the store.
+	// Accepted is when the store accepted the revision.
 	Accepted time.Time
 }
