--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -3,35 +3,38 @@
 import "time"
 
 const (
-	// BusyInterval is the heartbeat interval with requests in flight.
+	// BusyInterval is the heartbeat interval of a connection with requests in
+	// flight.
 	BusyInterval = time.Second
-	// IdleInterval is the heartbeat interval without requests in flight. It is
-	// also the bound on how long a leaving instance gets new work when the
-	// pushed notification is lost, because the next heartbeat carries the state.
+	// IdleInterval is the heartbeat interval of a connection without requests in
+	// flight. It also limits how long a draining instance gets new work if its
+	// notification is lost, because the next heartbeat carries the draining
+	// state.
 	IdleInterval = 3 * time.Second
-	// SendMargin is how much earlier than the interval a sender sends, so that
-	// scheduling delays do not make a healthy connection overdue.
+	// SendMargin is how long before the end of the interval heartbeats are sent,
+	// so that scheduling delays do not make a healthy connection overdue.
 	SendMargin = 200 * time.Millisecond
-	// MaxMissedHeartbeats is the number of missed heartbeats after which a connection
-	// is silent.
+	// MaxMissedHeartbeats is the number of heartbeat intervals without any frame
+	// after which a connection counts as silent.
 	MaxMissedHeartbeats = 3
 )
 
-// Config holds the limits of a View. Zero fields take the defaults.
+// Config configures a View. Zero fields get default values.
 type Config struct {
-	// ProbeTimeout is how long a member without a working connection is tried
-	// before it is judged gone.
+	// ProbeTimeout is how long a member may be without a working connection
+	// before it is considered gone.
 	ProbeTimeout time.Duration
-	// MaxProbeFailures is the number of failed new connections after which a
-	// member is judged gone.
+	// MaxProbeFailures is the number of failed connection attempts after which a
+	// member without a working connection is considered gone.
 	MaxProbeFailures int
-	// PathFaultWindow is the time within which connections that go silent count as
-	// going silent at once.
+	// PathFaultWindow is the period within which connections have to go silent to
+	// count towards the same path fault.
 	PathFaultWindow time.Duration
-	// PathFaultShare is the share of connections that go silent at once in a path
-	// fault.
+	// PathFaultShare is the minimum share of connections that go silent in a path
+	// fault, 0 to 1.
 	PathFaultShare float64
-	// PathFaultMinConns is the least number of connections in a path fault.
+	// PathFaultMinConns is the minimum number of connections that go silent in a
+	// path fault.
 	PathFaultMinConns int
 }
 
@@ -53,7 +56,8 @@
 	}
 }
 
-// SendInterval returns when a process sends its next heartbeat on a connection.
+// SendInterval returns the time from one heartbeat that a process sends on a
+// connection to the next.
 func SendInterval(requestsInFlight int) time.Duration {
 	if requestsInFlight > 0 {
 		return BusyInterval - SendMargin
--- a/lib/member/connection.go
+++ b/lib/member/connection.go
@@ -6,18 +6,18 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// connection is the state of one connection.
+// connection is the state of one connection to a member.
 type connection struct {
-	instance   model.InstanceID
-	generation model.Generation
-	heard      time.Time
-	busySince  time.Time // zero without requests in flight
-	probedAt   time.Time // zero when no probe waits for its answer
-	lastSeq    uint64    // highest heartbeat sequence number
-	silent     bool
+	instance    model.InstanceID
+	generation  model.Generation
+	lastFrameAt time.Time
+	busySince   time.Time // since when requests are in flight; zero if none are
+	probedAt    time.Time // when the unanswered probe was sent; zero if none
+	lastSeq     uint64    // highest heartbeat sequence number received
+	silent      bool
 }
 
-// interval returns the heartbeat interval that the peer keeps.
+// interval returns the interval at which the peer sends heartbeats.
 func (c *connection) interval() time.Duration {
 	if c.busySince.IsZero() {
 		return IdleInterval
@@ -25,33 +25,35 @@
 	return BusyInterval
 }
 
-// since returns the time from which missed heartbeats count. The peer learns of
-// the first request in flight only when that arrives, so the short interval
-// counts from there.
-func (c *connection) since() time.Time {
-	if c.busySince.After(c.heard) {
+// silentSince returns the time from which missed heartbeats are counted. That is not
+// before the first request in flight, because the peer switches to the short
+// interval only when that request arrives.
+func (c *connection) silentSince() time.Time {
+	if c.busySince.After(c.lastFrameAt) {
 		return c.busySince
 	}
-	return c.heard
+	return c.lastFrameAt
 }
 
-// deadline returns when the connection counts as silent. A probe is answered at
-// once, so the short interval counts from it.
+// deadline returns the time at which the connection counts as silent. The short
+// interval applies from the time of a probe, because the peer answers it
+// immediately.
 func (c *connection) deadline() time.Time {
-	deadline := c.since().Add(MaxMissedHeartbeats * c.interval())
+	deadline := c.silentSince().Add(MaxMissedHeartbeats * c.interval())
 	if probed := c.probedAt.Add(MaxMissedHeartbeats * BusyInterval); !c.probedAt.IsZero() && probed.Before(deadline) {
 		return probed
 	}
 	return deadline
 }
 
-// overdue reports whether at least one heartbeat was missed.
+// overdue reports whether at least one heartbeat or the answer to a probe is
+// overdue.
 func (c *connection) overdue(now time.Time) bool {
-	return now.Sub(c.since()) > c.interval() || c.failsProbe(now)
+	return now.Sub(c.silentSince()) > c.interval() || c.probeOverdue(now)
 }
 
-// failsProbe reports whether a probe has no answer for longer than any path
-// takes.
-func (c *connection) failsProbe(now time.Time) bool {
+// probeOverdue reports whether a probe is unanswered for longer than a round trip on
+// any path takes.
+func (c *connection) probeOverdue(now time.Time) bool {
 	return !c.probedAt.IsZero() && now.Sub(c.probedAt) > BusyInterval
 }
--- a/lib/member/drain_test.go
+++ b/lib/member/drain_test.go
@@ -10,12 +10,12 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-var _ = Describe("Drain with the notice lost to half of the entries", func() {
-	It("ends new work within 3 s at all entries, at once where the notice arrives", func() {
+var _ = Describe("Drain with the notification lost to half of the entries", func() {
+	It("stops new work within 3 s at all entries, and immediately where the notification arrives", func() {
 		const (
 			entries = 8
 			step    = 20 * time.Millisecond
-			notice  = 10 * time.Second
+			drainAt = 10 * time.Second
 		)
 		views := make([]*member.View, entries)
 		next := make([]time.Duration, entries) // when the next heartbeat is sent
@@ -29,11 +29,11 @@
 		for at := time.Duration(0); at < 20*time.Second; at += step {
 			now := time.Unix(0, 0).Add(at)
 			sequence++
-			beat := wire.Heartbeat{Sequence: sequence, Draining: at >= notice}
+			beat := wire.Heartbeat{Sequence: sequence, Draining: at >= drainAt}
 			for i, v := range views {
-				pushed := at == notice && i%2 == 0
-				// The last entry hears nothing more from the notice on.
-				lost := at >= notice && i == entries-1
+				pushed := at == drainAt && i%2 == 0
+				// The last entry receives no heartbeats from the drain on.
+				lost := at >= drainAt && i == entries-1
 				if (at >= next[i] || pushed) && !lost {
 					v.Heartbeat(now, 1, beat)
 					next[i] = at + member.SendInterval(0)
@@ -41,9 +41,9 @@
 				v.Tick(now)
 				m, _ := v.Member("a")
 				switch {
-				case at >= notice && i%2 == 0, at > notice+3*time.Second:
+				case at >= drainAt && i%2 == 0, at > drainAt+3*time.Second:
 					Expect(m.Usable(now)).To(BeFalse(), "entry %d at %s", i, at)
-				case at >= 3*time.Second && at < notice:
+				case at >= 3*time.Second && at < drainAt:
 					Expect(m.Usable(now)).To(BeTrue(), "entry %d at %s", i, at)
 				}
 			}
--- a/lib/member/fault.go
+++ b/lib/member/fault.go
@@ -4,38 +4,42 @@
 	"time"
 )
 
-// faultDetector tells a fault of the network path from faults of instances:
-// many connections go silent at once, and new ones work.
-type faultDetector struct {
-	silentAt []time.Time // connections that went silent within the window
-	total    int         // connections when the last one was judged
-	reported bool
+// pathFaultDetector distinguishes faults of the network path from failures of
+// instances: in a path fault many connections go silent at the same time and new
+// ones work.
+type pathFaultDetector struct {
+	silentAt   []time.Time // when connections went silent, within the window
+	totalConns int         // number of connections at the last tick
+	reported   bool
 }
 
-// silent records a connection that went silent.
-func (d *faultDetector) silent(now time.Time) { d.silentAt = append(d.silentAt, now) }
+// addSilent records that a connection went silent.
+func (d *pathFaultDetector) addSilent(now time.Time) { d.silentAt = append(d.silentAt, now) }
 
-// connected records a new connection. It reports the fault once when many
-// connections are silent.
-func (d *faultDetector) connected(now time.Time, cfg Config) []Event {
-	if !d.many(now, cfg, d.total) || d.reported {
+// addConnected records that a new connection works. It returns a PathFault event,
+// once per fault, if many connections have gone silent.
+func (d *pathFaultDetector) addConnected(now time.Time, cfg Config) []Event {
+	if !d.manySilent(now, cfg, d.totalConns) || d.reported {
 		return nil
 	}
 	d.reported = true
 	return []Event{{Kind: PathFault}}
 }
 
-// suspected reports whether many connections went silent at once.
-func (d *faultDetector) suspected(now time.Time, cfg Config, conns int) bool {
-	d.total = conns
-	many := d.many(now, cfg, conns)
+// suspected reports whether many of the given number of connections have gone
+// silent at the same time.
+func (d *pathFaultDetector) suspected(now time.Time, cfg Config, conns int) bool {
+	d.totalConns = conns
+	many := d.manySilent(now, cfg, conns)
 	if !many {
 		d.reported = false
 	}
 	return many
 }
 
-func (d *faultDetector) many(now time.Time, cfg Config, conns int) bool {
+// manySilent reports whether the connections that went silent within the window
+// reach the limits for a path fault.
+func (d *pathFaultDetector) manySilent(now time.Time, cfg Config, conns int) bool {
 	kept := d.silentAt[:0]
 	for _, at := range d.silentAt {
 		if now.Sub(at) <= cfg.PathFaultWindow {
--- a/lib/member/fuzz_test.go
+++ b/lib/member/fuzz_test.go
@@ -13,7 +13,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// oracle remembers only what generations were seen and what they said.
+// oracle tracks which generations connected and what they reported, independently
+// of the view.
 type oracle struct {
 	view     *member.View
 	now      time.Time
@@ -21,14 +22,16 @@
 	nextGen  model.Generation
 	current  map[model.InstanceID]model.Generation
 	replaced map[string]bool
-	conns    map[member.ConnID]string // accepted connections: instance/generation
+	conns    map[member.ConnID]string // instance/generation of accepted connections
 	draining map[string]bool
 	lastBeat map[string]time.Time
 }
 
 var names = []model.InstanceID{"a", "b", "c", "d"}
 
-func incarnation(id model.InstanceID, g model.Generation) string { return fmt.Sprintf("%s/%d", id, g) }
+func generationName(id model.InstanceID, g model.Generation) string {
+	return fmt.Sprintf("%s/%d", id, g)
+}
 
 func (o *oracle) connect(t *rapid.T) {
 	id := rapid.SampledFrom(names).Draw(t, "instance")
@@ -36,15 +39,15 @@
 	o.nextGen = max(o.nextGen, g)
 	o.nextConn++
 	_, err := o.view.Connected(o.now, o.nextConn, agentHello(id, g, ""))
-	name := incarnation(id, g)
+	name := generationName(id, g)
 	if (err != nil) != o.replaced[name] {
-		t.Fatalf("%s: error %v, replaced before: %v", name, err, o.replaced[name])
+		t.Fatalf("%s: error %v, previously replaced: %v", name, err, o.replaced[name])
 	}
 	if err != nil {
 		return
 	}
 	if old, ok := o.current[id]; ok && old != g {
-		o.replaced[incarnation(id, old)] = true
+		o.replaced[generationName(id, old)] = true
 	}
 	o.current[id] = g
 	o.conns[o.nextConn] = name
@@ -58,12 +61,12 @@
 	o.view.Heartbeat(o.now, conn, wire.Heartbeat{Sequence: uint64(o.now.UnixMilli()), Draining: draining})
 	if name == "" || o.replaced[name] {
 		if o.members() != before {
-			t.Fatalf("a heartbeat of %q on connection %d changed the view", name, conn)
+			t.Fatalf("a heartbeat from %q on connection %d changed the view", name, conn)
 		}
 		return
 	}
 	o.lastBeat[name] = o.now
-	// The view may have dropped the connection; then it does not know.
+	// The view may have dropped the connection and ignored the heartbeat.
 	if m := o.member(name); m.Draining {
 		o.draining[name] = true
 	}
@@ -71,7 +74,7 @@
 
 func (o *oracle) member(name string) member.Member {
 	for _, id := range names {
-		if m, ok := o.view.Member(id); ok && incarnation(id, m.Identity.Generation) == name {
+		if m, ok := o.view.Member(id); ok && generationName(id, m.Identity.Generation) == name {
 			return m
 		}
 	}
@@ -93,15 +96,15 @@
 		if !ok {
 			continue
 		}
-		name := incarnation(id, m.Identity.Generation)
+		name := generationName(id, m.Identity.Generation)
 		if o.replaced[name] && m.State != member.StateGone {
-			t.Fatalf("view holds the replaced generation %s", name)
+			t.Fatalf("the view contains the replaced generation %s", name)
 		}
 		if !m.Usable(o.now) {
 			continue
 		}
 		if o.draining[name] {
-			t.Fatalf("%s is usable after it said that it leaves", name)
+			t.Fatalf("%s is usable after it reported draining", name)
 		}
 		if o.now.Sub(o.lastBeat[name]) > member.IdleInterval {
 			t.Fatalf("%s is usable, last heartbeat %s ago", name, o.now.Sub(o.lastBeat[name]))
@@ -109,8 +112,8 @@
 	}
 }
 
-var _ = Describe("View under any order of events", func() {
-	It("never accepts an old generation nor uses a leaving or unheard one", func() {
+var _ = Describe("View with events in any order", func() {
+	It("never accepts a replaced generation and never uses a draining or silent one", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			o := &oracle{
 				view: member.New(member.Config{}), now: time.Unix(0, 0),
--- a/lib/member/member.go
+++ b/lib/member/member.go
@@ -8,51 +8,53 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// State says how far a member can be used.
+// State is the connection state of a member.
 type State uint8
 
 const (
-	// StateListed is a member that only the platform's list shows.
+	// StateListed means that the member is only known from the platform's instance
+	// list.
 	StateListed State = iota
-	// StateLive is a member with a working connection.
+	// StateLive means that the member has a working connection.
 	StateLive
-	// StateProbing is a member without a working connection that is not judged
-	// yet: a new connection is being tried.
+	// StateProbing means that the member has lost its last working connection and
+	// that new connections are being tried.
 	StateProbing
-	// StateGone is a member to which no new connection works. It stays in the
-	// view while the platform lists it and comes back when it connects.
+	// StateGone means that the member has left or cannot be reached. It stays in
+	// the view while the platform lists it and becomes live again when it
+	// connects.
 	StateGone
 )
 
-// Member is one entry or agent. Values are copies.
+// Member is an entry or agent. Values returned by a View are copies.
 type Member struct {
 	Identity model.Identity
 	Role     backing.InstanceRole
 	Pool     string
 	State    State
-	// Draining is true from the first sign that the generation is leaving. It
-	// never becomes false for one generation.
+	// Draining is true once the generation is known to be leaving. It is never
+	// reset for the same generation.
 	Draining bool
-	// Heartbeat is the last one received.
+	// Heartbeat is the last heartbeat received.
 	Heartbeat wire.Heartbeat
-	// HeartbeatAt is when it arrived. It is zero until the first heartbeat
+	// HeartbeatAt is when Heartbeat arrived. It is zero until the first heartbeat
 	// after the member connected or was restored.
 	HeartbeatAt time.Time
 }
 
-// Usable reports whether the member may get new work: it is live, not draining,
-// and its last heartbeat is at most IdleInterval old. The last condition bounds
-// the time for which a leaving member gets work when its notification is lost,
-// and also covers a leaving member that has only just been connected again.
+// Usable reports whether the member may get new work: it is live and not draining,
+// and its last heartbeat is at most IdleInterval old. The last condition limits
+// how long a draining member gets work if its notification is lost. It also covers
+// a draining member that has just reconnected and has not sent a heartbeat yet.
 func (m Member) Usable(now time.Time) bool {
 	return m.State == StateLive && !m.Draining && !m.HeartbeatAt.IsZero() && now.Sub(m.HeartbeatAt) <= IdleInterval
 }
 
-// entry is the state of a member inside the view.
-type entry struct {
+// memberState is the state of a member in a View.
+type memberState struct {
 	Member
 	listed        bool
-	conns         int // connections that are not silent
+	conns         int // number of connections that are not silent
 	probeSince    time.Time
 	probeFailures int
 	goneAt        time.Time
--- a/lib/member/order.go
+++ b/lib/member/order.go
@@ -6,7 +6,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// sortEvents orders events that come from a map, so that replays are equal.
+// sortEvents sorts events by instance. Events that were collected by iterating over
+// a map would otherwise be in random order.
 func sortEvents(events []Event) {
 	slices.SortFunc(events, func(a, b Event) int {
 		if a.Instance < b.Instance {
@@ -16,6 +17,7 @@
 	})
 }
 
+// sortedMembers returns the IDs of all members in order.
 func (v *View) sortedMembers() []model.InstanceID {
 	ids := make([]model.InstanceID, 0, len(v.members))
 	for id := range v.members {
--- a/lib/member/replay_test.go
+++ b/lib/member/replay_test.go
@@ -17,8 +17,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// step is one line of a trace. Events and Usable are stated outcomes; they are
-// not checked where they are missing.
+// step is one line of a trace. Events and Usable are the expected results; they are
+// checked only where the trace contains them.
 type step struct {
 	Note       string
 	At         int64 // milliseconds
@@ -87,9 +87,9 @@
 	return nil, nil
 }
 
-var _ = Describe("Recorded traces", func() {
+var _ = Describe("View with recorded traces", func() {
 	files, _ := filepath.Glob("testdata/*.jsonl")
-	It("exist", func() { Expect(len(files)).To(BeNumerically(">=", 6)) })
+	It("finds the trace files", func() { Expect(len(files)).To(BeNumerically(">=", 6)) })
 	for _, name := range files {
 		It("replays "+filepath.Base(name), func() {
 			f, err := os.Open(name)
--- a/lib/member/retired.go
+++ b/lib/member/retired.go
@@ -6,9 +6,9 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// retiredFor is how long a replaced generation is remembered. It only has to
-// outlast messages that are still on their way, which is seconds.
-const retiredFor = 10 * time.Minute
+// replacedRetention is how long replaced generations are remembered. It only has to
+// exceed the delay of late messages, which is a few seconds.
+const replacedRetention = 10 * time.Minute
 
 // incarnation is one generation of an instance.
 type incarnation struct {
@@ -16,21 +16,22 @@
 	generation model.Generation
 }
 
-// retiredSet remembers the generations that were replaced, and when.
-type retiredSet map[incarnation]time.Time
+// replacedSet holds the generations that were replaced, and when.
+type replacedSet map[incarnation]time.Time
 
-func (r retiredSet) add(now time.Time, id model.InstanceID, g model.Generation) {
+func (r replacedSet) add(now time.Time, id model.InstanceID, g model.Generation) {
 	r[incarnation{id, g}] = now
 }
 
-func (r retiredSet) contains(id model.InstanceID, g model.Generation) bool {
+func (r replacedSet) contains(id model.InstanceID, g model.Generation) bool {
 	_, ok := r[incarnation{id, g}]
 	return ok
 }
 
-func (r retiredSet) prune(now time.Time) {
+// prune removes the generations that were replaced more than replacedRetention ago.
+func (r replacedSet) prune(now time.Time) {
 	for key, at := range r {
-		if now.Sub(at) > retiredFor {
+		if now.Sub(at) > replacedRetention {
 			delete(r, key)
 		}
 	}
--- a/lib/member/seed_test.go
+++ b/lib/member/seed_test.go
@@ -10,9 +10,10 @@
 	"github.com/auburnbend/auburnbend/lib/member"
 )
 
-var _ = Describe("Seed", func() {
-	It("knows the pool of agents that it never connected to", func() {
-		// Guards against subsets that leave an entry without agents of a pool.
+var _ = Describe("ApplyList", func() {
+	It("sets the pool of agents that never connected", func() {
+		// Guards against connection subsets that contain no agents of a pool,
+		// because the pools of listed agents are unknown.
 		v := member.New(member.Config{})
 		listed := backing.Instance{ID: "a", Role: backing.RoleAgent, Address: "a", Pool: "booking"}
 		v.ApplyList(time.Unix(0, 0), []backing.Instance{listed})
--- a/lib/member/signs.go
+++ b/lib/member/signs.go
@@ -7,11 +7,12 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Heartbeat takes a heartbeat that arrived on a connection. A notification of
-// leaving is a heartbeat that is sent out of turn. Heartbeats of a connection
-// that the view has dropped, and so of an old generation, change nothing.
+// Heartbeat processes a heartbeat that arrived on a connection. Heartbeats may also
+// arrive between the regular ones, to notify of draining. Heartbeats on a
+// connection that the view has dropped, such as one of a replaced generation, are
+// ignored.
 func (v *View) Heartbeat(now time.Time, conn ConnID, hb wire.Heartbeat) []Event {
-	events, c, e := v.heard(now, conn)
+	events, c, e := v.frameReceived(now, conn)
 	if c == nil {
 		return nil
 	}
@@ -28,24 +29,27 @@
 	return events
 }
 
-// FrameReceived takes any other frame as a sign of life of a connection.
+// FrameReceived records that a frame other than a heartbeat arrived on a
+// connection.
 func (v *View) FrameReceived(now time.Time, conn ConnID) []Event {
-	events, _, _ := v.heard(now, conn)
+	events, _, _ := v.frameReceived(now, conn)
 	return events
 }
 
-func (v *View) heard(now time.Time, conn ConnID) ([]Event, *connection, *entry) {
+// frameReceived records that a frame arrived on a connection and restores the
+// connection if it was silent. It returns nil for an unknown connection.
+func (v *View) frameReceived(now time.Time, conn ConnID) ([]Event, *connection, *memberState) {
 	c, ok := v.conns[conn]
 	if !ok {
 		return nil, nil, nil
 	}
 	e := v.members[c.instance]
-	c.heard = now
+	c.lastFrameAt = now
 	c.probedAt = time.Time{}
 	if !c.silent {
 		return nil, c, e
 	}
-	// The connection was judged too early; it works.
+	// The connection still works: it was considered silent too early.
 	c.silent = false
 	e.conns++
 	if e.State != StateProbing {
@@ -56,8 +60,8 @@
 	return []Event{{Kind: Restored, Instance: c.instance, Generation: c.generation}}, c, e
 }
 
-// SetInFlight tells the view how many requests wait for frames on a connection.
-// The peer's heartbeat interval depends on it.
+// SetInFlight sets the number of requests that wait for frames on a connection. The
+// heartbeat interval of the peer depends on it.
 func (v *View) SetInFlight(now time.Time, conn ConnID, requests int) {
 	c, ok := v.conns[conn]
 	if !ok {
@@ -71,7 +75,7 @@
 	}
 }
 
-// Closed takes the end of a connection.
+// Closed processes the end of a connection.
 func (v *View) Closed(now time.Time, conn ConnID) []Event {
 	c, ok := v.conns[conn]
 	if !ok {
@@ -84,8 +88,8 @@
 	return v.connectionLost(now, c, Event{Kind: Disconnected, Instance: c.instance, Generation: c.generation})
 }
 
-// connectionLost takes a connection out of use. A draining member that closes
-// its last connection has finished and has left.
+// connectionLost processes a connection that was closed or went silent. A draining
+// member whose last connection closes has finished and is gone.
 func (v *View) connectionLost(now time.Time, c *connection, event Event) []Event {
 	e := v.members[c.instance]
 	e.conns--
@@ -96,7 +100,7 @@
 		return nil
 	}
 	if e.Draining && event.Kind == Disconnected {
-		return v.leave(now, e)
+		return v.markGone(now, e)
 	}
 	e.State = StateProbing
 	e.HeartbeatAt = time.Time{}
@@ -105,24 +109,25 @@
 	return []Event{event}
 }
 
-// DialFailed takes the failure of a new connection to a member. The member is
-// judged gone after Config.ProbeFailures of them, unless no connection works at
-// all: then it is this process that may be cut off.
+// DialFailed processes a failed attempt to connect to a member. After
+// Config.MaxProbeFailures of them the member is considered gone, unless no
+// connection of this process works, in which case this process may be the one that
+// is cut off.
 func (v *View) DialFailed(now time.Time, id model.InstanceID) []Event {
 	e, ok := v.members[id]
 	if !ok || e.State != StateProbing {
 		return nil
 	}
 	e.probeFailures++
-	if e.probeFailures < v.cfg.MaxProbeFailures || !v.reaches(now) {
+	if e.probeFailures < v.cfg.MaxProbeFailures || !v.hasWorkingConn(now) {
 		return nil
 	}
-	return v.leave(now, e)
+	return v.markGone(now, e)
 }
 
-// leave judges a member gone. Its connections are forgotten: silent ones may
-// still be open.
-func (v *View) leave(now time.Time, e *entry) []Event {
+// markGone marks a member as gone and drops its connections. Silent ones may still
+// be open.
+func (v *View) markGone(now time.Time, e *memberState) []Event {
 	id, generation := e.Identity.Instance, e.Identity.Generation
 	for conn, c := range v.conns {
 		if c.instance == id {
--- a/lib/member/tick.go
+++ b/lib/member/tick.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Tick judges connections and members by time. It is called a few times each
-// second.
+// Tick detects silent connections and unreachable members. It has to be called a
+// few times per second.
 func (v *View) Tick(now time.Time) []Event {
 	var events []Event
-	events = append(events, v.silence(now, func(c *connection) bool { return !now.Before(c.deadline()) })...)
+	events = append(events, v.markSilent(now, func(c *connection) bool { return !now.Before(c.deadline()) })...)
 	if len(events) > 0 {
-		// A retry over one more silent connection would cost another detection
-		// time, so connections that failed a probe go with the first silent one.
-		events = append(events, v.silence(now, func(c *connection) bool { return c.failsProbe(now) })...)
+		// A retry over another silent connection would cost a further detection
+		// time. Connections with an overdue probe are therefore marked silent
+		// together with the first silent one.
+		events = append(events, v.markSilent(now, func(c *connection) bool { return c.probeOverdue(now) })...)
 	}
-	events = append(events, v.probe(now)...)
-	if v.fault.suspected(now, v.cfg, len(v.conns)) {
-		// In a path fault the other connections are not trusted for their full
-		// time: a retry over one more silent connection would cost another
-		// detection time.
-		events = append(events, v.silence(now, func(c *connection) bool { return c.overdue(now) })...)
+	events = append(events, v.probeIdle(now)...)
+	if v.pathFault.suspected(now, v.cfg, len(v.conns)) {
+		// In a path fault, connections are marked silent as soon as a heartbeat is
+		// overdue, because a retry over another silent connection would cost a
+		// further detection time.
+		events = append(events, v.markSilent(now, func(c *connection) bool { return c.overdue(now) })...)
 	}
 	for _, id := range v.sortedMembers() {
 		e := v.members[id]
-		if e.State == StateProbing && now.Sub(e.probeSince) >= v.cfg.ProbeTimeout && v.reaches(now) {
-			events = append(events, v.leave(now, e)...)
+		if e.State == StateProbing && now.Sub(e.probeSince) >= v.cfg.ProbeTimeout && v.hasWorkingConn(now) {
+			events = append(events, v.markGone(now, e)...)
 		}
 	}
-	v.retired.prune(now)
+	v.replaced.prune(now)
 	return events
 }
 
-// reaches reports whether at least one connection works. Without one, this
-// process may be the one that is cut off, so nobody is judged.
-func (v *View) reaches(now time.Time) bool {
+// hasWorkingConn reports whether at least one connection works. If none does, this
+// process may be the one that is cut off, and no member is considered gone.
+func (v *View) hasWorkingConn(now time.Time) bool {
 	for _, c := range v.conns {
 		if !c.silent && !c.overdue(now) {
 			return true
@@ -44,8 +45,8 @@
 	return false
 }
 
-// silence marks the connections that match as silent.
-func (v *View) silence(now time.Time, match func(*connection) bool) []Event {
+// markSilent marks the matching connections as silent.
+func (v *View) markSilent(now time.Time, match func(*connection) bool) []Event {
 	var ids []ConnID
 	for id, c := range v.conns {
 		if !c.silent && match(c) {
@@ -57,28 +58,29 @@
 	for _, id := range ids {
 		c := v.conns[id]
 		c.silent = true
-		v.fault.silent(now)
+		v.pathFault.addSilent(now)
 		lost := Event{Kind: Silent, Instance: c.instance, Generation: c.generation, Conn: id}
 		events = append(events, v.connectionLost(now, c, lost)...)
 	}
 	return events
 }
 
-// probe asks for a sign of life on all connections once a busy one has missed a
-// heartbeat: if they are silent too, that is known when the busy one is judged.
-func (v *View) probe(now time.Time) []Event {
-	suspicious := false
+// probeIdle requests probes on the idle connections if a heartbeat is overdue on a
+// busy one. If they are silent too, that is known by the time the busy connection
+// counts as silent.
+func (v *View) probeIdle(now time.Time) []Event {
+	busyOverdue := false
 	for _, c := range v.conns {
 		if !c.silent && !c.busySince.IsZero() && c.overdue(now) {
-			suspicious = true
+			busyOverdue = true
 		}
 	}
-	if !suspicious {
+	if !busyOverdue {
 		return nil
 	}
 	var events []Event
 	for id, c := range v.conns {
-		if !c.silent && c.busySince.IsZero() && c.probedAt.IsZero() && now.Sub(c.heard) > BusyInterval {
+		if !c.silent && c.busySince.IsZero() && c.probedAt.IsZero() && now.Sub(c.lastFrameAt) > BusyInterval {
 			c.probedAt = now
 			events = append(events, Event{Kind: Probe, Instance: c.instance, Generation: c.generation, Conn: id})
 		}
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -1,9 +1,10 @@
-// Package member keeps the live view of entries and agents that one process
-// has. The platform's list only seeds it: liveness comes from the process's own
-// connections, because the list lags.
+// Package member tracks the entries and agents that one process knows and whether
+// they are alive. Members are discovered from the platform's instance list, but
+// liveness is determined from the process's own connections, because the list
+// lags behind.
 //
-// A View takes events with their time and returns what changed. It is not safe
-// for concurrent use; its owner is one goroutine or a mutex of the assembly.
+// A View is passed events together with the current time and returns the resulting
+// changes. It performs no I/O and is not safe for concurrent use.
 package member
 
 import (
@@ -17,25 +18,25 @@
 
 // View is the set of members that a process knows.
 type View struct {
-	cfg     Config
-	members map[model.InstanceID]*entry
-	conns   map[ConnID]*connection
-	retired retiredSet
-	fault   faultDetector
+	cfg       Config
+	members   map[model.InstanceID]*memberState
+	conns     map[ConnID]*connection
+	replaced  replacedSet
+	pathFault pathFaultDetector
 }
 
 // New returns an empty view.
 func New(cfg Config) *View {
 	cfg.applyDefaults()
 	return &View{
-		cfg:     cfg,
-		members: make(map[model.InstanceID]*entry),
-		conns:   make(map[ConnID]*connection),
-		retired: make(retiredSet),
+		cfg:      cfg,
+		members:  make(map[model.InstanceID]*memberState),
+		conns:    make(map[ConnID]*connection),
+		replaced: make(replacedSet),
 	}
 }
 
-// Member returns one member.
+// Member returns the member with the given ID.
 func (v *View) Member(id model.InstanceID) (Member, bool) {
 	e, ok := v.members[id]
 	if !ok {
@@ -44,8 +45,9 @@
 	return e.Member, true
 }
 
-// Members returns all members of a role in order of their ids, including those
-// that are only listed. The subset of connections is calculated from them.
+// Members returns the members of a role that are not gone, sorted by ID, including
+// those that are only listed. The subset of agents that an entry connects to is
+// computed from them.
 func (v *View) Members(role backing.InstanceRole) []Member {
 	var out []Member
 	for _, e := range v.members {
@@ -62,8 +64,8 @@
 	return out
 }
 
-// GoneListed returns the members of a role that are gone and that the platform lists
-// all the same: they may have come back.
+// GoneListed returns the members of a role that are gone but still on the
+// platform's instance list. They may have come back.
 func (v *View) GoneListed(role backing.InstanceRole) []Member {
 	var out []Member
 	for _, e := range v.members {
@@ -74,9 +76,9 @@
 	return out
 }
 
-// LiveIDs returns the ids of the members of a role in a failure domain that have a
-// working connection and are not draining, in order: the input of rendezvous
-// hashing for roles.
+// LiveIDs returns the sorted IDs of the members of a role in a failure domain that
+// have a working connection and are not draining. It is the input of rendezvous
+// hashing.
 func (v *View) LiveIDs(role backing.InstanceRole, domain model.FailureDomain) []model.InstanceID {
 	var out []model.InstanceID
 	for id, e := range v.members {
@@ -88,18 +90,19 @@
 	return out
 }
 
-// ApplyList takes the platform's list. It adds members that are not known and
-// removes listed members that it no longer shows. It changes nothing about a
-// member with a working connection: the list may be older than what the
-// connections tell. A member that has no working connection and was on the list
-// before is gone when the list does not show it. A member that is gone and still
-// listed is reported each time: the assembly may try a new connection. An
-// instance that the list shows as leaving is not added.
+// ApplyList updates the view from the platform's instance list:
+//   - Unknown instances are added, unless the list marks them as leaving.
+//   - Members that are only listed are removed if the list no longer contains them.
+//   - Members with a working connection are not changed, because the list may be
+//     older than the information from connections.
+//   - Probing members that were on the list before and no longer are become gone.
+//   - Members that are gone and still listed are reported with a Listed event each
+//     time, so that the owner may try a new connection.
 func (v *View) ApplyList(now time.Time, instances []backing.Instance) []Event {
 	var events []Event
-	shown := make(map[model.InstanceID]bool, len(instances))
+	onList := make(map[model.InstanceID]bool, len(instances))
 	for _, in := range instances {
-		shown[in.ID] = true
+		onList[in.ID] = true
 		e, ok := v.members[in.ID]
 		if ok {
 			if e.State == StateListed || e.State == StateGone {
@@ -118,7 +121,7 @@
 		if in.Leaving {
 			continue
 		}
-		e = &entry{listed: true}
+		e = &memberState{listed: true}
 		e.Role = in.Role
 		e.Pool = in.Pool
 		e.Identity = model.Identity{Instance: in.ID, Location: in.Location, Address: in.Address}
@@ -126,16 +129,16 @@
 		events = append(events, Event{Kind: Listed, Instance: in.ID})
 	}
 	for id, e := range v.members {
-		if shown[id] {
+		if onList[id] {
 			continue
 		}
 		if e.State == StateProbing && e.listed {
-			events = append(events, v.leave(now, e)...)
+			events = append(events, v.markGone(now, e)...)
 		}
 		e.listed = false
-		// The generation of a member that is gone is kept for a while, so that it
-		// is known as replaced when another one connects.
-		if e.State == StateListed || (e.State == StateGone && now.Sub(e.goneAt) > retiredFor) {
+		// The generation of a member that is gone is remembered for a while, so
+		// that it is recognized as replaced when another one connects.
+		if e.State == StateListed || (e.State == StateGone && now.Sub(e.goneAt) > replacedRetention) {
 			delete(v.members, id)
 		}
 	}
@@ -143,21 +146,22 @@
 	return events
 }
 
-// Connected takes a finished handshake. A generation that the view does not
-// know replaces the one that it knows; a generation that was replaced is
-// refused with ErrRetired.
+// Connected processes a completed handshake. A new generation replaces the known
+// generation of the same instance. Connected returns ErrGenerationReplaced for a
+// generation that was replaced before, and ErrDuplicateConn for a connection ID in
+// use.
 func (v *View) Connected(now time.Time, conn ConnID, hello wire.Hello) ([]Event, error) {
 	if _, ok := v.conns[conn]; ok {
 		return nil, ErrDuplicateConn
 	}
 	id, generation := hello.Identity.Instance, hello.Identity.Generation
-	if v.retired.contains(id, generation) {
+	if v.replaced.contains(id, generation) {
 		return nil, ErrGenerationReplaced
 	}
-	events := v.replaceAddress(now, hello.Identity)
+	events := v.replaceAtAddress(now, hello.Identity)
 	e, ok := v.members[id]
 	if !ok {
-		e = &entry{}
+		e = &memberState{}
 		v.members[id] = e
 	}
 	known := e.State == StateLive || e.State == StateProbing
@@ -168,16 +172,16 @@
 		}
 	case known:
 		events = append(events, Event{Kind: Left, Instance: id, Generation: e.Identity.Generation})
-		v.retire(now, e)
+		v.replaceGeneration(now, e)
 		events = append(events, Event{Kind: Joined, Instance: id, Generation: generation})
 	default:
 		if e.State == StateGone && e.Identity.Generation != generation {
-			v.retire(now, e)
+			v.replaceGeneration(now, e)
 		}
 		events = append(events, Event{Kind: Joined, Instance: id, Generation: generation})
 	}
 	if e.Identity.Generation != generation {
-		// A sign of leaving belongs to the generation that gave it.
+		// Draining applies only to the generation that reported it.
 		e.Draining = false
 	}
 	if e.State != StateLive || e.Identity.Generation != generation {
@@ -193,14 +197,14 @@
 	e.conns++
 	e.probeFailures = 0
 	e.probeSince = time.Time{}
-	v.conns[conn] = &connection{instance: id, generation: generation, heard: now}
-	return append(events, v.fault.connected(now, v.cfg)...), nil
+	v.conns[conn] = &connection{instance: id, generation: generation, lastFrameAt: now}
+	return append(events, v.pathFault.addConnected(now, v.cfg)...), nil
 }
 
-// retire makes the current generation of a member an old one and forgets its
-// connections.
-func (v *View) retire(now time.Time, e *entry) {
-	v.retired.add(now, e.Identity.Instance, e.Identity.Generation)
+// replaceGeneration records the current generation of a member as replaced and drops
+// its connections.
+func (v *View) replaceGeneration(now time.Time, e *memberState) {
+	v.replaced.add(now, e.Identity.Instance, e.Identity.Generation)
 	for id, c := range v.conns {
 		if c.instance == e.Identity.Instance {
 			delete(v.conns, id)
@@ -209,8 +213,9 @@
 	e.conns = 0
 }
 
-// replaceAddress ends the member that another instance replaces at its address.
-func (v *View) replaceAddress(now time.Time, newer model.Identity) []Event {
+// replaceAtAddress marks members as gone if they have the address of a newly
+// connected instance.
+func (v *View) replaceAtAddress(now time.Time, newer model.Identity) []Event {
 	var events []Event
 	for id, e := range v.members {
 		if id == newer.Instance || e.Identity.Address != newer.Address || newer.Address == "" {
@@ -220,7 +225,7 @@
 			events = append(events, Event{Kind: Left, Instance: id, Generation: e.Identity.Generation})
 		}
 		if e.State != StateListed {
-			v.retire(now, e)
+			v.replaceGeneration(now, e)
 		}
 		e.State, e.goneAt = StateGone, now
 	}
