--- a/lib/settings/agent.go
+++ b/lib/settings/agent.go
@@ -12,8 +12,8 @@
 	Drain     Drain
 }
 
-// ParseAgent reads the text of a settings file; name is used in faults. The
-// error is an *InvalidError.
+// ParseAgent parses the text of a settings file. The name of the file is used in
+// violations. The error is an *InvalidError.
 func ParseAgent(name, text string) (*Agent, error) {
 	r, err := newReader(name, text)
 	if err != nil {
--- a/lib/settings/backend.go
+++ b/lib/settings/backend.go
@@ -1,6 +1,6 @@
 package settings
 
-// BackendKind says what the backend server of an agent is.
+// BackendKind is the kind of an agent's backend server.
 type BackendKind string
 
 const (
@@ -10,29 +10,30 @@
 	BackendPlain BackendKind = "plain"
 )
 
-// Fencing says what the engine does with an order that has an old number.
+// Fencing is the behavior of an engine on orders with an outdated fencing number.
 type Fencing string
 
 const (
-	// FencingChecked means that the engine refuses it.
+	// FencingChecked means that the engine rejects such orders.
 	FencingChecked Fencing = "checked"
-	// FencingIgnored means that the engine runs it.
+	// FencingIgnored means that the engine executes such orders.
 	FencingIgnored Fencing = "ignored"
 )
 
-// maxCapacity is far above the batch of any engine in use; it catches a number
-// that was meant for another key.
+// maxCapacity is far above the batch size of any engine in use. It catches numbers
+// that were meant for another key.
 const maxCapacity = 4096
 
 // Backend describes the backend server of an agent.
 type Backend struct {
-	// Pool names the group of instances that placements refer to.
-	Pool    string
-	Kind    BackendKind
+	// Pool is the group of instances that placements refer to.
+	Pool string
+	Kind BackendKind
+	// Address is the HTTP base address of the backend server.
 	Address string
 	// Fencing is empty for plain services.
 	Fencing Fencing
-	// Capacity is the number of requests that run at once.
+	// Capacity is the maximum number of concurrent requests.
 	Capacity int
 }
 
@@ -40,18 +41,19 @@
 	const section = "backend"
 	b := Backend{
 		Pool:     r.label(section, "pool"),
-		Kind:     BackendKind(r.choice(section, "kind", string(BackendEngine), string(BackendEngine), string(BackendPlain))),
-		Address:  r.address(section, "address", true),
-		Capacity: r.number(section, "capacity", 8, 1, maxCapacity),
+		Kind:     BackendKind(r.enum(section, "kind", string(BackendEngine), string(BackendEngine), string(BackendPlain))),
+		Address:  r.httpAddress(section, "address", true),
+		Capacity: r.integer(section, "capacity", 8, 1, maxCapacity),
 	}
 	if b.Kind == BackendPlain {
 		if r.text(section, "fencing", "") != "" {
-			r.fault(section, "fencing", "key conflicts with kind = plain: plain services take no orders", "no fencing key with kind = plain")
+			r.addViolation(section, "fencing", "key conflicts with kind = plain: plain services take no orders", "no fencing key with kind = plain")
 		}
 		return b
 	}
-	// The default is the engine that needs more care: a wrong "ignored" costs
-	// reads of state, a wrong "checked" could let an old order through.
-	b.Fencing = Fencing(r.choice(section, "fencing", string(FencingIgnored), string(FencingChecked), string(FencingIgnored)))
+	// The default is the safe choice: if "ignored" is wrong, it only costs extra
+	// reads of the engine's state, but if "checked" is wrong, an outdated order
+	// could be executed.
+	b.Fencing = Fencing(r.enum(section, "fencing", string(FencingIgnored), string(FencingChecked), string(FencingIgnored)))
 	return b
 }
--- a/lib/settings/bytes.go
+++ b/lib/settings/bytes.go
@@ -11,7 +11,7 @@
 // Bytes is a size in bytes, written with a binary unit such as 64MiB.
 type Bytes int64
 
-// Sizes of the units that ParseBytes accepts.
+// Units that ParseBytes accepts, besides B.
 const (
 	KiB Bytes = 1 << 10
 	MiB Bytes = 1 << 20
@@ -21,22 +21,24 @@
 
 var byteUnits = []unit{{"KiB", int64(KiB)}, {"MiB", int64(MiB)}, {"GiB", int64(GiB)}, {"TiB", int64(TiB)}, {"B", 1}}
 
-// ParseBytes reads a size. The unit is required: a bare number is refused
-// because its unit could only be guessed.
+// ParseBytes parses a size with a unit. It rejects a number without a unit, because
+// the unit could only be guessed.
 func ParseBytes(s string) (Bytes, error) {
 	n, err := parseUnit(s, byteUnits, "a size such as 512B, 64KiB, 64MiB, 2GiB or 1TiB")
 	return Bytes(n), err
 }
 
-// String returns the size with the largest unit that divides it.
+// String formats the size in the largest unit that divides it.
 func (b Bytes) String() string { return formatUnit(int64(b), byteUnits, "B") }
 
-// unit is a suffix and the number of base units that it stands for.
+// unit is the suffix of a unit and its factor to the base unit.
 type unit struct {
 	suffix string
 	factor int64
 }
 
+// parseUnit parses a non-negative whole number followed by one of the units, and
+// returns it in the base unit. Allowed describes the valid values in the error.
 func parseUnit(s string, units []unit, allowed string) (int64, error) {
 	for _, u := range units {
 		digits, ok := strings.CutSuffix(s, u.suffix)
@@ -52,6 +54,7 @@
 	return 0, merry.Errorf("%q is not %s", s, allowed)
 }
 
+// formatUnit formats n in the largest unit that divides it, or in the base unit.
 func formatUnit(n int64, units []unit, base string) string {
 	best := unit{base, 1}
 	for _, u := range units {
--- a/lib/settings/drain.go
+++ b/lib/settings/drain.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// defaultDrain lets a long answer finish before the process ends.
-	defaultDrain = 2 * time.Minute
-	minDrain     = time.Second
-	maxDrain     = time.Hour
+	// defaultDrainTimeout lets long answers finish before the process exits.
+	defaultDrainTimeout = 2 * time.Minute
+	minDrainTimeout     = time.Second
+	maxDrainTimeout     = time.Hour
 )
 
-// Drain bounds the graceful end of a process.
+// Drain holds the limits of a graceful shutdown.
 type Drain struct {
-	// Timeout is the time after which the process ends with work unfinished.
+	// Timeout is the time after which the process exits even with unfinished work.
 	Timeout time.Duration
 }
 
 func (r *reader) drain() Drain {
-	return Drain{Timeout: r.duration("drain", "timeout", defaultDrain, minDrain, maxDrain)}
+	return Drain{Timeout: r.duration("drain", "timeout", defaultDrainTimeout, minDrainTimeout, maxDrainTimeout)}
 }
--- a/lib/settings/entry.go
+++ b/lib/settings/entry.go
@@ -10,8 +10,8 @@
 	Drain     Drain
 }
 
-// ParseEntry reads the text of a settings file; name is used in faults. The
-// error is an *InvalidError.
+// ParseEntry parses the text of a settings file. The name of the file is used in
+// violations. The error is an *InvalidError.
 func ParseEntry(name, text string) (*Entry, error) {
 	r, err := newReader(name, text)
 	if err != nil {
--- a/lib/settings/fault.go
+++ b/lib/settings/fault.go
@@ -5,52 +5,53 @@
 	"strings"
 )
 
-// Violation is one thing that is wrong with a settings file.
+// Violation is one error in a settings file.
 type Violation struct {
 	File string
-	// Line is 0 when the fault is a missing key.
+	// Line is the line of the key, or that of the section if the file does not
+	// contain the key. It is 0 if the file contains neither.
 	Line    int
 	Section string
-	// Key is empty when the whole section is at fault.
+	// Key is empty if the violation concerns the whole section.
 	Key   string
 	Value string
-	// Problem says what is wrong.
+	// Problem describes what is wrong.
 	Problem string
-	// Allowed says what would be accepted.
+	// Allowed describes the valid values.
 	Allowed string
 }
 
-// String returns the fault on one line.
-func (f Violation) String() string {
+// String formats the violation as one line.
+func (v Violation) String() string {
 	var b strings.Builder
-	b.WriteString(f.File)
-	if f.Line > 0 {
-		fmt.Fprintf(&b, ":%d", f.Line)
+	b.WriteString(v.File)
+	if v.Line > 0 {
+		fmt.Fprintf(&b, ":%d", v.Line)
 	}
-	fmt.Fprintf(&b, ": [%s]", f.Section)
-	if f.Key != "" {
-		fmt.Fprintf(&b, " %s", f.Key)
+	fmt.Fprintf(&b, ": [%s]", v.Section)
+	if v.Key != "" {
+		fmt.Fprintf(&b, " %s", v.Key)
 	}
-	if f.Value != "" {
-		fmt.Fprintf(&b, " = %q", f.Value)
+	if v.Value != "" {
+		fmt.Fprintf(&b, " = %q", v.Value)
 	}
-	fmt.Fprintf(&b, ": %s", f.Problem)
-	if f.Allowed != "" {
-		fmt.Fprintf(&b, "; allowed: %s", f.Allowed)
+	fmt.Fprintf(&b, ": %s", v.Problem)
+	if v.Allowed != "" {
+		fmt.Fprintf(&b, "; allowed: %s", v.Allowed)
 	}
 	return b.String()
 }
 
-// InvalidError lists every fault of a file.
+// InvalidError lists all violations in a settings file.
 type InvalidError struct {
 	Violations []Violation
 }
 
-// Error returns one fault per line.
+// Error returns one violation per line.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Violations))
-	for i, f := range e.Violations {
-		lines[i] = f.String()
+	for i, v := range e.Violations {
+		lines[i] = v.String()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/lib/settings/finish.go
+++ b/lib/settings/finish.go
@@ -7,11 +7,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// maxLabel is the length limit of a DNS label, which platforms use for names.
-const maxLabel = 63
+// maxLabelLength is the maximum length of a DNS label, which platforms use for names.
+const maxLabelLength = 63
 
+// validLabel reports whether s consists of lower-case letters, digits, hyphens and
+// dots, starts with a letter or digit and has at most maxLabelLength bytes.
 func validLabel(s string) bool {
-	if len(s) > maxLabel {
+	if len(s) > maxLabelLength {
 		return false
 	}
 	for i, c := range s {
@@ -23,34 +25,35 @@
 	return s != ""
 }
 
-// finish reports sections and keys that nothing asked for, and returns all
-// faults in the order of the file.
+// finish adds violations for unknown sections and keys, and returns all violations
+// as an *InvalidError in the order of the file, or nil if there are none.
 func (r *reader) finish() error {
 	for _, s := range r.file.Sections() {
 		keys, ok := r.known[s.Name()]
 		if s.Name() == ini.DefaultSection {
 			for _, key := range s.KeyStrings() {
-				r.fault("", key, "key stands before the first section", "a key inside one of the sections")
+				r.addViolation("", key, "key is before the first section", "a key inside one of the sections")
 			}
 			continue
 		}
 		if !ok {
-			r.fault(s.Name(), "", "section is unknown", r.sections())
+			r.addViolation(s.Name(), "", "section is unknown", r.sections())
 			continue
 		}
 		for _, key := range s.KeyStrings() {
 			if !slices.Contains(keys, key) {
-				r.fault(s.Name(), key, "key is unknown", strings.Join(keys, ", "))
+				r.addViolation(s.Name(), key, "key is unknown", strings.Join(keys, ", "))
 			}
 		}
 	}
-	if len(r.faults) == 0 {
+	if len(r.violations) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b Violation) int { return a.Line - b.Line })
-	return &InvalidError{Violations: r.faults}
+	slices.SortStableFunc(r.violations, func(a, b Violation) int { return a.Line - b.Line })
+	return &InvalidError{Violations: r.violations}
 }
 
+// sections returns the names of all known sections.
 func (r *reader) sections() string {
 	names := make([]string, 0, len(r.known))
 	for name := range r.known {
--- a/lib/settings/instance.go
+++ b/lib/settings/instance.go
@@ -9,7 +9,7 @@
 	FailureDomain model.FailureDomain
 }
 
-// Location returns where the instance stands.
+// Location returns the region and failure domain of the instance.
 func (i Instance) Location() model.Location {
 	return model.Location{Region: i.Region, FailureDomain: i.FailureDomain}
 }
--- a/lib/settings/listen.go
+++ b/lib/settings/listen.go
@@ -3,54 +3,57 @@
 import "net/netip"
 
 // Listen holds the addresses that a process listens on, each an IP address and
-// port. Port 0 takes a free port.
+// port. Port 0 selects a free port.
 type Listen struct {
-	// Callers is the HTTP listener of entries; agents leave it empty.
+	// Callers is the HTTP listener for callers. It is empty for agents.
 	Callers string
-	// Operators is the listener for remote procedure calls of entries.
+	// Operators is the listener for the remote procedure calls of operators. It
+	// is empty for agents.
 	Operators string
-	// Peers is the listener for the system's own processes.
+	// Peers is the listener for connections from other entries and agents.
 	Peers string
-	// Advertise is the address under which peers reach Peers. It is the same
-	// as Peers unless that is a wildcard.
+	// Advertise is the address that peers dial to reach the Peers listener. It
+	// defaults to Peers and is required if Peers is a wildcard address.
 	Advertise string
-	// Metrics is the listener of the metrics text endpoint; empty turns it off.
+	// Metrics is the listener of the metrics text endpoint. If it is empty, the
+	// endpoint is disabled.
 	Metrics string
 }
 
 func (r *reader) listen(entry bool) Listen {
 	var l Listen
 	if entry {
-		l.Callers = r.endpoint("listen", "callers", "")
-		l.Operators = r.endpoint("listen", "operators", "")
+		l.Callers = r.addrPort("listen", "callers", "")
+		l.Operators = r.addrPort("listen", "operators", "")
 	}
-	l.Peers = r.endpoint("listen", "peers", "")
+	l.Peers = r.addrPort("listen", "peers", "")
 	l.Advertise = r.advertise(l.Peers)
 	if l.Metrics = r.text("listen", "metrics", ""); l.Metrics != "" {
 		if _, err := netip.ParseAddrPort(l.Metrics); err != nil {
-			r.fault("listen", "metrics", "value is not an IP address and port", "an IP address and port such as 127.0.0.1:9464, or nothing")
+			r.addViolation("listen", "metrics", "value is not an IP address and port", "an IP address and port such as 127.0.0.1:9464, or nothing")
 		}
 	}
 	r.distinctListeners(l)
 	return l
 }
 
-// advertise requires an address that peers can dial.
+// advertise reads the advertised address and checks that peers can dial it.
 func (r *reader) advertise(peers string) string {
 	value := r.text("listen", "advertise", peers)
 	at, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
-		if r.given("listen", "advertise") {
-			r.fault("listen", "advertise", "value is not an IP address and port", "an IP address and port such as 10.0.0.7:7400")
+		if r.isSet("listen", "advertise") {
+			r.addViolation("listen", "advertise", "value is not an IP address and port", "an IP address and port such as 10.0.0.7:7400")
 		}
 	case at.Addr().IsUnspecified():
-		r.fault("listen", "advertise", "peers cannot dial a wildcard address", "the instance's own IP address and port when peers is a wildcard")
+		r.addViolation("listen", "advertise", "peers cannot dial a wildcard address", "the instance's own IP address and port when peers is a wildcard")
 	}
 	return value
 }
 
-// distinctListeners refuses two listeners on one address.
+// distinctListeners adds a violation for each listener whose address is already in
+// use.
 func (r *reader) distinctListeners(l Listen) {
 	seen := map[string]string{}
 	for _, x := range []struct{ key, value string }{
@@ -61,7 +64,7 @@
 			continue
 		}
 		if other, ok := seen[x.value]; ok {
-			r.fault("listen", x.key, "address is already used by "+other, "a different address for each listener")
+			r.addViolation("listen", x.key, "address is already used by "+other, "a different address for each listener")
 		}
 		seen[x.value] = x.key
 	}
--- a/lib/settings/log.go
+++ b/lib/settings/log.go
@@ -4,22 +4,22 @@
 type LogFormat string
 
 const (
-	// LogLogfmt writes key=value lines.
+	// LogLogfmt writes lines of key=value pairs.
 	LogLogfmt LogFormat = "logfmt"
-	// LogJSON writes one JSON object on each line.
+	// LogJSON writes one JSON object per line.
 	LogJSON LogFormat = "json"
 )
 
-// Log holds what is logged and how.
+// Log holds the level and format of the log.
 type Log struct {
-	// Level is the least severe level that is written: info, warn or error.
+	// Level is the lowest level that is logged: info, warn or error.
 	Level  string
 	Format LogFormat
 }
 
 func (r *reader) log() Log {
 	return Log{
-		Level:  r.choice("log", "level", "info", "info", "warn", "error"),
-		Format: LogFormat(r.choice("log", "format", string(LogLogfmt), string(LogLogfmt), string(LogJSON))),
+		Level:  r.enum("log", "level", "info", "info", "warn", "error"),
+		Format: LogFormat(r.enum("log", "format", string(LogLogfmt), string(LogLogfmt), string(LogJSON))),
 	}
 }
--- a/lib/settings/platform.go
+++ b/lib/settings/platform.go
@@ -1,21 +1,21 @@
 package settings
 
-// Platform holds the base addresses of the platform's services.
+// Platform holds the HTTP base addresses of the platform's services.
 type Platform struct {
 	TableService string
 	ObjectStore  string
 	InstanceList string
 	Origin       string
-	// WeightStore is a second source of weights; empty means that there is none.
+	// WeightStore is a second source of weights. It is empty if there is none.
 	WeightStore string
 }
 
 func (r *reader) platform(entry bool) Platform {
 	return Platform{
-		TableService: r.address("platform", "table_service", entry),
-		ObjectStore:  r.address("platform", "object_store", false),
-		InstanceList: r.address("platform", "instance_list", true),
-		Origin:       r.address("platform", "origin", true),
-		WeightStore:  r.address("platform", "weight_store", false),
+		TableService: r.httpAddress("platform", "table_service", entry),
+		ObjectStore:  r.httpAddress("platform", "object_store", false),
+		InstanceList: r.httpAddress("platform", "instance_list", true),
+		Origin:       r.httpAddress("platform", "origin", true),
+		WeightStore:  r.httpAddress("platform", "weight_store", false),
 	}
 }
--- a/lib/settings/position.go
+++ b/lib/settings/position.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// position is the place of a key in the file.
-type position struct {
+// keyPosition identifies a key, or a section if key is empty.
+type keyPosition struct {
 	section, key string
 }
 
-// scan finds the line of each section and key, which the INI library does not
-// keep, and the keys that are given twice, of which it silently takes the last.
-func scan(text string) (lines map[position]int, repeated []position) {
-	lines = make(map[position]int)
+// scanLines returns the line of each section and key, which the INI library does not
+// record, and the repeated keys, for which it silently uses the last value.
+func scanLines(text string) (lines map[keyPosition]int, repeated []keyPosition) {
+	lines = make(map[keyPosition]int)
 	section := ""
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -19,14 +19,14 @@
 		}
 		if line[0] == '[' {
 			section = strings.TrimSpace(strings.Trim(line, "[]"))
-			lines[position{section: section}] = i + 1
+			lines[keyPosition{section: section}] = i + 1
 			continue
 		}
 		end := strings.IndexAny(line, "=:")
 		if end < 0 {
 			end = len(line)
 		}
-		p := position{section, strings.TrimSpace(line[:end])}
+		p := keyPosition{section, strings.TrimSpace(line[:end])}
 		if _, seen := lines[p]; seen {
 			repeated = append(repeated, p)
 		}
--- a/lib/settings/settings_test.go
+++ b/lib/settings/settings_test.go
@@ -23,8 +23,9 @@
 	return string(text)
 }
 
-// faults parses a changed example and returns its faults, one per line.
-func faults(name string, changes ...string) []string {
+// violationsOf parses an example after replacing texts in it, given as pairs of old
+// and new text, and returns the violations as lines.
+func violationsOf(name string, changes ...string) []string {
 	text := example(name)
 	for i := 0; i < len(changes); i += 2 {
 		Expect(text).To(ContainSubstring(changes[i]))
@@ -58,9 +59,10 @@
 		Expect(p.Log.Level).To(Equal("info"))
 	})
 
-	// An operator who corrects one fault at a time restarts the daemon as often.
-	It("lists all faults at once with line, key, value and what is allowed", func() {
-		lines := faults("agent-engine.ini", "48GiB", "48GB", "200Mbit/s", "200", "capacity = 16", "capacity = 0", "level  = warn", "level  = chatty")
+	// Guards against violations that are reported one at a time, which would cost the
+	// operator one restart of the daemon each.
+	It("reports all violations together with line, key, value and allowed values", func() {
+		lines := violationsOf("agent-engine.ini", "48GiB", "48GB", "200Mbit/s", "200", "capacity = 16", "capacity = 0", "level  = warn", "level  = chatty")
 		Expect(lines).To(ConsistOf(
 			`x.ini:24: [backend] capacity = "0": value is out of range; allowed: a whole number from 1 to 4096`,
 			`x.ini:28: [transfer] staging_bytes = "48GB": value is not a size with a unit; allowed: a size with a unit, such as 64MiB, from 4MiB to 64TiB`,
@@ -69,14 +71,14 @@
 		))
 	})
 
-	DescribeTable("refuses a fault", func(name, from, to, want string) {
-		Expect(faults(name, from, to)).To(ContainElement(ContainSubstring(want)))
+	DescribeTable("rejects", func(name, from, to, want string) {
+		Expect(violationsOf(name, from, to)).To(ContainElement(ContainSubstring(want)))
 	},
 		Entry("unknown key", "entry.ini", "peers     =", "pears     =", "[listen] pears = \"10.20.1.11:7400\": key is unknown; allowed: callers, operators, peers, advertise, metrics"),
 		Entry("missing key", "entry.ini", "peers     =", "pears     =", "[listen] peers: required key is missing"),
 		Entry("unknown section", "entry.ini", "[log]", "[logs]", "[logs]: section is unknown; allowed: drain, instance"),
 		Entry("section of the other daemon", "entry.ini", "[drain]", "[backend]", "[backend]: section is unknown"),
-		Entry("key before the first section", "entry.ini", "[instance]", "stray = 1\n[instance]", "key stands before the first section"),
+		Entry("key before the first section", "entry.ini", "[instance]", "stray = 1\n[instance]", "key is before the first section"),
 		Entry("repeated key", "entry.ini", "level  = info", "level  = info\nlevel = warn", "given more than once"),
 		Entry("host name instead of an IP address", "entry.ini", "10.20.1.11:8080", "entry-1:8080", "not an IP address and port"),
 		Entry("two listeners on one address", "entry.ini", "10.20.1.11:7410", "10.20.1.11:8080", "already used by callers"),
@@ -85,21 +87,21 @@
 		Entry("duration out of range", "entry.ini", "timeout = 2m", "timeout = 100h", "out of range"),
 		Entry("certificates with plaintext", "entry.ini", "= tls", "= plaintext", "conflicts with transport = plaintext"),
 		Entry("tls without certificates", "agent-plain.ini", "transport = plaintext", "transport = tls", "[transport] ca: required key"),
-		Entry("plaintext that is not named", "agent-plain.ini", "transport = plaintext", "", "[transport] key: required key"),
+		Entry("plaintext that is not set explicitly", "agent-plain.ini", "transport = plaintext", "", "[transport] key: required key"),
 		Entry("fencing of a plain service", "agent-plain.ini", "capacity = 32", "fencing = checked", "conflicts with kind = plain"),
-		Entry("staging of a plain service", "agent-plain.ini", "[transport]", "[transfer]\nstaging = /x\n[transport]", "plain services hold no weights"),
+		Entry("staging of a plain service", "agent-plain.ini", "[transport]", "[transfer]\nstaging = /x\n[transport]", "plain services have no weights"),
 		Entry("address that is not HTTP", "entry.ini", "http://10.20.0.5:8500", "10.20.0.5:8500", "not an HTTP address"),
 		Entry("broken line", "entry.ini", "level  = info", "level info", "key-value delimiter not found"),
 	)
 })
 
-// A size that is printed in a fault must be accepted when it is typed back.
+// Guards against sizes printed in violations that are not accepted as input.
 func TestUnitsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := settings.Bytes(rapid.Int64Range(0, 1<<62).Draw(t, "bytes"))
 		got, err := settings.ParseBytes(b.String())
 		if err != nil || got != b {
-			t.Fatalf("%d printed as %s reads as %d, %v", b, b, got, err)
+			t.Fatalf("%d is formatted as %s and parsed as %d, %v", b, b, got, err)
 		}
 		text := rapid.StringMatching(`[0-9]{1,25}(B|KB|KiB|MiB|GB| TiB)?`).Draw(t, "text")
 		if got, err := settings.ParseBytes(text); err == nil && got < 0 {
--- a/lib/settings/suite_test.go
+++ b/lib/settings/suite_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// init fixes the seed of property tests; -rapid.seed still overrides it.
+// init fixes the seed of property tests. The flag -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func TestSettings(t *testing.T) {
--- a/lib/settings/transport.go
+++ b/lib/settings/transport.go
@@ -1,25 +1,26 @@
 package settings
 
-// TransportKind says how the system's own processes talk to each other.
+// TransportKind is the transport between entries and agents.
 type TransportKind string
 
 const (
-	// TransportTLS requires certificates on both ends.
+	// TransportTLS is TLS with certificates on both ends.
 	TransportTLS TransportKind = "tls"
-	// TransportPlaintext is for trials; it has to be named.
+	// TransportPlaintext is unencrypted and meant for trials only. It is never the
+	// default.
 	TransportPlaintext TransportKind = "plaintext"
 )
 
-// Transport holds the connection security between the system's own processes
-// and for operators' calls.
+// Transport holds the transport security of connections between entries and agents
+// and of operators' calls.
 type Transport struct {
 	Kind TransportKind
-	// Certificate, Key and CA are paths of PEM files.
+	// Certificate, Key and CA are the paths of PEM files.
 	Certificate string
 	Key         string
 	CA          string
-	// EntryNames, AgentNames and OperatorNames are the certificate names that
-	// may act in each role.
+	// EntryNames, AgentNames and OperatorNames are the certificate names that are
+	// authorized for each role.
 	EntryNames    []string
 	AgentNames    []string
 	OperatorNames []string
@@ -28,7 +29,7 @@
 func (r *reader) transport() Transport {
 	const section = "transport"
 	t := Transport{
-		Kind:          TransportKind(r.choice(section, "transport", string(TransportTLS), string(TransportTLS), string(TransportPlaintext))),
+		Kind:          TransportKind(r.enum(section, "transport", string(TransportTLS), string(TransportTLS), string(TransportPlaintext))),
 		Certificate:   r.text(section, "certificate", ""),
 		Key:           r.text(section, "key", ""),
 		CA:            r.text(section, "ca", ""),
@@ -40,9 +41,9 @@
 		given := r.value(section, key) != ""
 		switch {
 		case t.Kind == TransportPlaintext && given:
-			r.fault(section, key, "key conflicts with transport = plaintext", "no certificates or names with plaintext, or transport = tls")
+			r.addViolation(section, key, "key conflicts with transport = plaintext", "no certificates or names with plaintext, or transport = tls")
 		case t.Kind == TransportTLS && !given && key != "operator_names":
-			r.fault(section, key, "required key is missing or empty", "a value when transport = tls; transport = plaintext is for trials")
+			r.addViolation(section, key, "required key is missing or empty", "a value when transport = tls; transport = plaintext is for trials")
 		}
 	}
 	return t
