--- a/entry/fleet/accept.go
+++ b/entry/fleet/accept.go
@@ -5,10 +5,11 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ServePeer handles a connection that another entry opened, until it fails.
+// ServePeer serves a connection that another entry opened. It returns when the
+// connection ends.
 func (f *Fleet) ServePeer(conn *wire.Conn, peer wire.Hello) {
 	id := f.newConnID()
-	c := &connection{id: id, hello: peer, send: conn.TrySend, drop: func() { _ = conn.Close() }}
+	c := &connection{id: id, hello: peer, send: conn.TrySend, close: func() { _ = conn.Close() }}
 	if f.connected(c) != nil {
 		return
 	}
@@ -22,14 +23,14 @@
 			return
 		}
 		if beat, ok := m.(*wire.Heartbeat); ok && beat.Probe {
-			wakeUp(wake)
+			requestHeartbeat(wake)
 		}
-		f.message(id, peer, m, conn.TrySend)
+		f.handleMessage(id, peer, m, conn.TrySend)
 	}
 }
 
-// wakeUp asks for a heartbeat unless one is asked for already.
-func wakeUp(wake chan<- struct{}) {
+// requestHeartbeat requests an immediate heartbeat unless a request is pending.
+func requestHeartbeat(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default:
--- a/entry/fleet/cache.go
+++ b/entry/fleet/cache.go
@@ -9,8 +9,9 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// cacheFrom takes a change of the prefix cache of an agent's engine.
-func (f *Fleet) cacheFrom(peer wire.Hello, m *wire.CacheUpdate) {
+// handleCacheUpdate processes a change or snapshot of the prefix cache of an agent's
+// engine. It ignores updates that exceed the limits of the protocol.
+func (f *Fleet) handleCacheUpdate(peer wire.Hello, m *wire.CacheUpdate) {
 	if len(m.Stored) > wire.MaxCacheSnapshot || len(m.Removed) > wire.MaxCacheChanges {
 		return
 	}
@@ -19,16 +20,17 @@
 	now := f.cfg.Clock.Now()
 	key := route.Key{Instance: peer.Identity.Instance, Generation: peer.Identity.Generation}
 	if m.Snapshot {
-		f.picker.ApplyCacheSnapshot(now, key, route.CacheSnapshot{Sequence: m.Sequence, Blocks: numbers(m.Stored)})
+		f.picker.ApplyCacheSnapshot(now, key, route.CacheSnapshot{Sequence: m.Sequence, Blocks: blockNumbers(m.Stored)})
 		return
 	}
-	event := route.CacheEvent{Sequence: m.Sequence, Stored: numbers(m.Stored), Removed: numbers(m.Removed)}
+	event := route.CacheEvent{Sequence: m.Sequence, Stored: blockNumbers(m.Stored), Removed: blockNumbers(m.Removed)}
 	if f.picker.ApplyCacheEvent(now, key, event) {
-		f.wantCache(key)
+		f.queueCacheFetch(key)
 	}
 }
 
-func numbers(blocks []model.Block) []uint64 {
+// blockNumbers converts cache blocks to the type that the picker uses.
+func blockNumbers(blocks []model.Block) []uint64 {
 	n := make([]uint64, len(blocks))
 	for i, b := range blocks {
 		n[i] = uint64(b)
@@ -36,26 +38,26 @@
 	return n
 }
 
-// wantCache notes that a snapshot of an agent's cache is needed. The caller
-// holds the mutex.
-func (f *Fleet) wantCache(key route.Key) {
-	if !slices.Contains(f.unsynced, key) {
-		f.unsynced = append(f.unsynced, key)
+// queueCacheFetch adds an agent to the queue of those whose cache snapshot is
+// needed. The caller must hold f.mu.
+func (f *Fleet) queueCacheFetch(key route.Key) {
+	if !slices.Contains(f.cacheFetchQueue, key) {
+		f.cacheFetchQueue = append(f.cacheFetchQueue, key)
 	}
 }
 
-// fetchCache asks one agent for a snapshot, at most once in an interval. An
-// answer that is lost shows as a gap at the next update. The caller holds the
-// mutex.
-func (f *Fleet) fetchCache(now time.Time) {
-	if len(f.unsynced) == 0 || now.Sub(f.synced) < f.cfg.CacheFetchInterval {
+// sendCacheFetch requests a snapshot from the first agent in the queue, at most once
+// per CacheFetchInterval. If the answer is lost, the next update shows a gap and
+// the agent is queued again. The caller must hold f.mu.
+func (f *Fleet) sendCacheFetch(now time.Time) {
+	if len(f.cacheFetchQueue) == 0 || now.Sub(f.cacheFetchedAt) < f.cfg.CacheFetchInterval {
 		return
 	}
-	key := f.unsynced[0]
-	f.unsynced = f.unsynced[1:]
+	key := f.cacheFetchQueue[0]
+	f.cacheFetchQueue = f.cacheFetchQueue[1:]
 	for _, c := range f.conns {
 		if c.hello.Identity.Instance == key.Instance && c.hello.Identity.Generation == key.Generation {
-			f.synced = now
+			f.cacheFetchedAt = now
 			_ = c.send(&wire.CacheFetch{})
 			return
 		}
--- a/entry/fleet/config.go
+++ b/entry/fleet/config.go
@@ -19,23 +19,25 @@
 
 const (
 	defaultListInterval = 5 * time.Second
-	startListInterval   = time.Second
-	// entryListInterval is the least time between two looks at what agents have
-	// to know about entries and their ranks.
-	entryListInterval = time.Second
-	defaultTick       = 200 * time.Millisecond
-	// defaultCacheFetchInterval keeps snapshots of up to 1.3 KB, which a start of
-	// the entry needs from each agent, to a part of its 8 KB/s.
+	// startListInterval applies while no agents are known.
+	startListInterval = time.Second
+	// entryListCheckInterval is the minimum time between two checks whether agents
+	// need a new list of entries or a new rank.
+	entryListCheckInterval = time.Second
+	defaultTickInterval    = 200 * time.Millisecond
+	// defaultCacheFetchInterval limits the bandwidth for snapshots of up to 1.3 KB,
+	// which a starting entry needs from each agent, to a part of its 8 KB/s.
 	defaultCacheFetchInterval = time.Second
-	// entryPeers bounds the entries of its own failure domain that an entry
-	// connects to.
-	entryPeers = 4
+	// maxEntryPeers is the maximum number of entries in its own failure domain that
+	// an entry connects to.
+	maxEntryPeers = 4
 )
 
-// DialFunc opens a connection and exchanges Hello messages.
+// DialFunc opens a connection and performs the handshake. It returns the Hello of
+// the peer.
 type DialFunc func(ctx context.Context, address string) (*wire.Conn, wire.Hello, error)
 
-// Config sets up a Fleet.
+// Config configures a Fleet. The Domain and Region of Route are set from Identity.
 type Config struct {
 	Identity model.Identity
 	Clock    clock.Clock
@@ -51,14 +53,15 @@
 	Limiter      admit.LimiterConfig
 	// ListInterval is the time between two reads of the instance list.
 	ListInterval time.Duration
-	// CacheFetchInterval is the least time between two requests for snapshots of
-	// prefix caches.
+	// CacheFetchInterval is the minimum time between two requests for cache
+	// snapshots, over all agents.
 	CacheFetchInterval time.Duration
-	// TickInterval is the time between two checks of silent connections.
+	// TickInterval is the time between two checks for silent connections.
 	TickInterval time.Duration
-	// HandleOther takes messages of entries that do not concern the fleet.
+	// HandleOther processes messages from other entries that the Fleet does not
+	// process itself.
 	HandleOther func(peer wire.Hello, m wire.Message, reply func(wire.Message) error)
-	// Draining reports whether this entry is leaving.
+	// Draining reports whether this entry is draining.
 	Draining func() bool
 }
 
@@ -70,7 +73,7 @@
 		c.CacheFetchInterval = defaultCacheFetchInterval
 	}
 	if c.TickInterval == 0 {
-		c.TickInterval = defaultTick
+		c.TickInterval = defaultTickInterval
 	}
 	c.Route.Domain = c.Identity.Location.FailureDomain
 	c.Route.Region = c.Identity.Location.Region
--- a/entry/fleet/entry_list.go
+++ b/entry/fleet/entry_list.go
@@ -10,12 +10,12 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// entryAddresses returns the peer addresses of the live entries of the failure
-// domain, this one included, for the agents' choice of trackers. The caller
-// holds the mutex.
+// entryAddresses returns the peer addresses of the live entries in the failure
+// domain, including this one, from which agents choose their trackers. The caller
+// must hold f.mu.
 func (f *Fleet) entryAddresses() []string {
 	addresses := []string{f.cfg.Identity.Address}
-	for _, m := range in(f.present(backing.RoleEntry), f.cfg.Identity.Location) {
+	for _, m := range inLocation(f.presentMembers(backing.RoleEntry), f.cfg.Identity.Location) {
 		if m.State == member.StateLive && !m.Draining {
 			addresses = append(addresses, m.Identity.Address)
 		}
@@ -24,12 +24,12 @@
 }
 
 // poolRanks returns the position of each agent of the failure domain in the
-// rendezvous order of its pool, the same at all entries that see the same list.
-// An instance that leaves moves others up by one place at most. The caller holds
-// the mutex.
+// rendezvous order of its pool. The order is the same at all entries that know the
+// same agents. When an instance leaves, others move up by at most one position. The
+// caller must hold f.mu.
 func (f *Fleet) poolRanks() map[model.InstanceID]int {
 	pools := make(map[string][]model.InstanceID)
-	for _, m := range in(f.present(backing.RoleAgent), f.cfg.Identity.Location) {
+	for _, m := range inLocation(f.presentMembers(backing.RoleAgent), f.cfg.Identity.Location) {
 		if !m.Draining {
 			pools[m.Pool] = append(pools[m.Pool], m.Identity.Instance)
 		}
@@ -43,21 +43,22 @@
 	return ranks
 }
 
-// sendEntries tells the agents of the failure domain when its live entries or
-// their own ranks have changed. The caller holds the mutex.
-func (f *Fleet) sendEntries() {
+// sendEntryLists sends agents of the failure domain the list of live entries and
+// their own rank if either has changed since the last one sent. The caller must
+// hold f.mu.
+func (f *Fleet) sendEntryLists() {
 	addresses, ranks := f.entryAddresses(), f.poolRanks()
 	for _, c := range f.conns {
 		if c.hello.Role != wire.RoleAgent || c.hello.Identity.Location != f.cfg.Identity.Location {
 			continue
 		}
 		rank := ranks[c.hello.Identity.Instance]
-		if c.told != nil && c.told.Rank == rank && slices.Equal(c.told.Addresses, addresses) {
+		if c.sentEntryList != nil && c.sentEntryList.Rank == rank && slices.Equal(c.sentEntryList.Addresses, addresses) {
 			continue
 		}
 		list := &wire.EntryList{Addresses: addresses, Rank: rank}
 		if c.send(list) == nil {
-			c.told = list
+			c.sentEntryList = list
 		}
 	}
 }
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -1,6 +1,8 @@
-// Package fleet holds what an entry knows about all other processes: the
-// membership view, the connections, load and health of backend servers, and
-// requests that crash them. One mutex owns the decision packages behind it.
+// Package fleet maintains the state that an entry keeps about all other processes:
+// the membership view, the connections, the load and health of backend servers,
+// and the requests that are suspected of crashing them. Packages that decide on
+// this state, such as lib/member and lib/route, are not safe for concurrent use;
+// one mutex protects all of them.
 package fleet
 
 import (
@@ -19,11 +21,12 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Fleet is safe for concurrent use.
+// Fleet is the state of an entry about all other processes. It is safe for
+// concurrent use.
 type Fleet struct {
 	cfg Config
-	// changed wakes the queues when an instance may take more work.
-	changed chan struct{}
+	// capacityChanged signals that an instance may accept more work.
+	capacityChanged chan struct{}
 
 	mu       sync.Mutex
 	view     *member.View
@@ -34,54 +37,59 @@
 	peers    map[model.InstanceID]*peer
 	conns    map[member.ConnID]*connection
 	nextConn member.ConnID
-	// sent counts the attempts for each agent.
-	sent     map[model.InstanceID]int
+	// attemptsSent is the number of attempts placed on each agent.
+	attemptsSent map[model.InstanceID]int
+	// required lists the members set by RequireConnections.
 	required []model.InstanceID
-	// unsynced lists agents whose cache is to be asked for, in order.
-	unsynced []route.Key
-	synced   time.Time
-	// listed is when changes of entries and ranks were last sent to agents.
-	listed time.Time
-	tasks  sync.WaitGroup
+	// cacheFetchQueue lists the agents whose cache snapshot is needed, in the order
+	// of the requests.
+	cacheFetchQueue []route.Key
+	cacheFetchedAt  time.Time
+	// entryListsCheckedAt is when sendEntryLists was last called by tick.
+	entryListsCheckedAt time.Time
+	tasks               sync.WaitGroup
 }
 
-// New returns a fleet that connects when Run is called.
+// New returns a Fleet, which opens connections once Run is called.
 func New(cfg Config) *Fleet {
 	cfg = cfg.applyDefaults()
 	return &Fleet{
-		cfg:      cfg,
-		changed:  make(chan struct{}, 1),
-		view:     member.New(cfg.Member),
-		picker:   route.New(cfg.Route, cfg.Rand),
-		monitor:  poison.New(poison.Config{}, cfg.Identity.Instance, cfg.Identity.Generation),
-		limiters: make(map[route.Key]*admit.Limiter),
-		agents:   make(map[model.InstanceID]route.Instance),
-		peers:    make(map[model.InstanceID]*peer),
-		conns:    make(map[member.ConnID]*connection),
-		sent:     make(map[model.InstanceID]int),
+		cfg:             cfg,
+		capacityChanged: make(chan struct{}, 1),
+		view:            member.New(cfg.Member),
+		picker:          route.New(cfg.Route, cfg.Rand),
+		monitor:         poison.New(poison.Config{}, cfg.Identity.Instance, cfg.Identity.Generation),
+		limiters:        make(map[route.Key]*admit.Limiter),
+		agents:          make(map[model.InstanceID]route.Instance),
+		peers:           make(map[model.InstanceID]*peer),
+		conns:           make(map[member.ConnID]*connection),
+		attemptsSent:    make(map[model.InstanceID]int),
 	}
 }
 
-// CapacityChanged receives a value when an instance may take more work than before.
-func (f *Fleet) CapacityChanged() <-chan struct{} { return f.changed }
+// CapacityChanged returns a channel that receives a value when an instance may
+// accept more work than before.
+func (f *Fleet) CapacityChanged() <-chan struct{} { return f.capacityChanged }
 
-func (f *Fleet) wake() {
+// signalCapacity signals CapacityChanged unless a signal is pending.
+func (f *Fleet) signalCapacity() {
 	select {
-	case f.changed <- struct{}{}:
+	case f.capacityChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Run keeps the view and the connections up to date until ctx ends.
+// Run keeps the view and the connections up to date. It returns after ctx has ended
+// and all connections that it opened are closed.
 func (f *Fleet) Run(ctx context.Context) {
 	tick := time.NewTicker(f.cfg.TickInterval)
 	defer tick.Stop()
-	var listed time.Time
+	var listReadAt time.Time
 	for ctx.Err() == nil {
-		if now := f.cfg.Clock.Now(); listed.IsZero() || now.Sub(listed) >= f.listInterval() {
-			listed = now
-			f.readList(ctx)
-			f.reconnect(ctx)
+		if now := f.cfg.Clock.Now(); listReadAt.IsZero() || now.Sub(listReadAt) >= f.listInterval() {
+			listReadAt = now
+			f.readInstanceList(ctx)
+			f.updateLinks(ctx)
 		}
 		select {
 		case <-tick.C:
@@ -92,8 +100,9 @@
 	f.tasks.Wait()
 }
 
-// listInterval is shorter while nobody is known: the entry may have started
-// before the list showed the agents that started with it.
+// listInterval returns the time between two reads of the instance list. It is
+// shorter while no agents are known, because agents that started together with the
+// entry may not be listed yet.
 func (f *Fleet) listInterval() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,7 +112,8 @@
 	return f.cfg.ListInterval
 }
 
-func (f *Fleet) readList(ctx context.Context) {
+// readInstanceList updates the view from the platform's instance list.
+func (f *Fleet) readInstanceList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.ListInterval)
 	defer cancel()
 	instances, err := f.cfg.InstanceList.List(ctx)
@@ -113,9 +123,10 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apply(f.view.ApplyList(f.cfg.Clock.Now(), instances))
+	f.applyEvents(f.view.ApplyList(f.cfg.Clock.Now(), instances))
 }
 
+// tick performs the periodic work.
 func (f *Fleet) tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,23 +136,23 @@
 			f.view.SetInFlight(now, id, c.link.InFlight())
 		}
 	}
-	f.apply(f.view.Tick(now))
+	f.applyEvents(f.view.Tick(now))
 	f.broadcast(f.monitor.Tick(now))
-	if now.Sub(f.listed) >= entryListInterval {
-		f.listed = now
-		f.sendEntries()
+	if now.Sub(f.entryListsCheckedAt) >= entryListCheckInterval {
+		f.entryListsCheckedAt = now
+		f.sendEntryLists()
 	}
-	f.fetchCache(now)
+	f.sendCacheFetch(now)
 }
 
-// apply acts on changes of the view. The caller holds the mutex.
-func (f *Fleet) apply(events []member.Event) {
+// applyEvents processes changes of the view. The caller must hold f.mu.
+func (f *Fleet) applyEvents(events []member.Event) {
 	now := f.cfg.Clock.Now()
 	for _, e := range events {
 		key := route.Key{Instance: e.Instance, Generation: e.Generation}
 		switch e.Kind {
 		case member.Left:
-			f.forget(now, key)
+			f.removeGeneration(now, key)
 			f.logLeft(e)
 		case member.Draining:
 			f.picker.Drain(key)
@@ -149,7 +160,7 @@
 		case member.Silent:
 			f.cfg.Log.Log(eventlog.ConnectionSilent, "instance", e.Instance)
 			if c := f.conns[e.Conn]; c != nil {
-				c.drop()
+				c.close()
 			}
 		case member.Probe:
 			if c := f.conns[e.Conn]; c != nil {
@@ -160,13 +171,14 @@
 		case member.PathFault:
 			f.cfg.Log.Log(eventlog.PathFault)
 		case member.Joined, member.Restored:
-			f.wake()
+			f.signalCapacity()
 		case member.Listed, member.Disconnected:
-			// The link of the instance connects by itself.
+			// The link of the member reconnects on its own.
 		}
 	}
 }
 
+// logLeft logs the loss of an entry or agent. The caller must hold f.mu.
 func (f *Fleet) logLeft(e member.Event) {
 	event := eventlog.AgentLost
 	if p := f.peers[e.Instance]; p != nil && p.role == backing.RoleEntry {
@@ -175,28 +187,31 @@
 	f.cfg.Log.Log(event, "instance", e.Instance)
 }
 
-func (f *Fleet) forget(now time.Time, key route.Key) {
+// removeGeneration deletes the state of one generation of an agent. The caller must
+// hold f.mu.
+func (f *Fleet) removeGeneration(now time.Time, key route.Key) {
 	f.picker.Remove(now, key)
 	delete(f.limiters, key)
 	if f.agents[key.Instance].Generation == key.Generation {
 		delete(f.agents, key.Instance)
-		delete(f.sent, key.Instance)
+		delete(f.attemptsSent, key.Instance)
 	}
 }
 
-// BaseHeartbeat returns a heartbeat of this entry without its configuration fields.
+// BaseHeartbeat returns a heartbeat of this entry without the configuration fields.
 func (f *Fleet) BaseHeartbeat() wire.Heartbeat {
 	return wire.Heartbeat{Draining: f.cfg.Draining()}
 }
 
+// heartbeat returns a complete heartbeat of this entry.
 func (f *Fleet) heartbeat() wire.Heartbeat {
 	beat := f.BaseHeartbeat()
 	f.cfg.Follower.SetConfigFields(&beat)
 	return beat
 }
 
-// broadcast sends news about suspects to all entries. The caller holds the
-// mutex; sends do not block.
+// broadcast sends an update about suspects to all connected entries. The caller must
+// hold f.mu; sending does not block.
 func (f *Fleet) broadcast(update *wire.SuspectUpdate) {
 	if update == nil {
 		return
@@ -208,6 +223,7 @@
 	}
 }
 
+// linkOf returns the link to an instance, or nil. The caller must hold f.mu.
 func (f *Fleet) linkOf(id model.InstanceID) *link.Link {
 	if p := f.peers[id]; p != nil {
 		return p.link
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-var _ = Describe("A fleet", func() {
+var _ = Describe("Fleet", func() {
 	var (
 		w    *world
 		a, b *agenttest.Agent
@@ -24,32 +24,32 @@
 	BeforeEach(func() {
 		w = newWorld()
 		a, b = w.agent("runner-a", 1), w.agent("runner-b", 2)
-		w.usable(2)
+		w.waitForUsable(2)
 	})
 
-	// Guards against an instance that stays without requests from this entry
-	// after a partition or a restart.
-	It("connects again to an agent that was gone", func() {
+	// Guards against an instance that gets no more requests from this entry after a
+	// network partition or a restart.
+	It("reconnects to an agent that was gone", func() {
 		address := a.Identity().Address
 		a.Stop()
-		w.usable(1)
+		w.waitForUsable(1)
 		Eventually(w.fleet.Members).WithTimeout(settle).Should(HaveLen(1))
 		Expect(a.Listen(address)).To(Succeed())
-		w.usable(2)
+		w.waitForUsable(2)
 	})
 
-	// Guards against a link that dials the address of a process that was
-	// replaced under the same name elsewhere.
+	// Guards against a link that keeps dialing the old address of an instance that was
+	// replaced under the same name at another address.
 	It("connects to an instance that comes back at another address", func() {
 		a.Stop()
-		w.usable(1)
+		w.waitForUsable(1)
 		w.agent("runner-a", 3)
-		w.usable(2)
+		w.waitForUsable(2)
 	})
 
-	// Guards against requests that go to an instance by cache events with a gap,
-	// and against an entry that never asks for what it missed.
-	It("asks for the cache after a gap and routes by it", func() {
+	// Guards against routing by an incomplete cache after a gap in the cache events,
+	// and against an entry that never requests the missing events.
+	It("fetches the cache after a gap and routes by it", func() {
 		Eventually(b.Others).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
 		prefix := engine.PrefixOf([]byte("system prompt"))
 		block := prefix.Under(loaded)
@@ -57,7 +57,7 @@
 		b.Broadcast(&wire.CacheUpdate{Sequence: 6, Stored: []model.Block{block}})
 		Eventually(b.Others).WithTimeout(settle).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
 		b.Broadcast(&wire.CacheUpdate{Snapshot: true, Sequence: 6, Stored: []model.Block{block}})
-		taken := func() model.InstanceID {
+		place := func() model.InstanceID {
 			request := requirements()
 			request.Prefix = prefix
 			p, err := w.fleet.Reserve(request)
@@ -66,17 +66,17 @@
 			return p.Key.Instance
 		}
 		for range 10 {
-			Eventually(taken).Should(Equal(model.InstanceID("runner-b")))
+			Eventually(place).Should(Equal(model.InstanceID("runner-b")))
 		}
 	})
 
-	// Guards against a request that crashes one backend server after another.
+	// Guards against a request that crashes one backend server after the other.
 	It("quarantines a request after crashes on two instances", func() {
-		w.crash(a, finger("poison"))
-		w.crash(b, finger("poison"))
+		w.crash(a, fingerprint("poison"))
+		w.crash(b, fingerprint("poison"))
 		Eventually(func() error {
 			request := requirements()
-			request.Fingerprint = finger("poison")
+			request.Fingerprint = fingerprint("poison")
 			_, err := w.fleet.Reserve(request)
 			return err
 		}).WithTimeout(settle).Should(MatchError(fleet.ErrQuarantined))
@@ -85,13 +85,13 @@
 		w.fleet.Finish(p, outcome.Completed, route.ResultOK)
 	})
 
-	// Guards against a suspect that is kept off an instance for good because
-	// another suspect ran there for a while.
-	It("lets a suspect run where another suspect has ended", func() {
-		w.crash(a, finger("first"), finger("second"))
+	// Guards against a suspect that is never placed on an instance again because
+	// another suspect ran there before.
+	It("places a suspect on an instance where another suspect has finished", func() {
+		w.crash(a, fingerprint("first"), fingerprint("second"))
 		reserve := func(body string) func() (*fleet.Slot, error) {
 			request := requirements()
-			request.Fingerprint = finger(body)
+			request.Fingerprint = fingerprint(body)
 			return func() (*fleet.Slot, error) { return w.fleet.Reserve(request) }
 		}
 		first := new(fleet.Slot)
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -13,7 +13,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// linkHandler passes what a link reports on to the fleet.
+// linkHandler forwards the reports of links to the Fleet.
 type linkHandler struct{ fleet *Fleet }
 
 var _ link.Handler = linkHandler{}
@@ -26,7 +26,7 @@
 	if l == nil {
 		return link.ErrNotSent
 	}
-	return f.connected(&connection{id: id, hello: peer, send: l.Send, drop: l.Drop, link: l})
+	return f.connected(&connection{id: id, hello: peer, send: l.Send, close: l.Drop, link: l})
 }
 
 func (h linkHandler) Disconnected(id member.ConnID, _ wire.Hello) { h.fleet.disconnected(id) }
@@ -35,20 +35,22 @@
 	f := h.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apply(f.view.DialFailed(f.cfg.Clock.Now(), instance))
+	f.applyEvents(f.view.DialFailed(f.cfg.Clock.Now(), instance))
 }
 
 func (h linkHandler) FrameReceived(id member.ConnID) {
 	f := h.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apply(f.view.FrameReceived(f.cfg.Clock.Now(), id))
+	f.applyEvents(f.view.FrameReceived(f.cfg.Clock.Now(), id))
 }
 
 func (h linkHandler) Message(id member.ConnID, peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
-	h.fleet.message(id, peer, m, reply)
+	h.fleet.handleMessage(id, peer, m, reply)
 }
 
+// connected adds a connection after the handshake, unless the view rejects it. It
+// sends the state that the peer needs first.
 func (f *Fleet) connected(c *connection) error {
 	f.mu.Lock()
 	events, err := f.view.Connected(f.cfg.Clock.Now(), c.id, c.hello)
@@ -57,20 +59,20 @@
 		return err
 	}
 	f.conns[c.id] = c
-	f.apply(events)
+	f.applyEvents(events)
 	if c.hello.Role == wire.RoleAgent {
 		f.addAgent(c.hello)
-		f.sendEntries()
-	} else if news := f.monitor.Snapshot(f.cfg.Clock.Now()); news != nil {
-		_ = c.send(news)
+		f.sendEntryLists()
+	} else if suspects := f.monitor.Snapshot(f.cfg.Clock.Now()); suspects != nil {
+		_ = c.send(suspects)
 	}
 	f.mu.Unlock()
 	f.cfg.Follower.PeerConnected(peerID(c.hello), c.hello.Role == wire.RoleAgent, c.send)
 	return nil
 }
 
-// addAgent makes an agent known to the picker. What it serves comes with its
-// first heartbeat. The caller holds the mutex.
+// addAgent adds a new generation of an agent to the picker. Its live weights are
+// known once its first heartbeat arrives. The caller must hold f.mu.
 func (f *Fleet) addAgent(hello wire.Hello) {
 	known := f.agents[hello.Identity.Instance]
 	if known.Generation == hello.Identity.Generation {
@@ -84,25 +86,26 @@
 	}
 	f.agents[instance.ID] = instance
 	f.picker.Update(f.cfg.Clock.Now(), instance)
-	f.wantCache(instance.Key())
+	f.queueCacheFetch(instance.Key())
 	f.cfg.Log.Log(eventlog.AgentJoined, "instance", instance.ID, "pool", instance.Pool)
 }
 
+// disconnected removes a connection that has ended.
 func (f *Fleet) disconnected(id member.ConnID) {
 	f.mu.Lock()
 	c := f.conns[id]
 	delete(f.conns, id)
-	f.apply(f.view.Closed(f.cfg.Clock.Now(), id))
+	f.applyEvents(f.view.Closed(f.cfg.Clock.Now(), id))
 	f.mu.Unlock()
 	if c != nil {
 		f.cfg.Follower.PeerLost(peerID(c.hello))
 	}
 }
 
-// mayReport says whether a message is one that the peer's role sends. The role is
-// that of its certificate: an agent must not be able to quarantine requests, nor
-// an entry to report crashes of a backend server.
-func mayReport(role wire.Role, m wire.Message) bool {
+// roleMaySend reports whether a peer with the given role is authorized to send a
+// message. The role is that of the peer's certificate: an agent must not be able to
+// quarantine requests, nor an entry to report crashes of a backend server.
+func roleMaySend(role wire.Role, m wire.Message) bool {
 	switch m.(type) {
 	case *wire.CrashReport, *wire.CacheUpdate:
 		return role == wire.RoleAgent
@@ -113,22 +116,23 @@
 	}
 }
 
-func (f *Fleet) message(id member.ConnID, peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
-	if !mayReport(peer.Role, m) {
+// handleMessage processes a message that belongs to no attempt.
+func (f *Fleet) handleMessage(id member.ConnID, peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
+	if !roleMaySend(peer.Role, m) {
 		f.cfg.Log.Log(eventlog.FrameInvalid, "instance", peer.Identity.Instance, "type", m.Type())
 		return
 	}
 	switch m := m.(type) {
 	case *wire.Heartbeat:
-		f.heartbeatFrom(id, peer, m)
+		f.handleHeartbeat(id, peer, m)
 	case *wire.ConfigFetch:
 		f.cfg.Follower.HandleFetch(peerID(peer), m, reply)
 	case *wire.ConfigDelta:
 		f.cfg.Follower.HandleDelta(peerID(peer), m)
 	case *wire.CrashReport:
-		f.crashed(peer, m)
+		f.handleCrashReport(peer, m)
 	case *wire.CacheUpdate:
-		f.cacheFrom(peer, m)
+		f.handleCacheUpdate(peer, m)
 	case *wire.SuspectUpdate:
 		f.mu.Lock()
 		f.broadcast(f.monitor.Merge(f.cfg.Clock.Now(), *m))
@@ -138,12 +142,14 @@
 	}
 }
 
-func (f *Fleet) heartbeatFrom(id member.ConnID, peer wire.Hello, beat *wire.Heartbeat) {
+// handleHeartbeat updates the configuration state, the view and the picker from a
+// heartbeat.
+func (f *Fleet) handleHeartbeat(id member.ConnID, peer wire.Hello, beat *wire.Heartbeat) {
 	f.cfg.Follower.HandleHeartbeat(peerID(peer), beat)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
-	f.apply(f.view.Heartbeat(now, id, *beat))
+	f.applyEvents(f.view.Heartbeat(now, id, *beat))
 	if peer.Role != wire.RoleAgent {
 		return
 	}
@@ -152,8 +158,9 @@
 		return
 	}
 	if !slices.Equal(instance.Live, beat.Live) {
-		// The picker forgets the cache of an instance that has loaded weights.
-		f.wantCache(instance.Key())
+		// The picker drops the cache state of an instance whose live weights
+		// change.
+		f.queueCacheFetch(instance.Key())
 	}
 	instance.Live = beat.Live
 	instance.Role = routeRole(beat.Role)
@@ -166,28 +173,31 @@
 		Capacity: beat.Load.Capacity,
 		Age:      time.Duration(beat.Load.AgeMillis) * time.Millisecond,
 	})
-	f.wake()
+	f.signalCapacity()
 }
 
-func (f *Fleet) crashed(peer wire.Hello, report *wire.CrashReport) {
+// handleCrashReport records the crash of an agent's backend server and the requests
+// that were in flight.
+func (f *Fleet) handleCrashReport(peer wire.Hello, report *wire.CrashReport) {
 	f.cfg.Log.Log(eventlog.BackendServerCrashed, "instance", peer.Identity.Instance, "in_flight", len(report.InFlight))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
 	f.broadcast(f.monitor.Crashed(now, peer.Identity.Instance, peer.Identity.Generation, *report))
-	for _, finger := range report.InFlight {
-		if f.monitor.Quarantined(now, finger) {
-			f.cfg.Log.Log(eventlog.RequestQuarantined, "fingerprint", finger)
+	for _, fingerprint := range report.InFlight {
+		if f.monitor.Quarantined(now, fingerprint) {
+			f.cfg.Log.Log(eventlog.RequestQuarantined, "fingerprint", fingerprint)
 		}
 	}
 }
 
+// peerID returns the ID of a peer in the configuration replication.
 func peerID(hello wire.Hello) config.PeerID {
 	return config.PeerID{Instance: hello.Identity.Instance, Generation: hello.Identity.Generation}
 }
 
-// routeRole returns the role that the picker filters by. A role that this entry
-// does not know takes no requests.
+// routeRole returns the role for the picker. Roles that this entry does not know are
+// treated as the decode role, which gets no requests.
 func routeRole(r model.Role) route.Role {
 	switch r {
 	case model.RoleMixed:
--- a/entry/fleet/peer.go
+++ b/entry/fleet/peer.go
@@ -9,7 +9,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// peer is one instance that this entry connects to.
+// peer is a member that this entry connects to.
 type peer struct {
 	role    backing.InstanceRole
 	address string
@@ -17,22 +17,23 @@
 	cancel  context.CancelFunc
 }
 
-// moved reports whether the member is now at another address than the link
-// dials. Attempts that the link still has went to an earlier process.
-func (p *peer) moved(m member.Member) bool {
+// addressChanged reports whether the link is not connected and dials an address that
+// the member no longer has. Attempts still open on such a link were sent to an
+// earlier process.
+func (p *peer) addressChanged(m member.Member) bool {
 	_, connected := p.link.Peer()
 	return !connected && p.address != m.Identity.Address
 }
 
-// connection is one open connection, in either direction.
+// connection is an open connection, opened by either side.
 type connection struct {
 	hello wire.Hello
 	send  func(wire.Message) error
-	// drop closes the connection, so that its reader ends.
-	drop func()
+	// close closes the connection, which ends its reader.
+	close func()
 	// link is nil for connections that the peer opened.
 	link *link.Link
 	id   member.ConnID
-	// told is the last list of entries that the agent was sent.
-	told *wire.EntryList
+	// sentEntryList is the last list of entries sent to the agent.
+	sentEntryList *wire.EntryList
 }
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -12,7 +12,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Size tells how many entries share the store's budget of reads.
+// Size returns the number of entries that share the read budget of the configuration
+// store, including this one.
 func (f *Fleet) Size() config.FleetSize {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -29,7 +30,7 @@
 	return size
 }
 
-// Members returns all other processes that this entry knows.
+// Members returns all other entries and agents that are not gone.
 func (f *Fleet) Members() []member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -43,11 +44,11 @@
 func (f *Fleet) Entries() []member.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.present(backing.RoleEntry)
+	return f.presentMembers(backing.RoleEntry)
 }
 
-// Send sends a message to an entry that this one is connected to. It reports
-// whether there was a connection.
+// Send sends a message to a connected instance. It reports whether the instance is
+// connected and the message could be queued.
 func (f *Fleet) Send(to model.InstanceID, m wire.Message) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,8 +60,8 @@
 	return false
 }
 
-// Group returns the state of a pool in the failure domain of this entry, as far
-// as it is connected to its instances.
+// Group returns the state of a pool in the failure domain of this entry, limited to
+// the instances that the entry is connected to.
 func (f *Fleet) Group(pool string) rollout.PoolState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,8 +81,8 @@
 	return g
 }
 
-// Traffic returns the bytes that the connections which this entry opened have
-// sent and received.
+// Traffic returns the number of bytes sent and received on the open connections that
+// this entry has opened.
 func (f *Fleet) Traffic() (sent, received int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,22 +94,23 @@
 	return sent, received
 }
 
-// AttemptsSent returns the number of attempts that were placed on an agent.
+// AttemptsSent returns the number of attempts placed on the current generation of an
+// agent.
 func (f *Fleet) AttemptsSent(id model.InstanceID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sent[id]
+	return f.attemptsSent[id]
 }
 
-// PrefixCached reports whether the prefix of a body is believed to be cached under the
-// given weights on any instance.
+// PrefixCached reports whether any instance is assumed to have the prefix of a body
+// cached for the given weights.
 func (f *Fleet) PrefixCached(body []byte, weights model.Weights) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.picker.HasCached(uint64(engine.PrefixOf(body).Under(weights)))
 }
 
-// UsableAgents returns the number of agents that this entry may send work to.
+// UsableAgents returns the number of agents that may get new work.
 func (f *Fleet) UsableAgents() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/fleet/reconnect.go
+++ b/entry/fleet/reconnect.go
@@ -12,20 +12,20 @@
 	"github.com/auburnbend/auburnbend/lib/subset"
 )
 
-// reconnect opens links to the members that this entry is to connect to and
-// ends those to others.
-func (f *Fleet) reconnect(ctx context.Context) {
+// updateLinks opens links to the members that this entry should connect to, and
+// closes links to other members that have no attempts in flight.
+func (f *Fleet) updateLinks(ctx context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	wanted := f.wanted()
+	wanted := f.wantedPeers()
 	for id, m := range wanted {
 		p := f.peers[id]
-		if p != nil && p.moved(m) {
+		if p != nil && p.addressChanged(m) {
 			p.cancel()
 			p = nil
 		}
 		if p == nil {
-			f.open(ctx, m)
+			f.openLink(ctx, m)
 		}
 	}
 	for id, p := range f.peers {
@@ -36,17 +36,17 @@
 	}
 }
 
-// wanted returns the members that this entry connects to. Members that are gone
-// and still listed are tried again where this entry would connect to them, and
-// take no place of a live one. The caller holds the mutex.
-func (f *Fleet) wanted() map[model.InstanceID]member.Member {
-	entries, agents := f.present(backing.RoleEntry), f.present(backing.RoleAgent)
-	wanted := f.choose(entries, agents)
-	lostEntries, lostAgents := f.view.GoneListed(backing.RoleEntry), f.view.GoneListed(backing.RoleAgent)
-	if len(lostEntries)+len(lostAgents) == 0 {
+// wantedPeers returns the members that this entry should connect to. Members that
+// are gone but still listed are included if they would be chosen when alive. They
+// are added to the live members and do not displace any. The caller must hold f.mu.
+func (f *Fleet) wantedPeers() map[model.InstanceID]member.Member {
+	entries, agents := f.presentMembers(backing.RoleEntry), f.presentMembers(backing.RoleAgent)
+	wanted := f.choosePeers(entries, agents)
+	goneEntries, goneAgents := f.view.GoneListed(backing.RoleEntry), f.view.GoneListed(backing.RoleAgent)
+	if len(goneEntries)+len(goneAgents) == 0 {
 		return wanted
 	}
-	for id, m := range f.choose(append(entries, lostEntries...), append(agents, lostAgents...)) {
+	for id, m := range f.choosePeers(append(entries, goneEntries...), append(agents, goneAgents...)) {
 		if m.State == member.StateGone {
 			wanted[id] = m
 		}
@@ -54,19 +54,20 @@
 	return wanted
 }
 
-// choose returns the entry's part of the agents of the failure domain, a few
-// agents elsewhere for spilling, and a few entries, at least one in each other
-// failure domain. The caller holds the mutex.
-func (f *Fleet) choose(entries, agents []member.Member) map[model.InstanceID]member.Member {
+// choosePeers selects this entry's subset of the agents in its failure domain, a few
+// agents elsewhere for spillover, up to maxEntryPeers entries in its failure domain,
+// one entry in each other failure domain, and the required members. The caller must
+// hold f.mu.
+func (f *Fleet) choosePeers(entries, agents []member.Member) map[model.InstanceID]member.Member {
 	wanted := make(map[model.InstanceID]member.Member)
 	own := f.cfg.Identity.Instance
 	location := f.cfg.Identity.Location
 
-	plan := subset.Assign(f.cfg.Subset, append(ids(in(entries, location)), own), poolsOf(in(agents, location)))
-	chosen := append(plan.Agents(own), subset.Spill(f.cfg.Subset, own, poolsOf(outside(agents, location)))...)
-	chosen = append(chosen, rendezvous.Rank(string(own), ids(in(entries, location)), entryPeers)...)
-	for _, group := range byDomain(outside(entries, location)) {
-		chosen = append(chosen, rendezvous.Rank(string(own), ids(group), 1)...)
+	plan := subset.Assign(f.cfg.Subset, append(instanceIDs(inLocation(entries, location)), own), subsetAgents(inLocation(agents, location)))
+	chosen := append(plan.Agents(own), subset.Spill(f.cfg.Subset, own, subsetAgents(outsideLocation(agents, location)))...)
+	chosen = append(chosen, rendezvous.Rank(string(own), instanceIDs(inLocation(entries, location)), maxEntryPeers)...)
+	for _, group := range groupByLocation(outsideLocation(entries, location)) {
+		chosen = append(chosen, rendezvous.Rank(string(own), instanceIDs(group), 1)...)
 	}
 	chosen = append(chosen, f.required...)
 	byID := make(map[model.InstanceID]member.Member)
@@ -81,20 +82,21 @@
 	return wanted
 }
 
-// RequireConnections keeps connections to the given members besides those that the entry
-// has anyway.
+// RequireConnections sets the members that the entry has to be connected to in
+// addition to those that it chooses. It replaces the previous setting.
 func (f *Fleet) RequireConnections(ctx context.Context, members []model.InstanceID) {
 	f.mu.Lock()
 	same := slices.Equal(f.required, members)
 	f.required = members
 	f.mu.Unlock()
 	if !same {
-		f.reconnect(ctx)
+		f.updateLinks(ctx)
 	}
 }
 
-// present returns the members of a role that are not gone, without this entry.
-func (f *Fleet) present(role backing.InstanceRole) []member.Member {
+// presentMembers returns the members of a role that are not gone, except this entry.
+// The caller must hold f.mu.
+func (f *Fleet) presentMembers(role backing.InstanceRole) []member.Member {
 	var present []member.Member
 	for _, m := range f.view.Members(role) {
 		if m.State != member.StateGone && m.Identity.Instance != f.cfg.Identity.Instance {
@@ -104,7 +106,8 @@
 	return present
 }
 
-func in(members []member.Member, location model.Location) []member.Member {
+// inLocation returns the members in a location.
+func inLocation(members []member.Member, location model.Location) []member.Member {
 	var found []member.Member
 	for _, m := range members {
 		if m.Identity.Location == location {
@@ -114,7 +117,8 @@
 	return found
 }
 
-func outside(members []member.Member, location model.Location) []member.Member {
+// outsideLocation returns the members in other locations.
+func outsideLocation(members []member.Member, location model.Location) []member.Member {
 	var found []member.Member
 	for _, m := range members {
 		if m.Identity.Location != location {
@@ -124,7 +128,8 @@
 	return found
 }
 
-func byDomain(members []member.Member) map[model.Location][]member.Member {
+// groupByLocation groups members by location.
+func groupByLocation(members []member.Member) map[model.Location][]member.Member {
 	groups := make(map[model.Location][]member.Member)
 	for _, m := range members {
 		groups[m.Identity.Location] = append(groups[m.Identity.Location], m)
@@ -132,15 +137,17 @@
 	return groups
 }
 
-func ids(members []member.Member) []model.InstanceID {
-	names := make([]model.InstanceID, 0, len(members)+1)
+// instanceIDs returns the IDs of members. The slice has room for one more ID.
+func instanceIDs(members []member.Member) []model.InstanceID {
+	ids := make([]model.InstanceID, 0, len(members)+1)
 	for _, m := range members {
-		names = append(names, m.Identity.Instance)
+		ids = append(ids, m.Identity.Instance)
 	}
-	return names
+	return ids
 }
 
-func poolsOf(members []member.Member) []subset.Agent {
+// subsetAgents converts members to the type that lib/subset uses.
+func subsetAgents(members []member.Member) []subset.Agent {
 	agents := make([]subset.Agent, 0, len(members))
 	for _, m := range members {
 		agents = append(agents, subset.Agent{ID: m.Identity.Instance, Pool: m.Pool})
@@ -148,9 +155,9 @@
 	return agents
 }
 
-// open starts the goroutine that keeps the connection to a member. The caller
-// holds the mutex.
-func (f *Fleet) open(ctx context.Context, m member.Member) {
+// openLink starts a goroutine that maintains a connection to a member until ctx ends
+// or the peer's cancel function is called. The caller must hold f.mu.
+func (f *Fleet) openLink(ctx context.Context, m member.Member) {
 	ctx, cancel := context.WithCancel(ctx)
 	l := link.New(link.Config{
 		Instance:   m.Identity.Instance,
@@ -167,6 +174,7 @@
 	}()
 }
 
+// newConnID returns a new connection ID. It locks f.mu.
 func (f *Fleet) newConnID() member.ConnID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -17,46 +17,49 @@
 	"github.com/auburnbend/auburnbend/lib/route"
 )
 
-// maxPlacements bounds the instances that are tried for one suspect at a time.
-const maxPlacements = 8
+// maxPlacementTries is the maximum number of instances that one call tries for a
+// suspect.
+const maxPlacementTries = 8
 
 var (
-	// ErrQuarantined means that the request crashed several backend servers.
+	// ErrQuarantined means that the request is quarantined because it crashed
+	// several backend servers.
 	ErrQuarantined = merry.New("request is quarantined")
-	// ErrShouldWait means that an instance is free, but that the request should wait
-	// for a better one.
+	// ErrShouldWait means that an instance is free but the request should wait for
+	// a better one.
 	ErrShouldWait = merry.New("request waits for a better instance")
-	// ErrNoInstance means that no instance can take the request now.
-	ErrNoInstance = merry.New("no instance can take the request")
+	// ErrNoInstance means that no instance can accept the request at the moment.
+	ErrNoInstance = merry.New("no instance can accept the request")
 )
 
-// Requirements says what instance a request needs.
+// Requirements describes the instance that a request needs.
 type Requirements struct {
 	Pool string
-	// Weights are the weights that may serve the request, in order of
-	// preference. It holds the zero value for plain services.
+	// Weights are the weights that may serve the request, in order of preference.
+	// For plain services the only element is the zero value.
 	Weights     []model.Weights
 	Fingerprint model.Fingerprint
-	// Prefix is the hash of the prompt's beginning; zero means no affinity.
+	// Prefix is the hash of the beginning of the prompt. Zero disables cache
+	// affinity.
 	Prefix engine.Prefix
-	// Avoid lists instances of earlier attempts.
+	// Avoid lists the instances of earlier attempts, which are not chosen again.
 	Avoid []model.InstanceID
-	// OfferedAt is when the request was first offered for placing.
+	// OfferedAt is when the first placement of the request was attempted.
 	OfferedAt time.Time
 }
 
-// Slot is an instance that was reserved for a request. Finish gives it back.
+// Slot is a reservation of an instance for one request. Finish releases it.
 type Slot struct {
 	Key     route.Key
 	Link    *link.Link
 	Weights model.Weights
-	// Suspect says that the request was in flight when a backend server crashed.
-	Suspect bool
-	finger  model.Fingerprint
+	// Suspect is true if the request was in flight when a backend server crashed.
+	Suspect     bool
+	fingerprint model.Fingerprint
 }
 
-// Reserve picks an instance and takes a slot on it, or returns one of the
-// errors of this package.
+// Reserve picks an instance and reserves a slot on it. It returns ErrQuarantined,
+// ErrShouldWait or ErrNoInstance if that is not possible.
 func (f *Fleet) Reserve(need *Requirements) (*Slot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +69,7 @@
 	}
 	refusal := merry.Wrap(ErrNoInstance)
 	for _, weights := range need.Weights {
-		slot, err := f.reserveFor(now, need, weights)
+		slot, err := f.reserveWithWeights(now, need, weights)
 		switch {
 		case err == nil:
 			return slot, nil
@@ -79,11 +82,13 @@
 	return nil, refusal
 }
 
-func (f *Fleet) reserveFor(now time.Time, need *Requirements, weights model.Weights) (*Slot, error) {
-	// An instance that runs another suspect now is avoided by this try only.
+// reserveWithWeights is Reserve for one of the weights that may serve the request.
+// The caller must hold f.mu.
+func (f *Fleet) reserveWithWeights(now time.Time, need *Requirements, weights model.Weights) (*Slot, error) {
+	// Instances that run another suspect are avoided in this call only.
 	avoid := slices.Clone(need.Avoid)
 	request := f.routeRequest(now, need, &avoid, weights)
-	for range maxPlacements {
+	for range maxPlacementTries {
 		choice, err := f.picker.Pick(now, request)
 		if err != nil {
 			if refusal := new(route.Refusal); errors.As(err, &refusal) && refusal.Deferred {
@@ -109,6 +114,8 @@
 	return nil, merry.Wrap(ErrNoInstance)
 }
 
+// routeRequest returns the request for the picker. It reads avoid whenever the picker
+// checks an instance. The caller must hold f.mu.
 func (f *Fleet) routeRequest(now time.Time, need *Requirements, avoid *[]model.InstanceID, weights model.Weights) *route.Request {
 	request := &route.Request{Pool: need.Pool, Weights: weights, OfferedAt: need.OfferedAt}
 	if need.Prefix != 0 {
@@ -126,14 +133,17 @@
 	return request
 }
 
+// reserve takes a slot on the given instance. The caller must hold f.mu.
 func (f *Fleet) reserve(now time.Time, need *Requirements, request *route.Request, key route.Key) *Slot {
 	f.limiter(key).Acquire()
-	f.sent[key.Instance]++
+	f.attemptsSent[key.Instance]++
 	f.picker.Started(now, key, request.Prefix)
 	f.broadcast(f.monitor.Started(now, need.Fingerprint, key.Instance))
-	return &Slot{Key: key, Link: f.linkOf(key.Instance), Weights: request.Weights, finger: need.Fingerprint}
+	return &Slot{Key: key, Link: f.linkOf(key.Instance), Weights: request.Weights, fingerprint: need.Fingerprint}
 }
 
+// limiter returns the limiter of a generation and creates it if necessary. The caller
+// must hold f.mu.
 func (f *Fleet) limiter(key route.Key) *admit.Limiter {
 	l := f.limiters[key]
 	if l == nil {
@@ -143,23 +153,24 @@
 	return l
 }
 
-// Finish gives a slot back and tells how its attempt ended.
+// Finish releases a slot and records how its attempt ended.
 func (f *Fleet) Finish(slot *Slot, o outcome.Outcome, result route.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
-	// The limiter of a generation that has left is gone and not made again.
+	// The limiter of a generation that has left was deleted and must not be
+	// created again.
 	if l := f.limiters[slot.Key]; l != nil {
 		l.Release()
 	}
 	if f.picker.Finished(now, slot.Key, result) {
 		f.cfg.Log.Log(eventlog.BackendServerEjected, "instance", slot.Key.Instance)
 	}
-	f.broadcast(f.monitor.Finished(now, slot.finger, slot.Key.Instance, o))
-	f.wake()
+	f.broadcast(f.monitor.Finished(now, slot.fingerprint, slot.Key.Instance, o))
+	f.signalCapacity()
 }
 
-// ObserveFirstToken takes the time from dispatch to the first frame.
+// ObserveFirstToken records the time from dispatch to the first frame.
 func (f *Fleet) ObserveFirstToken(slot *Slot, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,7 +179,7 @@
 	}
 }
 
-// ObserveBetweenTokens takes the mean time between the frames of an answer.
+// ObserveBetweenTokens records the mean time between the frames of an answer.
 func (f *Fleet) ObserveBetweenTokens(slot *Slot, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,7 +188,7 @@
 	}
 }
 
-// ObserveRefusal takes a refusal for lack of capacity.
+// ObserveRefusal records that the instance refused the request for lack of capacity.
 func (f *Fleet) ObserveRefusal(slot *Slot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,9 +197,9 @@
 	}
 }
 
-// WithdrawSuspect says that a suspect that was held is no longer wanted.
-func (f *Fleet) WithdrawSuspect(finger model.Fingerprint) {
+// WithdrawSuspect records that a held suspect no longer has to run.
+func (f *Fleet) WithdrawSuspect(fingerprint model.Fingerprint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.broadcast(f.monitor.Withdraw(f.cfg.Clock.Now(), finger))
+	f.broadcast(f.monitor.Withdraw(f.cfg.Clock.Now(), fingerprint))
 }
--- a/entry/fleet/world_test.go
+++ b/entry/fleet/world_test.go
@@ -24,7 +24,7 @@
 	loaded   = model.Weights{Base: model.Sum([]byte("loaded"))}
 )
 
-// world is a fleet with fake agents.
+// world is a Fleet with fake agents.
 type world struct {
 	list  *instances.List
 	fleet *fleet.Fleet
@@ -46,6 +46,7 @@
 	return w
 }
 
+// agent starts a fake agent and adds it to the instance list.
 func (w *world) agent(name model.InstanceID, generation model.Generation) *agenttest.Agent {
 	a, err := agenttest.Start(model.Identity{Instance: name, Generation: generation, Location: location}, pool, loaded)
 	Expect(err).NotTo(HaveOccurred())
@@ -54,14 +55,16 @@
 	return a
 }
 
-func (w *world) usable(n int) {
+// waitForUsable waits until the Fleet has n usable agents.
+func (w *world) waitForUsable(n int) {
 	Eventually(w.fleet.UsableAgents).WithTimeout(settle).Should(Equal(n))
 }
 
-// crash reports the death of a backend server with requests in flight and waits
-// until the fleet knows of it.
+// crash reports a crash of an agent's backend server with requests in flight and
+// waits until the Fleet has processed the report.
 func (w *world) crash(a *agenttest.Agent, f ...model.Fingerprint) {
 	a.Broadcast(&wire.CrashReport{Incarnation: 1, InFlight: f})
+	// The load marks a heartbeat that the agent sends after the report.
 	marked := wire.Load{Capacity: 4, FirstTokenMillis: 77}
 	a.SetLoad(marked)
 	Eventually(w.fleet.Members).WithTimeout(settle).Should(ContainElement(SatisfyAll(
@@ -69,9 +72,9 @@
 }
 
 func requirements() *fleet.Requirements {
-	return &fleet.Requirements{Pool: pool, Weights: []model.Weights{loaded}, Fingerprint: finger("harmless")}
+	return &fleet.Requirements{Pool: pool, Weights: []model.Weights{loaded}, Fingerprint: fingerprint("harmless")}
 }
 
-func finger(body string) model.Fingerprint {
+func fingerprint(body string) model.Fingerprint {
 	return model.FingerprintOf("tenant", "draft", []byte(body))
 }
