--- a/entry/link/config.go
+++ b/entry/link/config.go
@@ -14,18 +14,20 @@
 	defaultMaxBackoff = 2 * time.Second
 )
 
-// Config sets up a Link.
+// Config configures a Link.
 type Config struct {
-	// Instance and Address name the agent.
+	// Instance and Address identify the peer, which is an agent or another entry.
 	Instance model.InstanceID
 	Address  string
-	// Dial opens a connection and exchanges Hello messages.
+	// Dial opens a connection and performs the handshake. It returns the Hello of
+	// the peer.
 	Dial func(ctx context.Context, address string) (*wire.Conn, wire.Hello, error)
-	// Heartbeat returns the heartbeat to send now; Sequence is set by the link.
+	// Heartbeat returns the next heartbeat to send. The link sets its Sequence.
 	Heartbeat func() wire.Heartbeat
-	// NextConnID numbers connections over all links of a process.
+	// NextConnID returns a connection ID that is unique in the process.
 	NextConnID func() member.ConnID
-	// MinBackoff and MaxBackoff bound the time between two attempts to connect.
+	// MinBackoff and MaxBackoff limit the time between two attempts to connect.
+	// Zero values are replaced by 100 ms and 2 s.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
--- a/entry/link/event.go
+++ b/entry/link/event.go
@@ -2,25 +2,26 @@
 
 import "github.com/auburnbend/auburnbend/lib/wire"
 
-// EventKind tells the events of an Inbox apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 const (
-	// MessageReceived carries a message about the attempt.
+	// MessageReceived means that a message about the attempt has arrived.
 	MessageReceived EventKind = iota
-	// ConnectionLost says that the connection broke: what was sent may or may
-	// not have arrived.
+	// ConnectionLost means that the connection failed. Messages sent before may or
+	// may not have arrived.
 	ConnectionLost
-	// Reconnected says that a new connection to the same generation of the agent
-	// is up, so that the attempt can be reattached.
+	// Reconnected means that a new connection to the same generation of the agent
+	// is established. The attempt can be reattached.
 	Reconnected
-	// AgentReplaced says that another generation of the agent answers at the address:
-	// the attempt is gone with the old one.
+	// AgentReplaced means that a new connection to another generation of the agent
+	// is established. The attempt was lost with the old generation.
 	AgentReplaced
 )
 
-// Event is one thing that happened to an attempt.
+// Event is an event in the course of one attempt.
 type Event struct {
-	Kind    EventKind
+	Kind EventKind
+	// Message is set for MessageReceived.
 	Message wire.Message
 }
--- a/entry/link/inbox.go
+++ b/entry/link/inbox.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Inbox queues the events of one attempt. The link puts, one request goroutine
-// takes. Its length is bounded by the agent, which stops sending when its
-// replay buffer of unacknowledged frames is full; so a slow caller holds up its
-// own answer and no other.
+// Inbox is the queue of events of one attempt. The link adds events and one goroutine
+// reads them. The length of the queue is limited by the agent, which stops sending
+// when its replay buffer of unacknowledged frames is full. A slow caller therefore
+// delays only its own answer.
 type Inbox struct {
 	mu     sync.Mutex
 	events []Event
@@ -29,7 +29,8 @@
 	}
 }
 
-// Next returns the next event, or the error of ctx.
+// Next waits for the next event and returns it. If ctx ends first, it returns the
+// error of ctx.
 func (i *Inbox) Next(ctx context.Context) (Event, error) {
 	for {
 		if e, ok := i.take(); ok {
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -1,6 +1,6 @@
-// Package link holds an entry's connection to one agent: it connects again when
-// the connection breaks, sends heartbeats, and sorts incoming messages by
-// attempt.
+// Package link maintains the connection of an entry to one agent or other entry. It
+// reconnects when the connection fails, sends heartbeats and distributes incoming
+// messages to the attempts that they belong to.
 package link
 
 import (
@@ -16,35 +16,39 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ErrNotSent means that a message was certainly not handed to the connection.
+// ErrNotSent means that a message was definitely not passed to the connection.
 var ErrNotSent = merry.New("message not sent")
 
-// heardEvery is the time between two reports that frames arrive. Silence is
-// judged after a second at the earliest, and an entry at the planned size gets
-// 7,800 frames a second, each of which would take the fleet's mutex.
-const heardEvery = 200 * time.Millisecond
+// frameReportInterval is the minimum time between two calls of
+// Handler.FrameReceived. An entry at the planned size receives 7,800 frames per
+// second, each of which would lock the mutex of the fleet. Silent connections are
+// not detected before 1 s, so reports at this interval are sufficient.
+const frameReportInterval = 200 * time.Millisecond
 
-// Link is safe for concurrent use.
+// Link is a connection to one peer that is reopened when it fails. It is safe for
+// concurrent use.
 type Link struct {
 	cfg     Config
 	handler Handler
-	// started wakes the heartbeats when a first request starts.
-	started chan struct{}
+	// becameBusy wakes the heartbeat sender when the number of attempts rises from
+	// zero to one.
+	becameBusy chan struct{}
 
 	mu   sync.Mutex
-	conn *wire.Conn // nil while there is no connection
-	peer wire.Hello // of the last connection that the handler accepted
-	// accepted says that conn may carry attempts.
+	conn *wire.Conn // nil if not connected
+	peer wire.Hello // Hello on the last connection that the handler accepted
+	// accepted is true if the handler has accepted conn. Only then may attempts be
+	// sent on it.
 	accepted bool
 	inboxes  map[model.AttemptID]*Inbox
 }
 
-// New returns a link that connects when Run is called.
+// New returns a Link, which connects once Run is called.
 func New(cfg Config, handler Handler) *Link {
-	return &Link{cfg: cfg.applyDefaults(), handler: handler, started: make(chan struct{}, 1), inboxes: make(map[model.AttemptID]*Inbox)}
+	return &Link{cfg: cfg.applyDefaults(), handler: handler, becameBusy: make(chan struct{}, 1), inboxes: make(map[model.AttemptID]*Inbox)}
 }
 
-// Run keeps the connection up until ctx ends.
+// Run opens the connection, and opens it again whenever it fails, until ctx ends.
 func (l *Link) Run(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = l.cfg.MinBackoff, l.cfg.MaxBackoff
@@ -61,6 +65,7 @@
 	}
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -70,25 +75,25 @@
 	}
 }
 
-// serve reads from a connection until it breaks.
+// serve reads from a connection until it fails or ctx ends.
 func (l *Link) serve(ctx context.Context, conn *wire.Conn, peer wire.Hello) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
 	if peer.Identity.Instance != l.cfg.Instance {
-		l.handler.ConnectFailed(l.cfg.Instance, merry.Errorf("%s answers at the address", peer.Identity.Instance))
+		l.handler.ConnectFailed(l.cfg.Instance, merry.Errorf("address belongs to instance %s, expected %s", peer.Identity.Instance, l.cfg.Instance))
 		return
 	}
 	id := l.cfg.NextConnID()
-	// The handler sends its first messages through the link.
-	l.attach(conn)
-	defer l.detach(conn)
+	// The handler may send messages on the link while it is in Connected.
+	l.setConn(conn)
+	defer l.clearConn(conn)
 	if l.handler.Connected(id, peer) != nil {
 		return
 	}
 	l.accept(peer)
 	defer l.handler.Disconnected(id, peer)
-	beats := heartbeat.Sender{Conn: conn, Beat: l.cfg.Heartbeat, InFlight: l.InFlight, Look: l.started}
+	beats := heartbeat.Sender{Conn: conn, Beat: l.cfg.Heartbeat, InFlight: l.InFlight, Look: l.becameBusy}
 	go beats.Run()
 	var heard time.Time
 	for {
@@ -97,7 +102,7 @@
 			return
 		}
 		if attempt, ok := wire.AttemptOf(m); ok {
-			if now := time.Now(); now.Sub(heard) >= heardEvery {
+			if now := time.Now(); now.Sub(heard) >= frameReportInterval {
 				heard = now
 				l.handler.FrameReceived(id)
 			}
@@ -108,16 +113,17 @@
 	}
 }
 
-// attach makes the connection current for messages of the handler.
-func (l *Link) attach(conn *wire.Conn) {
+// setConn sets the current connection, not yet for attempts.
+func (l *Link) setConn(conn *wire.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn = conn
 }
 
-// accept opens the current connection to attempts and tells waiting ones whether
-// they can be reattached. It comes after the handler's consent: an attempt that
-// goes to a generation which the handler refuses would be lost.
+// accept allows attempts on the current connection and notifies open attempts
+// whether they can be reattached. It is called after the handler has accepted the
+// connection, because an attempt sent to a generation that the handler rejects
+// would be lost.
 func (l *Link) accept(peer wire.Hello) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,7 +137,9 @@
 	}
 }
 
-func (l *Link) detach(conn *wire.Conn) {
+// clearConn removes a connection that has ended and notifies open attempts of the
+// loss if they could use it.
+func (l *Link) clearConn(conn *wire.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != conn {
@@ -147,6 +155,8 @@
 	}
 }
 
+// deliver adds a message to the inbox of its attempt. It drops messages about unknown
+// attempts.
 func (l *Link) deliver(id model.AttemptID, m wire.Message) {
 	l.mu.Lock()
 	inbox := l.inboxes[id]
@@ -156,8 +166,8 @@
 	}
 }
 
-// Start sends the first message of an attempt and opens its inbox. When it
-// returns ErrNotSent, the agent certainly did not get the attempt.
+// Start sends the first message of an attempt and returns the inbox of the attempt.
+// ErrNotSent means that the agent definitely did not receive the attempt.
 func (l *Link) Start(m *wire.RequestStart) (*Inbox, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,21 +182,22 @@
 	}
 	if len(l.inboxes) == 1 {
 		select {
-		case l.started <- struct{}{}:
+		case l.becameBusy <- struct{}{}:
 		default:
 		}
 	}
 	return inbox, nil
 }
 
-// Finish forgets an attempt. Later messages about it are dropped.
+// Finish removes an attempt. Later messages about it are dropped.
 func (l *Link) Finish(id model.AttemptID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.inboxes, id)
 }
 
-// Send queues a message on the current connection.
+// Send queues a message on the current connection without blocking. It returns
+// ErrNotSent if there is no connection.
 func (l *Link) Send(m wire.Message) error {
 	l.mu.Lock()
 	conn := l.conn
@@ -197,7 +208,7 @@
 	return conn.TrySend(m)
 }
 
-// Drop closes the current connection, so that Run opens a new one.
+// Drop closes the current connection. Run then opens a new one.
 func (l *Link) Drop() {
 	l.mu.Lock()
 	conn := l.conn
@@ -207,21 +218,22 @@
 	}
 }
 
-// InFlight returns the number of attempts that are open.
+// InFlight returns the number of open attempts.
 func (l *Link) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.inboxes)
 }
 
-// Peer returns the Hello of the current connection; ok is false without one.
+// Peer returns the Hello of the peer. The result ok is false if no connection is
+// accepted.
 func (l *Link) Peer() (hello wire.Hello, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peer, l.accepted
 }
 
-// Bytes returns the bytes that the current connection sent and received.
+// Bytes returns the number of bytes sent and received on the current connection.
 func (l *Link) Bytes() (sent, received int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -17,14 +17,14 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// events records what a link reports.
-type events struct {
+// recorder is a Handler that counts the reports of a link.
+type recorder struct {
 	connected, failed atomic.Int32
-	// refuse, when set, is called during Connected, which then fails.
+	// refuse, if set, is called in Connected, which then returns an error.
 	refuse atomic.Pointer[func()]
 }
 
-func (e *events) Connected(member.ConnID, wire.Hello) error {
+func (e *recorder) Connected(member.ConnID, wire.Hello) error {
 	e.connected.Add(1)
 	if check := e.refuse.Load(); check != nil {
 		(*check)()
@@ -32,17 +32,17 @@
 	}
 	return nil
 }
-func (e *events) Disconnected(member.ConnID, wire.Hello)                                    {}
-func (e *events) ConnectFailed(model.InstanceID, error)                                     { e.failed.Add(1) }
-func (e *events) FrameReceived(member.ConnID)                                               {}
-func (e *events) Message(member.ConnID, wire.Hello, wire.Message, func(wire.Message) error) {}
+func (e *recorder) Disconnected(member.ConnID, wire.Hello)                                    {}
+func (e *recorder) ConnectFailed(model.InstanceID, error)                                     { e.failed.Add(1) }
+func (e *recorder) FrameReceived(member.ConnID)                                               {}
+func (e *recorder) Message(member.ConnID, wire.Hello, wire.Message, func(wire.Message) error) {}
 
-var _ = Describe("A link", func() {
+var _ = Describe("Link", func() {
 	var (
-		agent *agenttest.Agent
-		seen  *events
-		l     *link.Link
-		dials chan time.Time
+		agent   *agenttest.Agent
+		handler *recorder
+		l       *link.Link
+		dials   chan time.Time
 	)
 
 	next := func(i *link.Inbox) link.Event {
@@ -60,7 +60,7 @@
 		agent, err = agenttest.Start(model.Identity{Instance: "runner", Generation: 1}, "drafting")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(agent.Stop)
-		seen = &events{}
+		handler = &recorder{}
 		attempts := make(chan time.Time, 1024)
 		dials = attempts
 		var conns atomic.Uint64
@@ -77,19 +77,19 @@
 			Heartbeat:  func() wire.Heartbeat { return wire.Heartbeat{} },
 			NextConnID: func() member.ConnID { return member.ConnID(conns.Add(1)) },
 			MinBackoff: 20 * time.Millisecond, MaxBackoff: 80 * time.Millisecond,
-		}, seen)
+		}, handler)
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go l.Run(ctx)
 		Eventually(connected).Should(BeTrue())
 	})
 
-	// Guards against entries that hammer an agent which is down, and against one
-	// that they never find again.
-	It("connects again with backoff", func() {
+	// Guards against reconnecting too often to an agent that is down, and against
+	// never reconnecting to it.
+	It("reconnects with backoff", func() {
 		address := agent.Identity().Address
 		agent.Stop()
-		Eventually(seen.failed.Load).WithTimeout(5 * time.Second).Should(BeNumerically(">=", 6))
+		Eventually(handler.failed.Load).WithTimeout(5 * time.Second).Should(BeNumerically(">=", 6))
 		Expect(agent.Listen(address)).To(Succeed())
 		Eventually(connected).WithTimeout(5 * time.Second).Should(BeTrue())
 		<-dials // the first connection
@@ -97,14 +97,14 @@
 		for range 4 {
 			<-dials
 		}
-		// Randomized by half: 20, 30, 45 and 67.5 ms.
+		// The backoff of 20, 30, 45 and 67.5 ms is randomized by 50%.
 		Expect((<-dials).Sub(first)).To(BeNumerically(">=", (20+30+45+67)/2*time.Millisecond))
 	})
 
-	// Guards against attempts that are reported as not run though the agent may
-	// get them, and against attempts that wait forever for an agent that never
-	// saw them.
-	It("reports an attempt as not sent exactly when it was not queued", func() {
+	// Guards against attempts that are reported as not sent although the agent may
+	// receive them, and against attempts that wait forever for an agent that never
+	// received them.
+	It("reports an attempt as not sent if and only if it was not queued", func() {
 		inbox, err := l.Start(&wire.RequestStart{Attempt: "sent"})
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(agent.Starts).Should(Receive(WithTransform(agenttest.Received.Attempt, Equal(model.AttemptID("sent")))))
@@ -117,13 +117,14 @@
 		Consistently(agent.Starts).Should(BeEmpty())
 	})
 
-	// Guards against a full queue whose refusal is taken for a lost message.
-	It("reports an attempt as not sent when the queue is full", func() {
+	// Guards against treating an attempt that does not fit into the queue as possibly
+	// sent.
+	It("reports an attempt as not sent if the queue is full", func() {
 		full := link.New(link.Config{
 			Instance: "silent",
 			Dial: func(context.Context, string) (*wire.Conn, wire.Hello, error) {
 				near, far := net.Pipe()
-				// The peer reads the Hello and nothing after it.
+				// The peer reads the Hello and nothing else.
 				go func() {
 					_, _, _ = wire.Handshake(far, wire.Hello{Role: wire.RoleAgent, Identity: model.Identity{Instance: "silent"}})
 				}()
@@ -131,7 +132,7 @@
 			},
 			Heartbeat:  func() wire.Heartbeat { return wire.Heartbeat{} },
 			NextConnID: func() member.ConnID { return 1 },
-		}, seen)
+		}, handler)
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go full.Run(ctx)
@@ -145,9 +146,9 @@
 		Expect(full.InFlight()).To(Equal(queued - 1))
 	})
 
-	// Guards against frames of the old connection that are taken for the rest
-	// of the answer, or that are lost.
-	It("delivers frames before the loss, then the new connection, in order", func() {
+	// Guards against lost frames, and against frames of the old connection that are
+	// treated as part of the answer on the new one.
+	It("delivers frames, the loss of the connection and the new connection in order", func() {
 		inbox, err := l.Start(&wire.RequestStart{Attempt: "a"})
 		Expect(err).NotTo(HaveOccurred())
 		var start agenttest.Received
@@ -166,9 +167,9 @@
 		Expect(e.Message).To(HaveField("Data", []byte("two")))
 	})
 
-	// Guards against a reattach to a process that never saw the attempt: its
-	// refusal would look like a proof that nothing ran.
-	It("tells attempts of the old generation that it was replaced", func() {
+	// Guards against reattaching to a process that never received the attempt. Its
+	// refusal would look like proof that the request was not run.
+	It("notifies attempts of a replaced generation", func() {
 		inbox, err := l.Start(&wire.RequestStart{Attempt: "a"})
 		Expect(err).NotTo(HaveOccurred())
 		agent.SetGeneration(2)
@@ -182,28 +183,28 @@
 		Expect(next(fresh).Kind).To(Equal(link.Reconnected))
 	})
 
-	// Guards against attempts for one instance that reach another which got its
+	// Guards against sending attempts to another instance that has taken over the
 	// address.
-	It("refuses another instance at the address", func() {
+	It("rejects another instance at the address", func() {
 		agent.SetInstance("other")
-		before := seen.connected.Load()
+		before := handler.connected.Load()
 		agent.Cut()
-		Eventually(seen.failed.Load).Should(BeNumerically(">", 1))
-		Expect(seen.connected.Load()).To(Equal(before))
+		Eventually(handler.failed.Load).Should(BeNumerically(">", 1))
+		Expect(handler.connected.Load()).To(Equal(before))
 		_, err := l.Start(&wire.RequestStart{Attempt: "a"})
 		Expect(err).To(MatchError(link.ErrNotSent))
 	})
 
-	// Guards against work that is sent to a generation which the view of the
-	// members has refused.
-	It("sends no attempt over a refused connection", func() {
+	// Guards against sending attempts to a generation that the membership view has
+	// rejected.
+	It("sends no attempt over a rejected connection", func() {
 		refused := make(chan error, 1024)
 		check := func() {
 			_, err := l.Start(&wire.RequestStart{Attempt: "refused"})
 			l.Finish("refused")
 			refused <- err
 		}
-		seen.refuse.Store(&check)
+		handler.refuse.Store(&check)
 		agent.Cut()
 		Eventually(refused).Should(Receive(MatchError(link.ErrNotSent)))
 	})
