--- a/lib/config/bytes.go
+++ b/lib/config/bytes.go
@@ -23,6 +23,7 @@
 	{"", 1},
 }
 
+// bytesAllowed describes valid sizes in violations.
 const bytesAllowed = "a whole number of bytes, or with KiB, MiB, GiB or TiB"
 
 // formatBytes formats n in the largest unit that divides it exactly.
@@ -35,6 +36,7 @@
 	return "0"
 }
 
+// parseBytes parses a size and returns it in bytes.
 func parseBytes(text string) (int64, error) {
 	for _, u := range byteUnits {
 		number, ok := strings.CutSuffix(text, u.suffix)
--- a/lib/config/delta.go
+++ b/lib/config/delta.go
@@ -40,8 +40,8 @@
 	d.Services, d.RemoveServices = diffObjects(from.Services, to.Services, serviceKey)
 	d.Tenants, d.RemoveTenants = diffObjects(from.Tenants, to.Tenants, tenantKey)
 	d.Classes, d.RemoveClasses = diffObjects(from.Classes, to.Classes, classKey)
-	state, err := to.Digest()
-	d.StateDigest = state
+	digest, err := to.Digest()
+	d.StateDigest = digest
 	return d, err
 }
 
@@ -69,12 +69,12 @@
 	if d.Deployment != nil {
 		to.Deployment = *d.Deployment
 	}
-	state, err := to.Digest()
+	digest, err := to.Digest()
 	if err != nil {
 		return nil, err
 	}
-	if state != d.StateDigest {
-		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("resulting state is %s, the delta requires %s", state.Short(), d.StateDigest.Short()))
+	if digest != d.StateDigest {
+		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("digest of the resulting configuration is %s, expected %s", digest.Short(), d.StateDigest.Short()))
 	}
 	return to, nil
 }
--- a/lib/config/delta_test.go
+++ b/lib/config/delta_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		want, _ := to.Digest()
-		if state, _ := parsed.Digest(); state != want {
+		if digest, _ := parsed.Digest(); digest != want {
 			t.Fatalf("formatted declaration parses as\n%s", config.Format(parsed))
 		}
 		if delta.Empty() != (len(config.Diff(from, to)) == 0) {
--- a/lib/config/revision.go
+++ b/lib/config/revision.go
@@ -76,7 +76,7 @@
 	return r, err
 }
 
-// IsSnapshot reports whether the revision carries the whole configuration.
+// IsSnapshot reports whether the revision contains the whole configuration.
 func (r Revision) IsSnapshot() bool { return r.PreviousDigest != nil && !r.IsMerged() }
 
 // Head returns the number and chain digest of the revision.
@@ -108,7 +108,8 @@
 }
 
 // SnapshotConfig returns the configuration of a snapshot. It returns ErrChainBroken
-// if the configuration or the chain digest does not match the change.
+// if the revision is not a snapshot, or if its configuration or chain digest does
+// not match the change.
 func (r Revision) SnapshotConfig() (*Config, error) {
 	if !r.IsSnapshot() || chainDigest(*r.PreviousDigest, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d is not a snapshot or does not match its chain digest", r.Number))
--- a/lib/config/revision_merged.go
+++ b/lib/config/revision_merged.go
@@ -48,8 +48,9 @@
 func (r Revision) IsMerged() bool { return r.BaseDigest != nil }
 
 // ApplyMergedTo applies a merged revision to the configuration of its base or of any
-// later revision before it. It returns ErrChainBroken if the result does not match
-// the state digest or the change does not match the chain digest.
+// later revision before it. It returns ErrChainBroken if the revision is not merged,
+// the result does not match the state digest or the change does not match the chain
+// digest.
 func (r Revision) ApplyMergedTo(c *Config) (*Config, error) {
 	if !r.IsMerged() || r.PreviousDigest == nil || chainDigest(*r.PreviousDigest, r.Change) != r.Digest {
 		return nil, merry.Wrap(ErrChainBroken, merry.AppendMessagef("revision %d is not a merged revision or does not match its chain digest", r.Number))
--- a/lib/config/section_reader.go
+++ b/lib/config/section_reader.go
@@ -136,6 +136,8 @@
 	return text, ok
 }
 
+// text sets a string if the file contains the key. The methods below do the same for
+// other types.
 func (r *sectionReader) text(key string, into *string) {
 	if text, ok := r.take(key); ok {
 		*into = text
@@ -177,6 +179,8 @@
 	})
 }
 
+// parse reads a key, if the file contains it, and adds a violation if read returns
+// an error.
 func (r *sectionReader) parse(key, allowed string, read func(string) error) {
 	if text, ok := r.take(key); ok {
 		if read(text) != nil {
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -189,6 +189,7 @@
 // stateDigest returns the digest of the configuration.
 func (s *storeState) stateDigest() model.Digest { return s.change.Delta.StateDigest }
 
+// storeUnavailable wraps an error of the table service as ErrStoreUnavailable.
 func storeUnavailable(err error) error {
 	return merry.Wrap(ErrStoreUnavailable, merry.WithCause(err))
 }
--- a/lib/config/store_resolve.go
+++ b/lib/config/store_resolve.go
@@ -90,6 +90,8 @@
 	}
 }
 
+// readOperation returns the recorded outcome of an operation ID. The zero Operation
+// means that none is recorded.
 func (s *Store) readOperation(ctx context.Context, id string) (Operation, error) {
 	row, err := s.table.Get(ctx, OperationTable, id)
 	if errors.Is(err, backing.ErrNotFound) {
