--- a/lib/distribute/doc.go
+++ b/lib/distribute/doc.go
@@ -1,44 +1,45 @@
-// Package distribute decides how weights reach many instances: Tracker assigns
-// chunks to the agents of one failure domain, Downloader drives the transfer of
-// one instance, RateShare sets the share of a link that transfers may use, and
-// MakePlan calculates time and origin bytes in advance.
+// Package distribute contains the decision logic for distributing weights to
+// many instances. Tracker assigns chunks to the agents of one failure domain,
+// Downloader drives the transfer of one instance, LinkShare sets the share of a
+// link that transfers may use, and MakePlan estimates completion time and
+// origin traffic in advance.
 //
-// All types are pure decisions. They take the time as an argument and an
-// injected random source, start no goroutines and are not safe for concurrent
-// use.
+// The types perform no I/O and start no goroutines: callers pass in the current
+// time and a random source. They are not safe for concurrent use.
 package distribute
 
 import "time"
 
-// Origin is the source address that stands for the origin in assignments.
+// Origin is the source address that denotes the origin in assignments.
 const Origin = ""
 
 const (
-	// rateWeight is the weight of a new sample in moving averages of transfer
-	// times: four samples replace most of the old value.
-	rateWeight = 0.25
-	// deadlineFactor is the number of average transfer times after which a
-	// transfer counts as late. Fair sharing of a link makes single transfers
-	// several times slower than the average without a fault.
-	deadlineFactor = 8
+	// sampleWeight is the weight of a new sample in the moving averages of
+	// transfer times: four samples replace most of the previous value.
+	sampleWeight = 0.25
+	// timeoutFactor is the multiple of the average transfer time after which a
+	// transfer counts as late. Fair sharing of a link can make single transfers
+	// several times slower than the average without any fault.
+	timeoutFactor = 8
 )
 
-// average is a moving average of durations.
-type average struct{ value time.Duration }
+// movingAverage is an exponentially weighted moving average of durations. The
+// zero value has no samples.
+type movingAverage struct{ value time.Duration }
 
-func (a *average) add(d time.Duration) {
+func (a *movingAverage) add(d time.Duration) {
 	if a.value == 0 {
 		a.value = d
 		return
 	}
-	a.value += time.Duration(rateWeight * float64(d-a.value))
+	a.value += time.Duration(sampleWeight * float64(d-a.value))
 }
 
-// deadline returns a multiple of the average within bounds, or initial while
-// nothing has been observed.
-func (a *average) deadline(least, initial, most time.Duration) time.Duration {
+// timeout returns timeoutFactor times the average, limited to [lower, upper],
+// or initial if there are no samples.
+func (a *movingAverage) timeout(lower, initial, upper time.Duration) time.Duration {
 	if a.value == 0 {
 		return initial
 	}
-	return min(max(a.value*deadlineFactor, least), most)
+	return min(max(a.value*timeoutFactor, lower), upper)
 }
--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -8,9 +8,10 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Downloader owns the chunk state of one instance for the version that it
-// wants. Chunks are known by digest, so a change of version keeps what both
-// versions share, on disk and in flight.
+// Downloader tracks the chunks of the target version of one instance and
+// decides which to fetch from where. Chunks are identified by digest, so chunks
+// that two versions share are kept across a version change, on disk and in
+// flight.
 type Downloader struct {
 	cfg      DownloaderConfig
 	digest   model.Digest
@@ -20,44 +21,45 @@
 	held     map[model.Digest]bool
 	missing  int
 
-	lastID   uint64
-	active   map[uint64]*fetching
-	byChunk  map[model.Digest]int // fetches in flight
-	queue    []assigned
-	failures []wire.GrantFailure
-	attempts map[model.Digest]int // origin fetches of a chunk
-
-	chunkTime average
-	tracked   bool
-	sequence  uint64    // of the last announcement
-	answered  uint64    // last announcement that the tracker has answered
-	connected time.Time // when the connection to the tracker was new
-	waiting   time.Time // since when an announcement is unanswered; zero if none is
-	retry     time.Duration
-	dirty     bool
-	announced time.Time
-
-	originUntil time.Time // the origin asked to wait until then
-	backoff     time.Duration
-	solo        soloState
+	lastID         uint64
+	active         map[uint64]*activeFetch
+	inFlight       map[model.Digest]int // active fetches per chunk
+	queue          []pendingAssignment
+	failedGrants   []wire.GrantFailure
+	originAttempts map[model.Digest]int // origin fetches per chunk
+
+	transferTime     movingAverage
+	hasTracker       bool
+	sequence         uint64    // of the last announcement sent
+	answeredSequence uint64    // last announcement that the tracker answered
+	connectedAt      time.Time // start of the current tracker connection
+	unansweredSince  time.Time // start of the wait for the tracker's answer; zero if none is due
+	retryInterval    time.Duration
+	announceDue      bool
+	lastAnnounce     time.Time
+
+	originBlockedUntil time.Time // no origin fetches before this time
+	originBackoff      time.Duration
+	trackerless        trackerlessState
 }
 
-// NewDownloader returns a Downloader that wants nothing until SetTarget.
+// NewDownloader returns a Downloader without a target version; see SetTarget.
 func NewDownloader(cfg DownloaderConfig) *Downloader {
 	cfg.applyDefaults()
 	return &Downloader{
-		cfg:      cfg,
-		held:     make(map[model.Digest]bool),
-		active:   make(map[uint64]*fetching),
-		byChunk:  make(map[model.Digest]int),
-		attempts: make(map[model.Digest]int),
-		solo:     newSoloState(),
+		cfg:            cfg,
+		held:           make(map[model.Digest]bool),
+		active:         make(map[uint64]*activeFetch),
+		inFlight:       make(map[model.Digest]int),
+		originAttempts: make(map[model.Digest]int),
+		trackerless:    newTrackerlessState(),
 	}
 }
 
-// SetTarget names the wanted version and the chunks of it that the store holds.
-// It returns the fetches in flight that the new version does not need; the
-// owner ends them. Assignments of the old version are forgotten.
+// SetTarget sets the target version and the chunks of it that the store already
+// holds. It returns the IDs of active fetches that the new version does not
+// need; the caller must cancel them. Queued assignments for the previous
+// version are discarded.
 func (d *Downloader) SetTarget(now time.Time, digest model.Digest, m *weights.Manifest, have weights.Bitmap) (cancel []uint64) {
 	d.digest, d.manifest = digest, m
 	d.indexes = make(map[model.Digest][]int, len(m.Chunks))
@@ -79,149 +81,153 @@
 	}
 	for _, id := range sortedKeys(d.active) {
 		f := d.active[id]
-		f.grant = 0 // grants belong to the old version's tracker
+		f.grant = 0 // the grant belongs to the previous version's tracker
 		if _, wanted := d.indexes[f.Chunk.Digest]; !wanted || d.held[f.Chunk.Digest] {
 			cancel = append(cancel, id)
-			d.forget(f)
+			d.removeFetch(f)
 		}
 	}
-	d.queue, d.failures = nil, nil
-	d.attempts = make(map[model.Digest]int)
-	d.solo.reset(now)
-	d.dirty = true
+	d.queue, d.failedGrants = nil, nil
+	d.originAttempts = make(map[model.Digest]int)
+	d.trackerless.reset(now)
+	d.announceDue = true
 	return cancel
 }
 
-// HandleAssign takes a tracker's message. Assignments for another version, for held
-// chunks and for chunks in flight are dropped; the next announcement tells the
-// tracker.
+// HandleAssign processes a message from the tracker. Assignments for another
+// version and for chunks that are already held are dropped; the next
+// announcement tells the tracker which chunks are held.
 func (d *Downloader) HandleAssign(now time.Time, a *wire.Assign) {
 	if d.manifest == nil || a.Manifest != d.digest {
 		return
 	}
 	switch {
 	case a.Sequence == d.sequence:
-		d.waiting = time.Time{}
-	case a.Sequence > d.answered:
-		d.waiting = now
+		d.unansweredSince = time.Time{}
+	case a.Sequence > d.answeredSequence:
+		d.unansweredSince = now
 	}
-	d.answered = a.Sequence
-	d.tracked = true
+	d.answeredSequence = a.Sequence
+	d.hasTracker = true
 	if a.RetryMillis > 0 {
-		d.retry = time.Duration(a.RetryMillis) * time.Millisecond
+		d.retryInterval = time.Duration(a.RetryMillis) * time.Millisecond
 	}
-	d.solo.addPeers(a.Peers, d.cfg.Self)
-	for _, as := range a.Assignments {
-		if as.Chunk < 0 || as.Chunk >= len(d.manifest.Chunks) {
+	d.trackerless.addPeers(a.Peers, d.cfg.Self)
+	for _, assignment := range a.Assignments {
+		if assignment.Chunk < 0 || assignment.Chunk >= len(d.manifest.Chunks) {
 			continue
 		}
-		c := d.manifest.Chunks[as.Chunk]
-		if as.Source != Origin {
-			d.solo.addPeers([]string{as.Source}, d.cfg.Self)
+		c := d.manifest.Chunks[assignment.Chunk]
+		if assignment.Source != Origin {
+			d.trackerless.addPeers([]string{assignment.Source}, d.cfg.Self)
 		}
 		if d.held[c.Digest] {
-			d.dirty = true
+			d.announceDue = true
 			continue
 		}
-		d.queue = append(d.queue, assigned{
-			grant: as.Grant, chunk: c, source: as.Source,
-			deadline: now.Add(time.Duration(as.DeadlineMillis) * time.Millisecond),
+		d.queue = append(d.queue, pendingAssignment{
+			grant: assignment.Grant, chunk: c, source: assignment.Source,
+			deadline: now.Add(time.Duration(assignment.DeadlineMillis) * time.Millisecond),
 		})
 	}
 }
 
-// TrackerLost says that no tracker is reachable. The Downloader goes on by
-// itself until an assignment arrives.
+// TrackerLost reports that no tracker is reachable. The Downloader continues in
+// trackerless mode until it receives an assignment.
 func (d *Downloader) TrackerLost(now time.Time) {
-	if d.tracked {
-		d.solo.reset(now)
+	if d.hasTracker {
+		d.trackerless.reset(now)
 	}
-	d.tracked = false
+	d.hasTracker = false
 }
 
-// TrackerSilence is the time for which the tracker of the current connection has not
-// answered an announcement.
+// TrackerSilence returns how long an announcement on the current tracker
+// connection has been unanswered, or zero if none is.
 func (d *Downloader) TrackerSilence(now time.Time) time.Duration {
-	if d.waiting.IsZero() {
+	if d.unansweredSince.IsZero() {
 		return 0
 	}
-	return min(now.Sub(d.waiting), now.Sub(d.connected))
+	return min(now.Sub(d.unansweredSince), now.Sub(d.connectedAt))
 }
 
-// FetchProgress says how many bytes of a fetch have arrived.
+// FetchProgress records the total number of bytes that a fetch has received.
 func (d *Downloader) FetchProgress(now time.Time, id uint64, received int64) {
 	if f, ok := d.active[id]; ok && received > f.received {
-		f.received, f.progress = received, now
+		f.received, f.lastProgress = received, now
 	}
 }
 
-// FetchFinished takes the result of a fetch. A delivered chunk counts even if the
-// fetch is not known any more: its bytes were verified.
+// FetchFinished records the result of a fetch. A delivered chunk counts even if
+// the fetch was cancelled, because its digest has been verified. retryAfter is
+// the wait that a throttling source asked for.
 func (d *Downloader) FetchFinished(now time.Time, id uint64, chunk model.Digest, r Result, retryAfter time.Duration) {
 	f, known := d.active[id]
 	if known {
-		d.forget(f)
+		d.removeFetch(f)
 	}
 	if r == Delivered {
-		d.deliver(now, chunk, f)
+		d.markVerified(now, chunk, f)
 		return
 	}
 	if !known {
 		return
 	}
 	if f.Source == Origin && r == Throttled {
-		d.throttled(now, retryAfter)
+		d.backOffOrigin(now, retryAfter)
 	}
-	// Also while a tracker is connected: one that does not answer leaves the
-	// choice of peers to this agent.
-	d.solo.failed(now, f, r)
-	d.giveUp(f.grant, r)
+	// Peer failures are recorded with a tracker connected as well: if it stops
+	// answering, this agent selects peers itself.
+	d.trackerless.fetchFailed(now, f, r)
+	d.failGrant(f.grant, r)
 }
 
-func (d *Downloader) deliver(now time.Time, chunk model.Digest, f *fetching) {
+func (d *Downloader) markVerified(now time.Time, chunk model.Digest, f *activeFetch) {
 	if _, wanted := d.indexes[chunk]; !wanted || d.held[chunk] {
 		return
 	}
 	d.held[chunk] = true
 	d.missing--
-	d.dirty = true
+	d.announceDue = true
 	if f != nil {
-		d.chunkTime.add(now.Sub(f.started))
-		d.solo.delivered(f.Source)
+		d.transferTime.add(now.Sub(f.started))
+		d.trackerless.fetchDelivered(f.Source)
 		if f.Source == Origin {
-			d.backoff = 0
+			d.originBackoff = 0
 		}
 	}
 }
 
-// giveUp reports a grant that this instance will not use.
-func (d *Downloader) giveUp(grant uint64, r Result) {
-	d.dirty = true
+// failGrant queues a grant that this instance will not use for the next
+// announcement. Grant 0 means that the fetch was not assigned by a tracker.
+func (d *Downloader) failGrant(grant uint64, r Result) {
+	d.announceDue = true
 	if grant == 0 {
 		return
 	}
-	d.failures = append(d.failures, wire.GrantFailure{
+	d.failedGrants = append(d.failedGrants, wire.GrantFailure{
 		Grant: grant, Corrupt: r == Corrupt, Busy: r == Busy || r == Throttled,
 	})
 }
 
-// throttled backs off from the origin: at least as long as it asked, doubled
-// with each refusal in a row, with jitter so that agents don't return at once.
-func (d *Downloader) throttled(now time.Time, retryAfter time.Duration) {
-	d.backoff = min(max(d.backoff*2, d.cfg.MinBackoff), d.cfg.MaxBackoff)
-	wait := max(retryAfter, d.backoff)
+// backOffOrigin blocks origin fetches for at least the time that the origin
+// asked for. The wait doubles with each consecutive refusal and has jitter, so
+// that agents do not retry at the same time.
+func (d *Downloader) backOffOrigin(now time.Time, retryAfter time.Duration) {
+	d.originBackoff = min(max(d.originBackoff*2, d.cfg.MinBackoff), d.cfg.MaxBackoff)
+	wait := max(retryAfter, d.originBackoff)
 	wait += time.Duration(d.cfg.Rand.Int63n(int64(wait)/2 + 1))
-	d.originUntil = now.Add(wait)
+	d.originBlockedUntil = now.Add(wait)
 }
 
-func (d *Downloader) forget(f *fetching) {
+func (d *Downloader) removeFetch(f *activeFetch) {
 	delete(d.active, f.ID)
-	if d.byChunk[f.Chunk.Digest]--; d.byChunk[f.Chunk.Digest] <= 0 {
-		delete(d.byChunk, f.Chunk.Digest)
+	if d.inFlight[f.Chunk.Digest]--; d.inFlight[f.Chunk.Digest] <= 0 {
+		delete(d.inFlight, f.Chunk.Digest)
 	}
 }
 
-// Have returns the chunks that are verified.
+// Have returns a bitmap of the verified chunks. It must not be called before
+// SetTarget.
 func (d *Downloader) Have() weights.Bitmap {
 	have := weights.NewBitmap(len(d.manifest.Chunks))
 	for digest := range d.held {
@@ -235,8 +241,9 @@
 // Missing returns the number of distinct chunks that are not verified yet.
 func (d *Downloader) Missing() int { return d.missing }
 
-// Target returns the wanted version.
+// Target returns the manifest digest of the target version.
 func (d *Downloader) Target() model.Digest { return d.digest }
 
-// SetWindow changes the number of chunks that are fetched at one time.
+// SetWindow sets the maximum number of concurrent chunk fetches; values below 1
+// count as 1.
 func (d *Downloader) SetWindow(chunks int) { d.cfg.Window = max(1, chunks) }
--- a/lib/distribute/downloader_config.go
+++ b/lib/distribute/downloader_config.go
@@ -5,42 +5,46 @@
 	"time"
 )
 
-// DownloaderConfig holds the settings of a Downloader. Zero values get defaults.
+// DownloaderConfig configures a Downloader. Zero values are replaced by
+// defaults.
 type DownloaderConfig struct {
-	// Self is the peer address of the instance.
+	// Self is the instance's own peer address.
 	Self string
-	// Rand draws jitter and breaks ties.
+	// Rand is the source of jitter and random tie-breaking.
 	Rand *rand.Rand
-	// Window is the number of chunks that are fetched at one time. It bounds
-	// memory together with the chunk size.
+	// Window is the maximum number of concurrent chunk fetches. Together with
+	// the chunk size it bounds memory use.
 	Window int
-	// QueueDepth is the number of assignments that wait for a free place in the
-	// window, so that a place is not empty while the tracker is asked.
+	// QueueDepth is the number of assignments to request beyond the window, so
+	// that the window stays full while the tracker answers.
 	QueueDepth int
-	// MinAnnounceInterval bounds the frequency of announcements.
+	// MinAnnounceInterval is the minimum time between two announcements.
 	MinAnnounceInterval time.Duration
-	// HeartbeatInterval is the time after which an announcement is repeated although
-	// nothing has changed.
+	// HeartbeatInterval is the time after which an announcement is repeated
+	// without changes.
 	HeartbeatInterval time.Duration
-	// TrackerTimeout is the time without an answer of the tracker after which
-	// peers are used directly. It is several announcements long.
+	// TrackerTimeout is the time without an answer from the tracker after which
+	// chunks are fetched from peers without assignments. It spans several
+	// announcements.
 	TrackerTimeout time.Duration
-	// MinStallTimeout is the lower bound of the progress deadline, and MaxStall the
-	// deadline until a rate has been observed.
+	// MinStallTimeout and MaxStallTimeout limit the time without progress after
+	// which a fetch is cancelled. MaxStallTimeout also applies until a transfer
+	// time has been observed.
 	MinStallTimeout, MaxStallTimeout time.Duration
-	// OriginRankDelay is the wait for each rank in the rendezvous order of a chunk
-	// before an agent without a tracker takes the chunk from the origin.
+	// OriginRankDelay is the delay per rank in a chunk's rendezvous order
+	// before an agent without a tracker fetches the chunk from the origin.
 	OriginRankDelay time.Duration
-	// TrackerlessCopies is the budget of copies that the agents of a failure domain
-	// without a tracker take from the origin together.
+	// TrackerlessCopies is the number of copies of the weights that all agents
+	// of a failure domain without a tracker may together fetch from the origin.
 	TrackerlessCopies float64
-	// TrackerlessAgents is the number of agents that are expected to share the budget
-	// while fewer peers are known.
+	// TrackerlessAgents is the minimum number of agents that the origin budget
+	// is divided by, used while fewer peers are known.
 	TrackerlessAgents int
-	// TrackerlessRefillTime is the time over which an agent without a tracker regains its
-	// share of the budget, so that a lone agent completes in the end.
+	// TrackerlessRefillTime is the time in which an agent without a tracker
+	// regains its full share of the origin budget, so that even a single agent
+	// eventually completes.
 	TrackerlessRefillTime time.Duration
-	// MinBackoff and MaxBackoff bound the wait for a source that throttles.
+	// MinBackoff and MaxBackoff limit the backoff after the origin throttles.
 	MinBackoff, MaxBackoff time.Duration
 }
 
--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -7,38 +7,39 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Next returns what to do now. It is called after each event and a few times
-// per second.
+// Next returns the actions that are due at the given time. The caller invokes
+// it after each event and several times per second.
 func (d *Downloader) Next(now time.Time) Actions {
 	var a Actions
 	if d.manifest == nil {
 		return a
 	}
 	d.cancelStalled(now, &a)
-	d.cancelHeld(&a)
+	d.cancelDuplicates(&a)
 	d.startAssigned(now, &a)
-	// Each announcement is answered. While the answers stay away, peers are used
-	// directly, also while other trackers are tried; the origin only once the tracker counts as lost.
-	if d.missing > 0 && (!d.tracked || !d.waiting.IsZero() && now.Sub(d.waiting) > d.cfg.TrackerTimeout) {
-		d.startSolo(now, &a)
+	// Trackers answer every announcement. Without answers, chunks are fetched
+	// from peers directly, even while other trackers are tried. The origin is
+	// used only after TrackerLost.
+	if d.missing > 0 && (!d.hasTracker || !d.unansweredSince.IsZero() && now.Sub(d.unansweredSince) > d.cfg.TrackerTimeout) {
+		d.startTrackerless(now, &a)
 	}
 	d.announce(now, &a)
 	a.Done = d.missing == 0
 	return a
 }
 
-// stallAfter is the time without progress after which a fetch is given up. It
-// follows from the observed time for a whole chunk, because the bytes of a
-// chunk arrive unevenly when a link is shared.
-func (d *Downloader) stallAfter() time.Duration {
-	return d.chunkTime.deadline(d.cfg.MinStallTimeout, d.cfg.MaxStallTimeout, d.cfg.MaxStallTimeout)
+// stallTimeout returns the time without progress after which a fetch is
+// cancelled. It is derived from the observed time for a whole chunk, because
+// the bytes of a chunk arrive unevenly on a shared link.
+func (d *Downloader) stallTimeout() time.Duration {
+	return d.transferTime.timeout(d.cfg.MinStallTimeout, d.cfg.MaxStallTimeout, d.cfg.MaxStallTimeout)
 }
 
 func (d *Downloader) cancelStalled(now time.Time, a *Actions) {
-	limit := d.stallAfter()
+	timeout := d.stallTimeout()
 	for _, id := range sortedKeys(d.active) {
 		f := d.active[id]
-		if now.Sub(f.progress) < limit {
+		if now.Sub(f.lastProgress) < timeout {
 			continue
 		}
 		a.Cancel = append(a.Cancel, id)
@@ -47,87 +48,87 @@
 	}
 }
 
-// cancelHeld ends duplicates of chunks that another source has delivered.
-func (d *Downloader) cancelHeld(a *Actions) {
+// cancelDuplicates cancels fetches of chunks that another source has delivered.
+func (d *Downloader) cancelDuplicates(a *Actions) {
 	for _, id := range sortedKeys(d.active) {
 		if f := d.active[id]; d.held[f.Chunk.Digest] {
 			a.Cancel = append(a.Cancel, id)
-			d.forget(f)
+			d.removeFetch(f)
 		}
 	}
 }
 
 func (d *Downloader) startAssigned(now time.Time, a *Actions) {
-	keep := d.queue[:0]
-	for _, as := range d.queue {
+	remaining := d.queue[:0]
+	for _, assignment := range d.queue {
 		switch {
-		case d.held[as.chunk.Digest]:
-			d.dirty = true
-		case !now.Before(as.deadline):
-			// The tracker has granted the chunk again; a process that was paused
-			// must not start on the old grant.
-			d.giveUp(as.grant, Busy)
-		case as.source == Origin && now.Before(d.originUntil):
-			if d.originUntil.After(as.deadline) {
-				d.giveUp(as.grant, Throttled)
+		case d.held[assignment.chunk.Digest]:
+			d.announceDue = true
+		case !now.Before(assignment.deadline):
+			// The tracker has reassigned the chunk. A process that was paused must
+			// not act on the expired grant.
+			d.failGrant(assignment.grant, Busy)
+		case assignment.source == Origin && now.Before(d.originBlockedUntil):
+			if d.originBlockedUntil.After(assignment.deadline) {
+				d.failGrant(assignment.grant, Throttled)
 			} else {
-				keep = append(keep, as)
+				remaining = append(remaining, assignment)
 			}
 		case len(d.active) >= d.cfg.Window:
-			keep = append(keep, as)
+			remaining = append(remaining, assignment)
 		default:
-			a.Start = append(a.Start, d.start(now, as.chunk, as.source, as.grant))
+			a.Start = append(a.Start, d.startFetch(now, assignment.chunk, assignment.source, assignment.grant))
 		}
 	}
-	d.queue = keep
+	d.queue = remaining
 }
 
-func (d *Downloader) start(now time.Time, c weights.Chunk, source string, grant uint64) Fetch {
+func (d *Downloader) startFetch(now time.Time, c weights.Chunk, source string, grant uint64) Fetch {
 	d.lastID++
-	f := &fetching{
+	f := &activeFetch{
 		Fetch:   Fetch{ID: d.lastID, Object: d.manifest.Object, Offset: d.offsets[c.Digest], Chunk: c, Source: source},
 		grant:   grant,
-		started: now, progress: now,
+		started: now, lastProgress: now,
 	}
 	if source == Origin {
-		f.Attempt = d.attempts[c.Digest]
-		d.attempts[c.Digest]++
+		f.Attempt = d.originAttempts[c.Digest]
+		d.originAttempts[c.Digest]++
 	}
 	d.active[f.ID] = f
-	d.byChunk[c.Digest]++
+	d.inFlight[c.Digest]++
 	return f.Fetch
 }
 
 func (d *Downloader) announce(now time.Time, a *Actions) {
-	since := now.Sub(d.announced)
-	repeat := d.cfg.HeartbeatInterval
-	if d.missing > 0 && d.retry > 0 {
-		repeat = min(repeat, d.retry)
+	elapsed := now.Sub(d.lastAnnounce)
+	interval := d.cfg.HeartbeatInterval
+	if d.missing > 0 && d.retryInterval > 0 {
+		interval = min(interval, d.retryInterval)
 	}
-	if since < d.cfg.MinAnnounceInterval || !d.dirty && since < repeat {
+	if elapsed < d.cfg.MinAnnounceInterval || !d.announceDue && elapsed < interval {
 		return
 	}
-	busy := len(d.active) + len(d.queue)
+	unfinished := len(d.active) + len(d.queue)
 	d.sequence++
-	if d.waiting.IsZero() {
-		d.waiting = now
+	if d.unansweredSince.IsZero() {
+		d.unansweredSince = now
 	}
 	a.Announce = &wire.Announce{
 		Manifest: d.digest,
 		Have:     d.Have(),
-		Failed:   d.failures,
-		Active:   busy,
+		Failed:   d.failedGrants,
+		Active:   unfinished,
 		Sequence: d.sequence,
 	}
 	if d.missing > 0 {
-		a.Announce.Slots = max(d.cfg.Window+d.cfg.QueueDepth-busy, 0)
+		a.Announce.Slots = max(d.cfg.Window+d.cfg.QueueDepth-unfinished, 0)
 	}
-	d.failures, d.dirty, d.announced = nil, false, now
+	d.failedGrants, d.announceDue, d.lastAnnounce = nil, false, now
 }
 
-// TrackerConnected says that the connection to a tracker is new. The next announcement
-// is immediate: it needs the whole state.
+// TrackerConnected reports a new connection to a tracker. The next announcement
+// is sent immediately, because a new tracker needs the full state.
 func (d *Downloader) TrackerConnected(now time.Time) {
-	d.dirty, d.announced = true, time.Time{}
-	d.connected, d.answered = now, 0
+	d.announceDue, d.lastAnnounce = true, time.Time{}
+	d.connectedAt, d.answeredSequence = now, 0
 }
--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_solo.go
@@ -9,107 +9,117 @@
 )
 
 const (
-	// maxKnownPeers bounds the peers that an agent without a tracker asks.
+	// maxKnownPeers is the maximum number of peers that are remembered for
+	// trackerless mode.
 	maxKnownPeers = 64
-	// askEvery is the time between questions to one peer for its bitmap.
-	askEvery = 500 * time.Millisecond
-	// asksAtOnce bounds the peers that are asked in one step.
-	asksAtOnce = 4
-	// badFor is how long another source is preferred for a chunk that arrived
-	// corrupt from a peer.
-	badFor = 5 * time.Second
-	// peerBackoff is the wait before a peer that failed is used again. It doubles
-	// with each failure in a row, up to maxPeerBackoff: a path that stalls for good
-	// would otherwise hold a place of the window half of the time.
-	peerBackoff    = time.Second
+	// peerQueryInterval is the time between two bitmap queries to the same
+	// peer.
+	peerQueryInterval = 500 * time.Millisecond
+	// maxPeerQueries is the maximum number of peers queried in one call of
+	// Next.
+	maxPeerQueries = 4
+	// corruptAvoidTime is how long a chunk is not fetched again from a peer
+	// that sent it corrupt.
+	corruptAvoidTime = 5 * time.Second
+	// minPeerBackoff is the wait after a failed fetch before the peer is used
+	// again. It doubles with each consecutive failure up to maxPeerBackoff: a
+	// permanently stalled path would otherwise occupy a window slot half of the
+	// time.
+	minPeerBackoff = time.Second
 	maxPeerBackoff = 32 * time.Second
-	// maxBackoffShift keeps the doubling from overflowing.
+	// maxBackoffShift limits the doubling to avoid overflow.
 	maxBackoffShift = 5
 )
 
-// soloPeer is what an agent without a tracker knows about a peer.
-type soloPeer struct {
-	have  weights.Bitmap
-	asked time.Time
-	until time.Time // not used before
-	// failures counts the failed fetches since the last delivered one.
+// trackerlessPeer is the state of a peer for trackerless mode.
+type trackerlessPeer struct {
+	have         weights.Bitmap
+	queriedAt    time.Time
+	blockedUntil time.Time // not used before this time
+	// failures is the number of failed fetches since the last delivered one.
 	failures int
-	// bad holds chunks that arrived corrupt, until they may be tried again.
-	bad map[model.Digest]time.Time
+	// corruptUntil maps chunks that arrived corrupt from the peer to the time
+	// at which they may be fetched from it again.
+	corruptUntil map[model.Digest]time.Time
 }
 
-// soloState drives a transfer without a tracker.
-type soloState struct {
-	peers map[string]*soloPeer
+// trackerlessState is the state of a transfer in trackerless mode.
+type trackerlessState struct {
+	peers map[string]*trackerlessPeer
 	since time.Time
-	// jitter is drawn per agent, so that agents with close ranks differ.
-	jitter  time.Duration
-	drawn   bool
-	credit  float64 // bytes that may be taken from the origin now, kept by reset
-	updated time.Time
+	// jitter is chosen per agent, so that agents of adjacent ranks do not start
+	// origin fetches at the same time.
+	jitter        time.Duration
+	jitterDrawn   bool
+	originCredit  float64 // bytes that may be fetched from the origin now; kept by reset
+	creditUpdated time.Time
 }
 
-func newSoloState() soloState { return soloState{peers: make(map[string]*soloPeer)} }
+func newTrackerlessState() trackerlessState {
+	return trackerlessState{peers: make(map[string]*trackerlessPeer)}
+}
 
-func (s *soloState) reset(now time.Time) {
-	s.since, s.drawn = now, false
+func (s *trackerlessState) reset(now time.Time) {
+	s.since, s.jitterDrawn = now, false
 	for _, p := range s.peers {
-		p.have = nil // bitmaps are of the old version
+		p.have = nil // bitmaps refer to the previous version
 	}
 }
 
-func (s *soloState) addPeers(addresses []string, self string) {
+func (s *trackerlessState) addPeers(addresses []string, self string) {
 	for _, a := range addresses {
 		if _, ok := s.peers[a]; !ok && a != self && len(s.peers) < maxKnownPeers {
-			s.peers[a] = &soloPeer{bad: make(map[model.Digest]time.Time)}
+			s.peers[a] = &trackerlessPeer{corruptUntil: make(map[model.Digest]time.Time)}
 		}
 	}
 }
 
-func (s *soloState) failed(now time.Time, f *fetching, r Result) {
+func (s *trackerlessState) fetchFailed(now time.Time, f *activeFetch, r Result) {
 	p, ok := s.peers[f.Source]
 	if !ok {
 		return
 	}
 	switch r {
 	case Corrupt:
-		p.bad[f.Chunk.Digest] = now.Add(badFor)
+		p.corruptUntil[f.Chunk.Digest] = now.Add(corruptAvoidTime)
 	case Busy:
-		p.until = now.Add(peerBackoff / 4)
+		p.blockedUntil = now.Add(minPeerBackoff / 4)
 	default:
-		p.until = now.Add(min(peerBackoff<<min(p.failures, maxBackoffShift), maxPeerBackoff))
+		p.blockedUntil = now.Add(min(minPeerBackoff<<min(p.failures, maxBackoffShift), maxPeerBackoff))
 		p.failures++
 	}
 }
 
-func (s *soloState) delivered(source string) {
+func (s *trackerlessState) fetchDelivered(source string) {
 	if p, ok := s.peers[source]; ok {
 		p.failures = 0
 	}
 }
 
-// SetPeers names peers for use without a tracker.
-func (d *Downloader) SetPeers(addresses []string) { d.solo.addPeers(addresses, d.cfg.Self) }
+// SetPeers adds peers to the ones known for trackerless mode.
+func (d *Downloader) SetPeers(addresses []string) { d.trackerless.addPeers(addresses, d.cfg.Self) }
 
-// SetPeerBitmap takes the bitmap of a peer for a version, asked for by AskPeers.
+// SetPeerBitmap records a peer's answer to a query of QueryPeers. An answer for
+// another version than the target is ignored.
 func (d *Downloader) SetPeerBitmap(address string, version model.Digest, have weights.Bitmap) {
-	if p, ok := d.solo.peers[address]; ok && version == d.digest {
+	if p, ok := d.trackerless.peers[address]; ok && version == d.digest {
 		p.have = have
 	}
 }
 
-// startSolo fills the window from peers, and from the origin for chunks whose
-// turn it is in the rendezvous order and while the budget lasts.
-func (d *Downloader) startSolo(now time.Time, a *Actions) {
-	s := &d.solo
-	if !s.drawn {
-		s.drawn = true
+// startTrackerless fills the window with fetches from peers, and with fetches
+// from the origin for chunks whose turn it is in the rendezvous order, as far
+// as the origin budget allows.
+func (d *Downloader) startTrackerless(now time.Time, a *Actions) {
+	s := &d.trackerless
+	if !s.jitterDrawn {
+		s.jitterDrawn = true
 		s.jitter = time.Duration(d.cfg.Rand.Int63n(int64(d.cfg.OriginRankDelay)))
 	}
-	if s.updated.IsZero() {
-		s.credit, s.updated = d.soloShare(), now
+	if s.creditUpdated.IsZero() {
+		s.originCredit, s.creditUpdated = d.originBudget(), now
 	}
-	d.askPeers(now, a)
+	d.queryPeers(now, a)
 	order := d.cfg.Rand.Perm(len(d.manifest.Chunks))
 	names := append(sortedKeys(s.peers), d.cfg.Self)
 	for _, i := range order {
@@ -117,90 +127,92 @@
 			return
 		}
 		c := d.manifest.Chunks[i]
-		if d.held[c.Digest] || d.byChunk[c.Digest] > 0 {
+		if d.held[c.Digest] || d.inFlight[c.Digest] > 0 {
 			continue
 		}
-		if peer, held := d.soloPeerFor(now, i, c.Digest); peer != "" {
-			a.Start = append(a.Start, d.start(now, c, peer, 0))
-		} else if !held && !d.tracked && d.soloOrigin(now, c, names) {
-			a.Start = append(a.Start, d.start(now, c, Origin, 0))
+		if peer, available := d.choosePeer(now, i, c.Digest); peer != "" {
+			a.Start = append(a.Start, d.startFetch(now, c, peer, 0))
+		} else if !available && !d.hasTracker && d.reserveOrigin(now, c, names) {
+			a.Start = append(a.Start, d.startFetch(now, c, Origin, 0))
 		}
 	}
 }
 
-// shuffledPeers returns the known peers in random order.
+// shuffledPeers returns the addresses of the known peers in random order.
 func (d *Downloader) shuffledPeers() []string {
-	names := sortedKeys(d.solo.peers)
+	names := sortedKeys(d.trackerless.peers)
 	d.cfg.Rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names
 }
 
-func (d *Downloader) askPeers(now time.Time, a *Actions) {
+func (d *Downloader) queryPeers(now time.Time, a *Actions) {
 	for _, name := range d.shuffledPeers() {
-		p := d.solo.peers[name]
-		if len(a.QueryPeers) >= asksAtOnce {
+		p := d.trackerless.peers[name]
+		if len(a.QueryPeers) >= maxPeerQueries {
 			return
 		}
-		if now.Sub(p.asked) >= askEvery {
-			p.asked = now
+		if now.Sub(p.queriedAt) >= peerQueryInterval {
+			p.queriedAt = now
 			a.QueryPeers = append(a.QueryPeers, name)
 		}
 	}
 }
 
-// soloPeerFor returns a peer that holds a chunk and may be used now, the one with
-// the fewest transfers to this agent and a random one among equals: with a fixed
-// order all agents without a tracker would use the same few peers. Held says
-// that some peer has a good copy, so that the origin isn't needed.
-func (d *Downloader) soloPeerFor(now time.Time, index int, digest model.Digest) (address string, held bool) {
-	busy := make(map[string]int)
+// choosePeer returns a usable peer that holds a chunk, or "" if there is none.
+// It prefers the peer with the fewest active transfers to this agent and
+// chooses randomly among equals: with a fixed order all agents without a
+// tracker would use the same few peers. available reports whether some peer has
+// a good copy, possibly after a short wait, so that the origin is not needed.
+func (d *Downloader) choosePeer(now time.Time, index int, digest model.Digest) (address string, available bool) {
+	transfers := make(map[string]int)
 	for _, f := range d.active {
-		busy[f.Source]++
+		transfers[f.Source]++
 	}
-	best := -1
+	fewest := -1
 	for _, name := range d.shuffledPeers() {
-		p := d.solo.peers[name]
-		if !p.have.Get(index) || now.Before(p.bad[digest]) {
+		p := d.trackerless.peers[name]
+		if !p.have.Get(index) || now.Before(p.corruptUntil[digest]) {
 			continue
 		}
-		if now.Sub(p.until) < d.cfg.OriginRankDelay {
-			held = true
+		if now.Sub(p.blockedUntil) < d.cfg.OriginRankDelay {
+			available = true
 		}
-		if now.Before(p.until) {
+		if now.Before(p.blockedUntil) {
 			continue
 		}
-		held = true
-		if best < 0 || busy[name] < best {
-			address, best = name, busy[name]
+		available = true
+		if fewest < 0 || transfers[name] < fewest {
+			address, fewest = name, transfers[name]
 		}
 	}
-	return address, held
+	return address, available
 }
 
-// soloShare is this instance's share of the origin budget in bytes.
-func (d *Downloader) soloShare() float64 {
-	agents := max(len(d.solo.peers)+1, d.cfg.TrackerlessAgents)
+// originBudget returns this instance's share of the trackerless origin budget
+// in bytes.
+func (d *Downloader) originBudget() float64 {
+	agents := max(len(d.trackerless.peers)+1, d.cfg.TrackerlessAgents)
 	return float64(d.manifest.TotalSize()) * d.cfg.TrackerlessCopies / float64(agents)
 }
 
-// soloOrigin reports whether a chunk may be taken from the origin now, and
-// takes its bytes from the budget.
-func (d *Downloader) soloOrigin(now time.Time, c weights.Chunk, names []string) bool {
-	s := &d.solo
+// reserveOrigin reports whether a chunk may be fetched from the origin now. If
+// so, it deducts the chunk's size from the budget.
+func (d *Downloader) reserveOrigin(now time.Time, c weights.Chunk, names []string) bool {
+	s := &d.trackerless
 	waited := now.Sub(s.since) - s.jitter
-	if now.Before(d.originUntil) || waited < d.cfg.OriginRankDelay {
+	if now.Before(d.originBlockedUntil) || waited < d.cfg.OriginRankDelay {
 		return false
 	}
-	share := d.soloShare()
-	s.credit = min(s.credit+share*now.Sub(s.updated).Seconds()/d.cfg.TrackerlessRefillTime.Seconds(), max(share, float64(c.Size)))
-	s.updated = now
-	if s.credit < float64(c.Size) {
+	budget := d.originBudget()
+	s.originCredit = min(s.originCredit+budget*now.Sub(s.creditUpdated).Seconds()/d.cfg.TrackerlessRefillTime.Seconds(), max(budget, float64(c.Size)))
+	s.creditUpdated = now
+	if s.originCredit < float64(c.Size) {
 		return false
 	}
 	rank := slices.Index(RendezvousOrder(c.Digest, names), d.cfg.Self)
 	if waited < time.Duration(rank+1)*d.cfg.OriginRankDelay {
 		return false
 	}
-	s.credit -= float64(c.Size)
+	s.originCredit -= float64(c.Size)
 	return true
 }
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -12,10 +12,11 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-var _ = Describe("weights under single failures", func() {
+var _ = Describe("Weight distribution with a single kind of fault", func() {
 	const chunks = 40
 
-	It("finds a second source when links stall (guards against waiting for a silent source)", func() {
+	// Guards against waiting indefinitely for a source that sends nothing.
+	It("uses another source when links stall", func() {
 		s := newSim(11, 1, 6, 1, chunks, 0)
 		for _, a := range s.agents[:3] {
 			s.stalled[[2]string{a.identity.Address, s.agents[5].identity.Address}] = true
@@ -24,28 +25,32 @@
 		Expect(s.run(time.Minute, nil)).To(Succeed())
 	})
 
-	It("completes although peers and origin send corrupt chunks (guards against storing or offering one)", func() {
+	// Guards against storing or offering a corrupt chunk.
+	It("completes when peers and the origin send corrupt chunks", func() {
 		s := newSim(12, 2, 5, 1, chunks, 0)
-		s.corrupt = 0.05
+		s.corruptShare = 0.05
 		Expect(s.run(time.Minute, nil)).To(Succeed())
 		Expect(s.originStarts - s.originWaste).To(BeNumerically("<=", 2*chunks*12/10))
 	})
 
-	It("keeps shared chunks when the version changes and changes back (guards against mixed sets and refetching)", func() {
+	// Guards against sets that mix versions, and against fetching shared chunks
+	// again.
+	It("keeps shared chunks when the target version changes and changes back", func() {
 		s := newSim(13, 1, 4, 1, chunks, chunks/2)
 		for range 40 {
 			Expect(s.step()).To(Succeed())
 		}
 		for _, version := range []int{1, 0} {
 			for _, a := range s.agents {
-				s.want(a, version)
+				s.setTarget(a, version)
 			}
 			Expect(s.run(time.Minute, nil)).To(Succeed())
 		}
 		Expect(s.originStarts - s.originWaste).To(BeNumerically("<=", chunks*3/2*12/10))
 	})
 
-	It("continues with the next tracker, and without any (guards against chunks lost with a tracker)", func() {
+	// Guards against chunks that are never fetched because a tracker failed.
+	It("continues with the next tracker, and then without a tracker", func() {
 		s := newSim(14, 1, 6, 2, chunks, 0)
 		for range 20 {
 			Expect(s.step()).To(Succeed())
@@ -59,14 +64,16 @@
 		Expect(s.originStarts - s.originWaste).To(BeNumerically("<=", chunks*24/10))
 	})
 
-	It("keeps the origin budget when no tracker was ever reachable (guards against all agents reading everything)", func() {
+	// Guards against every agent reading all weights from the origin.
+	It("stays within the origin budget when no tracker was ever reachable", func() {
 		s := newSim(15, 1, 8, 1, chunks, 0)
 		s.domains[0].trackers[0].down = true
 		Expect(s.run(10*time.Minute, nil)).To(Succeed())
 		Expect(s.originStarts - s.originWaste).To(BeNumerically("<=", chunks*12/10+8))
 	})
 
-	It("backs off from a throttled origin (guards against retry storms)", func() {
+	// Guards against retry storms.
+	It("backs off when the origin throttles", func() {
 		s := newSim(16, 1, 4, 1, chunks, 0)
 		s.throttleUntil = s.now.Add(10 * time.Second)
 		Expect(s.run(time.Minute, nil)).To(Succeed())
@@ -83,13 +90,14 @@
 		return model.Identity{Instance: model.InstanceID(name), Generation: 1, Address: name}
 	}
 
-	It("grants an expired origin chunk again with a new number and takes the late result (guards against a paused holder)", func() {
+	// Guards against a paused agent that holds a chunk's only grant.
+	It("reassigns the chunk of an expired origin grant and accepts the late result", func() {
 		now := time.Unix(0, 0)
 		t := distribute.NewTracker(now, distribute.TrackerConfig{Manifest: manifest, OriginStreams: 1})
 		t.HandleAnnounce(now, agent("a"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
 		first := t.Schedule(now)[0].Assign.Assignments[0]
 		t.HandleAnnounce(now, agent("b"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
-		Expect(t.Schedule(now)).To(BeEmpty(), "one origin stream at a time")
+		Expect(t.Schedule(now)).To(BeEmpty(), "the only origin stream is in use")
 
 		now = now.Add(6 * time.Second)
 		again := t.Schedule(now)
@@ -100,10 +108,11 @@
 		have.Set(first.Chunk)
 		n := t.HandleAnnounce(now, agent("a"), &wire.Announce{Have: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
 		Expect(n.OutdatedResults).To(BeNumerically(">=", 1))
-		Expect(n.FailedSources).To(BeEmpty(), "a report about an old grant changes nothing")
+		Expect(n.FailedSources).To(BeEmpty(), "a failure of an expired grant is not counted against the source")
 	})
 
-	It("avoids a peer after several corrupt chunks (guards against one bad source delaying all)", func() {
+	// Guards against one corrupt source that delays all agents.
+	It("avoids a peer that sent several corrupt chunks", func() {
 		now := time.Unix(0, 0)
 		t := distribute.NewTracker(now, distribute.TrackerConfig{Manifest: manifest, OriginStreams: 1})
 		full := weights.NewBitmap(16)
@@ -147,20 +156,21 @@
 		return in
 	}
 
-	It("takes one copy when origin bytes are favoured and is never slower when time is", func() {
+	It("plans one copy if origin traffic is favoured and a shorter time if time is", func() {
 		bytes, fast := distribute.MakePlan(input(0)), distribute.MakePlan(input(1))
 		Expect(bytes.Policy.Copies).To(Equal(1))
 		Expect(fast.EstimatedTime).To(BeNumerically("<", bytes.EstimatedTime))
 		Expect(fast.EstimatedTime).To(BeNumerically(">=", fast.LowerBound))
 	})
 
-	It("says when the target cannot be met (guards against a promise that the links refute)", func() {
+	// Guards against promising a time that the links cannot achieve.
+	It("reports that the target time cannot be met", func() {
 		in := input(1)
 		in.TargetTime = time.Second
 		Expect(distribute.MakePlan(in).MeetsTarget).To(BeFalse())
 	})
 
-	It("divides chunks between domains without messages", func() {
+	It("ranks exactly one failure domain first for each chunk", func() {
 		p := distribute.MakePlan(input(0)).Policy
 		for i := range 30 {
 			first := 0
@@ -174,20 +184,22 @@
 	})
 })
 
-var _ = Describe("RateShare", func() {
-	It("halves the share near the target and regains it slowly (guards against transfers that delay live requests)", func() {
-		r, now := distribute.NewLinkShare(distribute.LinkShareConfig{TargetFirstToken: time.Second}), time.Unix(0, 0)
-		Expect(r.Observe(now, 900*time.Millisecond)).To(BeNumerically("~", 0.4, 1e-9))
-		Expect(r.Observe(now.Add(time.Millisecond), time.Minute)).To(BeNumerically("~", 0.4, 1e-9))
-		Expect(r.Observe(now.Add(time.Second), 0)).To(BeNumerically("~", 0.45, 1e-9))
+var _ = Describe("LinkShare", func() {
+	// Guards against transfers that delay live requests.
+	It("halves the share above the threshold and increases it slowly afterwards", func() {
+		share, now := distribute.NewLinkShare(distribute.LinkShareConfig{TargetFirstToken: time.Second}), time.Unix(0, 0)
+		Expect(share.Observe(now, 900*time.Millisecond)).To(BeNumerically("~", 0.4, 1e-9))
+		Expect(share.Observe(now.Add(time.Millisecond), time.Minute)).To(BeNumerically("~", 0.4, 1e-9))
+		Expect(share.Observe(now.Add(time.Second), 0)).To(BeNumerically("~", 0.45, 1e-9))
 	})
 
-	It("keeps a declared maximum (guards against a setting that has no effect)", func() {
-		r, now := distribute.NewLinkShare(distribute.LinkShareConfig{TargetFirstToken: time.Second}), time.Unix(0, 0)
-		r.SetMax(0.3)
-		Expect(r.Share()).To(BeNumerically("~", 0.3, 1e-9))
+	// Guards against a maximum that has no effect.
+	It("does not exceed the configured maximum", func() {
+		share, now := distribute.NewLinkShare(distribute.LinkShareConfig{TargetFirstToken: time.Second}), time.Unix(0, 0)
+		share.SetMax(0.3)
+		Expect(share.Share()).To(BeNumerically("~", 0.3, 1e-9))
 		for i := range 20 {
-			Expect(r.Observe(now.Add(time.Duration(i)*time.Second), 0)).To(BeNumerically("<=", 0.3))
+			Expect(share.Observe(now.Add(time.Duration(i)*time.Second), 0)).To(BeNumerically("<=", 0.3))
 		}
 	})
 })
--- a/lib/distribute/fetch.go
+++ b/lib/distribute/fetch.go
@@ -7,69 +7,72 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Fetch asks the owner of a Downloader to transfer one chunk.
+// Fetch is a request to the owner of a Downloader to transfer one chunk.
 type Fetch struct {
-	// ID names the fetch in Progress and Finished.
+	// ID identifies the fetch in FetchProgress and FetchFinished.
 	ID uint64
-	// Object and Offset locate the chunk at the origin, in bytes.
+	// Object and Offset locate the chunk at the origin. Offset is in bytes.
 	Object string
 	Offset int64
 	Chunk  weights.Chunk
 	// Source is a peer address, or Origin.
 	Source string
-	// Attempt counts the origin fetches of this chunk. The owner alternates
-	// between the origin and the weight store by it.
+	// Attempt is the number of earlier origin fetches of this chunk; it is 0
+	// for peers. The owner uses it to alternate between the weight store and
+	// the origin.
 	Attempt int
 }
 
-// Result says how a fetch ended.
+// Result is the outcome of a fetch.
 type Result uint8
 
 // Results of a fetch.
 const (
 	// Delivered means that the chunk was verified and stored.
 	Delivered Result = iota + 1
-	// Corrupt means that the bytes did not match the digest.
+	// Corrupt means that the received bytes did not match the digest.
 	Corrupt
 	// Absent means that the source does not hold the chunk.
 	Absent
-	// Busy means that the source had no free slot.
+	// Busy means that the source had no free upload slot.
 	Busy
-	// Failed means that the connection or the read failed.
+	// Failed means that the connection or a read failed.
 	Failed
-	// Throttled means that the source asked to come back later.
+	// Throttled means that the source asked the agent to retry later.
 	Throttled
-	// Stalled means that the progress deadline passed. Only the Downloader
-	// itself gives this result.
+	// Stalled means that a fetch made no progress within the stall timeout.
+	// Only the Downloader itself produces this result.
 	Stalled
 )
 
-// Actions is what the owner of a Downloader does next.
+// Actions lists what the owner of a Downloader has to do next.
 type Actions struct {
 	Start []Fetch
-	// Cancel lists fetches whose results are no longer wanted. What the owner
-	// has received of an origin range it may keep and resume from.
+	// Cancel lists fetches whose results are no longer needed. The owner may
+	// keep what it has received of an origin range and resume from there.
 	Cancel []uint64
-	// Announce is sent to the tracker when it is set.
+	// Announce is sent to the tracker if it is not nil.
 	Announce *wire.Announce
-	// QueryPeers lists peers whose bitmaps are wanted, without a tracker.
+	// QueryPeers lists peers to query for their bitmaps in trackerless mode.
 	QueryPeers []string
-	// StalledSources lists the sources of fetches that just stalled.
+	// StalledSources lists the sources of the fetches that stalled in this
+	// call.
 	StalledSources []string
-	Done           bool
+	// Done reports that all chunks of the target version are held.
+	Done bool
 }
 
-// fetching is a fetch in flight.
-type fetching struct {
+// activeFetch is a fetch in progress.
+type activeFetch struct {
 	Fetch
-	grant    uint64
-	started  time.Time
-	received int64
-	progress time.Time // last time that bytes arrived
+	grant        uint64
+	started      time.Time
+	received     int64
+	lastProgress time.Time // when bytes last arrived
 }
 
-// assigned is an assignment that has not been started.
-type assigned struct {
+// pendingAssignment is an assignment whose fetch has not started yet.
+type pendingAssignment struct {
 	grant    uint64
 	chunk    weights.Chunk
 	source   string
--- a/lib/distribute/fuzz_test.go
+++ b/lib/distribute/fuzz_test.go
@@ -8,9 +8,10 @@
 )
 
 // TestSurvivorsComplete runs trackers and downloaders in simulated time with
-// kills, corruption, stalled links, tracker deaths and version changes together.
-// The oracle: an instance never reports a partial or mixed set complete, all
-// survivors complete, and origin reads stay within the budget.
+// killed agents, corrupt chunks, stalled links, tracker failures and version
+// changes. It checks that an instance never reports an incomplete or mixed set
+// as complete, that all surviving instances complete, and that origin reads
+// stay within the budget.
 func TestSurvivorsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.IntRange(1, 3).Draw(t, "domains")
@@ -19,7 +20,7 @@
 		chunks := rapid.IntRange(1, 40).Draw(t, "chunks")
 		s := newSim(rapid.Int64().Draw(t, "seed"), domains, perDomain, trackers, chunks, rapid.IntRange(0, chunks).Draw(t, "shared"))
 		s.policy.Copies = rapid.IntRange(1, domains).Draw(t, "copies")
-		s.corrupt = rapid.Float64Range(0, 0.3).Draw(t, "corrupt")
+		s.corruptShare = rapid.Float64Range(0, 0.3).Draw(t, "corrupt")
 		trackerless := false
 		faults := rapid.SliceOfN(rapid.IntRange(0, 4), 0, 12).Draw(t, "faults")
 		changes := 0
@@ -34,26 +35,26 @@
 			b := s.agents[rapid.IntRange(0, len(s.agents)-1).Draw(t, "peer")]
 			tracker := a.domain.trackers[rapid.IntRange(0, trackers-1).Draw(t, "tracker")]
 			switch kind {
-			case 0:
+			case 0: // kill an agent
 				if !a.dead {
 					s.kill(a)
 				}
-			case 1:
+			case 1: // stall the link between two agents
 				if a != b {
 					s.stalled[[2]string{a.identity.Address, b.identity.Address}] = true
 				}
-			case 2:
+			case 2: // stop or start a tracker
 				tracker.down = !tracker.down
 				trackerless = true
-			case 3:
+			case 3: // change the target version
 				version := rapid.IntRange(0, 1).Draw(t, "version")
 				changes++
 				for _, x := range s.agents {
 					if !x.dead && x.target != version {
-						s.want(x, version)
+						s.setTarget(x, version)
 					}
 				}
-			case 4:
+			case 4: // stall one direction between an agent and a tracker
 				from, to := a.identity.Address, tracker.address
 				if rapid.Bool().Draw(t, "direction") {
 					from, to = to, from
@@ -69,16 +70,17 @@
 		if changes > 0 {
 			distinct *= 2
 		}
-		// 1.2 copies for each failure domain; without a tracker agents have a
-		// budget of their own, which is regained every two minutes.
-		// An agent behind a stalled link from the only holder needs a copy of its own.
+		// The budget is 1.2 copies per failure domain. Agents without a tracker
+		// have a budget of their own, which is refilled every two minutes. An
+		// agent behind a stalled link from the only holder needs a copy of its
+		// own.
 		budget := 12*domains*distinct/10 + 1 + s.reroutes + len(s.stalled)*distinct
 		if trackerless {
 			budget += 12 * domains * distinct / 10 * int(1+s.now.Sub(s.start)/(2*time.Minute))
 			budget += len(s.agents)
 		}
 		if used := s.originStarts - s.originWaste; used > budget {
-			t.Fatalf("%d useful origin reads, budget %d", used, budget)
+			t.Fatalf("%d useful origin reads exceed the budget of %d", used, budget)
 		}
 	})
 }
--- a/lib/distribute/main_test.go
+++ b/lib/distribute/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// fuzzSeed makes the fuzz test repeat the same cases; -rapid.seed overrides it.
+// fuzzSeed makes the rapid tests repeat the same cases. -rapid.seed overrides
+// it.
 const fuzzSeed = "20261204"
 
 func TestMain(m *testing.M) {
--- a/lib/distribute/notice.go
+++ b/lib/distribute/notice.go
@@ -2,24 +2,28 @@
 
 import "github.com/auburnbend/auburnbend/lib/wire"
 
-// AnnounceReport is what an announcement showed that operators may want to know.
+// AnnounceReport lists problems that an announcement revealed and that are
+// worth logging.
 type AnnounceReport struct {
-	// CorruptSources lists the sources of chunks that did not match their digest.
+	// CorruptSources lists the sources of chunks that did not match their
+	// digest.
 	CorruptSources []string
-	// FailedSources lists the sources of transfers that failed otherwise.
+	// FailedSources lists the sources of transfers that failed in any other
+	// way.
 	FailedSources []string
-	// OutdatedResults counts results of grants that had expired. They are used: the
-	// agent verified the chunk.
+	// OutdatedResults is the number of results for grants that had already
+	// expired. Chunks delivered this way are used, because the agent verified
+	// them.
 	OutdatedResults int
 }
 
-// Stats counts what a tracker did.
+// Stats holds the cumulative counters of a Tracker.
 type Stats struct {
 	OriginGrants  int
 	ExpiredGrants int
 }
 
-// AgentAssign is a message for one agent, named by its address.
+// AgentAssign is a message for the agent with the given address.
 type AgentAssign struct {
 	Address string
 	Assign  *wire.Assign
--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -11,59 +11,63 @@
 type DomainInput struct {
 	Location  model.Location
 	Instances int
-	// DownloadRate and Upload are the rates of one instance's link that transfers
-	// may use, in bytes per second.
+	// DownloadRate and UploadRate are the part of one instance's link rate that
+	// transfers may use, in bytes per second.
 	DownloadRate, UploadRate float64
 }
 
-// PlanInput is what a plan is calculated from. All rates are in bytes per
-// second and include the share that transfers may use.
+// PlanInput is the input of MakePlan. All rates are in bytes per second and
+// cover only the share of a link that transfers may use.
 type PlanInput struct {
-	// Size is the sum of the chunk sizes in bytes, and ChunkSize the largest.
+	// Size is the sum of the chunk sizes and ChunkSize the size of the largest
+	// chunk, in bytes.
 	Size, ChunkSize int64
 	Domains         []DomainInput
 	// OriginRate is the rate of the origin's link.
 	OriginRate float64
 	// InterRegionRate is the rate between two regions in each direction.
 	InterRegionRate float64
-	// MaxCopies is the budget of copies from the origin; 0 means one for each
-	// failure domain.
+	// MaxCopies is the maximum number of copies to read from the origin; 0
+	// allows one per failure domain.
 	MaxCopies int
-	// TimeWeight is between 0 (save origin bytes) and 1 (save time).
+	// TimeWeight is between 0 (minimize origin traffic) and 1 (minimize time).
 	TimeWeight float64
-	// TargetTime is the wanted time to the last instance; 0 means none.
+	// TargetTime is the desired time until the last instance holds the weights;
+	// 0 means no target.
 	TargetTime time.Duration
 }
 
-// Plan is the outcome of MakePlan.
+// Plan is the result of MakePlan.
 type Plan struct {
 	Policy Policy
-	// PerRegion is true when copies are counted for each region rather than for
-	// each failure domain.
+	// PerRegion is true if copies are counted per region instead of per failure
+	// domain.
 	PerRegion bool
-	// LowerBound is the time that no plan can beat.
+	// LowerBound is the minimum time that any plan needs.
 	LowerBound time.Duration
 	// EstimatedTime is the estimated time until all instances hold the weights.
 	EstimatedTime time.Duration
-	// OriginBytes is the estimate of bytes read from the origin.
+	// OriginBytes is the estimated number of bytes read from the origin.
 	OriginBytes int64
-	// MeetsTarget is false when the target is below the estimated time.
+	// MeetsTarget is false if the estimated time exceeds the target.
 	MeetsTarget bool
 }
 
-// tieShare is the difference in time below which two plans count as equally
-// fast. It is the precision of the estimate; the one with fewer copies wins.
-const tieShare = 0.01
+// tieThreshold is the relative difference in time below which two plans count
+// as equally fast. It matches the precision of the estimate; of two such plans
+// the one with fewer copies is preferred.
+const tieThreshold = 0.01
 
-// MakePlan calculates time and origin bytes for each number of copies within
-// the budget and chooses by the declared weight.
+// MakePlan estimates time and origin traffic for each allowed number of copies
+// and selects the best plan according to TimeWeight. Without domains it returns
+// a plan that does nothing.
 func MakePlan(in PlanInput) Plan {
-	most := len(in.Domains)
+	maxCopies := len(in.Domains)
 	if in.MaxCopies > 0 {
-		most = min(most, in.MaxCopies)
+		maxCopies = min(maxCopies, in.MaxCopies)
 	}
 	var plans []Plan
-	for copies := 1; copies <= most; copies++ {
+	for copies := 1; copies <= maxCopies; copies++ {
 		plans = append(plans, in.estimate(copies))
 	}
 	if len(plans) == 0 {
@@ -75,12 +79,12 @@
 	}
 	best, bestCost := plans[0], math.Inf(1)
 	for _, p := range plans {
-		slower := float64(p.EstimatedTime)/float64(fastest) - 1
-		if slower < tieShare {
-			slower = 0
+		extraTime := float64(p.EstimatedTime)/float64(fastest) - 1
+		if extraTime < tieThreshold {
+			extraTime = 0
 		}
-		more := float64(p.OriginBytes)/float64(plans[0].OriginBytes) - 1
-		if cost := in.TimeWeight*slower + (1-in.TimeWeight)*more; cost < bestCost {
+		extraBytes := float64(p.OriginBytes)/float64(plans[0].OriginBytes) - 1
+		if cost := in.TimeWeight*extraTime + (1-in.TimeWeight)*extraBytes; cost < bestCost {
 			best, bestCost = p, cost
 		}
 	}
@@ -88,9 +92,9 @@
 	return best
 }
 
-// estimate calculates the plan for a number of copies. A failure domain is
-// complete when it has received one copy from the origin and the other regions
-// together and has passed the last chunk on.
+// estimate computes the plan for a number of copies. A failure domain is
+// complete when it has received one copy, from the origin and other regions
+// combined, and has forwarded the last chunk to all of its instances.
 func (in PlanInput) estimate(copies int) Plan {
 	regions := make(map[model.Region]int)
 	instances, uploads := 0, 0.0
@@ -105,33 +109,33 @@
 	}
 	size := float64(in.Size)
 	bound := max(size/in.OriginRate, size/slowest, float64(instances)*size/(in.OriginRate+uploads))
-	p.LowerBound = seconds(bound)
+	p.LowerBound = toDuration(bound)
 	p.PerRegion = copies <= len(regions) && len(regions) < len(in.Domains)
 
-	// External bytes: each region needs one copy. Copies above the number of
-	// regions replace exchange between domains of one region.
+	// Each region needs one external copy. Copies beyond the number of regions
+	// replace exchange between the failure domains of a region.
 	groups := float64(len(regions))
 	if !p.PerRegion && copies > len(regions) {
 		groups = float64(len(in.Domains))
 	}
-	inbound := float64(len(regions)-1) * in.InterRegionRate * float64(len(regions)) // all regions together
+	inbound := float64(len(regions)-1) * in.InterRegionRate * float64(len(regions)) // sum over all regions
 	k := float64(copies)
 	external := max(groups*size/(in.OriginRate+inbound), size/in.OriginRate)
 	if forwarded := (groups - k) * size; forwarded > 0 {
 		if inbound <= 0 {
-			external = math.Inf(1) // the rest cannot be forwarded
+			external = math.Inf(1) // no links to forward the remaining copies over
 		} else {
 			external = max(external, forwarded/inbound)
 		}
 	}
 	fanOut := math.Ceil(math.Log2(float64(instances)/float64(max(len(in.Domains), 1)) + 1))
 	tail := fanOut * float64(in.ChunkSize) / slowest
-	p.EstimatedTime = seconds(max(bound, external) + tail)
+	p.EstimatedTime = toDuration(max(bound, external) + tail)
 	p.OriginBytes = int64(min(k*size, max(size, in.OriginRate*max(bound, external))))
 	return p
 }
 
-func seconds(s float64) time.Duration {
+func toDuration(s float64) time.Duration {
 	if math.IsInf(s, 1) || s > math.MaxInt64/float64(time.Second) {
 		return math.MaxInt64
 	}
--- a/lib/distribute/policy.go
+++ b/lib/distribute/policy.go
@@ -4,20 +4,21 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Policy is the part of a plan that trackers follow: which failure domains
-// take which chunks from the origin.
+// Policy is the part of a plan that trackers apply: it determines which failure
+// domains fetch which chunks from the origin.
 type Policy struct {
-	// Domains lists the failure domains that get the weights.
+	// Domains lists the failure domains that receive the weights.
 	Domains []model.Location
-	// Copies is the number of failure domains that may take one chunk from the
-	// origin. The others take it over inter-region links.
+	// Copies is the number of failure domains that may fetch one chunk from the
+	// origin. The others receive it over inter-region links.
 	Copies int
 }
 
-// Rank returns the position of a failure domain among those that may take a
-// chunk from the origin. All trackers compute the same ranks, so domains divide
-// the chunks without exchanging messages. The best domain of each region comes
-// first, so that each region gets a copy before a second domain of a region.
+// Rank returns the position of a failure domain among those that may fetch a
+// chunk from the origin, starting at 0. All trackers compute the same ranks, so
+// failure domains divide the chunks without coordination. The first domain of
+// each region ranks ahead of all second domains, so that each region gets a
+// copy first. A domain outside the policy has rank 0.
 func (p Policy) Rank(chunk model.Digest, domain model.FailureDomain) int {
 	names := make([]string, 0, len(p.Domains))
 	regions := make(map[string]model.Region, len(p.Domains))
@@ -41,5 +42,5 @@
 			return i
 		}
 	}
-	return 0 // a domain outside the plan takes what it needs
+	return 0 // a domain outside the policy fetches whatever it needs
 }
--- a/lib/distribute/rateshare.go
+++ b/lib/distribute/rateshare.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// LinkShareConfig holds the settings of a RateShare. Zero values get defaults.
+// LinkShareConfig configures a LinkShare. Zero values are replaced by defaults.
 type LinkShareConfig struct {
-	// Min and Max bound the share of the link, over 0 and up to 1. Min keeps a
-	// transfer moving while live requests are slow for another reason.
+	// Min and Max limit the share of the link, greater than 0 and at most 1.
+	// Min keeps transfers moving when live requests are slow for another
+	// reason.
 	Min, Max float64
-	// TargetFirstToken is the time to first token that live requests must keep.
+	// TargetFirstToken is the time to first token that live requests must meet.
 	TargetFirstToken time.Duration
-	// Threshold is the part of Target from which on the share falls.
+	// Threshold is the fraction of TargetFirstToken at which the share starts
+	// to decrease.
 	Threshold float64
-	// Decrease multiplies the share when the target is near.
+	// Decrease is the factor applied to the share at or above the threshold.
 	Decrease float64
-	// Increase is added to the share otherwise.
+	// Increase is added to the share below the threshold.
 	Increase float64
-	// Interval is the time between two steps: a step's effect must be visible in
-	// the observed times before the next one.
+	// Interval is the minimum time between two adjustments, so that the effect
+	// of one is visible in the observed times before the next.
 	Interval time.Duration
 }
 
@@ -30,42 +32,43 @@
 	defaultTo(&c.Interval, time.Second)
 }
 
-// LinkShare sets the share of a link that transfers use, so that they yield to
-// live requests.
+// LinkShare controls the share of a link that transfers use, so that they yield
+// to live requests. The share increases additively and decreases
+// multiplicatively.
 type LinkShare struct {
 	cfg   LinkShareConfig
 	share float64
 	last  time.Time
 }
 
-// NewLinkShare returns a RateShare that starts at its maximum.
+// NewLinkShare returns a LinkShare that starts at the maximum share.
 func NewLinkShare(cfg LinkShareConfig) *LinkShare {
 	cfg.applyDefaults()
 	return &LinkShare{cfg: cfg, share: cfg.Max}
 }
 
-// Observe takes the recent time to first token, or 0 if no live requests ran,
-// and returns the share to use from now on.
-func (r *LinkShare) Observe(now time.Time, firstToken time.Duration) float64 {
-	if !r.last.IsZero() && now.Sub(r.last) < r.cfg.Interval {
-		return r.share
+// Observe records the recent time to first token, or 0 if there were no live
+// requests, and returns the share to use from now on.
+func (s *LinkShare) Observe(now time.Time, firstToken time.Duration) float64 {
+	if !s.last.IsZero() && now.Sub(s.last) < s.cfg.Interval {
+		return s.share
 	}
-	r.last = now
-	if firstToken >= time.Duration(r.cfg.Threshold*float64(r.cfg.TargetFirstToken)) {
-		r.share = max(r.share*r.cfg.Decrease, r.cfg.Min)
+	s.last = now
+	if firstToken >= time.Duration(s.cfg.Threshold*float64(s.cfg.TargetFirstToken)) {
+		s.share = max(s.share*s.cfg.Decrease, s.cfg.Min)
 	} else {
-		r.share = min(r.share+r.cfg.Increase, r.cfg.Max)
+		s.share = min(s.share+s.cfg.Increase, s.cfg.Max)
 	}
-	return r.share
+	return s.share
 }
 
-// SetMax sets the largest share, over 0 and up to 1, which an operator may change
+// SetMax sets the maximum share, greater than 0 and at most 1. It may change
 // while transfers run.
-func (r *LinkShare) SetMax(most float64) {
-	r.cfg.Max = most
-	r.cfg.Min = min(r.cfg.Min, most)
-	r.share = min(r.share, most)
+func (s *LinkShare) SetMax(maxShare float64) {
+	s.cfg.Max = maxShare
+	s.cfg.Min = min(s.cfg.Min, maxShare)
+	s.share = min(s.share, maxShare)
 }
 
-// Share returns the share in use.
-func (r *LinkShare) Share() float64 { return r.share }
+// Share returns the current share.
+func (s *LinkShare) Share() float64 { return s.share }
--- a/lib/distribute/rendezvous.go
+++ b/lib/distribute/rendezvous.go
@@ -10,9 +10,9 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// RendezvousOrder returns names in the order of their hash with a digest. All
-// processes compute the same order, and the loss of one name moves only what
-// was assigned to it.
+// RendezvousOrder sorts names by their hash with a key (rendezvous hashing).
+// All processes compute the same order, and removing a name changes only the
+// keys for which it ranked first. names is not modified.
 func RendezvousOrder(key model.Digest, names []string) []string {
 	type scored struct {
 		name  string
--- a/lib/distribute/sim_step_test.go
+++ b/lib/distribute/sim_step_test.go
@@ -10,11 +10,11 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// step advances time by simStep.
+// step advances the simulation by simStep.
 func (s *sim) step() error {
 	s.now = s.now.Add(simStep)
 	if s.now.Sub(s.start)%(100*time.Millisecond) == 0 {
-		s.trackerTick()
+		s.tickTrackers()
 	}
 	for _, a := range s.agents {
 		if a.dead {
@@ -24,65 +24,65 @@
 		inbox := a.inbox
 		a.inbox = nil
 		for _, m := range inbox {
-			a.d.HandleAssign(s.now, m)
+			a.downloader.HandleAssign(s.now, m)
 		}
-		s.finish(a)
-		if err := s.act(a); err != nil {
+		s.finishFetches(a)
+		if err := s.applyActions(a); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reconnect does what the transfer assembly does: it leaves a silent tracker for
-// the next one and reports when there is none.
+// reconnect imitates the transfer service: it replaces a silent tracker by the
+// next reachable one, or reports to the Downloader that there is none.
 func (s *sim) reconnect(a *simAgent) {
-	if a.tracker != nil && !a.tracker.down && a.d.TrackerSilence(s.now) < 1500*time.Millisecond {
+	if a.tracker != nil && !a.tracker.down && a.downloader.TrackerSilence(s.now) < 1500*time.Millisecond {
 		return
 	}
 	if a.tracker != nil {
 		s.connect(a, nil)
 	}
 	for _, t := range a.domain.trackers {
-		if !t.down && !s.cut(a.identity.Address, t.address) && !s.cut(t.address, a.identity.Address) {
+		if !t.down && !s.isStalled(a.identity.Address, t.address) && !s.isStalled(t.address, a.identity.Address) {
 			s.connect(a, t)
 			return
 		}
 	}
-	a.d.TrackerLost(s.now)
+	a.downloader.TrackerLost(s.now)
 }
 
-func (s *sim) finish(a *simAgent) {
+func (s *sim) finishFetches(a *simAgent) {
 	for _, id := range slices.Sorted(maps.Keys(a.active)) {
 		f := a.active[id]
-		if s.now.Before(f.ends) {
+		if s.now.Before(f.endsAt) {
 			continue
 		}
 		source := f.Source
 		if source == distribute.Origin {
 			source = "origin"
 		}
-		if s.cut(source, a.identity.Address) {
-			continue // no byte ever arrives
+		if s.isStalled(source, a.identity.Address) {
+			continue // nothing arrives over a stalled link
 		}
 		delete(a.active, id)
-		r, retry := s.outcome(f.Source, f.Chunk.Digest)
+		r, retry := s.fetchResult(f.Source, f.Chunk.Digest)
 		if r == distribute.Delivered {
 			a.store[f.Chunk.Digest] = true
 		} else {
-			s.failed(f)
+			s.countFailure(f)
 		}
-		a.d.FetchFinished(s.now, id, f.Chunk.Digest, r, retry)
+		a.downloader.FetchFinished(s.now, id, f.Chunk.Digest, r, retry)
 	}
 }
 
-func (s *sim) outcome(source string, chunk model.Digest) (distribute.Result, time.Duration) {
+func (s *sim) fetchResult(source string, chunk model.Digest) (distribute.Result, time.Duration) {
 	if source == distribute.Origin {
 		if s.now.Before(s.throttleUntil) {
 			return distribute.Throttled, 200 * time.Millisecond
 		}
 	} else {
-		holder := s.byAddress(source)
+		holder := s.findAgent(source)
 		if holder == nil || holder.dead {
 			return distribute.Failed, 0
 		}
@@ -90,13 +90,13 @@
 			return distribute.Absent, 0
 		}
 	}
-	if s.rng.Float64() < s.corrupt {
+	if s.rng.Float64() < s.corruptShare {
 		return distribute.Corrupt, 0
 	}
 	return distribute.Delivered, 0
 }
 
-func (s *sim) byAddress(address string) *simAgent {
+func (s *sim) findAgent(address string) *simAgent {
 	for _, a := range s.agents {
 		if a.identity.Address == address {
 			return a
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// run steps until all living agents are complete or the time is over.
+// run calls step until all surviving agents are complete. It returns an error
+// if they are not within limit. each, if not nil, is called before every step.
 func (s *sim) run(limit time.Duration, each func()) error {
 	for end := s.now.Add(limit); s.now.Before(end); {
 		if each != nil {
@@ -120,7 +121,7 @@
 	}
 	for _, a := range s.agents {
 		if !a.dead && !a.done {
-			return fmt.Errorf("%s misses %d chunks of version %d after %s", a.identity.Address, a.d.Missing(), a.target, limit)
+			return fmt.Errorf("%s lacks %d chunks of version %d after %s", a.identity.Address, a.downloader.Missing(), a.target, limit)
 		}
 	}
 	return nil
--- a/lib/distribute/sim_test.go
+++ b/lib/distribute/sim_test.go
@@ -14,8 +14,9 @@
 // simStep is the resolution of simulated time.
 const simStep = 10 * time.Millisecond
 
-// sim runs Trackers and Downloaders in simulated time with faults. It keeps the
-// truth about which instance holds which bytes, against which tests check.
+// sim runs Trackers and Downloaders in simulated time and injects faults. It
+// records which instance really holds which chunks, so that tests can check
+// what the Downloaders report.
 type sim struct {
 	now      time.Time
 	start    time.Time
@@ -26,15 +27,16 @@
 	agents   []*simAgent
 	policy   distribute.Policy
 
-	corrupt float64            // share of transfers that arrive corrupt
-	stalled map[[2]string]bool // directed pairs that carry nothing
-	// throttleUntil makes the origin refuse reads until then.
+	corruptShare float64            // probability that a transfer arrives corrupt
+	stalled      map[[2]string]bool // directed pairs of addresses between which nothing is delivered
+	// throttleUntil is the time before which the origin refuses reads.
 	throttleUntil time.Time
 
-	originStarts int // chunk reads from the origin
-	originWaste  int // of these: corrupt, cancelled, throttled or lost with a killed agent
-	// reroutes counts failed transfers from peers. For each the design allows
-	// another source, which is the origin if no other agent has the chunk.
+	originStarts int // chunk reads started from the origin
+	originWaste  int // of originStarts: corrupt, cancelled, throttled or lost with a killed agent
+	// reroutes is the number of failed transfers from peers. After each of them
+	// another source may be used, which is the origin if no other agent holds
+	// the chunk.
 	reroutes int
 }
 
@@ -44,29 +46,29 @@
 }
 
 type simTracker struct {
-	address string
-	down    bool
-	byVer   map[model.Digest]*distribute.Tracker
+	address  string
+	down     bool
+	byDigest map[model.Digest]*distribute.Tracker
 }
 
 type simAgent struct {
-	identity model.Identity
-	domain   *simDomain
-	d        *distribute.Downloader
-	store    map[model.Digest]bool
-	target   int
-	active   map[uint64]*simFetch
-	tracker  *simTracker
-	inbox    []*wire.Assign
-	last     uint64 // last announcement that the tracker saw
-	switched time.Time
-	dead     bool
-	done     bool
+	identity     model.Identity
+	domain       *simDomain
+	downloader   *distribute.Downloader
+	store        map[model.Digest]bool
+	target       int
+	active       map[uint64]*simFetch
+	tracker      *simTracker
+	inbox        []*wire.Assign
+	lastSequence uint64 // last announcement that the tracker received
+	switched     time.Time
+	dead         bool
+	done         bool
 }
 
 type simFetch struct {
 	distribute.Fetch
-	ends time.Time
+	endsAt time.Time
 }
 
 func newSim(seed int64, domains, perDomain, trackers, chunks, shared int) *sim {
@@ -89,7 +91,7 @@
 	for i := range domains {
 		d := &simDomain{location: model.Location{Region: model.Region(fmt.Sprint("r", i)), FailureDomain: model.FailureDomain(fmt.Sprint("d", i))}}
 		for t := range trackers {
-			d.trackers = append(d.trackers, &simTracker{address: fmt.Sprintf("t%d-%d", i, t), byVer: make(map[model.Digest]*distribute.Tracker)})
+			d.trackers = append(d.trackers, &simTracker{address: fmt.Sprintf("t%d-%d", i, t), byDigest: make(map[model.Digest]*distribute.Tracker)})
 		}
 		s.domains = append(s.domains, d)
 		s.policy.Domains = append(s.policy.Domains, d.location)
@@ -98,7 +100,7 @@
 			s.agents = append(s.agents, &simAgent{
 				identity: model.Identity{Instance: model.InstanceID(address), Generation: 1, Location: d.location, Address: address},
 				domain:   d, store: make(map[model.Digest]bool), active: make(map[uint64]*simFetch),
-				d: distribute.NewDownloader(distribute.DownloaderConfig{Self: address, Rand: rand.New(rand.NewSource(seed + int64(len(s.agents)))), TrackerlessAgents: perDomain}),
+				downloader: distribute.NewDownloader(distribute.DownloaderConfig{Self: address, Rand: rand.New(rand.NewSource(seed + int64(len(s.agents)))), TrackerlessAgents: perDomain}),
 			})
 		}
 	}
@@ -106,15 +108,15 @@
 	for _, a := range s.agents {
 		for _, b := range s.agents {
 			if a.domain == b.domain {
-				a.d.SetPeers([]string{b.identity.Address})
+				a.downloader.SetPeers([]string{b.identity.Address})
 			}
 		}
-		s.want(a, 0)
+		s.setTarget(a, 0)
 	}
 	return s
 }
 
-func (s *sim) want(a *simAgent, version int) {
+func (s *sim) setTarget(a *simAgent, version int) {
 	m := s.versions[version]
 	have := weights.NewBitmap(len(m.Chunks))
 	for i, c := range m.Chunks {
@@ -123,7 +125,7 @@
 		}
 	}
 	a.target, a.done = version, false
-	for _, id := range a.d.SetTarget(s.now, s.digests[version], m, have) {
+	for _, id := range a.downloader.SetTarget(s.now, s.digests[version], m, have) {
 		s.cancel(a, id)
 	}
 	s.connect(a, nil)
@@ -131,13 +133,13 @@
 
 func (s *sim) cancel(a *simAgent, id uint64) {
 	if f, ok := a.active[id]; ok {
-		s.failed(f)
+		s.countFailure(f)
 	}
 	delete(a.active, id)
 }
 
-// failed counts a transfer that did not deliver.
-func (s *sim) failed(f *simFetch) {
+// countFailure counts a transfer that did not deliver its chunk.
+func (s *sim) countFailure(f *simFetch) {
 	if f.Source == distribute.Origin {
 		s.originWaste++
 	} else {
@@ -145,33 +147,34 @@
 	}
 }
 
-// connect moves an agent to a tracker, or to none.
+// connect connects an agent to a tracker, or disconnects it if t is nil.
 func (s *sim) connect(a *simAgent, t *simTracker) {
 	if a.tracker != nil && a.tracker != t {
-		for _, tr := range a.tracker.byVer {
+		for _, tr := range a.tracker.byDigest {
 			tr.RemoveAgent(a.identity.Address)
 		}
 	}
-	a.tracker, a.inbox, a.last, a.switched = t, nil, 0, s.now
+	a.tracker, a.inbox, a.lastSequence, a.switched = t, nil, 0, s.now
 	if t != nil {
-		a.d.TrackerConnected(s.now)
+		a.downloader.TrackerConnected(s.now)
 	}
 }
 
 func (s *sim) tracker(t *simTracker, d *simDomain, version int) *distribute.Tracker {
-	tr, ok := t.byVer[s.digests[version]]
+	tr, ok := t.byDigest[s.digests[version]]
 	if !ok {
 		tr = distribute.NewTracker(s.now, distribute.TrackerConfig{
 			Digest: s.digests[version], Manifest: s.versions[version], Location: d.location,
 			Policy: s.policy, Rand: rand.New(rand.NewSource(s.rng.Int63())),
 		})
-		t.byVer[s.digests[version]] = tr
+		t.byDigest[s.digests[version]] = tr
 	}
 	return tr
 }
 
-// kill ends an agent. Chunks that no other agent holds are lost with it, so
-// reading them again is no waste of the budget.
+// kill stops an agent for good. Chunks that no other agent of its failure
+// domain holds are lost, so reading them again does not count against the
+// budget.
 func (s *sim) kill(a *simAgent) {
 	for id := range a.active {
 		s.cancel(a, id)
@@ -189,4 +192,4 @@
 	}
 }
 
-func (s *sim) cut(from, to string) bool { return s.stalled[[2]string{from, to}] }
+func (s *sim) isStalled(from, to string) bool { return s.stalled[[2]string{from, to}] }
--- a/lib/distribute/solo_test.go
+++ b/lib/distribute/solo_test.go
@@ -15,10 +15,10 @@
 )
 
 var _ = Describe("Agents without a tracker", func() {
-	// Guards against a fixed order of peers, by which all agents without a tracker
-	// took their chunks from the same one or two of 20 and finished at a tenth of
-	// their links' rate.
-	It("spread over the peers that hold the chunks", func() {
+	// Guards against choosing peers in a fixed order, which makes all agents
+	// without a tracker fetch from the same one or two of 20 peers, at a tenth
+	// of the rate of their links.
+	It("distribute their fetches over the peers that hold the chunks", func() {
 		now := time.Unix(0, 0)
 		m, err := weights.BuildBytes(make([]byte, 64), "o", model.Digest{}, 64)
 		Expect(err).NotTo(HaveOccurred())
@@ -43,9 +43,9 @@
 		Expect(len(used)).To(BeNumerically(">", 5))
 	})
 
-	// Guards against a peer behind a stalled path that is chosen again at once
-	// because a tracker is connected that does not answer.
-	It("leave a stalled peer alone for longer after each failure", func() {
+	// Guards against choosing a peer behind a stalled path again at once while
+	// a tracker is connected that does not answer.
+	It("avoid a stalled peer for longer after each failure", func() {
 		now := time.Unix(0, 0)
 		m, err := weights.BuildBytes(make([]byte, 64), "o", model.Digest{}, 64)
 		Expect(err).NotTo(HaveOccurred())
@@ -56,16 +56,16 @@
 		d := distribute.NewDownloader(distribute.DownloaderConfig{Self: "self", Rand: rand.New(rand.NewSource(1))})
 		d.SetTarget(now, digest, m, weights.NewBitmap(1))
 		d.TrackerConnected(now)
-		// One answer, then silence.
+		// The tracker answers once and then falls silent.
 		d.HandleAssign(now, &wire.Assign{Manifest: digest})
 		d.SetPeers([]string{"peer"})
 		d.SetPeerBitmap("peer", digest, have)
 		var starts []time.Duration
-		begun := now
+		begin := now
 		for range 2000 {
 			now = now.Add(10 * time.Millisecond)
 			for _, f := range d.Next(now).Start {
-				starts = append(starts, now.Sub(begun))
+				starts = append(starts, now.Sub(begin))
 				d.FetchFinished(now, f.ID, f.Chunk.Digest, distribute.Failed, 0)
 			}
 		}
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -11,37 +11,39 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// maxPeersNamed bounds the addresses in Assign.Peers.
-const maxPeersNamed = 16
+// maxAssignPeers is the maximum number of addresses in Assign.Peers.
+const maxAssignPeers = 16
 
-// Tracker decides which agent of one failure domain takes which chunk of one
-// version from where. All its state is soft: it is rebuilt from announcements.
+// Tracker decides which agent of one failure domain fetches which chunk of one
+// version from which source. Its state is soft: it can be rebuilt from
+// announcements.
 type Tracker struct {
 	cfg   TrackerConfig
-	ranks []int // position of this domain in the policy, for each chunk
-	order []int // distinct chunks by rank, at random among equals
+	ranks []int // rank of this failure domain in the policy, per chunk
+	order []int // distinct chunks by rank, in random order within a rank
 
 	peers     map[string]*peer
 	sorted    []*peer // by address; nil after a change
 	grants    map[uint64]*grant
-	overdue   map[uint64]*grant // expired, kept to recognise late results
+	expired   map[uint64]*grant // kept for some time to recognise late results
 	lastGrant uint64
-	fresh     []int // scratch list of Schedule
-	holders   []int // agents that hold each chunk
-	inFlight  []int // active grants of each chunk
+	absent    []int // buffer of Schedule; see listAbsent
+	holders   []int // number of agents that hold each chunk
+	inFlight  []int // number of active grants for each chunk
 
 	originActive int
-	originTime   average
-	remoteTime   average
-	peerTime     average
+	originTime   movingAverage
+	remoteTime   movingAverage
+	peerTime     movingAverage
 	remote       map[string]*remoteDomain // by address of the other tracker
 	regions      map[model.Region]*remoteRegion
-	lastRemote   time.Time // last chunk that came from another failure domain
+	lastRemote   time.Time // when the last chunk arrived from another failure domain
 	stats        Stats
 }
 
-// NewTracker returns a tracker without peers. Grant numbers start at a random
-// number, so that numbers of an earlier tracker are not taken for its own.
+// NewTracker returns a Tracker without agents. Grant numbers start at a random
+// value, so that numbers issued by an earlier tracker are not mistaken for its
+// own.
 func NewTracker(now time.Time, cfg TrackerConfig) *Tracker {
 	cfg.applyDefaults()
 	n := len(cfg.Manifest.Chunks)
@@ -50,7 +52,7 @@
 		ranks:      make([]int, n),
 		peers:      make(map[string]*peer),
 		grants:     make(map[uint64]*grant),
-		overdue:    make(map[uint64]*grant),
+		expired:    make(map[uint64]*grant),
 		lastGrant:  uint64(cfg.Rand.Uint32()) << 20,
 		holders:    make([]int, n),
 		inFlight:   make([]int, n),
@@ -59,7 +61,7 @@
 		lastRemote: now,
 	}
 	// A chunk that occurs several times in the manifest is assigned once: the
-	// agent that receives it marks all its positions.
+	// agent that receives it marks all of its positions.
 	seen := make(map[model.Digest]bool, n)
 	for i, c := range cfg.Manifest.Chunks {
 		if seen[c.Digest] {
@@ -74,11 +76,12 @@
 	return t
 }
 
-// HandleAnnounce takes an agent's report. Assignments follow from Schedule.
+// HandleAnnounce updates the state of an agent from its announcement. Call
+// Schedule afterwards to obtain new assignments.
 func (t *Tracker) HandleAnnounce(now time.Time, from model.Identity, a *wire.Announce) AnnounceReport {
 	p, ok := t.peers[from.Address]
 	if ok && p.generation != from.Generation {
-		t.RemoveAgent(from.Address) // another process under the same address
+		t.RemoveAgent(from.Address) // another process at the same address
 		ok = false
 	}
 	if !ok {
@@ -86,18 +89,20 @@
 		t.peers[from.Address] = p
 		t.sorted = nil
 	}
-	p.seen = now
+	p.lastSeen = now
 	var n AnnounceReport
 	for _, f := range a.Failed {
-		t.failed(now, p, f, &n)
+		t.grantFailed(now, p, f, &n)
 	}
-	t.update(now, p, a.Have, &n)
-	// Grants that the agent had not seen when it announced count as well.
+	t.updateBitmap(now, p, a.Have, &n)
+	// Slots counts beyond the assignments that the agent knew of when it sent
+	// the announcement; grants that crossed with it also count against the
+	// window.
 	p.window = a.Slots + a.Active
 	return n
 }
 
-func (t *Tracker) failed(now time.Time, p *peer, f wire.GrantFailure, n *AnnounceReport) {
+func (t *Tracker) grantFailed(now time.Time, p *peer, f wire.GrantFailure, n *AnnounceReport) {
 	g, ok := t.grants[f.Grant]
 	if !ok || g.to != p {
 		if f.Grant != 0 {
@@ -106,82 +111,84 @@
 		return
 	}
 	t.release(g)
-	address := g.sourceAddress()
+	sourceAddress := g.sourceAddress()
 	switch {
 	case f.Corrupt:
-		n.CorruptSources = append(n.CorruptSources, address)
+		n.CorruptSources = append(n.CorruptSources, sourceAddress)
 		if g.from != nil {
-			g.from.sentCorrupt(now, t.cfg.AvoidFor)
-			p.bad[g.chunk] = address
+			g.from.recordCorrupt(now, t.cfg.AvoidFor)
+			p.corruptFrom[g.chunk] = sourceAddress
 		}
 	case f.Busy:
-		p.block(now, address, t.cfg.RetryInterval)
+		p.blockSource(now, sourceAddress, t.cfg.RetryInterval)
 	default:
-		n.FailedSources = append(n.FailedSources, address)
-		p.block(now, address, t.cfg.AvoidFor)
+		n.FailedSources = append(n.FailedSources, sourceAddress)
+		p.blockSource(now, sourceAddress, t.cfg.AvoidFor)
 	}
 }
 
-// update compares the announced bitmap with the known one. A chunk that is no
-// longer held was found damaged in the staging area.
-func (t *Tracker) update(now time.Time, p *peer, have weights.Bitmap, n *AnnounceReport) {
+// updateBitmap applies the difference between the announced and the known
+// bitmap. A chunk that is no longer held was found corrupt in the staging area.
+func (t *Tracker) updateBitmap(now time.Time, p *peer, have weights.Bitmap, n *AnnounceReport) {
 	for i := range t.holders {
-		was, is := p.have.Get(i), have.Get(i)
+		before, after := p.have.Get(i), have.Get(i)
 		switch {
-		case is && !was:
+		case after && !before:
 			p.have.Set(i)
-			p.held++
+			p.heldCount++
 			t.holders[i]++
-			t.arrived(now, p, i, n)
-		case was && !is:
+			t.chunkArrived(now, p, i, n)
+		case before && !after:
 			p.have.Clear(i)
-			p.held--
+			p.heldCount--
 			t.holders[i]--
 		}
 	}
 }
 
-func (t *Tracker) arrived(now time.Time, p *peer, chunk int, n *AnnounceReport) {
-	delete(p.bad, chunk)
+func (t *Tracker) chunkArrived(now time.Time, p *peer, chunk int, n *AnnounceReport) {
+	delete(p.corruptFrom, chunk)
 	var late []*grant
-	for _, number := range sortedKeys(t.overdue) {
-		if g := t.overdue[number]; g.to == p && g.chunk == chunk {
+	for _, number := range sortedKeys(t.expired) {
+		if g := t.expired[number]; g.to == p && g.chunk == chunk {
 			late = append(late, g)
-			delete(t.overdue, number)
+			delete(t.expired, number)
 		}
 	}
 	active := slices.Clone(p.active[chunk])
 	for _, number := range active {
 		g := t.grants[number]
 		t.release(g)
-		t.delivered(now, g, len(active)+len(late) == 1)
+		t.grantDelivered(now, g, len(active)+len(late) == 1)
 	}
 	if len(active) == 0 {
 		for _, g := range late {
 			n.OutdatedResults++
-			t.delivered(now, g, len(late) == 1) // the next grants get more time
+			t.grantDelivered(now, g, len(late) == 1) // so that later grants get more time
 		}
 	}
 }
 
-// delivered notes that a grant's chunk has arrived. With several grants for one
-// chunk it is not known which of them delivered, so nothing is learnt.
-func (t *Tracker) delivered(now time.Time, g *grant, only bool) {
+// grantDelivered records that the chunk of a grant has arrived. If there were
+// several grants for the chunk (only is false), it is unknown which of them
+// delivered it, so neither times nor source state are updated.
+func (t *Tracker) grantDelivered(now time.Time, g *grant, only bool) {
 	if !only {
 		return
 	}
-	t.times(g).add(now.Sub(g.issued))
+	t.transferTime(g).add(now.Sub(g.issued))
 	delete(g.to.blocked, g.sourceAddress())
 	if g.from != nil {
-		g.from.delivered()
+		g.from.recordDelivery()
 	}
 	if g.remote != nil {
 		t.lastRemote = now
 	}
 }
 
-// RemoveAgent forgets an agent: grants to it are free at once, and so are the slots of
-// grants that name it as source; their holders report the failure.
+// RemoveAgent removes an agent and releases the grants issued to it. Grants
+// that name it as source stay active until the agents that hold them report the
+// failure or they expire.
 func (t *Tracker) RemoveAgent(address string) {
 	p, ok := t.peers[address]
 	if !ok {
@@ -201,12 +208,12 @@
 	}
 }
 
-// Tick forgets agents that have not announced for PeerTimeout and returns their
-// addresses. It is called a few times per second.
+// Tick removes agents that have not announced for PeerTimeout and returns their
+// addresses. It should be called several times per second.
 func (t *Tracker) Tick(now time.Time) []string {
 	var lost []string
 	for _, p := range t.sortedPeers() {
-		if now.Sub(p.seen) > t.cfg.PeerTimeout {
+		if now.Sub(p.lastSeen) > t.cfg.PeerTimeout {
 			t.RemoveAgent(p.address)
 			lost = append(lost, p.address)
 		}
@@ -214,10 +221,10 @@
 	return lost
 }
 
-// Stats returns the counters.
+// Stats returns the cumulative counters.
 func (t *Tracker) Stats() Stats { return t.stats }
 
-// RetryInterval is the time after which an agent announces again at the latest.
+// RetryInterval returns the maximum time between two announcements of an agent.
 func (t *Tracker) RetryInterval() time.Duration { return t.cfg.RetryInterval }
 
 // PeerCount returns the number of known agents.
@@ -233,6 +240,6 @@
 	return t.sorted
 }
 
-// sortedKeys makes decisions independent of map order, so that a seed
-// reproduces them.
+// sortedKeys returns the keys in sorted order. Iterating over them makes
+// decisions independent of map order, so that a seed reproduces them.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/lib/distribute/tracker_config.go
+++ b/lib/distribute/tracker_config.go
@@ -8,50 +8,55 @@
 	"github.com/auburnbend/auburnbend/lib/weights"
 )
 
-// TrackerConfig holds the settings of a Tracker. Zero values get defaults.
+// TrackerConfig configures a Tracker. Zero values are replaced by defaults.
 type TrackerConfig struct {
-	// Digest and Manifest are the version that is distributed.
+	// Digest and Manifest identify the version to distribute.
 	Digest   model.Digest
 	Manifest *weights.Manifest
 	// Location is the failure domain that the tracker serves.
 	Location model.Location
 	// Policy divides origin fetches between failure domains.
 	Policy Policy
-	// Rand breaks ties.
+	// Rand is the source of randomness, such as for tie-breaking.
 	Rand *rand.Rand
 
-	// UploadSlots bounds the grants that name one agent as source.
+	// UploadSlots is the maximum number of active grants that name one agent as
+	// source.
 	UploadSlots int
-	// OriginStreams bounds the origin grants at one time. Few streams deliver
-	// whole chunks early, which other agents can then pass on.
+	// OriginStreams is the maximum number of active grants that name the origin
+	// as source. With few streams whole chunks arrive early, and other agents
+	// can then forward them.
 	OriginStreams int
-	// RemoteStreams bounds the grants at one time that name sources in one
-	// other region.
+	// RemoteStreams is the maximum number of active grants that name sources in
+	// one other region.
 	RemoteStreams int
 	// RemoteRate is this failure domain's share of the link from each other
-	// region, in bytes per second; 0 means that no limit is set.
+	// region, in bytes per second; 0 means unlimited.
 	RemoteRate int64
-	// InitialGrantTimeout is the lifetime of a grant until transfer times have been
-	// observed.
+	// InitialGrantTimeout is the lifetime of a grant until transfer times have
+	// been observed.
 	InitialGrantTimeout time.Duration
-	// MinGrantTimeout and MaxGrant bound a grant's lifetime after that.
+	// MinGrantTimeout and MaxGrantTimeout limit the lifetime of a grant after
+	// that.
 	MinGrantTimeout, MaxGrantTimeout time.Duration
-	// RetryInterval is the time after which an agent announces again at the latest.
+	// RetryInterval is the maximum time between two announcements of an agent.
 	RetryInterval time.Duration
-	// AvoidFor is how long a source is avoided: one that sends corrupt chunks by
-	// all agents, one whose transfer failed by the agent that reported it.
+	// AvoidFor is how long a source is avoided. A source that sends corrupt
+	// chunks is avoided by all agents; a source whose transfer failed is
+	// avoided by the agent that reported it, for at most this time.
 	AvoidFor time.Duration
-	// PeerTimeout is the time without an announcement after which an agent
-	// counts as lost.
+	// PeerTimeout is the time without an announcement after which an agent is
+	// removed.
 	PeerTimeout time.Duration
-	// SummaryTimeout is the age at which a summary of another failure domain
-	// counts as lost.
+	// SummaryTimeout is the age at which a summary from another tracker is no
+	// longer used.
 	SummaryTimeout time.Duration
-	// OriginFallbackAfter is the time without any chunk from other failure domains
-	// after which the tracker takes the rest from the origin.
+	// OriginFallbackAfter is the time without a chunk from other failure
+	// domains after which the tracker assigns the remaining chunks from the
+	// origin.
 	OriginFallbackAfter time.Duration
-	// EndgameChunks is the number of last chunks of an agent that may be fetched
-	// twice at a time.
+	// EndgameChunks is the maximum number of missing chunks at which an agent
+	// may fetch a late chunk from a second source as well.
 	EndgameChunks int
 }
 
@@ -77,7 +82,7 @@
 	defaultTo(&c.Policy.Copies, len(c.Policy.Domains))
 }
 
-// defaultTo sets a value that was left at zero.
+// defaultTo sets *value to def if it has the zero value.
 func defaultTo[T comparable](value *T, def T) {
 	var zero T
 	if *value == zero {
--- a/lib/distribute/tracker_grant.go
+++ b/lib/distribute/tracker_grant.go
@@ -3,14 +3,15 @@
 import "time"
 
 // grant is one assignment. Its number is unique within a tracker; a report
-// about another number is about a grant that has expired.
+// about an unknown number refers to a grant that has expired.
 type grant struct {
 	number uint64
 	chunk  int
 	to     *peer
-	// from is the source, or nil for the origin.
+	// from is the source; nil means the origin.
 	from *source
-	// remote is set when the source is in another failure domain.
+	// remote is the region of a source in another failure domain; nil
+	// otherwise.
 	remote   *remoteRegion
 	issued   time.Time
 	deadline time.Time
@@ -23,8 +24,9 @@
 	return g.from.address
 }
 
-// times returns the moving average of the kind of transfer that a grant is.
-func (t *Tracker) times(g *grant) *average {
+// transferTime returns the average transfer time for the grant's kind of
+// source: origin, another failure domain or a peer.
+func (t *Tracker) transferTime(g *grant) *movingAverage {
 	switch {
 	case g.from == nil:
 		return &t.originTime
@@ -38,18 +40,18 @@
 func (t *Tracker) issue(now time.Time, to *peer, chunk int, from *source, remote *remoteRegion) *grant {
 	t.lastGrant++
 	g := &grant{number: t.lastGrant, chunk: chunk, to: to, from: from, remote: remote, issued: now}
-	g.deadline = now.Add(t.times(g).deadline(t.cfg.MinGrantTimeout, t.cfg.InitialGrantTimeout, t.cfg.MaxGrantTimeout))
+	g.deadline = now.Add(t.transferTime(g).timeout(t.cfg.MinGrantTimeout, t.cfg.InitialGrantTimeout, t.cfg.MaxGrantTimeout))
 	t.grants[g.number] = g
 	to.active[chunk] = append(to.active[chunk], g.number)
-	to.grants++
+	to.grantCount++
 	t.inFlight[chunk]++
 	switch {
 	case from == nil:
-		to.origin++
+		to.originGrants++
 		t.originActive++
 		t.stats.OriginGrants++
 	case remote != nil:
-		remote.active++
+		remote.activeGrants++
 		remote.credit -= float64(t.cfg.Manifest.Chunks[chunk].Size)
 		from.uploads++
 	default:
@@ -58,7 +60,7 @@
 	return g
 }
 
-// release ends a grant, however it went.
+// release removes a grant and returns its slots, whatever its outcome.
 func (t *Tracker) release(g *grant) {
 	delete(t.grants, g.number)
 	numbers := g.to.active[g.chunk]
@@ -73,23 +75,24 @@
 	} else {
 		g.to.active[g.chunk] = numbers
 	}
-	g.to.grants--
+	g.to.grantCount--
 	t.inFlight[g.chunk]--
 	if g.from == nil {
-		g.to.origin--
+		g.to.originGrants--
 		t.originActive--
 		return
 	}
 	g.from.uploads--
 	if g.remote != nil {
-		g.remote.active--
+		g.remote.activeGrants--
 	}
 }
 
-// expire releases grants whose deadline has passed. The chunk is granted again
-// with a new number. The failure counts against the pair of agent and source
-// only: either may be the one that stalls.
-func (t *Tracker) expire(now time.Time) {
+// expireGrants releases grants whose deadline has passed, so that their chunks
+// can be assigned again under new numbers. The failure is attributed only to
+// the pair of agent and source, since either of them may be the one that
+// stalls.
+func (t *Tracker) expireGrants(now time.Time) {
 	for _, number := range sortedKeys(t.grants) {
 		g := t.grants[number]
 		if now.Before(g.deadline) {
@@ -97,12 +100,12 @@
 		}
 		t.release(g)
 		t.stats.ExpiredGrants++
-		t.overdue[g.number] = g
-		g.to.block(now, g.sourceAddress(), t.cfg.AvoidFor)
+		t.expired[g.number] = g
+		g.to.blockSource(now, g.sourceAddress(), t.cfg.AvoidFor)
 	}
-	for number, g := range t.overdue {
+	for number, g := range t.expired {
 		if now.Sub(g.deadline) > t.cfg.AvoidFor {
-			delete(t.overdue, number)
+			delete(t.expired, number)
 		}
 	}
 }
--- a/lib/distribute/tracker_peer.go
+++ b/lib/distribute/tracker_peer.go
@@ -8,51 +8,53 @@
 )
 
 const (
-	// corruptLimit is the moving share of corrupt chunks from which on a source
-	// is avoided: four in a row reach it, a few percent on a bad link don't.
-	corruptLimit = 0.5
-	// corruptWeight is the weight of one chunk in that share.
-	corruptWeight = 0.2
+	// maxCorruptShare is the average share of corrupt chunks at which a source
+	// is avoided. Four corrupt chunks in a row reach it; a few percent on a bad
+	// link do not.
+	maxCorruptShare = 0.5
+	// corruptSampleWeight is the weight of one chunk in that average.
+	corruptSampleWeight = 0.2
 )
 
-// source is what a tracker knows about a place that chunks come from.
+// source is the state of a source of chunks other than the origin.
 type source struct {
 	address string
 	have    weights.Bitmap
 	// uploads is the number of active grants that name the source.
 	uploads int
-	// corrupt is the moving share of corrupt chunks.
-	corrupt      float64
+	// corruptShare is the moving average of the share of corrupt chunks.
+	corruptShare float64
 	avoidedUntil time.Time
 }
 
-func (s *source) delivered() { s.corrupt *= 1 - corruptWeight }
+func (s *source) recordDelivery() { s.corruptShare *= 1 - corruptSampleWeight }
 
-func (s *source) sentCorrupt(now time.Time, avoidFor time.Duration) {
-	s.corrupt += corruptWeight * (1 - s.corrupt)
-	if s.corrupt >= corruptLimit {
+func (s *source) recordCorrupt(now time.Time, avoidFor time.Duration) {
+	s.corruptShare += corruptSampleWeight * (1 - s.corruptShare)
+	if s.corruptShare >= maxCorruptShare {
 		s.avoidedUntil = now.Add(avoidFor)
 	}
 }
 
 func (s *source) usable(now time.Time) bool { return !now.Before(s.avoidedUntil) }
 
-// firstBlock is how long a source is left out after its first failure. A busy
-// machine causes failures too, so only repeated ones count for long.
-const firstBlock = time.Second
+// minSourceBackoff is how long an agent avoids a source after the first
+// failure. A busy machine causes failures as well, so only repeated ones lead
+// to long waits.
+const minSourceBackoff = time.Second
 
-// block is a source that failed for one agent.
-type block struct {
-	until time.Time
-	wait  time.Duration
+// blockedSource is a source whose transfer to one agent failed.
+type blockedSource struct {
+	until   time.Time
+	backoff time.Duration
 }
 
-// block leaves a source out for this agent. The time doubles up to most with
-// each failure in a row.
-func (p *peer) block(now time.Time, address string, most time.Duration) {
+// blockSource stops assigning a source to this agent for a time that doubles
+// with each consecutive failure, up to maxBackoff.
+func (p *peer) blockSource(now time.Time, address string, maxBackoff time.Duration) {
 	b := p.blocked[address]
-	b.wait = min(max(2*b.wait, firstBlock), most)
-	b.until = now.Add(b.wait)
+	b.backoff = min(max(2*b.backoff, minSourceBackoff), maxBackoff)
+	b.until = now.Add(b.backoff)
 	p.blocked[address] = b
 }
 
@@ -60,44 +62,45 @@
 type peer struct {
 	source
 	generation model.Generation
-	held       int // marks in have
-	seen       time.Time
-	// window is the number of assignments that the agent wants at one time.
+	heldCount  int // number of chunks set in have
+	lastSeen   time.Time
+	// window is the number of assignments that the agent accepts at one time.
 	window int
-	// active holds the grant numbers of each chunk that is on its way.
-	active map[int][]uint64
-	grants int
-	// origin is the number of active origin grants.
-	origin int
-	// blocked holds sources that failed for this agent, such as one behind a
-	// stalled link, until the time at which they may be tried again.
-	blocked map[string]block
-	// bad holds the last source that sent a corrupt copy of a chunk.
-	bad map[int]string
+	// active maps each chunk in flight to its grant numbers.
+	active     map[int][]uint64
+	grantCount int
+	// originGrants is the number of active grants that name the origin.
+	originGrants int
+	// blocked holds, by address, the sources that failed for this agent, for
+	// example behind a stalled link.
+	blocked map[string]blockedSource
+	// corruptFrom maps a chunk to the last source that sent it corrupt.
+	corruptFrom map[int]string
 }
 
 func newPeer(address string, generation model.Generation, chunks int) *peer {
 	return &peer{
-		source:     source{address: address, have: weights.NewBitmap(chunks)},
-		generation: generation,
-		active:     make(map[int][]uint64),
-		blocked:    make(map[string]block),
-		bad:        make(map[int]string),
+		source:      source{address: address, have: weights.NewBitmap(chunks)},
+		generation:  generation,
+		active:      make(map[int][]uint64),
+		blocked:     make(map[string]blockedSource),
+		corruptFrom: make(map[int]string),
 	}
 }
 
-func (p *peer) hungry() bool { return p.grants < p.window }
+func (p *peer) wantsChunks() bool { return p.grantCount < p.window }
 
 func (p *peer) needs(chunk int) bool { return !p.have.Get(chunk) && len(p.active[chunk]) == 0 }
 
-// accepts reports whether a source has not failed for the agent lately.
+// accepts reports whether a source may be assigned to the agent now.
 func (p *peer) accepts(now time.Time, address string) bool {
 	return !now.Before(p.blocked[address].until)
 }
 
-// failing reports whether a source failed for the agent lately in a way that
-// another source should be looked for. A busy one only needs a little time.
-func (p *peer) failing(now time.Time, address string) bool {
+// avoids reports whether a source is blocked for the agent for long enough that
+// another source should be used. A source that was only busy is soon available
+// again.
+func (p *peer) avoids(now time.Time, address string) bool {
 	b := p.blocked[address]
-	return b.wait >= firstBlock && now.Before(b.until)
+	return b.backoff >= minSourceBackoff && now.Before(b.until)
 }
--- a/lib/distribute/tracker_remote.go
+++ b/lib/distribute/tracker_remote.go
@@ -10,27 +10,29 @@
 )
 
 const (
-	// summaryHolders bounds the agents that one summary names, which bounds its
-	// size: other failure domains need some sources, not all.
-	summaryHolders = 8
-	// creditChunks bounds the unused share of an inter-region link that may be
-	// used later, in chunks.
-	creditChunks = 4
-	// nearStreams multiplies the streams between failure domains of one region,
-	// which no inter-region link limits.
-	nearStreams = 4
+	// maxSummaryHolders is the maximum number of agents in one summary. It
+	// limits the message size; other failure domains need some sources, not all
+	// of them.
+	maxSummaryHolders = 8
+	// maxCreditChunks is the maximum unused share of an inter-region link that
+	// is carried over, in chunks.
+	maxCreditChunks = 4
+	// sameRegionStreamFactor multiplies RemoteStreams for sources in the
+	// tracker's own region, which no inter-region link limits.
+	sameRegionStreamFactor = 4
 )
 
-// remoteDomain is what another tracker says about its agents.
+// remoteDomain is the last summary received from another tracker.
 type remoteDomain struct {
 	location model.Location
 	region   *remoteRegion
-	seen     time.Time
-	holders  []*source // by address
+	lastSeen time.Time
+	holders  []*source
 }
 
-// holder returns what is known about an agent, or nil.
-func (d *remoteDomain) holder(address string) *source {
+// findHolder returns the state of an agent, or nil if the last summary did not
+// name it.
+func (d *remoteDomain) findHolder(address string) *source {
 	for _, s := range d.holders {
 		if s.address == address {
 			return s
@@ -39,38 +41,40 @@
 	return nil
 }
 
-// remoteRegion accounts for the use of the link from one other region.
+// remoteRegion accounts for the use of the link from one region.
 type remoteRegion struct {
-	near    bool // the tracker's own region: no inter-region link
-	active  int
-	credit  float64 // bytes that may be fetched now
-	updated time.Time
+	sameRegion    bool // the tracker's own region, without an inter-region link
+	activeGrants  int
+	credit        float64 // bytes that may be fetched now
+	creditUpdated time.Time
 }
 
 func (r *remoteRegion) refill(now time.Time, rate int64, burst float64) {
-	r.credit = min(r.credit+float64(rate)*now.Sub(r.updated).Seconds(), burst)
-	r.updated = now
+	r.credit = min(r.credit+float64(rate)*now.Sub(r.creditUpdated).Seconds(), burst)
+	r.creditUpdated = now
 }
 
-// Summarize says which chunks the agents of this failure domain hold, for the
-// trackers of other failure domains. It names the agents that hold most.
+// Summarize returns a summary for other trackers of which chunks the agents of
+// this failure domain hold. It selects agents so that few of them cover many
+// chunks.
 func (t *Tracker) Summarize() *wire.HolderSummary {
 	s := &wire.HolderSummary{Manifest: t.cfg.Digest, Location: t.cfg.Location}
 	covered := weights.NewBitmap(len(t.cfg.Manifest.Chunks))
-	left := slices.Clone(t.sortedPeers())
-	for len(s.Holders) < summaryHolders && len(left) > 0 {
+	candidates := slices.Clone(t.sortedPeers())
+	for len(s.Holders) < maxSummaryHolders && len(candidates) > 0 {
 		best, gain := 0, 0
-		for i, p := range left {
-			if g := newChunks(covered, p.have); g > gain {
+		for i, p := range candidates {
+			if g := countNewChunks(covered, p.have); g > gain {
 				best, gain = i, g
 			}
 		}
 		if gain == 0 {
-			// The rest are spares, for sources behind a stalled link.
-			best = t.cfg.Rand.Intn(len(left))
+			// All chunks are covered. Further agents serve as alternatives to
+			// sources behind a stalled link.
+			best = t.cfg.Rand.Intn(len(candidates))
 		}
-		p := left[best]
-		left = append(left[:best], left[best+1:]...)
+		p := candidates[best]
+		candidates = append(candidates[:best], candidates[best+1:]...)
 		if p.have.Count() == 0 {
 			continue
 		}
@@ -82,7 +86,8 @@
 	return s
 }
 
-func newChunks(covered, have weights.Bitmap) int {
+// countNewChunks returns the number of chunks in have that are not in covered.
+func countNewChunks(covered, have weights.Bitmap) int {
 	n := 0
 	for i := range have {
 		n += weights.Bitmap{have[i] &^ covered[i]}.Count()
@@ -90,13 +95,13 @@
 	return n
 }
 
-// UpdateRemote takes the summary of the tracker with an address: one of another
-// failure domain, or a second one of the same failure domain while some agents
-// cannot reach the first.
+// UpdateRemote processes the summary of the tracker with the given address.
+// That tracker serves another failure domain, or it is a second tracker of the
+// same one while some agents cannot reach the first.
 func (t *Tracker) UpdateRemote(now time.Time, tracker string, s *wire.HolderSummary) {
 	r, ok := t.regions[s.Location.Region]
 	if !ok {
-		r = &remoteRegion{near: s.Location.Region == t.cfg.Location.Region, updated: now}
+		r = &remoteRegion{sameRegion: s.Location.Region == t.cfg.Location.Region, creditUpdated: now}
 		t.regions[s.Location.Region] = r
 	}
 	d, ok := t.remote[tracker]
@@ -107,33 +112,34 @@
 	holders := make([]*source, 0, len(s.Holders))
 	for _, h := range s.Holders {
 		if _, own := t.peers[h.Address]; own {
-			continue // it has changed over to this tracker
+			continue // the agent now uses this tracker
 		}
-		src := d.holder(h.Address)
+		src := d.findHolder(h.Address)
 		if src == nil {
 			src = &source{address: h.Address}
 		}
 		src.have = h.Have
 		holders = append(holders, src)
 	}
-	d.location, d.region, d.seen, d.holders = s.Location, r, now, holders
+	d.location, d.region, d.lastSeen, d.holders = s.Location, r, now, holders
 }
 
-// openRemote returns the other trackers whose agents may be used now: their
-// summary is recent and the link from their region has a free share.
-func (t *Tracker) openRemote(now time.Time) []*remoteDomain {
+// usableRemotes returns the other trackers whose agents may be used as sources
+// now: their summary is recent, and streams and rate of the link from their
+// region allow another transfer.
+func (t *Tracker) usableRemotes(now time.Time) []*remoteDomain {
 	var out []*remoteDomain
 	for _, name := range sortedKeys(t.remote) {
 		d := t.remote[name]
 		streams := t.cfg.RemoteStreams
-		if d.region.near {
-			streams *= nearStreams
+		if d.region.sameRegion {
+			streams *= sameRegionStreamFactor
 		}
-		if now.Sub(d.seen) > t.cfg.SummaryTimeout || d.region.active >= streams {
+		if now.Sub(d.lastSeen) > t.cfg.SummaryTimeout || d.region.activeGrants >= streams {
 			continue
 		}
-		if !d.region.near && t.cfg.RemoteRate > 0 {
-			d.region.refill(now, t.cfg.RemoteRate, creditChunks*float64(t.cfg.Manifest.Chunks[0].Size))
+		if !d.region.sameRegion && t.cfg.RemoteRate > 0 {
+			d.region.refill(now, t.cfg.RemoteRate, maxCreditChunks*float64(t.cfg.Manifest.Chunks[0].Size))
 			if d.region.credit < 0 {
 				continue
 			}
@@ -143,15 +149,16 @@
 	return out
 }
 
-// remoteSource returns the least loaded source among other trackers' agents that
-// holds a chunk, at random among equals.
-func (t *Tracker) remoteSource(now time.Time, open []*remoteDomain, to *peer, chunk int) (*source, *remoteRegion) {
+// chooseRemoteSource returns the agent of another tracker that holds a chunk
+// and has the fewest uploads, chosen randomly among equals, and its region. It
+// returns nil if there is none.
+func (t *Tracker) chooseRemoteSource(now time.Time, remotes []*remoteDomain, to *peer, chunk int) (*source, *remoteRegion) {
 	var best *source
 	var region *remoteRegion
 	ties := 0
-	for _, d := range open {
+	for _, d := range remotes {
 		for _, s := range d.holders {
-			if !s.have.Get(chunk) || s.uploads >= t.cfg.UploadSlots || !s.usable(now) || !to.accepts(now, s.address) || to.bad[chunk] == s.address {
+			if !s.have.Get(chunk) || s.uploads >= t.cfg.UploadSlots || !s.usable(now) || !to.accepts(now, s.address) || to.corruptFrom[chunk] == s.address {
 				continue
 			}
 			switch {
--- a/lib/distribute/tracker_schedule.go
+++ b/lib/distribute/tracker_schedule.go
@@ -6,31 +6,32 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// maxBusyChunks bounds the chunks without a free source that are looked at for
-// one assignment.
+// maxBusyChunks is the maximum number of chunks without a free source that are
+// examined for one assignment.
 const maxBusyChunks = 256
 
-// Schedule returns new assignments for agents that want more. It is called
-// after announcements and ticks. Agents get one assignment per round, in random
-// order, so that none waits while another fills its window.
+// Schedule returns new assignments for all agents that accept more. It should
+// be called after each announcement and tick. Each round gives every agent at
+// most one assignment, in random order, so that no agent waits while another
+// fills its window.
 func (t *Tracker) Schedule(now time.Time) []AgentAssign {
-	t.expire(now)
-	var hungry []*peer
+	t.expireGrants(now)
+	var waiting []*peer
 	for _, p := range t.sortedPeers() {
-		if p.hungry() {
-			hungry = append(hungry, p)
+		if p.wantsChunks() {
+			waiting = append(waiting, p)
 		}
 	}
-	if len(hungry) > 0 {
-		t.listFresh()
+	if len(waiting) > 0 {
+		t.listAbsent()
 	}
 	messages := make(map[*peer]*wire.Assign)
 	var out []AgentAssign
-	for len(hungry) > 0 {
-		t.cfg.Rand.Shuffle(len(hungry), func(i, j int) { hungry[i], hungry[j] = hungry[j], hungry[i] })
-		left := hungry[:0]
-		for _, p := range hungry {
-			g := t.next(now, p)
+	for len(waiting) > 0 {
+		t.cfg.Rand.Shuffle(len(waiting), func(i, j int) { waiting[i], waiting[j] = waiting[j], waiting[i] })
+		unfilled := waiting[:0]
+		for _, p := range waiting {
+			g := t.assignNext(now, p)
 			if g == nil {
 				continue
 			}
@@ -44,54 +45,57 @@
 				Grant: g.number, Chunk: g.chunk, Source: g.sourceAddress(),
 				DeadlineMillis: g.deadline.Sub(now).Milliseconds(),
 			})
-			if p.hungry() {
-				left = append(left, p)
+			if p.wantsChunks() {
+				unfilled = append(unfilled, p)
 			}
 		}
-		hungry = left
+		waiting = unfilled
 	}
 	return out
 }
 
-// PeersFor names agents that an agent may use without a tracker.
+// PeersFor returns up to maxAssignPeers addresses of other agents that an agent
+// can use in trackerless mode.
 func (t *Tracker) PeersFor(address string) []string {
 	peers := t.sortedPeers()
 	start := t.cfg.Rand.Intn(len(peers) + 1)
 	var out []string
 	for i := range peers {
 		p := peers[(start+i)%len(peers)]
-		if p.address != address && len(out) < maxPeersNamed {
+		if p.address != address && len(out) < maxAssignPeers {
 			out = append(out, p.address)
 		}
 	}
 	return out
 }
 
-// next grants one chunk to an agent: one that the failure domain lacks, if a
-// stream is free, else the rarest that another agent holds, else a duplicate of
-// one of its last chunks.
-func (t *Tracker) next(now time.Time, p *peer) *grant {
-	if g := t.freshFor(now, p); g != nil {
+// assignNext issues a grant to an agent, or returns nil. In order of
+// preference, the chunk is absent from the failure domain, the rarest one that
+// another agent holds, one without a usable local source, or a duplicate of one
+// of the agent's last missing chunks.
+func (t *Tracker) assignNext(now time.Time, p *peer) *grant {
+	if g := t.assignAbsent(now, p); g != nil {
 		return g
 	}
-	if g := t.rarest(now, p); g != nil {
+	if g := t.assignRarest(now, p); g != nil {
 		return g
 	}
-	if g := t.stranded(now, p); g != nil {
+	if g := t.assignUnreachable(now, p); g != nil {
 		return g
 	}
-	return t.endgame(now, p)
+	return t.assignEndgame(now, p)
 }
 
-// stranded grants a chunk whose local holders are all avoided or failed for this
-// agent, as behind stalled links, from another tracker's agents or the origin.
-func (t *Tracker) stranded(now time.Time, p *peer) *grant {
-	open := t.openRemote(now)
+// assignUnreachable grants a chunk of which no local holder is usable for this
+// agent, for example because of stalled links. The source is an agent of
+// another tracker or the origin.
+func (t *Tracker) assignUnreachable(now time.Time, p *peer) *grant {
+	remotes := t.usableRemotes(now)
 	for _, chunk := range t.order {
-		if t.holders[chunk] == 0 || !p.needs(chunk) || t.reachable(now, p, chunk) {
+		if t.holders[chunk] == 0 || !p.needs(chunk) || t.hasLocalSource(now, p, chunk) {
 			continue
 		}
-		if s, region := t.remoteSource(now, open, p, chunk); s != nil {
+		if s, region := t.chooseRemoteSource(now, remotes, p, chunk); s != nil {
 			return t.issue(now, p, chunk, s, region)
 		}
 		if t.originActive < t.cfg.OriginStreams && p.accepts(now, Origin) {
@@ -101,25 +105,26 @@
 	return nil
 }
 
-// reachable reports whether an agent accepts a chunk from any local holder, now
-// or when a slot is free.
-func (t *Tracker) reachable(now time.Time, to *peer, chunk int) bool {
+// hasLocalSource reports whether an agent can fetch a chunk from another agent
+// of the failure domain, now or as soon as an upload slot is free.
+func (t *Tracker) hasLocalSource(now time.Time, to *peer, chunk int) bool {
 	for _, p := range t.sortedPeers() {
-		if p != to && p.have.Get(chunk) && p.usable(now) && !to.failing(now, p.address) {
+		if p != to && p.have.Get(chunk) && p.usable(now) && !to.avoids(now, p.address) {
 			return true
 		}
 	}
 	return false
 }
 
-// freshFor grants a chunk that no agent of the failure domain holds or is
-// fetching. Origin fetches go by rank, remote ones in the opposite direction,
-// so that they don't compete.
-func (t *Tracker) freshFor(now time.Time, p *peer) *grant {
-	if open := t.openRemote(now); len(open) > 0 {
-		for i := len(t.fresh) - 1; i >= 0; i-- {
-			if chunk := t.fresh[i]; t.isFresh(chunk) && p.needs(chunk) {
-				if s, region := t.remoteSource(now, open, p, chunk); s != nil {
+// assignAbsent grants a chunk that no agent of the failure domain holds or is
+// fetching. Origin fetches go through the chunks in rank order and remote
+// fetches in the opposite direction, so that they rarely select the same
+// chunks.
+func (t *Tracker) assignAbsent(now time.Time, p *peer) *grant {
+	if remotes := t.usableRemotes(now); len(remotes) > 0 {
+		for i := len(t.absent) - 1; i >= 0; i-- {
+			if chunk := t.absent[i]; t.isAbsent(chunk) && p.needs(chunk) {
+				if s, region := t.chooseRemoteSource(now, remotes, p, chunk); s != nil {
 					return t.issue(now, p, chunk, s, region)
 				}
 			}
@@ -128,8 +133,8 @@
 	if t.originActive >= t.cfg.OriginStreams || !p.accepts(now, Origin) {
 		return nil
 	}
-	for _, chunk := range t.fresh {
-		if !t.isFresh(chunk) || !p.needs(chunk) {
+	for _, chunk := range t.absent {
+		if !t.isAbsent(chunk) || !p.needs(chunk) {
 			continue
 		}
 		if t.ranks[chunk] < t.cfg.Policy.Copies || now.Sub(t.lastRemote) > t.cfg.OriginFallbackAfter {
@@ -139,35 +144,36 @@
 	return nil
 }
 
-func (t *Tracker) isFresh(chunk int) bool { return t.holders[chunk] == 0 && t.inFlight[chunk] == 0 }
+func (t *Tracker) isAbsent(chunk int) bool { return t.holders[chunk] == 0 && t.inFlight[chunk] == 0 }
 
-// listFresh collects the chunks that no agent holds or fetches, in the order of
-// origin fetches.
-func (t *Tracker) listFresh() {
-	t.fresh = t.fresh[:0]
+// listAbsent fills t.absent with the chunks that no agent holds or is fetching,
+// in rank order.
+func (t *Tracker) listAbsent() {
+	t.absent = t.absent[:0]
 	for _, chunk := range t.order {
-		if t.isFresh(chunk) {
-			t.fresh = append(t.fresh, chunk)
+		if t.isAbsent(chunk) {
+			t.absent = append(t.absent, chunk)
 		}
 	}
 }
 
-// freeUploads reports whether any agent has a free upload slot.
-func (t *Tracker) freeUploads() bool {
+// hasFreeUploadSlot reports whether any agent that holds chunks has a free
+// upload slot.
+func (t *Tracker) hasFreeUploadSlot() bool {
 	for _, p := range t.sortedPeers() {
-		if p.uploads < t.cfg.UploadSlots && p.held > 0 {
+		if p.uploads < t.cfg.UploadSlots && p.heldCount > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// rarest grants the chunk with the fewest copies, held or on their way, from
-// the source with the fewest uploads.
-func (t *Tracker) rarest(now time.Time, p *peer) *grant {
-	best, copies, ties, busy := -1, 0, 0, 0
+// assignRarest grants the chunk with the fewest copies in the failure domain,
+// counting copies in flight, from the holder with the fewest uploads.
+func (t *Tracker) assignRarest(now time.Time, p *peer) *grant {
+	best, fewest, ties, busy := -1, 0, 0, 0
 	var from *source
-	if !t.freeUploads() {
+	if !t.hasFreeUploadSlot() {
 		return nil
 	}
 	n := len(t.order)
@@ -177,27 +183,28 @@
 		if t.holders[chunk] == 0 || !p.needs(chunk) {
 			continue
 		}
-		have := t.holders[chunk] + t.inFlight[chunk]
-		if best >= 0 && have > copies {
+		copies := t.holders[chunk] + t.inFlight[chunk]
+		if best >= 0 && copies > fewest {
 			continue
 		}
-		if best >= 0 && have == copies {
+		if best >= 0 && copies == fewest {
 			if ties++; t.cfg.Rand.Intn(ties+1) != 0 {
 				continue
 			}
 		}
-		s := t.uploader(now, p, chunk)
+		s := t.chooseUploader(now, p, chunk)
 		if s == nil {
-			// Bounds the work when most agents are busy; the next event tries again.
+			// Limit the work when most agents are busy; the next call tries
+			// again.
 			if busy++; busy >= maxBusyChunks {
 				break
 			}
 			continue
 		}
-		if best < 0 || have < copies {
+		if best < 0 || copies < fewest {
 			ties = 0
 		}
-		best, copies, from = chunk, have, s
+		best, fewest, from = chunk, copies, s
 	}
 	if best < 0 {
 		return nil
@@ -205,21 +212,22 @@
 	return t.issue(now, p, best, from, nil)
 }
 
-// uploader returns the least loaded agent that holds a chunk, at random among
-// equals. The one that last sent a corrupt copy is used if there is no other;
-// one that is avoided is not used.
-func (t *Tracker) uploader(now time.Time, to *peer, chunk int) *source {
+// chooseUploader returns the agent that holds a chunk and has the fewest
+// uploads, chosen randomly among equals, or nil. The agent that last sent a
+// corrupt copy of the chunk is used only if there is no other. Avoided sources
+// are not used.
+func (t *Tracker) chooseUploader(now time.Time, to *peer, chunk int) *source {
 	var best *source
-	ties, worse := 0, false
+	ties, bestCorrupt := 0, false
 	for _, p := range t.sortedPeers() {
 		if p == to || !p.have.Get(chunk) || p.uploads >= t.cfg.UploadSlots || !p.usable(now) || !to.accepts(now, p.address) {
 			continue
 		}
-		bad := to.bad[chunk] == p.address
+		corrupt := to.corruptFrom[chunk] == p.address
 		switch {
-		case best == nil, worse && !bad, worse == bad && p.uploads < best.uploads:
-			best, worse, ties = &p.source, bad, 0
-		case worse == bad && p.uploads == best.uploads:
+		case best == nil, bestCorrupt && !corrupt, bestCorrupt == corrupt && p.uploads < best.uploads:
+			best, bestCorrupt, ties = &p.source, corrupt, 0
+		case bestCorrupt == corrupt && p.uploads == best.uploads:
 			if ties++; t.cfg.Rand.Intn(ties+1) == 0 {
 				best = &p.source
 			}
@@ -228,20 +236,21 @@
 	return best
 }
 
-// endgame grants a second copy of a chunk that an agent waits for, when it has
-// no others left to ask for and the first copy is late.
-func (t *Tracker) endgame(now time.Time, p *peer) *grant {
-	missing := len(t.holders) - p.held
+// assignEndgame grants a second copy of a chunk in flight if the agent has at
+// most EndgameChunks missing chunks, all of them are in flight and the first
+// copy is late.
+func (t *Tracker) assignEndgame(now time.Time, p *peer) *grant {
+	missing := len(t.holders) - p.heldCount
 	if missing > t.cfg.EndgameChunks || missing != len(p.active) {
 		return nil
 	}
 	for _, chunk := range sortedKeys(p.active) {
 		numbers := p.active[chunk]
 		g := t.grants[numbers[0]]
-		if len(numbers) > 1 || now.Sub(g.issued) < 2*t.times(g).value {
+		if len(numbers) > 1 || now.Sub(g.issued) < 2*t.transferTime(g).value {
 			continue
 		}
-		if s := t.uploader(now, p, chunk); s != nil && s != g.from {
+		if s := t.chooseUploader(now, p, chunk); s != nil && s != g.from {
 			return t.issue(now, p, chunk, s, nil)
 		}
 	}
