--- a/lib/rollout/doc.go
+++ b/lib/rollout/doc.go
@@ -1,7 +1,7 @@
-// Package rollout decides how many instances of a pool may leave the version
-// that they serve at the same time, so that enough stay live for the current
-// load while a new version is loaded in waves.
+// Package rollout limits how many instances of a pool may stop serving their
+// current version at the same time, so that enough instances stay live for the
+// current load while a new version is loaded in waves.
 //
-// Waves is a pure decision: it takes the time as an argument and is not safe
+// Coordinator performs no I/O: callers pass in the current time. It is not safe
 // for concurrent use.
 package rollout
--- a/lib/rollout/permit.go
+++ b/lib/rollout/permit.go
@@ -6,25 +6,28 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Permit allows one instance to leave its old version. Its holder checks the
-// expiry on a monotonic clock before it stops admitting requests.
+// Permit allows one instance to stop serving its current version. The holder
+// must check the expiry on a monotonic clock before it stops admitting
+// requests.
 type Permit struct {
 	Number   uint64
 	Instance model.InstanceID
 	Expires  time.Time
 }
 
-// Valid reports whether the permit may still be used.
+// Valid reports whether the permit may still be used. The zero Permit is not
+// valid.
 func (p Permit) Valid(now time.Time) bool { return p.Number != 0 && now.Before(p.Expires) }
 
-// Reason says why no permit was given.
+// Reason is the reason why a permit was refused.
 type Reason string
 
-// Reasons for a refusal.
+// Reasons for refusing a permit.
 const (
-	// ReasonNone accompanies a permit.
+	// ReasonNone means that a permit was granted.
 	ReasonNone Reason = ""
-	// ReasonMinLive means that the declared minimum leaves no instance over.
+	// ReasonMinLive means that stopping an instance would violate the declared
+	// minimum.
 	ReasonMinLive Reason = "min_live"
 	// ReasonLoad means that the current load needs all live instances.
 	ReasonLoad Reason = "load"
--- a/lib/rollout/waves.go
+++ b/lib/rollout/waves.go
@@ -6,17 +6,21 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Config holds the settings of Waves. Zero values get defaults.
+// Config configures a Coordinator. Zero and invalid values are replaced by
+// defaults.
 type Config struct {
-	// MaxUtilization is the part of the capacity of the remaining instances that
-	// the load may take, over 0 and up to 1.
+	// MaxUtilization is the fraction of the remaining instances' capacity that
+	// the load may use, greater than 0 and at most 1.
 	MaxUtilization float64
-	// PermitTTL is the lifetime of a permit. An instance renews it while it loads;
-	// one that dies gives its place back after this time.
+	// PermitTTL is the lifetime of a permit. An instance renews its permit
+	// while it loads; the permit of an instance that died becomes available
+	// after this time.
 	PermitTTL time.Duration
-	// RetryInterval is the time after which a refused instance asks again.
+	// RetryInterval is the time after which a refused instance should ask
+	// again.
 	RetryInterval time.Duration
-	// MaxWaveShare is the largest part of the live instances that one wave takes.
+	// MaxWaveShare is the maximum fraction of the live instances in one wave,
+	// greater than 0 and at most 1. One instance is always allowed.
 	MaxWaveShare float64
 }
 
@@ -35,93 +39,98 @@
 	}
 }
 
-// held is a permit and whether its instance has stopped serving.
-type held struct {
+// heldPermit is a permit in force.
+type heldPermit struct {
 	Permit
-	left bool
+	stopped bool // the instance has stopped serving
 }
 
-// Coordinator gives permits for one failure domain and pool.
+// Coordinator issues permits for one failure domain and pool. It is not safe
+// for concurrent use.
 type Coordinator struct {
-	cfg     Config
-	last    uint64
-	permits map[model.InstanceID]*held
+	cfg        Config
+	lastNumber uint64
+	permits    map[model.InstanceID]*heldPermit
 }
 
-// New returns Waves without permits. Permit numbers start above first, which
-// the caller draws at random so that numbers of an earlier process differ.
+// New returns a Coordinator without permits. Permit numbers start above first,
+// which the caller draws at random so that they differ from the numbers of an
+// earlier process.
 func New(cfg Config, first uint64) *Coordinator {
 	cfg.applyDefaults()
-	return &Coordinator{cfg: cfg, last: first, permits: make(map[model.InstanceID]*held)}
+	return &Coordinator{cfg: cfg, lastNumber: first, permits: make(map[model.InstanceID]*heldPermit)}
 }
 
-// Request asks for a permit for a live instance, or renews its permit. The
-// group is the state right now; refused requests come again after Retry.
-func (w *Coordinator) Request(now time.Time, instance model.InstanceID, g PoolState) (Permit, Reason) {
-	w.expire(now)
-	if h, ok := w.permits[instance]; ok {
-		h.Expires = now.Add(w.cfg.PermitTTL)
+// Request grants a permit to a live instance, renews the one that it holds, or
+// returns the reason for a refusal. state must be current. A refused instance
+// should ask again after RetryInterval.
+func (c *Coordinator) Request(now time.Time, instance model.InstanceID, state PoolState) (Permit, Reason) {
+	c.expirePermits(now)
+	if h, ok := c.permits[instance]; ok {
+		h.Expires = now.Add(c.cfg.PermitTTL)
 		return h.Permit, ReasonNone
 	}
-	// Instances with a permit that are still counted as live are about to leave.
+	// Instances with a permit that still count as live are about to stop.
 	leaving := 0
-	for _, h := range w.permits {
-		if !h.left {
+	for _, h := range c.permits {
+		if !h.stopped {
 			leaving++
 		}
 	}
-	live := g.Live - leaving
+	live := state.Live - leaving
 	switch {
-	case live-1 < g.MinLive:
-		return Permit{}, w.reason(ReasonMinLive)
-	case live-1 < g.needed(w.cfg.MaxUtilization):
-		return Permit{}, w.reason(ReasonLoad)
-	case len(w.permits) >= max(1, int(w.cfg.MaxWaveShare*float64(g.Live+len(w.permits)-leaving))):
+	case live-1 < state.MinLive:
+		return Permit{}, c.refusalReason(ReasonMinLive)
+	case live-1 < state.requiredLive(c.cfg.MaxUtilization):
+		return Permit{}, c.refusalReason(ReasonLoad)
+	case len(c.permits) >= max(1, int(c.cfg.MaxWaveShare*float64(state.Live+len(c.permits)-leaving))):
 		return Permit{}, ReasonWave
 	}
-	w.last++
-	h := &held{Permit: Permit{Number: w.last, Instance: instance, Expires: now.Add(w.cfg.PermitTTL)}}
-	w.permits[instance] = h
+	c.lastNumber++
+	h := &heldPermit{Permit: Permit{Number: c.lastNumber, Instance: instance, Expires: now.Add(c.cfg.PermitTTL)}}
+	c.permits[instance] = h
 	return h.Permit, ReasonNone
 }
 
-// reason tells a refusal that ends with the current wave from a lasting one.
-func (w *Coordinator) reason(lasting Reason) Reason {
-	if len(w.permits) > 0 {
+// refusalReason returns ReasonWave if permits are in force, since the refusal
+// may then end with the current wave, and otherwise the given lasting reason.
+func (c *Coordinator) refusalReason(lasting Reason) Reason {
+	if len(c.permits) > 0 {
 		return ReasonWave
 	}
 	return lasting
 }
 
-// MarkStopped says that an instance with a permit has stopped serving: it is not
-// counted as live any more. It renews the permit.
-func (w *Coordinator) MarkStopped(now time.Time, instance model.InstanceID) {
-	w.expire(now)
-	if h, ok := w.permits[instance]; ok {
-		h.left = true
-		h.Expires = now.Add(w.cfg.PermitTTL)
+// MarkStopped records that an instance with a permit has stopped serving, so
+// that it is no longer part of PoolState.Live, and renews the permit.
+func (c *Coordinator) MarkStopped(now time.Time, instance model.InstanceID) {
+	c.expirePermits(now)
+	if h, ok := c.permits[instance]; ok {
+		h.stopped = true
+		h.Expires = now.Add(c.cfg.PermitTTL)
 	}
 }
 
-// Release says that an instance serves again, or is gone for good, and ends
-// its permit.
-func (w *Coordinator) Release(instance model.InstanceID) { delete(w.permits, instance) }
+// Release ends the permit of an instance that serves again or is gone for good.
+func (c *Coordinator) Release(instance model.InstanceID) { delete(c.permits, instance) }
 
 // ActivePermits returns the number of permits in force.
-func (w *Coordinator) ActivePermits(now time.Time) int {
-	w.expire(now)
-	return len(w.permits)
+func (c *Coordinator) ActivePermits(now time.Time) int {
+	c.expirePermits(now)
+	return len(c.permits)
 }
 
-// RetryInterval is the time after which a refused instance asks again.
-func (w *Coordinator) RetryInterval() time.Duration { return w.cfg.RetryInterval }
+// RetryInterval returns the time after which a refused instance should ask
+// again.
+func (c *Coordinator) RetryInterval() time.Duration { return c.cfg.RetryInterval }
 
-// expire ends permits that were not renewed. An instance whose permit expired
-// before it left asks again; one that has left is already missing from Live.
-func (w *Coordinator) expire(now time.Time) {
-	for instance, h := range w.permits {
+// expirePermits removes permits that were not renewed. An instance whose permit
+// expired before it stopped must ask again; one that had stopped is already
+// excluded from Live.
+func (c *Coordinator) expirePermits(now time.Time) {
+	for instance, h := range c.permits {
 		if !now.Before(h.Expires) {
-			delete(w.permits, instance)
+			delete(c.permits, instance)
 		}
 	}
 }
