--- a/lib/versions/wanted.go
+++ b/lib/versions/wanted.go
@@ -1,83 +1,88 @@
-// Package versions keeps which versions of weights are declared, and since when
-// older ones must no longer serve.
+// Package versions tracks which versions of weights are declared and from when
+// on older versions must no longer serve.
 package versions
 
 import "time"
 
 const (
-	// adoptedAge is assumed of a version that was declared before this process
-	// began to watch, as a share of the bound.
-	adoptedAge = 0.6
+	// assumedAgeShare is the age, as a fraction of the time limit, that is
+	// assumed for a version declared before this process started to watch.
+	assumedAgeShare = 0.6
 )
 
-// Registry holds the declared version of each model. It is not safe for
+// Registry holds the declared versions of each model. It is not safe for
 // concurrent use.
 type Registry struct {
-	bound  time.Duration
-	models map[string][]declaration
+	timeLimit    time.Duration
+	declarations map[string][]declaration
 }
 
 type declaration struct {
-	version int
-	at      time.Time
+	version    int
+	declaredAt time.Time
 }
 
-// NewRegistry returns an empty Wanted. bound is the time after a declaration at
-// which older versions must no longer serve; zero never requires one.
-func NewRegistry(bound time.Duration) *Registry {
-	return &Registry{bound: bound, models: make(map[string][]declaration)}
+// NewRegistry returns an empty Registry. timeLimit is the time after a
+// declaration from which older versions must no longer serve; zero disables the
+// limit.
+func NewRegistry(timeLimit time.Duration) *Registry {
+	return &Registry{timeLimit: timeLimit, declarations: make(map[string][]declaration)}
 }
 
-// SetTimeLimit changes the bound, for what is declared already too.
-func (w *Registry) SetTimeLimit(bound time.Duration) { w.bound = bound }
+// SetTimeLimit changes the time limit, for versions that are already declared
+// as well.
+func (r *Registry) SetTimeLimit(timeLimit time.Duration) { r.timeLimit = timeLimit }
 
-// Declare takes a version that was declared just now. Older ones are ignored.
-func (w *Registry) Declare(model string, version int, now time.Time) { w.declare(model, version, now) }
+// Declare records a version that was declared just now. Versions that are not
+// newer than the newest one are ignored.
+func (r *Registry) Declare(model string, version int, now time.Time) { r.declare(model, version, now) }
 
-// DeclareExisting takes a version of unknown age.
-func (w *Registry) DeclareExisting(model string, version int, now time.Time) {
-	w.declare(model, version, now.Add(-time.Duration(adoptedAge*float64(w.bound))))
+// DeclareExisting records a version whose time of declaration is unknown. It
+// assumes that part of the time limit has already passed.
+func (r *Registry) DeclareExisting(model string, version int, now time.Time) {
+	r.declare(model, version, now.Add(-time.Duration(assumedAgeShare*float64(r.timeLimit))))
 }
 
-func (w *Registry) declare(model string, version int, at time.Time) {
-	list := w.models[model]
+func (r *Registry) declare(model string, version int, at time.Time) {
+	list := r.declarations[model]
 	if n := len(list); n > 0 && list[n-1].version >= version {
 		return
 	}
-	w.models[model] = append(list, declaration{version: version, at: at})
+	r.declarations[model] = append(list, declaration{version: version, declaredAt: at})
 }
 
-// Newest returns the declared version, or zero if none is known.
-func (w *Registry) Newest(model string) int {
-	list := w.models[model]
+// Newest returns the newest declared version, or zero if none is known.
+func (r *Registry) Newest(model string) int {
+	list := r.declarations[model]
 	if len(list) == 0 {
 		return 0
 	}
 	return list[len(list)-1].version
 }
 
-// MinVersion returns the oldest version that may serve, or zero if any may.
-func (w *Registry) MinVersion(model string, now time.Time) int {
-	if w.bound <= 0 {
+// MinVersion returns the oldest version that may serve, or zero if every
+// version may.
+func (r *Registry) MinVersion(model string, now time.Time) int {
+	if r.timeLimit <= 0 {
 		return 0
 	}
-	least := 0
-	for _, d := range w.models[model] {
-		if now.Sub(d.at) >= w.bound {
-			least = d.version
+	minVersion := 0
+	for _, d := range r.declarations[model] {
+		if now.Sub(d.declaredAt) >= r.timeLimit {
+			minVersion = d.version
 		}
 	}
-	return least
+	return minVersion
 }
 
-// NextMinVersion returns the first version that becomes the oldest one that may serve,
-// and when; zero if none is due.
-func (w *Registry) NextMinVersion(model string, now time.Time) (version int, at time.Time) {
-	if w.bound <= 0 {
+// NextMinVersion returns the next value of MinVersion and the time from which
+// it applies, or zero values if no change is due.
+func (r *Registry) NextMinVersion(model string, now time.Time) (version int, at time.Time) {
+	if r.timeLimit <= 0 {
 		return 0, time.Time{}
 	}
-	for _, d := range w.models[model] {
-		if due := d.at.Add(w.bound); due.After(now) {
+	for _, d := range r.declarations[model] {
+		if due := d.declaredAt.Add(r.timeLimit); due.After(now) {
 			return d.version, due
 		}
 	}
