--- a/agent/transfer/ask.go
+++ b/agent/transfer/ask.go
@@ -8,9 +8,10 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// askPeer asks a peer which chunks of a version it holds, for work without a
-// tracker. An answer goes to bitmaps; there is none if the peer doesn't answer.
-func (s *Service) askPeer(address string, version model.Digest, bitmaps chan<- peerBitmap) {
+// queryPeer asks a peer in the background which chunks of a version it holds,
+// for use in trackerless mode. The answer is sent to bitmaps; if the query
+// fails, nothing is sent.
+func (s *Service) queryPeer(address string, version model.Digest, bitmaps chan<- peerBitmap) {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -22,7 +23,7 @@
 		}
 		stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 		_ = conn.SetReadDeadline(time.Now().Add(s.cfg.DialTimeout))
-		have, err := askOver(conn, version)
+		have, err := queryBitmap(conn, version)
 		if !stop() || err != nil {
 			_ = conn.Close()
 			return
@@ -36,7 +37,9 @@
 	}()
 }
 
-func askOver(conn *wire.Conn, version model.Digest) ([]byte, error) {
+// queryBitmap requests the bitmap of a version over a connection. It returns
+// errAbsent if the reply is not the bitmap of that version.
+func queryBitmap(conn *wire.Conn, version model.Digest) ([]byte, error) {
 	if err := conn.Send(&wire.Announce{Manifest: version}); err != nil {
 		return nil, err
 	}
--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -1,6 +1,6 @@
-// Package transfer moves weights to and from one instance: it fetches the
-// chunks of a version from the origin, the weight store and peers as a tracker
-// assigns them, serves verified chunks to peers, and reports progress.
+// Package transfer moves weights to and from one instance. It fetches the
+// chunks of a version from the origin, the weight store and peers as assigned
+// by a tracker, serves verified chunks to peers, and reports progress.
 package transfer
 
 import (
@@ -16,46 +16,55 @@
 	"github.com/auburnbend/auburnbend/lib/weights"
 )
 
-// Config holds the settings of a Service. Zero values get defaults.
+// Config configures a Service. Zero values are replaced by defaults.
 type Config struct {
 	Clock clock.Clock
-	// Seed makes jitter reproducible; 0 draws one from the clock.
+	// Seed makes jitter and random decisions reproducible; 0 derives a seed
+	// from the clock.
 	Seed int64
 	Log  *eventlog.Logger
-	// Identity and Pool are sent in Hello.
+	// Identity and Pool are sent in the Hello message of each connection.
 	Identity model.Identity
 	Pool     string
-	// Dial opens a connection to a peer or entry, with TLS where configured.
+	// Dial opens a connection to a peer or entry, using TLS where configured.
+	// The default is plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Origin is the origin of weights. WeightStore is an optional second source,
-	// which is tried first: it is closer, and its bytes are no origin bytes.
+	// Origin is the origin of weights. WeightStore is an optional second source
+	// that is tried first, because it is closer and does not count as origin
+	// traffic.
 	Origin, WeightStore backing.WeightSource
-	// Chunks holds the verified chunks.
+	// Chunks stores the verified chunks; the default keeps them in memory.
 	Chunks *weights.Store
-	// Downloader is the template for the decisions; Self and Rand are filled in.
+	// Downloader is the template of the Downloader's configuration; Self and
+	// Rand are filled in.
 	Downloader distribute.DownloaderConfig
-	// WindowBytes bounds the chunk bytes in memory for downloads.
+	// WindowBytes limits the memory for chunks being downloaded, in bytes.
 	WindowBytes int64
-	// UploadSlots bounds the chunks that are sent at one time.
+	// UploadSlots is the maximum number of chunks that are sent at one time.
 	UploadSlots int
-	// UploadSlotTimeout is how long a peer's request waits for an upload slot.
+	// UploadSlotTimeout is how long a peer's request waits for an upload slot
+	// before it is refused.
 	UploadSlotTimeout time.Duration
 	// UploadRate and DownloadRate are the rates of the instance's link in bytes
 	// per second; 0 means unlimited.
 	UploadRate, DownloadRate float64
-	// LinkShare sets the part of the link that transfers use.
+	// LinkShare configures the share of the link that transfers use.
 	LinkShare distribute.LinkShareConfig
-	// TickInterval is the time between looks at progress and deadlines.
+	// TickInterval is the time between two checks of progress and deadlines.
 	TickInterval time.Duration
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout is the time limit for opening a connection, for a bitmap
+	// query and for the first answer of a tracker that is probed.
 	DialTimeout time.Duration
-	// TrackerTimeout is the time without a message after which a tracker counts as
-	// dead.
+	// TrackerTimeout is the time without a message after which a tracker counts
+	// as unreachable.
 	TrackerTimeout time.Duration
-	// FailbackInterval is the time between attempts to go back to the tracker that
-	// comes first, so that the agents of a failure domain meet at one.
+	// FailbackInterval is the time between attempts to return to a
+	// higher-ranked tracker, so that the agents of a failure domain use the
+	// same one. It is also the initial wait before a silent entry is tried
+	// again.
 	FailbackInterval time.Duration
-	// MaxSeeds is the number of earlier versions that are still offered.
+	// MaxSeeds is the maximum number of earlier versions whose chunks are still
+	// offered to peers.
 	MaxSeeds int
 }
 
@@ -81,12 +90,12 @@
 		c.Downloader.Window = 5
 	}
 	if c.WindowBytes <= 0 {
-		// Half is for downloads; uploads hold as much at most. Both stay well
-		// under the 256 MB of a process.
+		// Uploads use at most the same amount. Together they stay well below
+		// the 256 MB of the process.
 		c.WindowBytes = 32 << 20
 	}
 	if c.UploadSlots <= 0 {
-		c.UploadSlots = 12 // trackers of this and of other failure domains assign 6 each
+		c.UploadSlots = 12 // trackers of this and of other failure domains assign up to 6 each
 	}
 	setDefault(&c.UploadSlotTimeout, 100*time.Millisecond)
 	setDefault(&c.TickInterval, 20*time.Millisecond)
@@ -98,6 +107,7 @@
 	}
 }
 
+// setDefault sets *d to def unless it is positive.
 func setDefault(d *time.Duration, def time.Duration) {
 	if *d <= 0 {
 		*d = def
--- a/agent/transfer/dial.go
+++ b/agent/transfer/dial.go
@@ -6,7 +6,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// dial opens a connection and exchanges Hello.
+// dial opens a connection and performs the handshake.
 func (s *Service) dial(ctx context.Context, address string) (*wire.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.DialTimeout)
 	defer cancel()
@@ -14,7 +14,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Handshake has a deadline of its own; a cancelled fetch must not wait for it.
+	// wire.Handshake has a deadline of its own, but a cancelled fetch must not
+	// wait for it.
 	stop := context.AfterFunc(ctx, func() { _ = nc.Close() })
 	conn, _, err := wire.Handshake(nc, wire.Hello{Role: wire.RoleAgent, Identity: s.cfg.Identity, Pool: s.cfg.Pool})
 	if !stop() && err == nil {
--- a/agent/transfer/limits.go
+++ b/agent/transfer/limits.go
@@ -8,7 +8,8 @@
 	"github.com/auburnbend/auburnbend/lib/weights"
 )
 
-// limits keeps transfers within their share of the instance's link.
+// limits restricts transfers to their share of the instance's link. It is safe
+// for concurrent use.
 type limits struct {
 	upload, download         *rate.Limiter
 	uploadRate, downloadRate float64
@@ -21,7 +22,8 @@
 	}
 }
 
-// newLimiter allows a burst of one chunk, the unit in which peers send.
+// newLimiter returns a limiter for a rate; a rate of 0 or less means unlimited.
+// It allows a burst of one chunk, the unit in which peers send.
 func newLimiter(bytesPerSecond float64) *rate.Limiter {
 	if bytesPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -29,8 +31,8 @@
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), weights.MaxChunkSize)
 }
 
-// set applies a share of the link.
-func (l *limits) set(share float64) {
+// setShare sets the share of the link's rates that transfers may use.
+func (l *limits) setShare(share float64) {
 	if l.uploadRate > 0 {
 		l.upload.SetLimit(rate.Limit(l.uploadRate * share))
 	}
--- a/agent/transfer/link.go
+++ b/agent/transfer/link.go
@@ -9,48 +9,51 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-func rendezvous(digest model.Digest, addresses []string) []string {
+// rankEntries returns the entries in the rendezvous order of a manifest.
+func rankEntries(digest model.Digest, addresses []string) []string {
 	return distribute.RendezvousOrder(digest, addresses)
 }
 
-// linkEvent is what a link tells the run loop. A nil conn means that no tracker
-// is reachable.
+// linkEvent is sent by a trackerLink to its owner. A nil conn means that no
+// tracker is reachable.
 type linkEvent struct {
-	link    *link
+	link    *trackerLink
 	conn    *wire.Conn
-	message wire.Message // nil when the connection is new
+	message wire.Message // nil if the connection is new
 }
 
-// link keeps a connection to the tracker of one version.
-type link struct {
-	s      *Service
-	digest model.Digest
-	cancel context.CancelFunc
-	events chan<- linkEvent
+// trackerLink maintains a connection to the tracker of one version.
+type trackerLink struct {
+	service *Service
+	digest  model.Digest
+	cancel  context.CancelFunc
+	events  chan<- linkEvent
 }
 
-// silence says how long an entry that sent nothing is passed over.
-type silence struct {
+// entryBackoff is the time for which an entry that sent nothing is skipped.
+type entryBackoff struct {
 	until time.Time
 	wait  time.Duration
 }
 
-// again doubles the wait, which ends with the first message of the entry.
-func (s silence) again(first time.Duration) silence {
-	s.wait = min(max(s.wait*2, first), maxSilence)
-	s.until = time.Now().Add(s.wait)
-	return s
+// increase doubles the wait, starting at initial. The first answer of the entry
+// resets it.
+func (b entryBackoff) increase(initial time.Duration) entryBackoff {
+	b.wait = min(max(b.wait*2, initial), maxEntryBackoff)
+	b.until = time.Now().Add(b.wait)
+	return b
 }
 
-// maxSilence bounds the wait before a silent entry is tried again.
-const maxSilence = time.Minute
+// maxEntryBackoff is the maximum wait before a silent entry is tried again.
+const maxEntryBackoff = time.Minute
 
-// linkRetry is the wait after a round over all entries failed.
-const linkRetry = 500 * time.Millisecond
+// reconnectDelay is the maximum wait, with jitter, after no entry accepted a
+// connection.
+const reconnectDelay = 500 * time.Millisecond
 
-func (s *Service) newLink(digest model.Digest, events chan<- linkEvent) *link {
+func (s *Service) newTrackerLink(digest model.Digest, events chan<- linkEvent) *trackerLink {
 	ctx, cancel := context.WithCancel(s.ctx)
-	l := &link{s: s, digest: digest, cancel: cancel, events: events}
+	l := &trackerLink{service: s, digest: digest, cancel: cancel, events: events}
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -59,83 +62,88 @@
 	return l
 }
 
-// run connects to the first entry in rendezvous order that answers, and tries
-// earlier ones from time to time.
-func (l *link) run(ctx context.Context) {
-	silent := make(map[string]silence)
+// run stays connected to the first entry in rendezvous order that answers, and
+// periodically tries higher-ranked entries.
+func (l *trackerLink) run(ctx context.Context) {
+	backoffs := make(map[string]entryBackoff)
 	for ctx.Err() == nil {
-		order, changed := l.order()
-		conn, rank := l.connect(ctx, order, silent)
+		order, changed := l.rankedEntries()
+		conn, rank := l.connect(ctx, order, backoffs)
 		if conn == nil {
 			l.emit(ctx, linkEvent{link: l})
 			select {
 			case <-ctx.Done():
 			case <-changed:
-			case <-time.After(l.s.jitter(linkRetry)):
+			case <-time.After(l.service.jitter(reconnectDelay)):
 			}
 			continue
 		}
 		for conn != nil {
 			address := order[rank]
 			var answered bool
-			conn, rank, answered = l.use(ctx, conn, order, rank, silent)
+			conn, rank, answered = l.receive(ctx, conn, order, rank, backoffs)
 			if answered {
-				delete(silent, address)
+				delete(backoffs, address)
 			} else {
-				silent[address] = silent[address].again(l.s.cfg.FailbackInterval)
+				backoffs[address] = backoffs[address].increase(l.service.cfg.FailbackInterval)
 			}
 		}
 	}
 }
 
-func (l *link) order() ([]string, <-chan struct{}) {
-	l.s.mu.Lock()
-	defer l.s.mu.Unlock()
-	return rendezvous(l.digest, l.s.entries), l.s.changed
+// rankedEntries returns the entries in rendezvous order and a channel that is
+// closed when the entries change.
+func (l *trackerLink) rankedEntries() ([]string, <-chan struct{}) {
+	l.service.mu.Lock()
+	defer l.service.mu.Unlock()
+	return rankEntries(l.digest, l.service.entries), l.service.entriesChanged
 }
 
-// connect returns a connection to the first entry that accepts one. Entries that
-// accepted one and then sent nothing are passed over for a time: a path that
-// carries only one direction lets a handshake pass.
-func (l *link) connect(ctx context.Context, order []string, silent map[string]silence) (*wire.Conn, int) {
+// connect returns a connection to the first entry that accepts one, and the
+// entry's rank; nil if none does. It skips entries that recently accepted a
+// connection and then sent nothing, because a path that works in only one
+// direction can still complete a handshake.
+func (l *trackerLink) connect(ctx context.Context, order []string, backoffs map[string]entryBackoff) (*wire.Conn, int) {
 	for rank, address := range order {
-		if time.Now().Before(silent[address].until) {
+		if time.Now().Before(backoffs[address].until) {
 			continue
 		}
-		if conn, err := l.s.dial(ctx, address); err == nil {
+		if conn, err := l.service.dial(ctx, address); err == nil {
 			return conn, rank
 		}
 	}
 	return nil, 0
 }
 
-// use reads from a connection until it fails or is silent. Each announcement is
-// answered and repeated every second, so a silent tracker is a dead one. If an
-// earlier entry answers meanwhile, its connection is returned.
-func (l *link) use(ctx context.Context, conn *wire.Conn, order []string, rank int, silent map[string]silence) (next *wire.Conn, nextRank int, answered bool) {
+// receive passes on messages from a connection until it fails or is silent.
+// Announcements are repeated every second and each one is answered, so silence
+// means that the tracker is unreachable. If a higher-ranked entry answers in
+// the meantime, its connection and rank are returned. answered reports whether
+// the tracker answered an announcement.
+func (l *trackerLink) receive(ctx context.Context, conn *wire.Conn, order []string, rank int, backoffs map[string]entryBackoff) (next *wire.Conn, nextRank int, answered bool) {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	try, cancel := context.WithCancel(ctx)
+	failbackCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	better := make(chan *wire.Conn, 1)
+	earlier := make(chan *wire.Conn, 1)
 	if rank == 0 {
-		close(better)
+		close(earlier)
 	} else {
-		l.s.wg.Add(1)
+		l.service.wg.Add(1)
 		go func() {
-			defer l.s.wg.Done()
-			defer close(better)
+			defer l.service.wg.Done()
+			defer close(earlier)
 			var c *wire.Conn
-			if c, nextRank = l.findBetter(try, order[:rank], silent); c != nil {
-				better <- c
+			if c, nextRank = l.findEarlierEntry(failbackCtx, order[:rank], backoffs); c != nil {
+				earlier <- c
 				_ = conn.Close()
 			}
 		}()
 	}
 	l.emit(ctx, linkEvent{link: l, conn: conn})
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(l.s.cfg.TrackerTimeout))
+		_ = conn.SetReadDeadline(time.Now().Add(l.service.cfg.TrackerTimeout))
 		m, err := conn.Receive()
 		if err != nil {
 			break
@@ -146,34 +154,37 @@
 		l.emit(ctx, linkEvent{link: l, conn: conn, message: m})
 	}
 	cancel()
-	return <-better, nextRank, answered
+	return <-earlier, nextRank, answered
 }
 
-func (l *link) findBetter(ctx context.Context, order []string, silent map[string]silence) (*wire.Conn, int) {
+// findEarlierEntry periodically tries the given entries and returns a connection
+// to the first one that answers, and its rank. It returns nil when ctx ends.
+func (l *trackerLink) findEarlierEntry(ctx context.Context, order []string, backoffs map[string]entryBackoff) (*wire.Conn, int) {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil, 0
-		case <-time.After(l.s.jitter(l.s.cfg.FailbackInterval)):
+		case <-time.After(l.service.jitter(l.service.cfg.FailbackInterval)):
 		}
-		conn, rank := l.connect(ctx, order, silent)
+		conn, rank := l.connect(ctx, order, backoffs)
 		switch {
 		case conn == nil:
-		case l.answers(conn):
+		case l.probe(conn):
 			return conn, rank
 		default:
-			silent[order[rank]] = silent[order[rank]].again(l.s.cfg.FailbackInterval)
+			backoffs[order[rank]] = backoffs[order[rank]].increase(l.service.cfg.FailbackInterval)
 		}
 	}
 }
 
-// answers probes a new connection with an empty announcement, so that a working
-// tracker is not given up for a silent one. It closes a silent connection.
-func (l *link) answers(conn *wire.Conn) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(l.s.cfg.DialTimeout))
+// probe reports whether the tracker answers an empty announcement on a new
+// connection, so that a working tracker is not abandoned for a silent one. It
+// closes the connection if there is no answer.
+func (l *trackerLink) probe(conn *wire.Conn) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(l.service.cfg.DialTimeout))
 	err := conn.Send(&wire.Announce{Manifest: l.digest, Sequence: 1})
 	if err == nil {
-		_, err = conn.Receive() // nothing is pushed before the first announcement
+		_, err = conn.Receive() // trackers send nothing before the first announcement
 	}
 	if err != nil {
 		_ = conn.Close()
@@ -181,7 +192,7 @@
 	return err == nil
 }
 
-func (l *link) emit(ctx context.Context, e linkEvent) {
+func (l *trackerLink) emit(ctx context.Context, e linkEvent) {
 	select {
 	case l.events <- e:
 	case <-ctx.Done():
--- a/agent/transfer/manifest.go
+++ b/agent/transfer/manifest.go
@@ -16,29 +16,33 @@
 )
 
 const (
-	// maxManifest bounds an encoded manifest in bytes; it fits into one frame.
-	maxManifest = 4 << 20
-	// manifestRetry is the wait after a failed round over all sources.
-	manifestRetry = 500 * time.Millisecond
-	// manifestWait bounds the wait for one peer or tracker. It is longer than
-	// the time that a tracker gives to the agent that reads the origin.
-	manifestWait = 3 * time.Second
-	// manifestRoundLimit bounds a round: a read from the origin may stall.
-	manifestRoundLimit = 10 * time.Second
-	// manifestHedge is the wait for one source before the next is asked as well.
-	manifestHedge = 500 * time.Millisecond
+	// maxManifestSize is the maximum size of an encoded manifest in bytes; it
+	// fits into one frame.
+	maxManifestSize = 4 << 20
+	// manifestRetryDelay is the maximum wait, with jitter, after all sources
+	// failed.
+	manifestRetryDelay = 500 * time.Millisecond
+	// manifestTimeout is the time limit for one peer or tracker. It exceeds the
+	// time that a tracker allows an agent to read the manifest from the origin.
+	manifestTimeout = 3 * time.Second
+	// manifestRoundTimeout is the time limit for one attempt with all sources,
+	// since a read from the origin may stall.
+	manifestRoundTimeout = 10 * time.Second
+	// manifestHedgeDelay is the wait for one source before the next one is
+	// asked in parallel.
+	manifestHedgeDelay = 500 * time.Millisecond
 )
 
-// fetchManifest gets a manifest from the tracker, else from peers, else from the
-// origin, and retries until the context ends.
-func (s *Service) fetchManifest(ctx context.Context, digest model.Digest, object string) (*known, error) {
+// fetchManifest returns a manifest from the tracker, a peer or the origin, in
+// this order of preference. It retries until ctx ends.
+func (s *Service) fetchManifest(ctx context.Context, digest model.Digest, object string) (*parsedManifest, error) {
 	for attempt := 0; ; attempt++ {
-		if k := s.known(digest); k != nil {
-			return k, nil
+		if parsed := s.lookupManifest(digest); parsed != nil {
+			return parsed, nil
 		}
-		k, err := s.manifestRound(ctx, digest, object, attempt)
+		parsed, err := s.tryManifestSources(ctx, digest, object, attempt)
 		if err == nil {
-			return k, nil
+			return parsed, nil
 		}
 		if errors.Is(err, weights.ErrManifestDigest) || errors.Is(err, weights.ErrManifestInvalid) {
 			s.cfg.Log.Log(eventlog.ManifestCorrupt, "manifest", digest.Short(), "err", err)
@@ -46,42 +50,43 @@
 		select {
 		case <-ctx.Done():
 			return nil, merry.Wrap(ctx.Err(), merry.WithCause(err))
-		case <-time.After(s.jitter(manifestRetry)):
+		case <-time.After(s.jitter(manifestRetryDelay)):
 		}
 	}
 }
 
-// manifestRound asks entries and peers one after the other and the origin last.
-// A source that has not answered after manifestHedge is left running while the
-// next one is asked; a tracker's refusal sends this agent to the origin at once.
-func (s *Service) manifestRound(ctx context.Context, digest model.Digest, object string, attempt int) (*known, error) {
-	ctx, cancel := context.WithTimeout(ctx, manifestRoundLimit)
+// tryManifestSources asks entries and peers one after the other and the origin
+// last. A request that has not been answered after manifestHedgeDelay continues
+// while the next source is asked. A refusal sends this agent to the origin at
+// once.
+func (s *Service) tryManifestSources(ctx context.Context, digest model.Digest, object string, attempt int) (*parsedManifest, error) {
+	ctx, cancel := context.WithTimeout(ctx, manifestRoundTimeout)
 	defer cancel()
 	type answer struct {
-		known *known
-		err   error
+		parsed *parsedManifest
+		err    error
 	}
-	sources := s.manifestPeers(digest)
+	sources := s.manifestSources(digest)
 	answers := make(chan answer, len(sources)+1)
 	running := 0
 	for next := 0; ; {
 		if next <= len(sources) {
-			ask := func() (*known, error) { return s.manifestFromOrigin(ctx, digest, object, attempt) }
+			ask := func() (*parsedManifest, error) { return s.manifestFromOrigin(ctx, digest, object, attempt) }
 			if next < len(sources) {
 				address := sources[next]
-				ask = func() (*known, error) { return s.manifestFrom(ctx, address, digest) }
+				ask = func() (*parsedManifest, error) { return s.manifestFromPeer(ctx, address, digest) }
 			}
 			next++
 			running++
 			go func() {
-				k, err := ask()
-				answers <- answer{k, err}
+				parsed, err := ask()
+				answers <- answer{parsed, err}
 			}()
 		}
 		select {
 		case a := <-answers:
 			if running--; a.err == nil {
-				return a.known, nil
+				return a.parsed, nil
 			}
 			if errors.Is(a.err, errAbsent) {
 				next = max(next, len(sources))
@@ -89,18 +94,20 @@
 			if running == 0 && next > len(sources) || ctx.Err() != nil {
 				return nil, a.err
 			}
-		case <-time.After(manifestHedge):
+		case <-time.After(manifestHedgeDelay):
 		}
 	}
 }
 
-func (s *Service) manifestPeers(digest model.Digest) []string {
+// manifestSources returns the entries in rendezvous order, followed by the
+// peers.
+func (s *Service) manifestSources(digest model.Digest) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append(rendezvous(digest, s.entries), s.peers...)
+	return append(rankEntries(digest, s.entries), s.peers...)
 }
 
-func (s *Service) manifestFrom(ctx context.Context, address string, digest model.Digest) (*known, error) {
+func (s *Service) manifestFromPeer(ctx context.Context, address string, digest model.Digest) (*parsedManifest, error) {
 	conn, err := s.dial(ctx, address)
 	if err != nil {
 		return nil, err
@@ -108,7 +115,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	_ = conn.SetReadDeadline(time.Now().Add(manifestWait))
+	_ = conn.SetReadDeadline(time.Now().Add(manifestTimeout))
 	if err := conn.Send(&wire.ManifestFetch{Manifest: digest}); err != nil {
 		return nil, err
 	}
@@ -119,7 +126,7 @@
 		}
 		switch m := m.(type) {
 		case *wire.ManifestData:
-			return s.learn(digest, m.Data)
+			return s.addManifest(digest, m.Data)
 		case *wire.ManifestRefused:
 			return nil, errAbsent
 		}
@@ -127,29 +134,29 @@
 }
 
 // manifestFromOrigin reads the object until its digest matches. Reads may end
-// early, so one without a byte marks the end.
-func (s *Service) manifestFromOrigin(ctx context.Context, digest model.Digest, object string, attempt int) (*known, error) {
-	src, count := s.source(attempt)
+// early, so only a read without any bytes marks the end of the object.
+func (s *Service) manifestFromOrigin(ctx context.Context, digest model.Digest, object string, attempt int) (*parsedManifest, error) {
+	src, count := s.chooseSource(attempt)
 	if src == nil {
 		return nil, errNoSource
 	}
 	var buf bytes.Buffer
 	for {
-		r, err := src.ReadRange(ctx, object, int64(buf.Len()), int64(maxManifest-buf.Len()))
+		r, err := src.ReadRange(ctx, object, int64(buf.Len()), int64(maxManifestSize-buf.Len()))
 		if err != nil && buf.Len() == 0 {
 			return nil, err
 		}
 		n := int64(0)
 		if err == nil {
 			stop := context.AfterFunc(ctx, func() { _ = r.Close() })
-			n, _ = io.Copy(&buf, io.LimitReader(r, int64(maxManifest-buf.Len())))
+			n, _ = io.Copy(&buf, io.LimitReader(r, int64(maxManifestSize-buf.Len())))
 			stop()
 			_ = r.Close()
 			count.Add(n)
 		}
-		k, decodeErr := s.learn(digest, buf.Bytes())
+		parsed, decodeErr := s.addManifest(digest, buf.Bytes())
 		if decodeErr == nil || n == 0 || ctx.Err() != nil {
-			return k, decodeErr
+			return parsed, decodeErr
 		}
 	}
 }
--- a/agent/transfer/partials.go
+++ b/agent/transfer/partials.go
@@ -6,20 +6,21 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// partials keeps the beginnings of chunks whose origin read ended early, so
-// that the next read resumes where it stopped. It is bounded in bytes.
+// partials keeps the received beginnings of chunks whose origin reads ended
+// early, so that the next read can resume. It holds at most maxBytes and is
+// safe for concurrent use.
 type partials struct {
-	mu    sync.Mutex
-	max   int64
-	bytes int64
-	data  map[model.Digest][]byte
+	mu       sync.Mutex
+	maxBytes int64
+	bytes    int64
+	data     map[model.Digest][]byte
 }
 
 func newPartials(maxBytes int64) *partials {
-	return &partials{max: maxBytes, data: make(map[model.Digest][]byte)}
+	return &partials{maxBytes: maxBytes, data: make(map[model.Digest][]byte)}
 }
 
-// take returns and removes the beginning of a chunk.
+// take removes and returns the beginning of a chunk, or nil.
 func (p *partials) take(digest model.Digest) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,18 +30,18 @@
 	return data
 }
 
-// put keeps the beginning of a chunk if there is room.
+// put stores the beginning of a chunk if there is room.
 func (p *partials) put(digest model.Digest, data []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, ok := p.data[digest]; ok || len(data) == 0 || p.bytes+int64(len(data)) > p.max {
+	if _, ok := p.data[digest]; ok || len(data) == 0 || p.bytes+int64(len(data)) > p.maxBytes {
 		return
 	}
 	p.data[digest] = data
 	p.bytes += int64(len(data))
 }
 
-// clear forgets all beginnings, when another version is wanted.
+// clear drops all partial chunks when the target version changes.
 func (p *partials) clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/agent/transfer/permit.go
+++ b/agent/transfer/permit.go
@@ -9,10 +9,10 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ErrNoTracker means that no tracker is reachable to give a load permit.
-var ErrNoTracker = merry.New("no tracker is reachable")
+// ErrNoTracker is returned if no tracker is reachable to grant a load permit.
+var ErrNoTracker = merry.New("no tracker reachable")
 
-// permitRequest waits for the tracker's answer.
+// permitRequest is a request for a load permit. answer is buffered.
 type permitRequest struct {
 	manifest model.Digest
 	answer   chan permitAnswer
@@ -23,13 +23,14 @@
 	err    error
 }
 
-// RequestPermit asks the tracker whether this instance may leave the version that it
-// serves to load another. Without a tracker it returns ErrNoTracker: the
-// instance stays on its version, since nobody knows how many others have left.
+// RequestPermit asks the tracker for permission to stop serving the current
+// version in order to load another. It returns ErrNoTracker if no tracker is
+// reachable; the instance must then keep its version, because the number of
+// other instances that have stopped is unknown.
 func (s *Service) RequestPermit(ctx context.Context, manifest model.Digest) (wire.LoadPermit, error) {
 	request := permitRequest{manifest: manifest, answer: make(chan permitAnswer, 1)}
 	select {
-	case s.permits <- request:
+	case s.permitRequests <- request:
 	case <-ctx.Done():
 		return wire.LoadPermit{}, ctx.Err()
 	}
@@ -41,20 +42,21 @@
 	}
 }
 
-// askPermit sends a request to the tracker. A newer request replaces one that
-// has no answer yet: its tracker may be gone.
-func (r *runner) askPermit(request permitRequest) {
+// requestPermit sends a request to the tracker. It fails an earlier request
+// that has not been answered, because the tracker may have gone.
+func (r *runner) requestPermit(request permitRequest) {
 	r.answerPermit(permitAnswer{err: ErrNoTracker})
 	if r.conn == nil || r.conn.TrySend(&wire.LoadPermitFetch{Manifest: request.manifest}) != nil {
 		request.answer <- permitAnswer{err: ErrNoTracker}
 		return
 	}
-	r.permit = &request
+	r.pendingPermit = &request
 }
 
+// answerPermit answers the pending request, if any.
 func (r *runner) answerPermit(a permitAnswer) {
-	if r.permit != nil {
-		r.permit.answer <- a
-		r.permit = nil
+	if r.pendingPermit != nil {
+		r.pendingPermit.answer <- a
+		r.pendingPermit = nil
 	}
 }
--- a/agent/transfer/pool.go
+++ b/agent/transfer/pool.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// idlePerPeer bounds the idle connections to one peer.
-	idlePerPeer = 4
-	// idleTotal bounds the idle connections to all peers.
-	idleTotal = 64
+	// maxIdlePerPeer is the maximum number of idle connections to one peer.
+	maxIdlePerPeer = 4
+	// maxIdleTotal is the maximum number of idle connections to all peers.
+	maxIdleTotal = 64
 )
 
-// connPool keeps idle connections to peers. A connection carries one request at
-// a time.
+// connPool keeps idle connections to peers for reuse. A connection carries one
+// request at a time. The pool is safe for concurrent use.
 type connPool struct {
 	dial func(ctx context.Context, address string) (*wire.Conn, error)
 
@@ -29,8 +29,8 @@
 	return &connPool{dial: dial, idle: make(map[string][]*wire.Conn)}
 }
 
-// get returns an idle connection, which the peer may have closed meanwhile, or
-// a new one.
+// get returns an idle connection, which the peer may have closed in the
+// meantime, or a new one.
 func (p *connPool) get(ctx context.Context, address string) (conn *wire.Conn, reused bool, err error) {
 	p.mu.Lock()
 	if list := p.idle[address]; len(list) > 0 {
@@ -45,11 +45,11 @@
 	return conn, false, err
 }
 
-// put takes back a connection on which no reply is outstanding.
+// put returns a connection without an outstanding reply to the pool.
 func (p *connPool) put(address string, conn *wire.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.total >= idleTotal || len(p.idle[address]) >= idlePerPeer {
+	if p.closed || p.total >= maxIdleTotal || len(p.idle[address]) >= maxIdlePerPeer {
 		_ = conn.Close()
 		return
 	}
@@ -57,9 +57,9 @@
 	p.total++
 }
 
-// drop closes the idle connections to a peer: one of them failed, so the others
-// are likely dead too.
-func (p *connPool) drop(address string) {
+// closeIdle closes the idle connections to a peer after one connection failed,
+// since the others have probably failed as well.
+func (p *connPool) closeIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
@@ -69,6 +69,7 @@
 	delete(p.idle, address)
 }
 
+// close closes all idle connections. Connections returned later are closed too.
 func (p *connPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/agent/transfer/run.go
+++ b/agent/transfer/run.go
@@ -13,53 +13,55 @@
 
 // runner is the state of the goroutine that owns the Downloader.
 type runner struct {
-	s       *Service
-	d       *distribute.Downloader
-	target  *target
-	link    *link
-	conn    *wire.Conn // nil without a tracker
-	links   chan linkEvent
-	workers map[uint64]*worker
-	results chan done
-	bitmaps chan peerBitmap
-	checked chan check
-	// checking is true while the complete set is verified.
-	checking bool
-	complete bool
-	seeds    []*seed
-	permit   *permitRequest
-	// before is the progress when the wanted version was set: operators see the
-	// bytes of a version.
-	before   Progress
-	reported time.Time
-	phase    wire.Phase
+	service       *Service
+	downloader    *distribute.Downloader
+	target        *target
+	link          *trackerLink
+	conn          *wire.Conn // nil without a tracker
+	linkEvents    chan linkEvent
+	workers       map[uint64]*worker
+	fetchResults  chan fetchResult
+	peerBitmaps   chan peerBitmap
+	verifyResults chan verifyResult
+	// verifying is true while the complete set of chunks is being verified.
+	verifying     bool
+	complete      bool
+	seeds         []*seed
+	pendingPermit *permitRequest
+	// baseline is the progress at the time when the target was set. It is
+	// subtracted from reported byte counts, so that operators see the bytes of
+	// each version.
+	baseline   Progress
+	lastReport time.Time
+	phase      wire.Phase
 }
 
-// peerBitmap is a peer's answer about what it holds.
+// peerBitmap is a peer's answer to a bitmap query.
 type peerBitmap struct {
 	address string
 	version model.Digest
 	have    weights.Bitmap
 }
 
-// check is the result of verifying the whole set of a target.
-type check struct {
+// verifyResult is the result of verifying all chunks of a target.
+type verifyResult struct {
 	target *target
 	err    error
 }
 
-// reportEvery is the time between two progress reports to the tracker.
-const reportEvery = time.Second
+// reportInterval is the time between two progress reports to the tracker.
+const reportInterval = time.Second
 
+// run handles all events of the service until it is closed.
 func (s *Service) run() {
 	defer s.wg.Done()
 	cfg := s.cfg.Downloader
 	cfg.Self = s.cfg.Identity.Address
 	cfg.Rand = rand.New(rand.NewSource(s.cfg.Seed))
 	r := &runner{
-		s: s, d: distribute.NewDownloader(cfg),
-		links: make(chan linkEvent), workers: make(map[uint64]*worker),
-		results: make(chan done), bitmaps: make(chan peerBitmap), checked: make(chan check),
+		service: s, downloader: distribute.NewDownloader(cfg),
+		linkEvents: make(chan linkEvent), workers: make(map[uint64]*worker),
+		fetchResults: make(chan fetchResult), peerBitmaps: make(chan peerBitmap), verifyResults: make(chan verifyResult),
 	}
 	ticker := time.NewTicker(s.cfg.TickInterval)
 	defer ticker.Stop()
@@ -71,127 +73,132 @@
 			}
 			return
 		case t := <-s.targets:
-			r.retarget(t)
-		case e := <-r.links:
-			r.linkEvent(e)
-		case p := <-s.permits:
-			r.askPermit(p)
-		case m := <-s.status:
+			r.setTarget(t)
+		case e := <-r.linkEvents:
+			r.handleLinkEvent(e)
+		case p := <-s.permitRequests:
+			r.requestPermit(p)
+		case m := <-s.statusReports:
 			r.report(m)
-		case res := <-r.results:
-			r.finished(res)
-		case b := <-r.bitmaps:
-			r.d.SetPeerBitmap(b.address, b.version, b.have)
-		case c := <-r.checked:
-			r.verified(c)
+		case res := <-r.fetchResults:
+			r.handleFetchResult(res)
+		case b := <-r.peerBitmaps:
+			r.downloader.SetPeerBitmap(b.address, b.version, b.have)
+		case res := <-r.verifyResults:
+			r.handleVerifyResult(res)
 		case <-ticker.C:
 			now := s.cfg.Clock.Now()
 			for id, w := range r.workers {
-				r.d.FetchProgress(now, id, w.progress())
+				r.downloader.FetchProgress(now, id, w.progress())
 			}
 		}
-		r.step()
+		r.applyActions()
 	}
 }
 
-func (r *runner) retarget(t *target) {
-	now := r.s.cfg.Clock.Now()
+// setTarget starts the transfer of a version. The previous version stays
+// available to peers as a seed.
+func (r *runner) setTarget(t *target) {
+	now := r.service.cfg.Clock.Now()
 	if r.target != nil {
 		if r.target.digest == t.digest {
-			r.join(t)
+			r.joinTarget(t)
 			return
 		}
 		if !r.complete {
 			r.target.result <- ErrReplaced
-			r.s.cfg.Log.Log(eventlog.VersionReplaced, "old", r.target.digest.Short(), "new", t.digest.Short())
+			r.service.cfg.Log.Log(eventlog.VersionReplaced, "old", r.target.digest.Short(), "new", t.digest.Short())
 		}
 		r.link.cancel()
 		r.addSeed(r.target)
 	}
-	r.target, r.conn, r.complete, r.checking = t, nil, false, false
-	r.before = r.s.counters.progress()
-	r.reported = time.Time{} // the new version is reported at once
-	r.s.cfg.Log.Log(eventlog.VersionFetchStarted, "manifest", t.digest.Short(), "chunks", len(t.known.manifest.Chunks))
+	r.target, r.conn, r.complete, r.verifying = t, nil, false, false
+	r.baseline = r.service.counters.progress()
+	r.lastReport = time.Time{} // report the new version at once
+	r.service.cfg.Log.Log(eventlog.VersionFetchStarted, "manifest", t.digest.Short(), "chunks", len(t.parsed.manifest.Chunks))
 	r.dropSeed(t.digest)
-	r.s.wanted(t.known.manifest)
-	r.setWindow(t.known.manifest)
-	for _, id := range r.d.SetTarget(now, t.digest, t.known.manifest, r.s.cfg.Chunks.Have(t.known.manifest)) {
-		r.cancel(id)
+	r.service.retainChunks(t.parsed.manifest)
+	r.setWindow(t.parsed.manifest)
+	for _, id := range r.downloader.SetTarget(now, t.digest, t.parsed.manifest, r.service.cfg.Chunks.Have(t.parsed.manifest)) {
+		r.cancelWorker(id)
 	}
 	r.setPeers()
 	r.phase = wire.PhaseFetching
-	r.link = r.s.newLink(t.digest, r.links)
+	r.link = r.service.newTrackerLink(t.digest, r.linkEvents)
 }
 
 func (r *runner) setPeers() {
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	r.d.SetPeers(r.s.peers)
+	r.service.mu.Lock()
+	defer r.service.mu.Unlock()
+	r.downloader.SetPeers(r.service.peers)
 }
 
-// join lets a second Fetch of the same version wait too.
-func (r *runner) join(t *target) {
+// joinTarget makes another Fetch of the same version wait for the result as
+// well.
+func (r *runner) joinTarget(t *target) {
 	if !r.complete {
-		first := r.target.result
+		earlier := r.target.result
 		r.target.result = make(chan error, 1)
-		go relay(r.target.result, first, t.result)
+		go broadcast(r.target.result, earlier, t.result)
 		return
 	}
-	t.result <- r.s.cfg.Chunks.Verify(t.known.manifest)
+	t.result <- r.service.cfg.Chunks.Verify(t.parsed.manifest)
 }
 
-func relay(from <-chan error, to ...chan<- error) {
+// broadcast sends the next value of from to all of the given channels.
+func broadcast(from <-chan error, to ...chan<- error) {
 	err := <-from
 	for _, c := range to {
 		c <- err
 	}
 }
 
-// setWindow bounds the chunk bytes in flight.
+// setWindow limits the number of concurrent fetches so that the chunks in
+// flight fit into WindowBytes.
 func (r *runner) setWindow(m *weights.Manifest) {
 	largest := uint32(1)
 	for _, c := range m.Chunks {
 		largest = max(largest, c.Size)
 	}
-	fit := int(r.s.cfg.WindowBytes / int64(largest))
-	r.d.SetWindow(max(1, min(r.s.cfg.Downloader.Window, fit)))
+	maxChunks := int(r.service.cfg.WindowBytes / int64(largest))
+	r.downloader.SetWindow(max(1, min(r.service.cfg.Downloader.Window, maxChunks)))
 }
 
-func (r *runner) linkEvent(e linkEvent) {
+func (r *runner) handleLinkEvent(e linkEvent) {
 	if e.link != r.link {
-		return // of an earlier version
+		return // the link belongs to an earlier version
 	}
-	now := r.s.cfg.Clock.Now()
+	now := r.service.cfg.Clock.Now()
 	switch m := e.message.(type) {
 	case nil:
 		r.conn = e.conn
 		r.answerPermit(permitAnswer{err: ErrNoTracker})
 		if e.conn == nil {
-			if r.s.counters.tracked.Swap(false) {
-				r.s.cfg.Log.Log(eventlog.TrackerUnreachable)
+			if r.service.counters.hasTracker.Swap(false) {
+				r.service.cfg.Log.Log(eventlog.TrackerUnreachable)
 			}
 			r.setPeers()
-			r.d.TrackerLost(now)
+			r.downloader.TrackerLost(now)
 			return
 		}
-		r.s.counters.tracked.Store(true)
-		r.d.TrackerConnected(now)
+		r.service.counters.hasTracker.Store(true)
+		r.downloader.TrackerConnected(now)
 	case *wire.Assign:
-		r.d.HandleAssign(now, m)
+		r.downloader.HandleAssign(now, m)
 	case *wire.LoadPermit:
 		r.answerPermit(permitAnswer{permit: *m})
 	case *wire.ManifestFetch:
-		_ = e.conn.TrySend(r.s.manifestReply(m.Manifest))
+		_ = e.conn.TrySend(r.service.manifestReply(m.Manifest))
 	}
 }
 
-func (r *runner) finished(res done) {
+func (r *runner) handleFetchResult(res fetchResult) {
 	delete(r.workers, res.fetch.ID)
 	if res.result == distribute.Corrupt {
-		r.s.cfg.Log.Log(eventlog.ChunkCorrupt, "chunk", res.fetch.Chunk.Digest.Short(), "source", res.fetch.Source)
+		r.service.cfg.Log.Log(eventlog.ChunkCorrupt, "chunk", res.fetch.Chunk.Digest.Short(), "source", res.fetch.Source)
 	}
 	if res.result == distribute.Throttled {
-		r.s.cfg.Log.Log(eventlog.SourceThrottled, "retry_after", res.retryAfter)
+		r.service.cfg.Log.Log(eventlog.SourceThrottled, "retry_after", res.retryAfter)
 	}
-	r.d.FetchFinished(r.s.cfg.Clock.Now(), res.fetch.ID, res.fetch.Chunk.Digest, res.result, res.retryAfter)
+	r.downloader.FetchFinished(r.service.cfg.Clock.Now(), res.fetch.ID, res.fetch.Chunk.Digest, res.result, res.retryAfter)
 }
--- a/agent/transfer/send_times.go
+++ b/agent/transfer/send_times.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// sendFactor is the number of average send times after which a send counts
-	// as stalled. Fair sharing makes single sends several times slower.
-	sendFactor = 8
-	// minSend and maxSend bound that time. maxSend also holds until a send has
-	// been observed.
-	minSend, maxSend = 500 * time.Millisecond, 10 * time.Second
-	// sendWeight is the weight of a new sample in the average.
-	sendWeight = 0.25
+	// sendTimeoutFactor is the multiple of the average send time after which a
+	// send counts as stalled. Fair sharing of a link makes single sends several
+	// times slower.
+	sendTimeoutFactor = 8
+	// minSendTimeout and maxSendTimeout limit the send timeout. maxSendTimeout
+	// also applies until a send time has been observed.
+	minSendTimeout, maxSendTimeout = 500 * time.Millisecond, 10 * time.Second
+	// sendSampleWeight is the weight of a new sample in the moving average.
+	sendSampleWeight = 0.25
 )
 
-// sendTimes observes how long sends of chunks take. It is safe for concurrent
-// use.
+// sendTimes is a moving average of the time that it takes to send a chunk. It
+// is safe for concurrent use.
 type sendTimes struct {
 	mu      sync.Mutex
 	average time.Duration
@@ -30,14 +31,15 @@
 		t.average = d
 		return
 	}
-	t.average += time.Duration(sendWeight * float64(d-t.average))
+	t.average += time.Duration(sendSampleWeight * float64(d-t.average))
 }
 
-func (t *sendTimes) limit() time.Duration {
+// timeout returns the time after which a send counts as stalled.
+func (t *sendTimes) timeout() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.average == 0 {
-		return maxSend
+		return maxSendTimeout
 	}
-	return min(max(t.average*sendFactor, minSend), maxSend)
+	return min(max(t.average*sendTimeoutFactor, minSendTimeout), maxSendTimeout)
 }
--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -8,9 +8,9 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ServePeer answers a peer's requests for chunks, manifests and bitmaps until
-// the connection fails. The handshake is done. Requests on one connection are
-// answered one after the other.
+// ServePeer answers a peer's requests for chunks, manifests and bitmaps, one
+// after the other, until the connection fails or the service is closed. It
+// closes the connection. The handshake must be complete.
 func (s *Service) ServePeer(conn *wire.Conn) error {
 	stop := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -26,8 +26,8 @@
 	}
 }
 
-// HandlePeerMessage answers one message of a peer and reports whether it was one that
-// belongs to transfers. It blocks while a chunk is sent.
+// HandlePeerMessage answers one message of a peer. It returns false if the
+// message does not belong to transfers. It blocks while a chunk is sent.
 func (s *Service) HandlePeerMessage(conn *wire.Conn, m wire.Message) (bool, error) {
 	switch m := m.(type) {
 	case *wire.ChunkFetch:
@@ -35,22 +35,23 @@
 	case *wire.ManifestFetch:
 		return true, conn.Send(s.manifestReply(m.Manifest))
 	case *wire.Announce:
-		return true, conn.Send(&wire.Announce{Manifest: m.Manifest, Have: s.have(m.Manifest), Uploads: len(s.slots)})
+		return true, conn.Send(&wire.Announce{Manifest: m.Manifest, Have: s.bitmap(m.Manifest), Uploads: len(s.uploadSlots)})
 	default:
 		return false, nil
 	}
 }
 
 func (s *Service) manifestReply(digest model.Digest) wire.Message {
-	if k := s.known(digest); k != nil {
-		return &wire.ManifestData{Manifest: digest, Data: k.encoded}
+	if parsed := s.lookupManifest(digest); parsed != nil {
+		return &wire.ManifestData{Manifest: digest, Data: parsed.encoded}
 	}
 	return &wire.ManifestRefused{Manifest: digest}
 }
 
-func (s *Service) have(digest model.Digest) []byte {
-	if k := s.known(digest); k != nil {
-		return s.cfg.Chunks.Have(k.manifest)
+// bitmap returns the held chunks of a version, or nil if its manifest is unknown.
+func (s *Service) bitmap(digest model.Digest) []byte {
+	if parsed := s.lookupManifest(digest); parsed != nil {
+		return s.cfg.Chunks.Have(parsed.manifest)
 	}
 	return nil
 }
@@ -59,10 +60,10 @@
 	if !s.cfg.Chunks.Has(m.Chunk) {
 		return conn.Send(&wire.ChunkRefused{Request: m.Request})
 	}
-	if !s.acquireSlot() {
+	if !s.acquireUploadSlot() {
 		return conn.Send(&wire.ChunkRefused{Request: m.Request, Busy: true})
 	}
-	defer func() { <-s.slots }()
+	defer func() { <-s.uploadSlots }()
 	data, err := s.cfg.Chunks.Get(m.Chunk)
 	if err != nil {
 		return conn.Send(&wire.ChunkRefused{Request: m.Request})
@@ -71,10 +72,10 @@
 		return err
 	}
 	s.counters.upload.Add(int64(len(data)))
-	// A receiver behind a stalled link must not keep the slot: the connection is
-	// closed well before the write times out.
+	// A receiver behind a stalled link must not occupy the slot: the connection
+	// is closed well before the write would time out.
 	started := time.Now()
-	timer := time.AfterFunc(s.sendTimes.limit(), func() { _ = conn.Close() })
+	timer := time.AfterFunc(s.sendTimes.timeout(), func() { _ = conn.Close() })
 	defer timer.Stop()
 	if err := conn.SendWritten(&wire.ChunkData{Request: m.Request, Data: data}); err != nil {
 		return err
@@ -83,18 +84,19 @@
 	return nil
 }
 
-// acquireSlot takes an upload slot. It waits a little, because a slot that the
-// tracker counts as free may still be in use.
-func (s *Service) acquireSlot() bool {
+// acquireUploadSlot reports whether it acquired an upload slot. It waits up to
+// UploadSlotTimeout, because a slot that the tracker considers free may still
+// be in use.
+func (s *Service) acquireUploadSlot() bool {
 	select {
-	case s.slots <- struct{}{}:
+	case s.uploadSlots <- struct{}{}:
 		return true
 	default:
 	}
 	timer := time.NewTimer(s.cfg.UploadSlotTimeout)
 	defer timer.Stop()
 	select {
-	case s.slots <- struct{}{}:
+	case s.uploadSlots <- struct{}{}:
 		return true
 	case <-timer.C:
 	case <-s.ctx.Done():
--- a/agent/transfer/service_test.go
+++ b/agent/transfer/service_test.go
@@ -20,17 +20,17 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// source serves objects from memory with switchable faults.
-type source struct {
+// memorySource serves objects from memory and injects faults.
+type memorySource struct {
 	mu       sync.Mutex
 	objects  map[string][]byte
 	bytes    int64
-	short    int // reads that end after 100 bytes
-	corrupt  int // reads that are damaged
-	throttle int // reads that are refused
+	short    int // number of reads to truncate to 100 bytes
+	corrupt  int // number of reads to corrupt
+	throttle int // number of reads to refuse
 }
 
-func (s *source) ReadRange(_ context.Context, object string, offset, length int64) (io.ReadCloser, error) {
+func (s *memorySource) ReadRange(_ context.Context, object string, offset, length int64) (io.ReadCloser, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.throttle > 0 {
@@ -56,8 +56,8 @@
 
 var _ = Describe("Service", func() {
 	var (
-		origin  *source
-		store   backing.WeightSource // nil without a weight store
+		origin  *memorySource
+		store   backing.WeightSource // nil means no weight store
 		data    = make([]byte, 40_000)
 		digests [2]model.Digest
 		closers []func()
@@ -96,7 +96,7 @@
 		closers = append(closers, s.Close)
 		return s
 	}
-	var last *tracker.Service // of the entry that was started last
+	var last *tracker.Service // the most recently started tracker
 	startEntry := func() string {
 		last = tracker.New(tracker.Config{Seed: 1})
 		return listen(wire.Hello{Role: wire.RoleEntry}, last.Serve)
@@ -105,7 +105,7 @@
 	BeforeEach(func() {
 		closers, store = nil, nil
 		rand.New(rand.NewSource(1)).Read(data)
-		origin = &source{objects: make(map[string][]byte)}
+		origin = &memorySource{objects: make(map[string][]byte)}
 		for i, size := range []int{40_000, 30_000} {
 			object := []string{"v0", "v1"}[i]
 			m, err := weights.BuildBytes(data[:size], object, model.Digest{}, 1000)
@@ -133,10 +133,11 @@
 		}
 	}
 
-	// Guards against origin bytes that a closer source could have served, and
-	// against a transfer that stops when that source throttles or lacks an object.
-	It("reads the weight store before the origin, and the origin where the store refuses", func(ctx SpecContext) {
-		full := &source{objects: origin.objects, throttle: 3}
+	// Guards against reading bytes from the origin that the weight store could
+	// have served, and against a transfer that stops when the weight store
+	// throttles or lacks an object.
+	It("prefers the weight store and falls back to the origin", func(ctx SpecContext) {
+		full := &memorySource{objects: origin.objects, throttle: 3}
 		store = full
 		a := start("a")
 		a.SetEntries([]string{startEntry()})
@@ -144,14 +145,14 @@
 		Expect(a.Progress().StoreBytes).To(BeNumerically(">=", int64(len(data)/2)))
 		Expect(a.Progress().OriginBytes + a.Progress().StoreBytes).To(BeNumerically("<=", int64(len(data)*12/10)))
 
-		store = &source{objects: map[string][]byte{}}
+		store = &memorySource{objects: map[string][]byte{}}
 		b := start("b")
 		b.SetEntries([]string{startEntry()})
 		fetch(ctx, b)
 		Expect(b.Progress().OriginBytes).To(BeNumerically(">=", int64(len(data))))
 	})
 
-	It("reads one copy from the origin for all agents, and shares it with the next version", func(ctx SpecContext) {
+	It("reads about one copy from the origin for all agents and reuses chunks for the next version", func(ctx SpecContext) {
 		entry := startEntry()
 		agents := []*transfer.Service{start("a"), start("b"), start("c")}
 		for _, a := range agents {
@@ -162,9 +163,10 @@
 		Expect(agents[0].Verify(digests[0])).To(Succeed())
 		before := origin.bytes
 		Expect(agents[0].Fetch(ctx, digests[1], "v1/manifest")).To(Succeed())
-		Expect(origin.bytes-before).To(BeNumerically("<", 5000), "only the manifest is new")
+		Expect(origin.bytes-before).To(BeNumerically("<", 5000), "only the manifest differs")
 
-		// Guards against a rollout status that counts the bytes of earlier versions.
+		// Guards against a rollout status that includes the bytes of earlier
+		// versions.
 		bytesOf := func(manifest model.Digest) (sum int64) {
 			for _, i := range last.Report().Instances {
 				if i.Status.Manifest == manifest {
@@ -178,7 +180,7 @@
 		Expect(bytesOf(digests[1])).To(BeZero())
 	}, SpecTimeout(20*time.Second))
 
-	It("recovers from short, corrupt and throttled reads and a corrupt manifest", func(ctx SpecContext) {
+	It("recovers from truncated, corrupt and throttled reads and from a corrupt manifest", func(ctx SpecContext) {
 		entry := startEntry()
 		a := start("a")
 		a.SetEntries([]string{entry})
@@ -186,7 +188,8 @@
 		fetch(ctx, a)
 	}, SpecTimeout(20*time.Second))
 
-	It("moves to another tracker when one dies and works without any (guards against waiting for a dead tracker)", func(ctx SpecContext) {
+	// Guards against waiting for an unreachable tracker.
+	It("uses another tracker if one is unreachable, and completes without any tracker", func(ctx SpecContext) {
 		a, b := start("a"), start("b")
 		a.SetEntries([]string{"127.0.0.1:1", startEntry()})
 		fetch(ctx, a)
@@ -197,7 +200,8 @@
 		Expect(origin.bytes - before).To(BeNumerically("<", 20_000))
 	}, SpecTimeout(30*time.Second))
 
-	It("replaces a wanted version that cannot complete (guards against a fetch that blocks the next)", func(ctx SpecContext) {
+	// Guards against a fetch that blocks the next one.
+	It("replaces a target version that cannot complete", func(ctx SpecContext) {
 		a := start("a")
 		a.SetEntries([]string{startEntry()})
 		delete(origin.objects, "v0")
--- a/agent/transfer/status.go
+++ b/agent/transfer/status.go
@@ -2,24 +2,26 @@
 
 import "sync/atomic"
 
-// Progress reports the transfer of the wanted version. Bytes count since the
-// service started; bytes of corrupt and abandoned transfers are included.
+// Progress is the state of the transfer of the target version. Byte counts are
+// cumulative since the service started and include corrupt and cancelled
+// transfers.
 type Progress struct {
 	TotalChunks, HeldChunks int
 	OriginBytes             int64
 	StoreBytes              int64
 	PeerBytes               int64
 	UploadBytes             int64
-	// LinkShare is the part of the instance's link that transfers use now.
+	// LinkShare is the share of the instance's link that transfers may use.
 	LinkShare float64
-	// HasTracker is false while the agent works without a tracker.
+	// HasTracker is false while the agent has no connection to a tracker.
 	HasTracker bool
 }
 
+// counters holds the values of Progress that several goroutines update.
 type counters struct {
 	origin, store, peer, upload atomic.Int64
 	chunks, held                atomic.Int64
-	tracked                     atomic.Bool
+	hasTracker                  atomic.Bool
 }
 
 func (c *counters) progress() Progress {
@@ -27,6 +29,6 @@
 		TotalChunks: int(c.chunks.Load()), HeldChunks: int(c.held.Load()),
 		OriginBytes: c.origin.Load(), StoreBytes: c.store.Load(),
 		PeerBytes: c.peer.Load(), UploadBytes: c.upload.Load(),
-		HasTracker: c.tracked.Load(),
+		HasTracker: c.hasTracker.Load(),
 	}
 }
--- a/agent/transfer/step.go
+++ b/agent/transfer/step.go
@@ -8,105 +8,109 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// step does what the Downloader decides.
-func (r *runner) step() {
+// applyActions executes the actions of the Downloader, reports progress and
+// starts the final verification once all chunks are held.
+func (r *runner) applyActions() {
 	if r.target == nil {
 		return
 	}
-	now := r.s.cfg.Clock.Now()
-	a := r.d.Next(now)
+	now := r.service.cfg.Clock.Now()
+	a := r.downloader.Next(now)
 	for _, id := range a.Cancel {
-		r.cancel(id)
+		r.cancelWorker(id)
 	}
 	for _, source := range a.StalledSources {
-		r.s.cfg.Log.Log(eventlog.TransferStalled, "source", source)
+		r.service.cfg.Log.Log(eventlog.TransferStalled, "source", source)
 	}
 	for _, f := range a.Start {
-		r.start(f)
+		r.startWorker(f)
 	}
 	for _, address := range a.QueryPeers {
-		r.s.askPeer(address, r.target.digest, r.bitmaps)
+		r.service.queryPeer(address, r.target.digest, r.peerBitmaps)
 	}
 	if a.Announce != nil && r.conn != nil {
-		a.Announce.Uploads = len(r.s.slots)
-		_ = r.conn.TrySend(a.Announce) // repeated by the heartbeat
+		a.Announce.Uploads = len(r.service.uploadSlots)
+		_ = r.conn.TrySend(a.Announce) // the heartbeat repeats lost announcements
 	}
-	r.s.counters.chunks.Store(int64(len(r.target.known.manifest.Chunks)))
-	r.s.counters.held.Store(int64(len(r.target.known.manifest.Chunks) - r.d.Missing()))
-	if r.conn != nil && r.d.TrackerSilence(now) > r.s.cfg.TrackerTimeout/2 {
-		// Announcements are repeated several times a second and answered. The path
-		// may still carry what the tracker sends.
+	r.service.counters.chunks.Store(int64(len(r.target.parsed.manifest.Chunks)))
+	r.service.counters.held.Store(int64(len(r.target.parsed.manifest.Chunks) - r.downloader.Missing()))
+	if r.conn != nil && r.downloader.TrackerSilence(now) > r.service.cfg.TrackerTimeout/2 {
+		// Announcements are repeated several times per second and each one is
+		// answered, so the tracker does not receive them, even if its own
+		// messages still arrive. Reconnect.
 		_ = r.conn.Close()
 	}
-	if now.Sub(r.reported) >= reportEvery {
+	if now.Sub(r.lastReport) >= reportInterval {
 		r.report(&wire.TransferStatus{Manifest: r.target.digest, Phase: r.phase})
 	}
-	if a.Done && !r.complete && !r.checking {
-		r.checking = true
+	if a.Done && !r.complete && !r.verifying {
+		r.verifying = true
 		t := r.target
-		r.s.wg.Add(1)
+		r.service.wg.Add(1)
 		go func() {
-			defer r.s.wg.Done()
-			c := check{target: t, err: r.s.cfg.Chunks.Verify(t.known.manifest)}
+			defer r.service.wg.Done()
+			res := verifyResult{target: t, err: r.service.cfg.Chunks.Verify(t.parsed.manifest)}
 			select {
-			case r.checked <- c:
-			case <-r.s.ctx.Done():
+			case r.verifyResults <- res:
+			case <-r.service.ctx.Done():
 			}
 		}()
 	}
 }
 
-// verified takes the result of the check of the whole set. Damaged chunks were
-// dropped by the store and are fetched again.
-func (r *runner) verified(c check) {
-	if c.target != r.target {
-		return // of an earlier version
+// handleVerifyResult processes the result of the final verification. The store
+// has dropped corrupt chunks, and they are fetched again.
+func (r *runner) handleVerifyResult(res verifyResult) {
+	if res.target != r.target {
+		return // the result belongs to an earlier version
 	}
-	r.checking = false
-	if c.err != nil {
-		r.s.cfg.Log.Log(eventlog.ChunkCorrupt, "manifest", r.target.digest.Short(), "err", c.err)
-		r.d.SetTarget(r.s.cfg.Clock.Now(), r.target.digest, r.target.known.manifest, r.s.cfg.Chunks.Have(r.target.known.manifest))
+	r.verifying = false
+	if res.err != nil {
+		r.service.cfg.Log.Log(eventlog.ChunkCorrupt, "manifest", r.target.digest.Short(), "err", res.err)
+		r.downloader.SetTarget(r.service.cfg.Clock.Now(), r.target.digest, r.target.parsed.manifest, r.service.cfg.Chunks.Have(r.target.parsed.manifest))
 		return
 	}
 	r.complete = true
 	r.phase = wire.PhaseVerified
 	r.report(&wire.TransferStatus{Manifest: r.target.digest, Phase: r.phase})
-	r.s.cfg.Log.Log(eventlog.VersionVerified, "manifest", r.target.digest.Short())
+	r.service.cfg.Log.Log(eventlog.VersionVerified, "manifest", r.target.digest.Short())
 	r.target.result <- nil
 }
 
+// report sends a status of the current target to the tracker.
 func (r *runner) report(m *wire.TransferStatus) {
 	if r.target == nil || m.Manifest != r.target.digest {
 		return
 	}
-	// Without a tracker the phase is told with the next report.
+	// Without a tracker, the phase is sent with the next report.
 	r.phase = m.Phase
 	if r.conn == nil {
 		return
 	}
-	r.reported = r.s.cfg.Clock.Now()
-	p := r.s.counters.progress()
-	m.OriginBytes, m.PeerBytes, m.TotalBytes = p.OriginBytes-r.before.OriginBytes, p.PeerBytes-r.before.PeerBytes, r.target.known.manifest.TotalSize()
+	r.lastReport = r.service.cfg.Clock.Now()
+	p := r.service.counters.progress()
+	m.OriginBytes, m.PeerBytes, m.TotalBytes = p.OriginBytes-r.baseline.OriginBytes, p.PeerBytes-r.baseline.PeerBytes, r.target.parsed.manifest.TotalSize()
 	_ = r.conn.TrySend(m)
 }
 
-func (r *runner) start(f distribute.Fetch) {
-	ctx, cancel := context.WithCancel(r.s.ctx)
-	w := &worker{s: r.s, fetch: f, cancel: cancel}
+// startWorker starts the transfer of one chunk.
+func (r *runner) startWorker(f distribute.Fetch) {
+	ctx, cancel := context.WithCancel(r.service.ctx)
+	w := &worker{service: r.service, fetch: f, cancel: cancel}
 	r.workers[f.ID] = w
-	r.s.wg.Add(1)
+	r.service.wg.Add(1)
 	go func() {
-		defer r.s.wg.Done()
+		defer r.service.wg.Done()
 		defer cancel()
 		res := w.run(ctx)
 		select {
-		case r.results <- res:
-		case <-r.s.ctx.Done():
+		case r.fetchResults <- res:
+		case <-r.service.ctx.Done():
 		}
 	}()
 }
 
-func (r *runner) cancel(id uint64) {
+func (r *runner) cancelWorker(id uint64) {
 	if w, ok := r.workers[id]; ok {
 		w.cancel()
 	}
--- a/agent/transfer/worker.go
+++ b/agent/transfer/worker.go
@@ -15,35 +15,38 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// emptyReads is the number of origin reads in a row that may end without a byte
-// before a fetch counts as broken.
-const emptyReads = 2
+// maxEmptyReads is the number of consecutive reads without any bytes after
+// which a fetch from the origin or weight store fails.
+const maxEmptyReads = 2
 
 // worker transfers one chunk.
 type worker struct {
-	s      *Service
-	fetch  distribute.Fetch
-	cancel context.CancelFunc
-	// received is read by the run loop to observe progress.
+	service *Service
+	fetch   distribute.Fetch
+	cancel  context.CancelFunc
+	// received is the number of bytes read from the origin or weight store. The
+	// run loop reads it to observe progress.
 	received atomic.Int64
-	conn     atomic.Pointer[connMark]
+	// conn is set if the chunk is fetched from a peer.
+	conn atomic.Pointer[connUsage]
 }
 
-// connMark is a connection and its count of received bytes when the fetch
-// started to use it.
-type connMark struct {
+// connUsage is a connection and its count of received bytes at the start of the
+// fetch.
+type connUsage struct {
 	conn  *wire.Conn
 	start int64
 }
 
-// done is the result of a worker.
-type done struct {
+// fetchResult is the result of a worker.
+type fetchResult struct {
 	fetch      distribute.Fetch
 	result     distribute.Result
 	retryAfter time.Duration
 	err        error
 }
 
+// progress returns the number of bytes received so far.
 func (w *worker) progress() int64 {
 	if m := w.conn.Load(); m != nil {
 		_, received := m.conn.Bytes()
@@ -52,8 +55,8 @@
 	return w.received.Load()
 }
 
-// run transfers, verifies and stores the chunk.
-func (w *worker) run(ctx context.Context) done {
+// run fetches, verifies and stores the chunk.
+func (w *worker) run(ctx context.Context) fetchResult {
 	var data []byte
 	var err error
 	if w.fetch.Source == distribute.Origin {
@@ -62,55 +65,59 @@
 		data, err = w.fromPeer(ctx)
 	}
 	if err == nil {
-		err = w.s.cfg.Chunks.Put(w.fetch.Chunk, data)
+		err = w.service.cfg.Chunks.Put(w.fetch.Chunk, data)
 	}
-	d := done{fetch: w.fetch, err: err, result: distribute.Failed}
+	res := fetchResult{fetch: w.fetch, err: err, result: distribute.Failed}
 	var throttled *backing.ThrottledError
 	switch {
 	case err == nil:
-		d.result = distribute.Delivered
+		res.result = distribute.Delivered
 	case errors.Is(err, weights.ErrChunkCorrupt):
-		d.result = distribute.Corrupt
+		res.result = distribute.Corrupt
 	case errors.Is(err, errAbsent):
-		d.result = distribute.Absent
+		res.result = distribute.Absent
 	case errors.Is(err, errBusy):
-		d.result = distribute.Busy
+		res.result = distribute.Busy
 	case errors.As(err, &throttled):
-		d.result, d.retryAfter = distribute.Throttled, throttled.RetryAfter
+		res.result, res.retryAfter = distribute.Throttled, throttled.RetryAfter
 	}
-	return d
+	return res
 }
 
 var (
-	errAbsent = merry.New("peer does not hold the chunk")
+	errAbsent = merry.New("peer does not have the requested data")
 	errBusy   = merry.New("peer has no free upload slot")
 )
 
+// fromPeer fetches the chunk from a peer. It retries if a reused connection
+// turns out to be closed.
 func (w *worker) fromPeer(ctx context.Context) ([]byte, error) {
-	if err := w.s.limits.waitDownload(ctx, int(w.fetch.Chunk.Size)); err != nil {
+	if err := w.service.limits.waitDownload(ctx, int(w.fetch.Chunk.Size)); err != nil {
 		return nil, err
 	}
 	for {
-		conn, reused, err := w.s.pool.get(ctx, w.fetch.Source)
+		conn, reused, err := w.service.pool.get(ctx, w.fetch.Source)
 		if err != nil {
 			return nil, err
 		}
-		data, err := w.exchange(ctx, conn)
+		data, err := w.requestChunk(ctx, conn)
 		if err == nil || errors.Is(err, errAbsent) || errors.Is(err, errBusy) {
-			w.s.pool.put(w.fetch.Source, conn)
+			w.service.pool.put(w.fetch.Source, conn)
 			return data, err
 		}
 		_ = conn.Close()
-		w.s.pool.drop(w.fetch.Source)
+		w.service.pool.closeIdle(w.fetch.Source)
 		if !reused || ctx.Err() != nil || w.progress() > 0 {
 			return nil, err
 		}
 	}
 }
 
-func (w *worker) exchange(ctx context.Context, conn *wire.Conn) ([]byte, error) {
+// requestChunk requests the chunk over a connection and returns its bytes, or
+// errAbsent or errBusy if the peer refuses.
+func (w *worker) requestChunk(ctx context.Context, conn *wire.Conn) ([]byte, error) {
 	_, start := conn.Bytes()
-	w.conn.Store(&connMark{conn: conn, start: start})
+	w.conn.Store(&connUsage{conn: conn, start: start})
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	if err := conn.Send(&wire.ChunkFetch{Request: w.fetch.ID, Chunk: w.fetch.Chunk.Digest}); err != nil {
@@ -123,7 +130,7 @@
 	switch m := m.(type) {
 	case *wire.ChunkData:
 		if m.Request == w.fetch.ID {
-			w.s.counters.peer.Add(int64(len(m.Data)))
+			w.service.counters.peer.Add(int64(len(m.Data)))
 			return m.Data, nil
 		}
 	case *wire.ChunkRefused:
@@ -134,15 +141,16 @@
 			return nil, errAbsent
 		}
 	}
-	return nil, merry.Errorf("unexpected reply of type %d", m.Type())
+	return nil, merry.Errorf("unexpected reply to a chunk request: message type %d", m.Type())
 }
 
-// fromOrigin reads the chunk's range and resumes after reads that end early,
-// also ones of an earlier fetch of the same chunk.
+// fromOrigin reads the chunk's range from the origin or weight store. It
+// resumes after reads that end early, including those of an earlier fetch of
+// the same chunk.
 func (w *worker) fromOrigin(ctx context.Context) ([]byte, error) {
 	size := int(w.fetch.Chunk.Size)
 	buf := make([]byte, 0, size)
-	buf = append(buf, w.s.partials.take(w.fetch.Chunk.Digest)...)
+	buf = append(buf, w.service.partials.take(w.fetch.Chunk.Digest)...)
 	empty := 0
 	for attempt := w.fetch.Attempt; len(buf) < size; attempt++ {
 		before := len(buf)
@@ -150,8 +158,8 @@
 		buf, err = w.readRange(ctx, buf, size, attempt)
 		if len(buf) > before {
 			empty = 0
-		} else if empty++; empty >= emptyReads || isThrottled(err) || ctx.Err() != nil {
-			w.s.partials.put(w.fetch.Chunk.Digest, buf)
+		} else if empty++; empty >= maxEmptyReads || isThrottled(err) || ctx.Err() != nil {
+			w.service.partials.put(w.fetch.Chunk.Digest, buf)
 			return nil, err
 		}
 	}
@@ -163,8 +171,10 @@
 	return errors.As(err, &t)
 }
 
+// readRange appends the missing bytes of the chunk to buf until the chunk is
+// complete or the read fails.
 func (w *worker) readRange(ctx context.Context, buf []byte, size, attempt int) ([]byte, error) {
-	src, count := w.s.source(attempt)
+	src, count := w.service.chooseSource(attempt)
 	if src == nil {
 		return buf, errNoSource
 	}
@@ -176,8 +186,8 @@
 	stop := context.AfterFunc(ctx, func() { _ = r.Close() })
 	defer stop()
 	for len(buf) < size {
-		// Slices keep the pace even and progress visible.
-		end := min(len(buf)+originSlice, size)
+		// Small reads keep the rate even and progress visible.
+		end := min(len(buf)+maxReadSize, size)
 		n, err := r.Read(buf[len(buf):end])
 		buf = buf[:len(buf)+n]
 		count.Add(int64(n))
@@ -188,18 +198,20 @@
 			}
 			return buf, err
 		}
-		if err := w.s.limits.waitDownload(ctx, n); err != nil {
+		if err := w.service.limits.waitDownload(ctx, n); err != nil {
 			return buf, err
 		}
 	}
 	return buf, nil
 }
 
-// originSlice is the largest single read from a source in bytes.
-const originSlice = 64 << 10
+// maxReadSize is the maximum size of a single read from a source, in bytes.
+const maxReadSize = 64 << 10
 
-// source alternates between the weight store and the origin.
-func (s *Service) source(attempt int) (backing.WeightSource, *atomic.Int64) {
+// chooseSource alternates between the weight store, for even attempts, and the
+// origin. It returns the source, which may be nil, and the counter of its
+// bytes.
+func (s *Service) chooseSource(attempt int) (backing.WeightSource, *atomic.Int64) {
 	switch {
 	case s.cfg.WeightStore != nil && (attempt%2 == 0 || s.cfg.Origin == nil):
 		return s.cfg.WeightStore, &s.counters.store
