--- a/entry/tracker/config.go
+++ b/entry/tracker/config.go
@@ -1,9 +1,9 @@
-// Package tracker is the distribution tracker of an entry: it answers agents'
-// announcements for any number of versions with assignments, passes manifests
-// on, exchanges summaries with other failure domains and gives load permits.
+// Package tracker implements the distribution tracker of an entry. It answers
+// agents' announcements for any number of versions with assignments, forwards
+// manifests, exchanges summaries with other trackers and grants load permits.
 //
-// Service is safe for concurrent use: one mutex covers all its state, and
-// messages are sent after it is released.
+// Service is safe for concurrent use: a single mutex protects its state, and
+// messages are sent after the mutex is released.
 package tracker
 
 import (
@@ -17,37 +17,40 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Sender sends to one agent without blocking; *wire.Conn is one.
+// Sender sends messages to one agent. TrySend must not block. *wire.Conn
+// implements it.
 type Sender interface {
 	TrySend(wire.Message) error
 }
 
-// Config holds the settings of a Service. Zero values get defaults.
+// Config configures a Service. Zero values are replaced by defaults.
 type Config struct {
 	Clock clock.Clock
-	// Seed makes random ties reproducible; 0 draws one from the clock.
+	// Seed makes random decisions reproducible; 0 derives a seed from the
+	// clock.
 	Seed int64
 	Log  *eventlog.Logger
 	// Location is the failure domain of the entry.
 	Location model.Location
-	// Tracker is the template for each version's tracker; Digest, Manifest,
-	// Location, Policy and Rand are filled in.
+	// Tracker is the template of the configuration of each version's tracker.
+	// Digest, Manifest, Location, Policy and Rand are filled in.
 	Tracker distribute.TrackerConfig
-	// Policy returns the plan of a version; nil means that each failure domain
-	// takes one copy.
+	// Policy returns the distribution policy of a version. nil means that each
+	// failure domain fetches one copy.
 	Policy func(manifest model.Digest) distribute.Policy
-	// PoolState returns the state of a pool in this failure domain for load permits;
-	// nil refuses all permits.
+	// PoolState returns the current state of a pool in this failure domain,
+	// which load permits depend on. nil means that all permits are refused.
 	PoolState func(pool string) rollout.PoolState
-	// Rollout holds the settings of load permits.
+	// Rollout configures the load permits.
 	Rollout rollout.Config
-	// IdleVersionTimeout is the time without an announcement after which the state of
-	// a version is dropped.
+	// IdleVersionTimeout is the time without a message about a version after
+	// which its state is dropped.
 	IdleVersionTimeout time.Duration
-	// ManifestTimeout is how long one agent may take to fetch a manifest from
-	// the origin before another one is told to.
+	// ManifestTimeout is the time that an agent has to fetch a manifest from
+	// the origin before another agent is sent there.
 	ManifestTimeout time.Duration
-	// PeerListInterval is the time between two lists of peers to one agent.
+	// PeerListInterval is the minimum time between two lists of peers for one
+	// agent. A tenth of it applies when more agents have become known.
 	PeerListInterval time.Duration
 }
 
--- a/entry/tracker/lost_agent_test.go
+++ b/entry/tracker/lost_agent_test.go
@@ -15,12 +15,12 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// deaf drops all messages.
-type deaf struct{}
+// discardSender discards all messages.
+type discardSender struct{}
 
-func (deaf) TrySend(wire.Message) error { return nil }
+func (discardSender) TrySend(wire.Message) error { return nil }
 
-var _ = Describe("A tracker that loses an agent", func() {
+var _ = Describe("Tracker that loses an agent", func() {
 	manifest := model.Digest{1}
 	var lines bytes.Buffer
 	var service *tracker.Service
@@ -32,21 +32,21 @@
 		})
 	})
 
-	// Guards against rollouts that count an instance as live after its agent has
-	// gone, and against reports of losses that were none: an agent leaves a
-	// tracker also at its stop and when another version is wanted.
-	DescribeTable("drops its status and reports a loss during a transfer only",
-		func(phase wire.Phase, reported int) {
-			agent := service.Attach(wire.Hello{Role: wire.RoleAgent, Identity: model.Identity{Instance: "a1", Address: "127.0.0.1:1"}}, deaf{})
+	// Guards against rollouts that count an instance as live after its agent
+	// has gone, and against false reports of lost agents: an agent also leaves
+	// a tracker when it stops or changes its target version.
+	DescribeTable("drops the agent's status and logs a loss only during a transfer",
+		func(phase wire.Phase, logged int) {
+			agent := service.Attach(wire.Hello{Role: wire.RoleAgent, Identity: model.Identity{Instance: "a1", Address: "127.0.0.1:1"}}, discardSender{})
 			agent.Handle(&wire.Announce{Manifest: manifest})
 			agent.Handle(&wire.TransferStatus{Manifest: manifest, Phase: phase})
 			Expect(service.Report().Instances).To(HaveLen(1))
 			agent.Detach()
 			Expect(service.Report().Instances).To(BeEmpty())
-			Expect(bytes.Count(lines.Bytes(), []byte("event=3101 "))).To(Equal(reported))
+			Expect(bytes.Count(lines.Bytes(), []byte("event=3101 "))).To(Equal(logged))
 		},
-		Entry("while it fetches", wire.PhaseFetching, 1),
-		Entry("after it has all chunks", wire.PhaseVerified, 0),
-		Entry("while it serves the version", wire.PhaseLive, 0),
+		Entry("while the agent fetches chunks", wire.PhaseFetching, 1),
+		Entry("after the agent has verified all chunks", wire.PhaseVerified, 0),
+		Entry("while the agent serves the version", wire.PhaseLive, 0),
 	)
 })
--- a/entry/tracker/manifest.go
+++ b/entry/tracker/manifest.go
@@ -7,24 +7,27 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// manifestFetch answers with the manifest. If it is unknown, one agent at a time
-// is refused, which sends it to the origin; the others wait for its result.
-func (s *Service) manifestFetch(c *Session, digest model.Digest) []outgoing {
-	v := s.version(digest)
+// handleManifestFetch returns the manifest if it is known. Otherwise it refuses
+// the request of one agent at a time, which makes that agent read the manifest
+// from the origin; the others wait for its result.
+func (s *Service) handleManifestFetch(c *Session, digest model.Digest) []outgoing {
+	v := s.touchVersion(digest)
 	if v.encoded != nil {
 		return []outgoing{{c, &wire.ManifestData{Manifest: digest, Data: v.encoded}}}
 	}
 	now := s.cfg.Clock.Now()
-	if now.Before(v.fetchUntil) {
-		v.waiting = append(v.waiting, c)
+	if now.Before(v.originFetchDeadline) {
+		v.manifestWaiters = append(v.manifestWaiters, c)
 		return nil
 	}
-	v.fetchUntil = now.Add(s.cfg.ManifestTimeout)
+	v.originFetchDeadline = now.Add(s.cfg.ManifestTimeout)
 	return []outgoing{{c, &wire.ManifestRefused{Manifest: digest}}}
 }
 
-// manifestData takes a manifest that an agent passes on. Its digest proves it.
-func (s *Service) manifestData(data *wire.ManifestData) []outgoing {
+// handleManifestData accepts a manifest that an agent forwards, after checking
+// its digest. It answers the waiting requests and processes the announcements
+// that arrived before.
+func (s *Service) handleManifestData(data *wire.ManifestData) []outgoing {
 	v, ok := s.versions[data.Manifest]
 	if !ok || v.tracker != nil {
 		return nil
@@ -36,16 +39,16 @@
 	}
 	v.encoded, v.tracker = data.Data, s.newTracker(data.Manifest, m)
 	var out []outgoing
-	for _, c := range v.waiting {
+	for _, c := range v.manifestWaiters {
 		out = append(out, outgoing{c, data})
 	}
-	v.waiting = nil
+	v.manifestWaiters = nil
 	now := s.cfg.Clock.Now()
-	for address, a := range v.pending {
-		if c, ok := v.members[address]; ok {
-			s.notice(c, v.tracker.HandleAnnounce(now, c.identity, a))
+	for address, a := range v.pendingAnnounces {
+		if c, ok := v.sessions[address]; ok {
+			s.logReport(c, v.tracker.HandleAnnounce(now, c.identity, a))
 		}
 	}
-	v.pending = make(map[string]*wire.Announce)
+	v.pendingAnnounces = make(map[string]*wire.Announce)
 	return append(out, s.schedule(v)...)
 }
--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -9,50 +9,53 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// status records how far an instance is and moves its load permit on.
-func (s *Service) status(c *Session, m *wire.TransferStatus) {
+// handleStatus records the phase of an instance and updates its load permit.
+func (s *Service) handleStatus(c *Session, m *wire.TransferStatus) {
 	from := c.identity
-	s.version(m.Manifest).status[from.Instance] = wire.InstanceStatus{
+	s.touchVersion(m.Manifest).statuses[from.Instance] = wire.InstanceStatus{
 		Instance: from.Instance, Domain: from.Location.FailureDomain, Status: *m,
 	}
-	w := s.wave(c.pool)
+	permits := s.coordinator(c.pool)
 	switch m.Phase {
 	case wire.PhaseQuiescing, wire.PhaseLoading:
-		w.MarkStopped(s.cfg.Clock.Now(), from.Instance)
+		permits.MarkStopped(s.cfg.Clock.Now(), from.Instance)
 	case wire.PhaseLive, wire.PhaseFailed:
-		w.Release(from.Instance)
+		permits.Release(from.Instance)
 	}
 }
 
-func (s *Service) permit(c *Session, manifest model.Digest) *wire.LoadPermit {
-	s.version(manifest)
-	w := s.wave(c.pool)
+// requestPermit returns a load permit for the session's instance or a refusal.
+func (s *Service) requestPermit(c *Session, manifest model.Digest) *wire.LoadPermit {
+	s.touchVersion(manifest)
+	permits := s.coordinator(c.pool)
 	now := s.cfg.Clock.Now()
-	p, reason := w.Request(now, c.identity.Instance, s.cfg.PoolState(c.pool))
+	p, reason := permits.Request(now, c.identity.Instance, s.cfg.PoolState(c.pool))
 	if reason != rollout.ReasonNone {
-		return &wire.LoadPermit{Manifest: manifest, RetryMillis: w.RetryInterval().Milliseconds(), Reason: string(reason)}
+		return &wire.LoadPermit{Manifest: manifest, RetryMillis: permits.RetryInterval().Milliseconds(), Reason: string(reason)}
 	}
 	return &wire.LoadPermit{
 		Manifest: manifest, Granted: true, Number: p.Number, ExpiryMillis: p.Expires.Sub(now).Milliseconds(),
 	}
 }
 
-func (s *Service) wave(pool string) *rollout.Coordinator {
-	w, ok := s.waves[pool]
+// coordinator returns the coordinator of a pool's permits, creating it if needed.
+func (s *Service) coordinator(pool string) *rollout.Coordinator {
+	c, ok := s.coordinators[pool]
 	if !ok {
-		w = rollout.New(s.cfg.Rollout, uint64(s.rand.Uint32())<<20)
-		s.waves[pool] = w
+		c = rollout.New(s.cfg.Rollout, uint64(s.rand.Uint32())<<20)
+		s.coordinators[pool] = c
 	}
-	return w
+	return c
 }
 
-// Report lists the instances that the trackers of this entry know.
+// Report returns the status of the instances that the trackers of this entry
+// know, sorted by instance.
 func (s *Service) Report() *wire.RolloutReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := new(wire.RolloutReport)
 	for _, v := range s.versions {
-		for _, i := range v.status {
+		for _, i := range v.statuses {
 			r.Instances = append(r.Instances, i)
 		}
 	}
--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -13,28 +13,29 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Service is the tracker role of one entry.
+// Service is the tracker component of one entry.
 type Service struct {
 	cfg Config
 
-	mu       sync.Mutex
-	rand     *rand.Rand
-	versions map[model.Digest]*version
-	waves    map[string]*rollout.Coordinator // by pool
+	mu           sync.Mutex
+	rand         *rand.Rand
+	versions     map[model.Digest]*version
+	coordinators map[string]*rollout.Coordinator // by pool
 }
 
 // New returns a Service without agents.
 func New(cfg Config) *Service {
 	cfg.applyDefaults()
 	return &Service{
-		cfg:      cfg,
-		rand:     rand.New(rand.NewSource(cfg.Seed)),
-		versions: make(map[model.Digest]*version),
-		waves:    make(map[string]*rollout.Coordinator),
+		cfg:          cfg,
+		rand:         rand.New(rand.NewSource(cfg.Seed)),
+		versions:     make(map[model.Digest]*version),
+		coordinators: make(map[string]*rollout.Coordinator),
 	}
 }
 
-// Serve handles a connection until it fails. The handshake is done.
+// Serve handles the messages of a connection until it fails and returns the
+// error. The handshake must be complete.
 func (s *Service) Serve(conn *wire.Conn, hello wire.Hello) error {
 	c := s.Attach(hello, conn)
 	defer c.Detach()
@@ -47,59 +48,65 @@
 	}
 }
 
-// Attach registers a connection whose handshake is done, for callers that read
-// the connection themselves.
+// Attach returns a Session for a connection whose handshake is complete. It is
+// for callers that read the connection themselves; they must call Detach when
+// it ends.
 func (s *Service) Attach(hello wire.Hello, sender Sender) *Session {
 	return &Session{service: s, identity: hello.Identity, pool: hello.Pool, sender: sender}
 }
 
+// detach removes a session from all versions. It releases the agent's grants and
+// assigns the chunks to other agents.
 func (s *Service) detach(c *Session) {
 	s.mu.Lock()
 	var out []outgoing
 	for _, v := range s.versions {
-		if v.members[c.identity.Address] != c {
-			continue // a newer connection has replaced it
+		if v.sessions[c.identity.Address] != c {
+			continue // replaced by a newer connection
 		}
-		delete(v.members, c.identity.Address)
-		delete(v.pending, c.identity.Address)
+		delete(v.sessions, c.identity.Address)
+		delete(v.pendingAnnounces, c.identity.Address)
 		if v.tracker != nil {
 			v.tracker.RemoveAgent(c.identity.Address)
 			out = append(out, s.schedule(v)...)
 		}
-		// An agent also leaves the tracker of a version that it has, when it stops
-		// or when another version is wanted.
-		if v.status[c.identity.Instance].Status.Phase < wire.PhaseVerified {
+		// An agent that has all chunks disconnects when it stops or changes its
+		// target version, so only a disconnect before that is a loss.
+		if v.statuses[c.identity.Instance].Status.Phase < wire.PhaseVerified {
 			s.cfg.Log.Log(eventlog.TransferPeerLost, "instance", c.identity.Instance, "manifest", v.digest.Short())
 		}
-		delete(v.status, c.identity.Instance)
+		delete(v.statuses, c.identity.Instance)
 	}
 	s.mu.Unlock()
 	s.send(out)
 }
 
-func (s *Service) handleLocked(c *Session, m wire.Message) bool {
+// handle processes a message under the lock and sends the answers afterwards. It
+// reports whether the message belongs to the tracker.
+func (s *Service) handle(c *Session, m wire.Message) bool {
 	s.mu.Lock()
-	out, ok := s.handle(c, m)
+	out, ok := s.dispatch(c, m)
 	s.mu.Unlock()
 	s.send(out)
 	return ok
 }
 
-func (s *Service) handle(c *Session, m wire.Message) ([]outgoing, bool) {
+// dispatch processes a message and returns the answers. The caller holds s.mu.
+func (s *Service) dispatch(c *Session, m wire.Message) ([]outgoing, bool) {
 	switch m := m.(type) {
 	case *wire.HolderSummary:
-		return s.summary(c, m), true
+		return s.handleSummary(c, m), true
 	case *wire.Announce:
-		return s.announce(c, m), true
+		return s.handleAnnounce(c, m), true
 	case *wire.ManifestFetch:
-		return s.manifestFetch(c, m.Manifest), true
+		return s.handleManifestFetch(c, m.Manifest), true
 	case *wire.ManifestData:
-		return s.manifestData(m), true
+		return s.handleManifestData(m), true
 	case *wire.TransferStatus:
-		s.status(c, m)
+		s.handleStatus(c, m)
 		return nil, true
 	case *wire.LoadPermitFetch:
-		return []outgoing{{c, s.permit(c, m.Manifest)}}, true
+		return []outgoing{{c, s.requestPermit(c, m.Manifest)}}, true
 	case *wire.ManifestRefused:
 		return nil, true
 	default:
@@ -110,43 +117,47 @@
 func (s *Service) send(out []outgoing) {
 	for _, o := range out {
 		if err := o.to.sender.TrySend(o.message); err != nil {
-			// The agent does not read. Its grants must not wait for expiry.
+			// The agent does not read its messages. Release its grants now
+			// instead of waiting until they expire.
 			o.to.Detach()
 		}
 	}
 }
 
-// version returns the state of a manifest and marks it as seen.
-func (s *Service) version(digest model.Digest) *version {
+// touchVersion returns the state of a version, creating it if needed, and
+// updates the time when it was last seen.
+func (s *Service) touchVersion(digest model.Digest) *version {
 	v, ok := s.versions[digest]
 	if !ok {
 		v = &version{
-			digest:  digest,
-			pending: make(map[string]*wire.Announce),
-			members: make(map[string]*Session),
-			status:  make(map[model.InstanceID]wire.InstanceStatus),
+			digest:           digest,
+			pendingAnnounces: make(map[string]*wire.Announce),
+			sessions:         make(map[string]*Session),
+			statuses:         make(map[model.InstanceID]wire.InstanceStatus),
 		}
 		s.versions[digest] = v
 	}
-	v.seen = s.cfg.Clock.Now()
+	v.lastSeen = s.cfg.Clock.Now()
 	return v
 }
 
-func (s *Service) announce(c *Session, a *wire.Announce) []outgoing {
-	v := s.version(a.Manifest)
-	if old, ok := v.members[c.identity.Address]; ok && old != c && v.tracker != nil {
-		// What was granted over the earlier connection may not have arrived.
+// handleAnnounce updates an agent's state. Every announcement is answered with an
+// Assign or, while the manifest is unknown, with a request for the manifest.
+func (s *Service) handleAnnounce(c *Session, a *wire.Announce) []outgoing {
+	v := s.touchVersion(a.Manifest)
+	if old, ok := v.sessions[c.identity.Address]; ok && old != c && v.tracker != nil {
+		// Assignments sent over the earlier connection may have been lost.
 		v.tracker.RemoveAgent(c.identity.Address)
 	}
-	v.members[c.identity.Address] = c
+	v.sessions[c.identity.Address] = c
 	c.sequence = a.Sequence
 	if v.tracker == nil {
-		v.pending[c.identity.Address] = a
+		v.pendingAnnounces[c.identity.Address] = a
 		return []outgoing{{c, &wire.ManifestFetch{Manifest: a.Manifest}}}
 	}
 	now := s.cfg.Clock.Now()
-	n := v.tracker.HandleAnnounce(now, c.identity, a)
-	s.notice(c, n)
+	report := v.tracker.HandleAnnounce(now, c.identity, a)
+	s.logReport(c, report)
 	out := s.schedule(v)
 	reply := &wire.Assign{Manifest: a.Manifest, RetryMillis: v.tracker.RetryInterval().Milliseconds(), Sequence: c.sequence}
 	i := slices.IndexFunc(out, func(o outgoing) bool { return o.to == c })
@@ -155,32 +166,34 @@
 	} else {
 		reply = out[i].message.(*wire.Assign)
 	}
-	// New peers are named soon: an agent that loses its tracker early in a
-	// transfer needs them.
-	known := v.tracker.PeerCount()
-	if since := now.Sub(c.peersSent); since >= s.cfg.PeerListInterval || known > c.peersKnown && since >= s.cfg.PeerListInterval/10 {
-		c.peersSent, c.peersKnown = now, known
+	// Send new peers soon: an agent that loses its tracker early in a transfer
+	// needs them.
+	count := v.tracker.PeerCount()
+	if elapsed := now.Sub(c.peersSentAt); elapsed >= s.cfg.PeerListInterval || count > c.peersSentCount && elapsed >= s.cfg.PeerListInterval/10 {
+		c.peersSentAt, c.peersSentCount = now, count
 		reply.Peers = v.tracker.PeersFor(c.identity.Address)
 	}
 	return out
 }
 
-func (s *Service) notice(c *Session, n distribute.AnnounceReport) {
-	for _, source := range n.CorruptSources {
+// logReport logs the problems that an announcement revealed.
+func (s *Service) logReport(c *Session, report distribute.AnnounceReport) {
+	for _, source := range report.CorruptSources {
 		s.cfg.Log.Log(eventlog.ChunkCorrupt, "instance", c.identity.Instance, "source", source)
 	}
-	for _, source := range n.FailedSources {
+	for _, source := range report.FailedSources {
 		s.cfg.Log.Log(eventlog.TransferStalled, "instance", c.identity.Instance, "source", source)
 	}
-	if n.OutdatedResults > 0 {
-		s.cfg.Log.Log(eventlog.GrantExpired, "instance", c.identity.Instance, "count", n.OutdatedResults)
+	if report.OutdatedResults > 0 {
+		s.cfg.Log.Log(eventlog.GrantExpired, "instance", c.identity.Instance, "count", report.OutdatedResults)
 	}
 }
 
+// schedule returns the new assignments of a version for connected agents.
 func (s *Service) schedule(v *version) []outgoing {
 	var out []outgoing
 	for _, d := range v.tracker.Schedule(s.cfg.Clock.Now()) {
-		if c, ok := v.members[d.Address]; ok {
+		if c, ok := v.sessions[d.Address]; ok {
 			d.Assign.Sequence = c.sequence
 			out = append(out, outgoing{c, d.Assign})
 		}
@@ -188,20 +201,20 @@
 	return out
 }
 
-// Tick expires grants, agents and versions. The daemon calls it a few times
-// per second.
+// Tick removes expired grants, silent agents and idle versions. The daemon
+// calls it several times per second.
 func (s *Service) Tick() {
 	s.mu.Lock()
 	now := s.cfg.Clock.Now()
 	var out []outgoing
 	for digest, v := range s.versions {
-		if now.Sub(v.seen) > s.cfg.IdleVersionTimeout {
+		if now.Sub(v.lastSeen) > s.cfg.IdleVersionTimeout {
 			delete(s.versions, digest)
 			continue
 		}
 		if v.tracker != nil {
 			for _, address := range v.tracker.Tick(now) {
-				delete(v.members, address)
+				delete(v.sessions, address)
 			}
 			out = append(out, s.schedule(v)...)
 		}
@@ -210,11 +223,12 @@
 	s.send(out)
 }
 
-// Summaries returns what other trackers need to know. The daemon sends each, a
-// few times per second, to the entry that comes first in the rendezvous order
-// of the manifest among the entries of each other failure domain, and to the
-// first two of its own other than itself: agents that cannot reach the first
-// announce to the second, which must not fetch everything from the origin again.
+// Summaries returns a summary of each version for other trackers. Several times
+// per second the daemon sends each summary to the first entry, in the
+// rendezvous order of the manifest, of each other failure domain, and to the
+// first two other entries of its own. The latter is because agents that cannot
+// reach the first entry announce to the second, which must not fetch everything
+// from the origin again.
 func (s *Service) Summaries() []*wire.HolderSummary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,9 +241,9 @@
 	return out
 }
 
-// summary takes the summary of another tracker. A version that no agent has
-// announced here needs none.
-func (s *Service) summary(c *Session, m *wire.HolderSummary) []outgoing {
+// handleSummary processes the summary of another tracker. It is ignored if no
+// agent has announced the version here.
+func (s *Service) handleSummary(c *Session, m *wire.HolderSummary) []outgoing {
 	v, ok := s.versions[m.Manifest]
 	if !ok || v.tracker == nil {
 		return nil
--- a/entry/tracker/service_test.go
+++ b/entry/tracker/service_test.go
@@ -15,17 +15,18 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// inbox records what an agent is sent; a broken one refuses everything.
-type inbox struct {
-	got    []wire.Message
-	broken bool
+// recordingSender records the messages sent to an agent. If broken, it refuses
+// all messages.
+type recordingSender struct {
+	messages []wire.Message
+	broken   bool
 }
 
-func (i *inbox) TrySend(m wire.Message) error {
+func (i *recordingSender) TrySend(m wire.Message) error {
 	if i.broken {
-		return errors.New("broken")
+		return errors.New("connection broken")
 	}
-	i.got = append(i.got, m)
+	i.messages = append(i.messages, m)
 	return nil
 }
 
@@ -36,9 +37,9 @@
 		encoded []byte
 		digest  model.Digest
 	)
-	attach := func(name string) (*tracker.Session, *inbox) {
-		box := new(inbox)
-		return s.Attach(wire.Hello{Pool: "p", Identity: model.Identity{Instance: model.InstanceID(name), Address: name}}, box), box
+	attach := func(name string) (*tracker.Session, *recordingSender) {
+		sender := new(recordingSender)
+		return s.Attach(wire.Hello{Pool: "p", Identity: model.Identity{Instance: model.InstanceID(name), Address: name}}, sender), sender
 	}
 	BeforeEach(func() {
 		now = clock.NewFake(time.Unix(0, 0))
@@ -50,49 +51,52 @@
 		digest = model.Sum(encoded)
 	})
 
-	It("sends one agent to the origin for a manifest and passes only a valid one on (guards against N manifest reads and a corrupt manifest)", func() {
-		a, boxA := attach("a")
-		b, boxB := attach("b")
+	// Guards against a manifest read by every agent and against a corrupt manifest.
+	It("sends one agent to the origin for a manifest and forwards only a valid one", func() {
+		a, senderA := attach("a")
+		b, senderB := attach("b")
 		a.Handle(&wire.ManifestFetch{Manifest: digest})
 		b.Handle(&wire.ManifestFetch{Manifest: digest})
-		Expect(boxA.got).To(HaveLen(1))
-		Expect(boxB.got).To(BeEmpty())
+		Expect(senderA.messages).To(HaveLen(1))
+		Expect(senderB.messages).To(BeEmpty())
 		a.Handle(&wire.ManifestData{Manifest: digest, Data: []byte("damaged")})
-		Expect(boxB.got).To(BeEmpty())
+		Expect(senderB.messages).To(BeEmpty())
 		a.Handle(&wire.ManifestData{Manifest: digest, Data: encoded})
-		Expect(boxB.got).To(ConsistOf(&wire.ManifestData{Manifest: digest, Data: encoded}))
+		Expect(senderB.messages).To(ConsistOf(&wire.ManifestData{Manifest: digest, Data: encoded}))
 	})
 
-	It("grants again what a lost agent held, and keeps a newer connection (guards against grants that wait for a dead agent)", func() {
-		a, boxA := attach("a")
-		b, boxB := attach("b")
+	// Guards against grants that stay with a disconnected agent.
+	It("reassigns the chunks of a lost agent and keeps a newer connection", func() {
+		a, senderA := attach("a")
+		b, senderB := attach("b")
 		a.Handle(&wire.Announce{Manifest: digest, Have: []byte{0}, Slots: 4, Sequence: 1})
 		a.Handle(&wire.ManifestData{Manifest: digest, Data: encoded})
-		granted := boxA.got[len(boxA.got)-1].(*wire.Assign)
-		Expect(granted.Assignments).To(HaveLen(2), "three of the four chunks are equal")
+		granted := senderA.messages[len(senderA.messages)-1].(*wire.Assign)
+		Expect(granted.Assignments).To(HaveLen(2), "three of the four chunks have the same content")
 		Expect(granted.Sequence).To(BeEquivalentTo(1))
-		again, boxAgain := attach("a")
+		again, senderAgain := attach("a")
 		again.Handle(&wire.Announce{Manifest: digest, Have: []byte{0}, Slots: 1, Sequence: 1})
 		a.Detach()
-		Expect(boxAgain.got).NotTo(BeEmpty())
+		Expect(senderAgain.messages).NotTo(BeEmpty())
 		again.Detach()
 		b.Handle(&wire.Announce{Manifest: digest, Have: []byte{0}, Slots: 4, Sequence: 1})
-		Expect(boxB.got[len(boxB.got)-1].(*wire.Assign).Assignments).NotTo(BeEmpty())
+		Expect(senderB.messages[len(senderB.messages)-1].(*wire.Assign).Assignments).NotTo(BeEmpty())
 	})
 
-	It("gives load permits within the minimum and reports phases (guards against a pool without live instances)", func() {
-		a, boxA := attach("a")
-		b, boxB := attach("b")
+	// Guards against a pool without live instances.
+	It("grants load permits above the minimum of live instances and reports phases", func() {
+		a, senderA := attach("a")
+		b, senderB := attach("b")
 		a.Handle(&wire.LoadPermitFetch{Manifest: digest})
 		b.Handle(&wire.LoadPermitFetch{Manifest: digest})
-		Expect(boxA.got[0].(*wire.LoadPermit).Granted).To(BeTrue())
-		Expect(boxB.got[0].(*wire.LoadPermit).Granted).To(BeFalse())
+		Expect(senderA.messages[0].(*wire.LoadPermit).Granted).To(BeTrue())
+		Expect(senderB.messages[0].(*wire.LoadPermit).Granted).To(BeFalse())
 		a.Handle(&wire.TransferStatus{Manifest: digest, Phase: wire.PhaseLive})
 		b.Handle(&wire.LoadPermitFetch{Manifest: digest})
-		Expect(boxB.got[1].(*wire.LoadPermit).Granted).To(BeTrue())
+		Expect(senderB.messages[1].(*wire.LoadPermit).Granted).To(BeTrue())
 		Expect(s.Report().Instances).To(HaveLen(1))
 		now.Advance(2 * time.Minute)
 		s.Tick()
-		Expect(s.Report().Instances).To(BeEmpty(), "a version that nobody announces is forgotten")
+		Expect(s.Report().Instances).To(BeEmpty(), "a version that no agent announces is dropped")
 	})
 })
