--- a/lib/relay/cache.go
+++ b/lib/relay/cache.go
@@ -8,83 +8,91 @@
 	"github.com/auburnbend/auburnbend/lib/watch"
 )
 
-// maxDeleted bounds the deleted rows that a Cache remembers.
-const maxDeleted = 1000
+// maxDeletedRows is the maximum number of deleted rows that a Cache keeps.
+const maxDeletedRows = 1000
 
-// Cache holds the rows of one table as this instance knows them. It is safe for
+// Cache holds the rows of one table as known to this instance. It is safe for
 // concurrent use.
 type Cache struct {
 	config Config
 
-	// mu guards what follows.
+	// mu protects the following fields.
 	mu   sync.Mutex
 	rows map[string]row
-	// revision is that of the last answer; negative before the first one.
+	// revision is the revision of the last answer; negative before the first
+	// one.
 	revision int64
-	// floor is the oldest revision since which all changes are known.
-	floor int64
-	// deleted counts the deleted rows.
-	deleted int
-	// outageEnd is the revision of the first answer after the last outage of the
-	// store.
-	outageEnd int64
-	// confirmedAt is the time of the last answer of the store, at which it was read
-	// directly or through another instance.
-	confirmedAt time.Time
-	direct      bool
-	// changed is closed when the rows change.
+	// historyStart is the oldest revision since which all changes are known.
+	historyStart int64
+	// deletedCount is the number of deleted rows in rows.
+	deletedCount int
+	// outageEndRevision is the revision of the first answer after the last
+	// outage of the store.
+	outageEndRevision int64
+	// confirmedAt is the time of the last answer. confirmedDirectly is true if
+	// it came from the store itself and false if it came through another
+	// instance.
+	confirmedAt       time.Time
+	confirmedDirectly bool
+	// changed is closed and replaced when the rows change.
 	changed chan struct{}
 }
 
-// NewCache returns a Cache that knows nothing.
+// NewCache returns an empty Cache. A MaxPropagation that is not set is replaced
+// by a default.
 func NewCache(config Config) *Cache {
 	if config.MaxPropagation <= 0 {
-		config.MaxPropagation = defaultBound
+		config.MaxPropagation = defaultMaxPropagation
 	}
 	return &Cache{config: config, rows: make(map[string]row), revision: -1, changed: make(chan struct{})}
 }
 
-// replace takes a full read. An older one than what is known changes nothing.
+// replace replaces all rows by the result of a full read. A result that is
+// older than the known revision is ignored.
 func (c *Cache) replace(rows watch.Rows, direct bool, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if rows.Revision < c.revision {
 		return
 	}
-	// Rows that are gone are not known to have been deleted at any revision.
+	// The revision at which missing rows were deleted is unknown, so the
+	// history starts anew.
 	clear(c.rows)
-	c.deleted, c.floor = 0, rows.Revision
-	c.take(rows, direct, now)
+	c.deletedCount, c.historyStart = 0, rows.Revision
+	c.merge(rows, direct, now)
 }
 
-// apply takes the changes since the revision that is known.
+// apply adds the changes since a revision. They are ignored unless that is the
+// known revision.
 func (c *Cache) apply(since int64, rows watch.Rows, direct bool, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if since != c.revision || rows.Revision < c.revision {
 		return
 	}
-	c.take(rows, direct, now)
+	c.merge(rows, direct, now)
 }
 
-func (c *Cache) take(rows watch.Rows, direct bool, now time.Time) {
+// merge stores the rows of an answer and wakes up waiting queries if the revision
+// has changed. The caller holds c.mu.
+func (c *Cache) merge(rows watch.Rows, direct bool, now time.Time) {
 	for _, r := range rows.Rows {
 		if c.rows[r.Key].Deleted {
-			c.deleted--
+			c.deletedCount--
 		}
 		if r.Deleted {
-			c.deleted++
+			c.deletedCount++
 		}
-		c.rows[r.Key] = pack(r)
+		c.rows[r.Key] = encodeRow(r)
 	}
 	changed := rows.Revision > c.revision
 	c.revision = rows.Revision
 	if rows.AfterOutage {
-		c.outageEnd = rows.Revision
+		c.outageEndRevision = rows.Revision
 	}
-	c.confirmedAt, c.direct = now, direct
-	if c.deleted > maxDeleted {
-		c.forgetDeleted()
+	c.confirmedAt, c.confirmedDirectly = now, direct
+	if c.deletedCount > maxDeletedRows {
+		c.dropDeleted()
 	}
 	if changed {
 		close(c.changed)
@@ -92,37 +100,39 @@
 	}
 }
 
-// forgetDeleted makes followers that are far behind read all rows.
-func (c *Cache) forgetDeleted() {
+// dropDeleted removes the deleted rows. Followers at an older revision must
+// then read all rows. The caller holds c.mu.
+func (c *Cache) dropDeleted() {
 	for key, r := range c.rows {
 		if r.Deleted {
 			delete(c.rows, key)
 		}
 	}
-	c.deleted, c.floor = 0, c.revision
+	c.deletedCount, c.historyStart = 0, c.revision
 }
 
-// fresh reports whether the rows were confirmed lately enough for others to follow
-// them. direct asks for a confirmation of the store itself.
+// fresh reports whether the rows were confirmed recently enough for other
+// instances to follow this one. If direct is true, they must have been
+// confirmed by the store itself.
 func (c *Cache) fresh(direct bool, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision >= 0 && now.Sub(c.confirmedAt) <= share(c.config.MaxPropagation, staleShare) && (c.direct || !direct)
+	return c.revision >= 0 && now.Sub(c.confirmedAt) <= fraction(c.config.MaxPropagation, staleFraction) && (c.confirmedDirectly || !direct)
 }
 
-// since returns the changes after a revision, or all rows if it is negative.
-// changed is closed at the next change.
-func (c *Cache) since(revision int64) (a answer, changed <-chan struct{}) {
+// changesSince returns the changes after a revision, or all rows if it is
+// negative. The returned channel is closed at the next change.
+func (c *Cache) changesSince(revision int64) (a answer, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.revision < 0 || revision > c.revision:
-		// The asker knows more than this instance.
+		// The follower is ahead of this instance.
 		return answer{Stale: true}, c.changed
-	case revision >= 0 && revision < c.floor:
+	case revision >= 0 && revision < c.historyStart:
 		return answer{HistoryLost: true}, c.changed
 	}
-	a = answer{Revision: c.revision, AfterOutage: revision >= 0 && c.outageEnd > revision}
+	a = answer{Revision: c.revision, AfterOutage: revision >= 0 && c.outageEndRevision > revision}
 	for _, r := range c.rows {
 		if revision < 0 && !r.Deleted || revision >= 0 && r.Revision > revision {
 			a.Rows = append(a.Rows, r)
--- a/lib/relay/client.go
+++ b/lib/relay/client.go
@@ -11,23 +11,28 @@
 	"github.com/auburnbend/auburnbend/lib/watch"
 )
 
-var errStale = errors.New("instance is behind the store")
+// errStale is returned if the instance asked must not be followed.
+var errStale = errors.New("relaying instance is not up to date with the store")
 
-// client asks one other instance at a time. It belongs to one goroutine.
+// client queries one other instance at a time. It is not safe for concurrent
+// use.
 type client struct {
-	table   string
-	silence time.Duration
-	// direct asks only instances that read the store themselves.
+	table string
+	// answerTimeout is the time limit for sending a query and for each read of
+	// an answer.
+	answerTimeout time.Duration
+	// direct restricts queries to instances that read the store themselves.
 	direct bool
 
-	to     netip.AddrPort
+	remote netip.AddrPort
 	conn   net.Conn
 	decode *msgstream.Decoder
 }
 
-// ask returns the rows that have changed since a revision, or all if it is
-// negative. After an error the connection is closed.
-func (c *client) ask(ctx context.Context, to netip.AddrPort, since int64, wait time.Duration) (watch.Rows, error) {
+// fetch returns the rows that changed after a revision, or all rows if it is
+// negative. It waits up to wait for a change. It returns watch.ErrHistoryLost
+// if all rows must be read. After any other error the connection is closed.
+func (c *client) fetch(ctx context.Context, to netip.AddrPort, since int64, wait time.Duration) (watch.Rows, error) {
 	rows, err := c.exchange(ctx, to, since, wait)
 	if err != nil && !errors.Is(err, watch.ErrHistoryLost) {
 		c.close()
@@ -43,7 +48,7 @@
 }
 
 func (c *client) connect(ctx context.Context, to netip.AddrPort) error {
-	if c.conn != nil && c.to == to {
+	if c.conn != nil && c.remote == to {
 		return nil
 	}
 	c.close()
@@ -52,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	c.to, c.conn, c.decode = to, conn, msgstream.NewDecoder(conn, buffer, answerLimit)
+	c.remote, c.conn, c.decode = to, conn, msgstream.NewDecoder(conn, bufferSize, maxAnswerSize)
 	return nil
 }
 
@@ -63,7 +68,7 @@
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if err := conn.SetWriteDeadline(time.Now().Add(c.silence)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(c.answerTimeout)); err != nil {
 		return watch.Rows{}, err
 	}
 	q := &query{Table: c.table, Since: since, WaitMillis: wait.Milliseconds(), Direct: c.direct}
@@ -73,11 +78,11 @@
 	return c.read(conn)
 }
 
-// read reads the answer. Signs of life before it put the end of the wait off; so
-// does each part of a long one.
+// read reads the answer. Each keep-alive message and each part of a long answer
+// extends the deadline.
 func (c *client) read(conn net.Conn) (watch.Rows, error) {
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(c.silence)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(c.answerTimeout)); err != nil {
 			return watch.Rows{}, err
 		}
 		var a answer
@@ -91,15 +96,15 @@
 		case a.HistoryLost:
 			return watch.Rows{}, watch.ErrHistoryLost
 		default:
-			return a.unpack()
+			return a.rows()
 		}
 	}
 }
 
-func (a *answer) unpack() (watch.Rows, error) {
+func (a *answer) rows() (watch.Rows, error) {
 	rows := watch.Rows{Revision: a.Revision, AfterOutage: a.AfterOutage}
 	for _, r := range a.Rows {
-		unpacked, err := unpack(r)
+		unpacked, err := decodeRow(r)
 		if err != nil {
 			return watch.Rows{}, err
 		}
--- a/lib/relay/config.go
+++ b/lib/relay/config.go
@@ -2,44 +2,49 @@
 
 import "time"
 
-// Config holds the timing of a relay.
+// Config configures the timing of a relay.
 type Config struct {
-	// MaxPropagation is the shortest time in which a change must be known everywhere.
+	// MaxPropagation is the shortest time limit within which a change must be
+	// known to all instances.
 	MaxPropagation time.Duration
-	// Wait is how long a call of the store waits for a change where nobody follows
-	// this instance.
+	// Wait is how long a call of the store waits for a change if no instance
+	// follows this one.
 	Wait time.Duration
-	// BatchDelay is the pause after changes in which further ones gather before the store
-	// is called again: each call is paid for. Zero calls again at once.
+	// BatchDelay is the pause after changes before the store is called again,
+	// so that further changes are read with the same call: each call is paid
+	// for. Zero means no pause.
 	BatchDelay time.Duration
 }
 
 const (
-	// defaultBound is assumed where none is set, as brief as usual ones.
-	defaultBound = 2 * time.Second
-	// confirmShare is the part of the bound after which the instance that others
-	// follow calls the store again, and staleShare the age of its last answer at which
-	// it is not to be followed. What is left of the bound is for a call of the store
-	// by its followers.
-	confirmShare = 0.25
-	staleShare   = 0.5
-	// checkShare is the part of the bound after which an instance looks whether it may
-	// still be followed. Each second time it tells its followers that it is there;
-	// silenceShare is the silence after which they give it up.
-	checkShare   = 0.125
-	silenceShare = 0.5
-	// minAvoid and maxAvoid bound the time for which an instance that could not be
-	// followed is not asked again.
+	// defaultMaxPropagation applies if none is set. It is as short as usual
+	// settings.
+	defaultMaxPropagation = 2 * time.Second
+	// confirmFraction is the part of MaxPropagation after which an instance
+	// with followers calls the store again. staleFraction is the part after
+	// which an instance without an answer must not be followed. The rest is
+	// left for the followers' own calls of the store.
+	confirmFraction = 0.25
+	staleFraction   = 0.5
+	// checkFraction is the part of MaxPropagation after which an instance
+	// checks whether it may still be followed. After every second check it
+	// sends a keep-alive message to waiting followers. answerTimeoutFraction is
+	// the part without any message after which they stop following it.
+	checkFraction         = 0.125
+	answerTimeoutFraction = 0.5
+	// minAvoid and maxAvoid limit the time for which an instance that could not
+	// be followed is not queried again.
 	minAvoid = time.Second
 	maxAvoid = 4 * time.Second
-	// dialTimeout bounds the time to connect within a region.
+	// dialTimeout is the time limit for connecting within a region.
 	dialTimeout = 200 * time.Millisecond
 )
 
-func share(of time.Duration, part float64) time.Duration { return time.Duration(part * float64(of)) }
+// fraction returns part times of.
+func fraction(of time.Duration, part float64) time.Duration { return time.Duration(part * float64(of)) }
 
-// SavesStoreCalls reports whether n instances cost more calls of the store by themselves than
-// one of them that confirms often.
+// SavesStoreCalls reports whether relaying takes fewer calls of the store than
+// n instances that each read the store themselves.
 func (c Config) SavesStoreCalls(n int) bool {
-	return time.Duration(n)*share(c.MaxPropagation, confirmShare) > c.Wait
+	return time.Duration(n)*fraction(c.MaxPropagation, confirmFraction) > c.Wait
 }
--- a/lib/relay/doc.go
+++ b/lib/relay/doc.go
@@ -1,10 +1,11 @@
-// Package relay passes the rows of a store's tables on between the instances of a
-// region, so that one of them follows the store for all: calls of the store are
-// paid for, and a large row crosses the region's links once.
+// Package relay distributes the rows of a store's tables among the instances of
+// a region, so that only one of them reads the store. Calls of the store are
+// paid for, and a large row crosses the region's links only once.
 //
-// The first entry of the region in an order that all agree on reads the store
-// directly and confirms several times in the shortest bound that it still does.
-// The others ask it. An entry whose last confirmation is too old says so, and its
-// followers read the store by themselves at once. Nothing is agreed on: two entries
-// that both follow the store cost calls only.
+// All instances agree on an order of the entries of the region. The first entry
+// reads the store directly and confirms several times within MaxPropagation
+// that it still can. The other entries query it. An entry whose last
+// confirmation is too old reports that it is stale, and its followers then read
+// the store directly at once. No consensus is needed: if two entries both read
+// the store, this only costs additional calls.
 package relay
--- a/lib/relay/pack.go
+++ b/lib/relay/pack.go
@@ -12,40 +12,44 @@
 )
 
 const (
-	// packFrom is the size in bytes from which rows are compressed: a configuration
-	// of half a megabyte goes to all entries of a region over one link.
-	packFrom = 1 << 10
-	// rowLimit bounds an unpacked row in bytes.
-	rowLimit = 8 << 20
+	// compressThreshold is the size in bytes from which row data is compressed:
+	// a configuration of half a megabyte goes to all entries of a region over
+	// one link.
+	compressThreshold = 1 << 10
+	// maxRowSize is the maximum size of uncompressed row data in bytes.
+	maxRowSize = 8 << 20
 )
 
-var errRowTooLong = errors.New("row is too long")
+var errRowTooLarge = errors.New("relayed row exceeds the maximum size")
 
-func pack(r watch.Row) row {
-	packed := row{Key: r.Key, Data: r.Data, Deleted: r.Deleted, Revision: r.Revision}
-	if len(r.Data) < packFrom {
-		return packed
+// encodeRow converts a row for sending and compresses its data if it is large.
+func encodeRow(r watch.Row) row {
+	encoded := row{Key: r.Key, Data: r.Data, Deleted: r.Deleted, Revision: r.Revision}
+	if len(r.Data) < compressThreshold {
+		return encoded
 	}
 	var b bytes.Buffer
-	// Neither call fails: the level is valid, and writes to a buffer succeed.
+	// These calls cannot fail: the level is valid, and writing to a buffer
+	// always succeeds.
 	w, _ := flate.NewWriter(&b, flate.BestSpeed)
 	_, _ = w.Write(r.Data)
 	_ = w.Close()
-	packed.Data, packed.Packed = b.Bytes(), true
-	return packed
+	encoded.Data, encoded.Compressed = b.Bytes(), true
+	return encoded
 }
 
-func unpack(r row) (watch.Row, error) {
+// decodeRow converts a received row and decompresses its data.
+func decodeRow(r row) (watch.Row, error) {
 	out := watch.Row{Key: r.Key, Data: r.Data, Deleted: r.Deleted, Revision: r.Revision}
-	if !r.Packed {
+	if !r.Compressed {
 		return out, nil
 	}
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Data)), rowLimit+1))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Data)), maxRowSize+1))
 	if err != nil {
-		return out, merry.Prepend(err, "relayed row")
+		return out, merry.Prepend(err, "decompress relayed row")
 	}
-	if len(data) > rowLimit {
-		return out, errRowTooLong
+	if len(data) > maxRowSize {
+		return out, errRowTooLarge
 	}
 	out.Data = data
 	return out, nil
--- a/lib/relay/reader.go
+++ b/lib/relay/reader.go
@@ -12,46 +12,47 @@
 	"github.com/auburnbend/auburnbend/lib/watch"
 )
 
-// askTimeout bounds one read through another instance. The first one transfers the
-// whole table over a narrow link.
-const askTimeout = time.Second
+// readTimeout is the time limit for one read through another instance. The
+// first read transfers the whole table, possibly over a slow link.
+const readTimeout = time.Second
 
-// Reader reads a table now and then, as changes since the last time, from any
-// instance that follows it, and from the store where none answers. It is safe for
-// concurrent use.
+// Reader reads a table occasionally. It fetches the changes since its last read
+// from an instance that follows the table, or reads the store if none answers.
+// It is safe for concurrent use.
 type Reader struct {
 	store watch.Source
-	// sources returns the instances to ask, in order.
+	// sources returns the instances to query, in order of preference.
 	sources func() []netip.AddrPort
 
-	// mu guards what follows.
+	// mu protects the following fields.
 	mu       sync.Mutex
 	client   client
 	rows     map[string]watch.Row
 	revision int64
 }
 
-// NewReader returns a Reader that knows nothing.
+// NewReader returns a Reader without any rows.
 func NewReader(table string, store watch.Source, sources func() []netip.AddrPort) *Reader {
 	return &Reader{
-		store: store, sources: sources, client: client{table: table, silence: askTimeout},
+		store: store, sources: sources, client: client{table: table, answerTimeout: readTimeout},
 		rows: make(map[string]watch.Row), revision: -1,
 	}
 }
 
-// Read returns the rows of the table. An answer that is older than what is known
-// is not used.
+// Read returns all rows of the table, sorted by key. An answer of the store
+// that is older than the known revision is ignored. It returns an error only if
+// the store cannot be read either.
 func (r *Reader) Read(ctx context.Context) (watch.Rows, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.ask(ctx) {
+	if !r.fetchChanges(ctx) {
 		rows, err := r.store.Snapshot(ctx)
 		if err != nil {
 			return watch.Rows{}, err
 		}
 		if rows.Revision >= r.revision {
 			clear(r.rows)
-			r.take(rows)
+			r.merge(rows)
 		}
 	}
 	rows := watch.Rows{Revision: r.revision}
@@ -61,14 +62,15 @@
 	return rows, nil
 }
 
-// ask reads the changes from one of the sources. It reports whether one answered.
-func (r *Reader) ask(ctx context.Context) bool {
+// fetchChanges fetches the changes from the first source that answers. It
+// reports whether one did.
+func (r *Reader) fetchChanges(ctx context.Context) bool {
 	for _, source := range r.sources() {
-		askCtx, cancel := context.WithTimeout(ctx, askTimeout)
-		rows, err := r.client.ask(askCtx, source, r.revision, 0)
+		askCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		rows, err := r.client.fetch(askCtx, source, r.revision, 0)
 		cancel()
 		if err == nil {
-			r.take(rows)
+			r.merge(rows)
 			return true
 		}
 		if errors.Is(err, watch.ErrHistoryLost) {
@@ -82,7 +84,8 @@
 	return false
 }
 
-func (r *Reader) take(rows watch.Rows) {
+// merge applies changes to the rows. The caller holds r.mu.
+func (r *Reader) merge(rows watch.Rows) {
 	for _, row := range rows.Rows {
 		if row.Deleted {
 			delete(r.rows, row.Key)
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -15,67 +15,67 @@
 	"github.com/auburnbend/auburnbend/lib/watch"
 )
 
-// known is what one instance has learned.
-type known struct {
+// recorder records the rows that one instance has received.
+type recorder struct {
 	mu        sync.Mutex
 	rows      map[string]string
 	recovered bool
 	lost      int
 }
 
-func (k *known) Replace(rows watch.Rows, recovered bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.rows = make(map[string]string)
-	k.take(rows, recovered)
+func (rec *recorder) Replace(rows watch.Rows, recovered bool) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.rows = make(map[string]string)
+	rec.merge(rows, recovered)
 }
 
-func (k *known) Apply(rows watch.Rows, recovered bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.take(rows, recovered)
+func (rec *recorder) Apply(rows watch.Rows, recovered bool) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.merge(rows, recovered)
 }
 
-func (k *known) take(rows watch.Rows, recovered bool) {
-	k.recovered = k.recovered || recovered
+func (rec *recorder) merge(rows watch.Rows, recovered bool) {
+	rec.recovered = rec.recovered || recovered
 	for _, r := range rows.Rows {
 		if r.Deleted {
-			delete(k.rows, r.Key)
+			delete(rec.rows, r.Key)
 			continue
 		}
-		k.rows[r.Key] = string(r.Data)
+		rec.rows[r.Key] = string(r.Data)
 	}
 }
 
-func (k *known) Lost(error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lost++
+func (rec *recorder) Lost(error) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.lost++
 }
 
-func (k *known) get(key string) string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.rows[key]
+func (rec *recorder) get(key string) string {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return rec.rows[key]
 }
 
-func (k *known) afterOutage() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.recovered
+func (rec *recorder) afterOutage() bool {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	return rec.recovered
 }
 
 // instance follows a table and serves it to others.
 type instance struct {
-	store    *store
-	cache    *Cache
-	ln       net.Listener
-	stopping atomic.Bool
-	known    *known
-	paths    atomic.Int64
+	store       *store
+	cache       *Cache
+	ln          net.Listener
+	stopping    atomic.Bool
+	received    *recorder
+	pathChanges atomic.Int64
 }
 
-func (i *instance) onPath(netip.AddrPort, error) { i.paths.Add(1) }
+func (i *instance) countPathChange(netip.AddrPort, error) { i.pathChanges.Add(1) }
 
 func (i *instance) address() netip.AddrPort {
 	return i.ln.Addr().(*net.TCPAddr).AddrPort()
@@ -88,9 +88,10 @@
 		content *content
 		ctx     context.Context
 	)
-	// start runs an instance that follows another one, or the store if that is nil.
+	// start runs an instance that follows leader, or reads the store if leader
+	// is nil.
 	start := func(leader *instance) *instance {
-		i := &instance{store: &store{content: content}, cache: NewCache(config), known: &known{}}
+		i := &instance{store: &store{content: content}, cache: NewCache(config), received: &recorder{}}
 		var err error
 		i.ln, err = net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -99,7 +100,7 @@
 			choose = func() Role { return Role{Upstream: leader.address()} }
 		}
 		go NewServer(map[string]*Cache{"t": i.cache}, i.stopping.Load).Run(ctx, i.ln)
-		go watch.New(watch.Config{LongPollTimeout: config.Wait}, NewSource("t", i.store, i.cache, choose, i.onPath), i.known).Run(ctx)
+		go watch.New(watch.Config{LongPollTimeout: config.Wait}, NewSource("t", i.store, i.cache, choose, i.countPathChange), i.received).Run(ctx)
 		Eventually(func() int64 {
 			i.cache.mu.Lock()
 			defer i.cache.mu.Unlock()
@@ -115,118 +116,118 @@
 		DeferCleanup(stop)
 	})
 
+	// Guards against calls of the store that grow with the number of entries, and
+	// against reading a large configuration from the store for each of them.
 	It("lets one instance read the store for all", func() {
-		// Guards against calls of the store that grow with the number of entries, and
-		// against copies of a large configuration for each of them.
 		leader := start(nil)
 		followers := []*instance{start(leader), start(leader), start(leader)}
 		large := bytes.Repeat([]byte("route "), 50_000)
 		content.put("config", large, false)
 		content.put("a", nil, true)
 		for _, f := range followers {
-			Eventually(f.known.get).WithArguments("config").Should(Equal(string(large)))
-			Eventually(f.known.get).WithArguments("a").Should(BeEmpty())
-			Expect(f.store.count()).To(BeZero())
-			Expect(f.known.afterOutage()).To(BeFalse())
+			Eventually(f.received.get).WithArguments("config").Should(Equal(string(large)))
+			Eventually(f.received.get).WithArguments("a").Should(BeEmpty())
+			Expect(f.store.callCount()).To(BeZero())
+			Expect(f.received.afterOutage()).To(BeFalse())
 		}
 	})
 
-	It("is not followed any more when the instance has lost the store", func() {
-		// Guards against followers that reach the store and are behind it because the
-		// instance that they follow is cut off.
+	// Guards against followers that can reach the store but are behind it because
+	// the instance that they follow cannot.
+	It("stops following an instance that has lost the store", func() {
 		leader := start(nil)
 		follower := start(leader)
-		leader.store.set(true, false)
+		leader.store.setFaults(true, false)
 		content.put("config", []byte("2"), false)
-		Eventually(follower.known.get, bound).WithArguments("config").Should(Equal("2"))
-		Expect(follower.known.lost).To(BeZero())
-		Expect(follower.paths.Load()).To(Equal(int64(2)))
-		Expect(follower.known.afterOutage()).To(BeFalse(), "a relay that was lost is no outage of the store")
+		Eventually(follower.received.get, bound).WithArguments("config").Should(Equal("2"))
+		Expect(follower.received.lost).To(BeZero())
+		Expect(follower.pathChanges.Load()).To(Equal(int64(2)))
+		Expect(follower.received.afterOutage()).To(BeFalse(), "the loss of the relaying instance is not an outage of the store")
 	})
 
-	It("is not followed any more when the instance falls silent or leaves", func() {
-		// Guards against followers that wait on a connection that delivers nothing
-		// more.
+	// Guards against followers that wait on a connection that no longer delivers
+	// anything.
+	It("stops following an instance that is silent or stopping", func() {
 		silent, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer silent.Close()
 		follower := start(&instance{ln: silent})
-		Expect(follower.known.get("a")).To(Equal("1"))
+		Expect(follower.received.get("a")).To(Equal("1"))
 
 		leader := start(nil)
 		other := start(leader)
 		leader.stopping.Store(true)
 		content.put("config", []byte("2"), false)
-		Eventually(other.known.get, bound).WithArguments("config").Should(Equal("2"))
+		Eventually(other.received.get, bound).WithArguments("config").Should(Equal("2"))
 	})
 
-	It("tells that rows changed after an outage of the store", func() {
-		// Guards against servers that followers drop because their rows lapsed while
-		// the store was away.
+	// Guards against followers that drop servers whose rows expired during an outage
+	// of the store.
+	It("reports that rows changed after an outage of the store", func() {
 		leader := start(nil)
 		follower := start(leader)
-		leader.store.set(false, true)
+		leader.store.setFaults(false, true)
 		content.put("b", []byte("2"), false)
-		Eventually(func() int { leader.known.mu.Lock(); defer leader.known.mu.Unlock(); return leader.known.lost }, 2*time.Second).ShouldNot(BeZero())
+		Eventually(func() int { leader.received.mu.Lock(); defer leader.received.mu.Unlock(); return leader.received.lost }, 2*time.Second).ShouldNot(BeZero())
 		content.put("a", nil, true)
-		leader.store.set(false, false)
-		Eventually(follower.known.get, 2*time.Second).WithArguments("a").Should(BeEmpty())
-		a, _ := leader.cache.since(1)
+		leader.store.setFaults(false, false)
+		Eventually(follower.received.get, 2*time.Second).WithArguments("a").Should(BeEmpty())
+		a, _ := leader.cache.changesSince(1)
 		Expect(a.AfterOutage).To(BeTrue())
 	})
 
-	It("never goes back to an older revision", func() {
-		// Guards against keys that were withdrawn and come back with a stale read.
+	// Guards against deleted keys that reappear with a stale read.
+	It("never returns to an older revision", func() {
 		c := NewCache(config)
 		now := time.Unix(1000, 0)
 		c.replace(watch.Rows{Revision: 7, Rows: []watch.Row{{Key: "new", Revision: 7}}}, true, now)
 		c.replace(watch.Rows{Revision: 5, Rows: []watch.Row{{Key: "old", Revision: 5}}}, true, now)
 		c.apply(5, watch.Rows{Revision: 9, Rows: []watch.Row{{Key: "old", Revision: 9}}}, true, now)
-		a, _ := c.since(-1)
+		a, _ := c.changesSince(-1)
 		Expect(a.Revision).To(Equal(int64(7)))
 		Expect(a.Rows).To(HaveLen(1))
 		Expect(a.Rows[0].Key).To(Equal("new"))
-		behind, _ := c.since(8)
-		Expect(behind.Stale).To(BeTrue(), "the asker knows more")
-		lost, _ := c.since(3)
+		behind, _ := c.changesSince(8)
+		Expect(behind.Stale).To(BeTrue(), "the follower is ahead")
+		lost, _ := c.changesSince(3)
 		Expect(lost.HistoryLost).To(BeTrue())
 	})
 
-	It("bounds what it remembers of deleted rows", func() {
+	It("limits the number of deleted rows that it keeps", func() {
 		c := NewCache(config)
 		now := time.Unix(1000, 0)
 		c.replace(watch.Rows{Revision: 1}, true, now)
-		for i := int64(2); i < maxDeleted+10; i++ {
+		for i := int64(2); i < maxDeletedRows+10; i++ {
 			c.apply(i-1, watch.Rows{Revision: i, Rows: []watch.Row{{Key: string(rune(i)), Deleted: true, Revision: i}}}, true, now)
 		}
-		Expect(len(c.rows)).To(BeNumerically("<=", maxDeleted))
-		lost, _ := c.since(2)
+		Expect(len(c.rows)).To(BeNumerically("<=", maxDeletedRows))
+		lost, _ := c.changesSince(2)
 		Expect(lost.HistoryLost).To(BeTrue())
 	})
 
-	It("lets changes gather between two calls of the store, and calls again at once when there were none", func() {
-		// Guards against a call of the store for each row that a rollout changes.
-		const gather = 150 * time.Millisecond
+	// Guards against a call of the store for each row that a rollout changes.
+	It("delays the next call of the store after changes, but not if there were none", func() {
+		const batchDelay = 150 * time.Millisecond
 		i := &store{content: content}
-		s := NewSource("t", i, NewCache(Config{MaxPropagation: bound, Wait: time.Second, BatchDelay: gather}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
+		s := NewSource("t", i, NewCache(Config{MaxPropagation: bound, Wait: time.Second, BatchDelay: batchDelay}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
 		_, err := s.Changes(ctx, 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(i.calls[1].Sub(i.calls[0])).To(BeNumerically(">=", gather))
-		Expect(i.calls[2].Sub(i.calls[1])).To(BeNumerically("<", gather))
+		Expect(i.calls[1].Sub(i.calls[0])).To(BeNumerically(">=", batchDelay))
+		Expect(i.calls[2].Sub(i.calls[1])).To(BeNumerically("<", batchDelay))
 	})
 
-	It("is worth it for many instances only", func() {
-		// Guards against a small region that makes more calls of the store than before.
+	// Guards against more calls of the store in a small region than without a relay.
+	It("saves calls of the store only if there are many instances", func() {
 		c := Config{MaxPropagation: 4 * time.Second, Wait: 7 * time.Second}
 		Expect(c.SavesStoreCalls(7)).To(BeFalse())
 		Expect(c.SavesStoreCalls(8)).To(BeTrue())
 	})
 
-	It("gives instances that read now and then the changes only, and the store where none answers", func() {
+	It("returns only changes to occasional readers, which read the store if no instance answers", func() {
 		leader := start(nil)
 		own := &store{content: content}
 		r := NewReader("t", own, func() []netip.AddrPort { return []netip.AddrPort{leader.address()} })
@@ -240,12 +241,12 @@
 			Expect(err).NotTo(HaveOccurred())
 			return rows.Rows[0].Key
 		}).Should(Equal("b"))
-		Expect(own.count()).To(BeZero())
+		Expect(own.callCount()).To(BeZero())
 		leader.stopping.Store(true)
 		content.put("c", []byte("3"), false)
 		rows, err = r.Read(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(rows.Rows).To(HaveLen(2))
-		Expect(own.count()).To(Equal(1))
+		Expect(own.callCount()).To(Equal(1))
 	})
 })
--- a/lib/relay/server.go
+++ b/lib/relay/server.go
@@ -9,48 +9,50 @@
 )
 
 const (
-	// idleTimeout ends connections of followers that ask nothing more.
+	// idleTimeout is the time after which a connection without a query is
+	// closed.
 	idleTimeout = 30 * time.Second
-	// writeTimeout ends connections that take nothing: half a megabyte goes over a
-	// region's links in less.
+	// writeTimeout is the time limit for sending an answer. Half a megabyte
+	// takes less over the links of a region.
 	writeTimeout = 5 * time.Second
-	// acceptPause is the pause after a connection that could not be accepted.
-	acceptPause = 100 * time.Millisecond
-	// maxConns bounds the connections of followers: a region of 200 entries has two
-	// for each of them.
-	maxConns = 512
-	// buffer is the size of a connection's buffers in bytes.
-	buffer = 1 << 10
-	// queryLimit bounds a query in bytes, answerLimit an answer: a whole table, with
-	// large rows compressed.
-	queryLimit  = 1 << 10
-	answerLimit = 8 << 20
+	// acceptRetryDelay is the pause after a connection could not be accepted.
+	acceptRetryDelay = 100 * time.Millisecond
+	// maxConnections is the maximum number of connections of followers: a
+	// region of 200 entries has two per entry.
+	maxConnections = 512
+	// bufferSize is the size of a connection's read buffer in bytes.
+	bufferSize = 1 << 10
+	// maxQuerySize and maxAnswerSize are the maximum encoded sizes in bytes. An
+	// answer may contain a whole table, with large rows compressed.
+	maxQuerySize  = 1 << 10
+	maxAnswerSize = 8 << 20
 )
 
-// Server answers other instances from the caches of this one. It is safe for
-// concurrent use.
+// Server answers queries of other instances from the caches of this instance.
+// It is safe for concurrent use.
 type Server struct {
 	tables map[string]*Cache
-	// stopping reports that this instance is not to be followed any more.
+	// stopping reports whether this instance must no longer be followed.
 	stopping func() bool
 }
 
-// NewServer returns a Server of the caches of some tables.
+// NewServer returns a Server for caches by table name. stopping must be safe
+// for concurrent use.
 func NewServer(tables map[string]*Cache, stopping func() bool) *Server {
 	return &Server{tables: tables, stopping: stopping}
 }
 
-// Run serves the listener until ctx ends.
+// Run accepts and serves connections until ctx ends. It closes the listener.
 func (s *Server) Run(ctx context.Context, ln net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
-	slots := make(chan struct{}, maxConns)
+	slots := make(chan struct{}, maxConnections)
 	for ctx.Err() == nil {
 		conn, err := ln.Accept()
 		if err != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(acceptPause):
+			case <-time.After(acceptRetryDelay):
 			}
 			continue
 		}
@@ -66,14 +68,14 @@
 	}
 }
 
-// serve answers the queries of one connection, one after another.
+// serve answers the queries of one connection, one after the other.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	decode := msgstream.NewDecoder(conn, buffer, queryLimit)
+	decode := msgstream.NewDecoder(conn, bufferSize, maxQuerySize)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(idleTimeout)) != nil {
 			return
@@ -92,23 +94,24 @@
 	return msgstream.Encode(conn, a)
 }
 
-// answer answers one query, at the next change if there is none yet.
+// answer answers one query. It waits for a change if there is none, and sends
+// keep-alive messages meanwhile.
 func (s *Server) answer(ctx context.Context, conn net.Conn, q *query) error {
 	cache := s.tables[q.Table]
 	if cache == nil {
 		return s.send(conn, &answer{Stale: true})
 	}
-	end := time.Now().Add(time.Duration(q.WaitMillis) * time.Millisecond)
-	check := time.NewTicker(share(cache.config.MaxPropagation, checkShare))
+	deadline := time.Now().Add(time.Duration(q.WaitMillis) * time.Millisecond)
+	check := time.NewTicker(fraction(cache.config.MaxPropagation, checkFraction))
 	defer check.Stop()
-	tell := false
+	skipAlive := false
 	for {
-		a, changed := cache.since(q.Since)
+		a, changed := cache.changesSince(q.Since)
 		now := time.Now()
 		if s.stopping() || !cache.fresh(q.Direct, now) {
 			return s.send(conn, &answer{Stale: true})
 		}
-		if a.Stale || a.HistoryLost || len(a.Rows) > 0 || q.Since < 0 || !now.Before(end) {
+		if a.Stale || a.HistoryLost || len(a.Rows) > 0 || q.Since < 0 || !now.Before(deadline) {
 			return s.send(conn, &a)
 		}
 		select {
@@ -116,7 +119,7 @@
 			return ctx.Err()
 		case <-changed:
 		case <-check.C:
-			if tell = !tell; tell {
+			if skipAlive = !skipAlive; skipAlive {
 				continue
 			}
 			if err := s.send(conn, &answer{Alive: true}); err != nil {
--- a/lib/relay/source.go
+++ b/lib/relay/source.go
@@ -9,77 +9,81 @@
 	"github.com/auburnbend/auburnbend/lib/watch"
 )
 
-// Role is whom an instance follows.
+// Role determines where an instance reads a table from and whether others
+// follow it.
 type Role struct {
-	// Upstream is the instance to ask; not valid if this one reads the store.
+	// Upstream is the instance to query. If it is not valid, this instance
+	// reads the store directly.
 	Upstream netip.AddrPort
-	// HasFollowers tells that others ask this instance.
+	// HasFollowers is true if other instances query this one.
 	HasFollowers bool
 }
 
-// Source reads one table of a store, through another instance of the region where
-// that can be followed. It belongs to one goroutine.
+// Source reads one table, through another instance of the region if possible
+// and directly from the store otherwise. It is not safe for concurrent use.
 type Source struct {
 	config Config
 	store  watch.Source
 	cache  *Cache
-	choose func() Role
+	role   func() Role
 	client client
 
-	// avoided is an instance that could not be followed, until avoidedUntil.
+	// avoided is an instance that could not be followed. It is not queried
+	// until avoidedUntil. avoidedFor is the length of that wait.
 	avoided      netip.AddrPort
 	avoidedUntil time.Time
 	avoidedFor   time.Duration
-	// onPath is told when the table is read on another path: through an instance, or
-	// directly if that is not valid, for a reason.
-	onPath func(through netip.AddrPort, reason error)
-	path   netip.AddrPort
-	// gathering tells that the last answer of the store had changes.
-	gathering bool
-	// lost tells that the last call of the store failed.
-	lost bool
+	// onPathChange is called when the table is read on another path than
+	// before: through an instance, or directly if through is not valid. reason
+	// is the error that caused the change, if any.
+	onPathChange func(through netip.AddrPort, reason error)
+	path         netip.AddrPort
+	// hadChanges is true if the last answer of the store contained changes.
+	hadChanges bool
+	// storeFailed is true if the last call of the store failed.
+	storeFailed bool
 }
 
 var _ watch.Source = (*Source)(nil)
 
-// NewSource returns a Source that keeps cache up to date with what it reads.
-// onPath is called by the goroutine that reads, when it reads through another
-// instance than before, or directly.
-func NewSource(table string, store watch.Source, cache *Cache, choose func() Role, onPath func(through netip.AddrPort, reason error)) *Source {
+// NewSource returns a Source that updates cache with what it reads. role is
+// called before each read. onPathChange is called by the reading goroutine when
+// it reads through another instance than before, or directly.
+func NewSource(table string, store watch.Source, cache *Cache, role func() Role, onPathChange func(through netip.AddrPort, reason error)) *Source {
 	return &Source{
-		onPath: onPath, config: cache.config, store: store, cache: cache, choose: choose,
-		client: client{table: table, silence: share(cache.config.MaxPropagation, silenceShare), direct: true},
+		onPathChange: onPathChange, config: cache.config, store: store, cache: cache, role: role,
+		client: client{table: table, answerTimeout: fraction(cache.config.MaxPropagation, answerTimeoutFraction), direct: true},
 	}
 }
 
 // Snapshot implements watch.Source.
 func (s *Source) Snapshot(ctx context.Context) (watch.Rows, error) {
-	if to := s.following(); to.IsValid() {
-		rows, err := s.client.ask(ctx, to, -1, 0)
+	if to := s.upstream(); to.IsValid() {
+		rows, err := s.client.fetch(ctx, to, -1, 0)
 		if err == nil {
-			s.followed(to)
+			s.upstreamAnswered(to)
 			s.cache.replace(rows, false, time.Now())
 			return rows, nil
 		}
-		s.unfollow(to, err)
+		s.avoidUpstream(to, err)
 	}
 	rows, err := s.store.Snapshot(ctx)
 	if err != nil {
-		s.lost = true
+		s.storeFailed = true
 		return rows, err
 	}
-	s.recover(&rows)
+	s.markRecovered(&rows)
 	s.cache.replace(rows, true, time.Now())
 	return rows, nil
 }
 
 // Changes implements watch.Source.
 func (s *Source) Changes(ctx context.Context, since int64, wait time.Duration) (watch.Rows, error) {
-	if to := s.following(); to.IsValid() {
-		rows, err := s.client.ask(ctx, to, since, wait)
+	if to := s.upstream(); to.IsValid() {
+		rows, err := s.client.fetch(ctx, to, since, wait)
 		switch {
 		case err == nil:
-			s.followed(to)
+			s.upstreamAnswered(to)
 			s.cache.apply(since, rows, false, time.Now())
 			return rows, nil
 		case errors.Is(err, watch.ErrHistoryLost):
@@ -87,29 +91,30 @@
 		case ctx.Err() != nil:
 			return rows, ctx.Err()
 		}
-		s.unfollow(to, err)
-		// What was missed meanwhile must not wait for the next change.
+		s.avoidUpstream(to, err)
+		// Do not wait: changes may have been missed.
 		wait = 0
 	} else {
-		wait = s.gather(ctx, wait)
+		wait = s.waitBatch(ctx, wait)
 	}
 	rows, err := s.store.Changes(ctx, since, wait)
 	if err != nil {
-		s.lost = s.lost || !errors.Is(err, watch.ErrHistoryLost)
+		s.storeFailed = s.storeFailed || !errors.Is(err, watch.ErrHistoryLost)
 		return rows, err
 	}
-	s.recover(&rows)
-	s.gathering = len(rows.Rows) > 0
+	s.markRecovered(&rows)
+	s.hadChanges = len(rows.Rows) > 0
 	s.cache.apply(since, rows, true, time.Now())
 	return rows, nil
 }
 
-// gather pauses after changes and returns how long the next call of the store may
-// wait. While others follow this instance it confirms often that it reads the store.
-func (s *Source) gather(ctx context.Context, wait time.Duration) time.Duration {
-	confirm := share(s.config.MaxPropagation, confirmShare)
+// waitBatch pauses after changes and returns how long the next call of the
+// store may wait. While other instances follow this one, that is short enough
+// to confirm regularly that it reads the store.
+func (s *Source) waitBatch(ctx context.Context, wait time.Duration) time.Duration {
+	confirm := fraction(s.config.MaxPropagation, confirmFraction)
 	pause := time.Duration(0)
-	if s.gathering {
+	if s.hadChanges {
 		pause = s.config.BatchDelay
 		timer := time.NewTimer(pause)
 		defer timer.Stop()
@@ -118,41 +123,45 @@
 		case <-timer.C:
 		}
 	}
-	if s.choose().HasFollowers {
+	if s.role().HasFollowers {
 		return min(wait, max(0, confirm-pause))
 	}
 	return wait
 }
 
-// recover marks the first answer of the store after an outage.
-func (s *Source) recover(rows *watch.Rows) {
-	rows.AfterOutage = s.lost
-	s.lost = false
+// markRecovered marks the first answer of the store after an outage.
+func (s *Source) markRecovered(rows *watch.Rows) {
+	rows.AfterOutage = s.storeFailed
+	s.storeFailed = false
 }
 
-// following returns the instance to ask; not valid if there is none.
-func (s *Source) following() netip.AddrPort {
-	to := s.choose().Upstream
+// upstream returns the instance to query; the result is not valid if there is
+// none or if it is avoided.
+func (s *Source) upstream() netip.AddrPort {
+	to := s.role().Upstream
 	if to == s.avoided && time.Now().Before(s.avoidedUntil) {
 		return netip.AddrPort{}
 	}
 	return to
 }
 
-func (s *Source) followed(through netip.AddrPort) {
+// upstreamAnswered resets the wait of the avoided instance and records the path.
+func (s *Source) upstreamAnswered(through netip.AddrPort) {
 	s.avoided, s.avoidedFor = netip.AddrPort{}, 0
 	s.setPath(through, nil)
 }
 
+// setPath records the path of a read and reports it if it has changed.
 func (s *Source) setPath(through netip.AddrPort, reason error) {
 	if through != s.path {
 		s.path = through
-		s.onPath(through, reason)
+		s.onPathChange(through, reason)
 	}
 }
 
-// unfollow leaves an instance alone for a while that doubles each time.
-func (s *Source) unfollow(from netip.AddrPort, reason error) {
+// avoidUpstream stops following an instance for a time that doubles with each
+// consecutive failure.
+func (s *Source) avoidUpstream(from netip.AddrPort, reason error) {
 	s.setPath(netip.AddrPort{}, reason)
 	if from != s.avoided {
 		s.avoidedFor = 0
--- a/lib/relay/store_test.go
+++ b/lib/relay/store_test.go
@@ -9,16 +9,16 @@
 	"github.com/auburnbend/auburnbend/lib/watch"
 )
 
-// store is one table of a store in memory, as one instance reaches it.
+// store is a table of an in-memory store as seen by one instance.
 type store struct {
 	*content
 	mu sync.Mutex
-	// cut makes calls wait for nothing, refused makes them fail.
-	cut, refused bool
-	calls        []time.Time
+	// hang makes calls block until their context ends; fail makes them fail.
+	hang, fail bool
+	calls      []time.Time
 }
 
-// content is what all instances share.
+// content is the content of the table, shared by all instances.
 type content struct {
 	mu       sync.Mutex
 	rows     []watch.Row
@@ -49,13 +49,13 @@
 	return rows, c.changed
 }
 
-func (s *store) set(cut, refused bool) {
+func (s *store) setFaults(hang, fail bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut, s.refused = cut, refused
+	s.hang, s.fail = hang, fail
 }
 
-func (s *store) count() int {
+func (s *store) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.calls)
@@ -64,12 +64,12 @@
 func (s *store) call(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls = append(s.calls, time.Now())
-	cut, refused := s.cut, s.refused
+	hang, fail := s.hang, s.fail
 	s.mu.Unlock()
-	if refused {
-		return errors.New("refused")
+	if fail {
+		return errors.New("store refused the call")
 	}
-	if cut {
+	if hang {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -88,7 +88,7 @@
 	if err := s.call(ctx); err != nil {
 		return watch.Rows{}, err
 	}
-	end := time.After(wait)
+	timeout := time.After(wait)
 	for {
 		rows, changed := s.since(since)
 		if len(rows.Rows) > 0 || wait == 0 {
@@ -96,13 +96,13 @@
 		}
 		select {
 		case <-changed:
-		case <-end:
+		case <-timeout:
 			wait = 0
 		}
 		s.mu.Lock()
-		cut := s.cut
+		hang := s.hang
 		s.mu.Unlock()
-		if cut {
+		if hang {
 			<-ctx.Done()
 			return watch.Rows{}, ctx.Err()
 		}
