--- a/replica/beacon.go
+++ b/replica/beacon.go
@@ -16,202 +16,209 @@
 )
 
 const (
-	// beaconRefresh is how often an unchanged load and the list of neighbours are
-	// sent.
-	beaconRefresh = time.Second
-	// subscriptionTime is how long an entry gets reports after it asked; entries
-	// ask once a second.
-	subscriptionTime = 4 * time.Second
-	// maxDatagram bounds a datagram in bytes.
-	maxDatagram = 1200
-	// maxNamed bounds the neighbours that one report names: 22 bytes each fit into
-	// a datagram with the rest.
-	maxNamed = 40
+	// refreshInterval is how often an unchanged status and the list of neighbours
+	// are sent.
+	refreshInterval = time.Second
+	// subscriptionTTL is how long an entry receives reports after a subscription;
+	// entries renew theirs once a second.
+	subscriptionTTL = 4 * time.Second
+	// maxDatagramBytes bounds the size of a datagram.
+	maxDatagramBytes = 1200
+	// maxNeighbours bounds the neighbour addresses in one report: at 22 bytes each
+	// they fit into a datagram with the other fields.
+	maxNeighbours = 40
 )
 
-// LoadReporter sends the engine's load to the entries that ask for it.
+// LoadReporter sends the engine's load to the entries that subscribe to it.
 type LoadReporter struct {
 	replica *Replica
 	conn    *net.UDPConn
 
 	mu          sync.Mutex
 	subscribers map[netip.AddrPort]subscriber
-	// added are subscribers that have had no report yet.
-	added []netip.AddrPort
-	// usages are what entries have at the engine, by entry.
-	usages map[string]usage
+	// newSubscribers have not received a report yet.
+	newSubscribers []netip.AddrPort
+	// entryLoads holds the last load message of each entry.
+	entryLoads map[string]entryLoad
 
-	// suspects are the contents that entries told of, for those that start anew.
+	// suspects are the suspected contents that entries reported, kept for entries
+	// that restart.
 	suspects *poison.Monitor
 
-	// leaving are the servers that entries told of, and when.
-	leaving map[peerlink.ServerKey]time.Time
+	// draining maps servers that entries reported as draining to the time of the
+	// first report.
+	draining map[peerlink.ServerKey]time.Time
 
-	last   peerlink.Status
-	lastAt time.Time
+	lastStatus  peerlink.Status
+	lastRefresh time.Time
 }
 
-// subscriber is an entry that asked for reports.
+// subscriber is an entry that subscribed to reports.
 type subscriber struct {
-	at     time.Time
+	seenAt time.Time
 	region string
-	// start is the start of the entry.
-	start uint64
-	// loads tells that it gets each change of the load, leaving that it is about to
-	// stop.
-	loads, leaving bool
+	// incarnation distinguishes the process starts of an entry.
+	incarnation uint64
+	// everyChange requests a report at each load change; draining marks an entry
+	// that is about to stop.
+	everyChange, draining bool
 }
 
-// usage is what an entry has at the engine.
-type usage struct {
-	at            time.Time
+// entryLoad is the work that an entry has placed on the engine.
+type entryLoad struct {
+	receivedAt    time.Time
 	sequence      uint64
-	readingTokens int
+	prefillTokens int
 }
 
-// NewLoadReporter listens for entries on the replica's port.
+// NewLoadReporter opens a UDP socket on the replica's peer port. It returns an
+// error if the port cannot be bound.
 func NewLoadReporter(r *Replica) (*LoadReporter, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(r.config.Listen), Port: r.config.PeerPort})
 	if err != nil {
 		return nil, err
 	}
-	return &LoadReporter{replica: r, conn: conn, subscribers: make(map[netip.AddrPort]subscriber), usages: make(map[string]usage), suspects: poison.New(poison.Config{MaxSuspects: maxSuspects}, "", 0), leaving: make(map[peerlink.ServerKey]time.Time)}, nil
+	return &LoadReporter{replica: r, conn: conn, subscribers: make(map[netip.AddrPort]subscriber), entryLoads: make(map[string]entryLoad), suspects: poison.New(poison.Config{MaxSuspects: maxSuspects}, "", 0), draining: make(map[peerlink.ServerKey]time.Time)}, nil
 }
 
-// Run serves entries until ctx ends.
-func (b *LoadReporter) Run(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { _ = b.conn.Close() })
-	// The function does not run if this goroutine is the first to see the end of ctx.
+// Run receives messages from entries and sends them reports until ctx ends, then
+// closes the socket.
+func (r *LoadReporter) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { _ = r.conn.Close() })
+	// stop cancels the AfterFunc if Run sees the end of ctx first, so close here
+	// too.
 	defer func() {
 		stop()
-		_ = b.conn.Close()
+		_ = r.conn.Close()
 	}()
-	go b.receive(ctx)
+	go r.receive(ctx)
 	for ctx.Err() == nil {
-		wait(ctx, b.replica.observed, 2*engineInterval)
-		b.send(b.current())
+		wait(ctx, r.replica.reporterWake, 2*enginePollInterval)
+		r.send(r.recipients())
 	}
 }
 
-func (b *LoadReporter) receive(ctx context.Context) {
-	buf := make([]byte, maxDatagram)
+func (r *LoadReporter) receive(ctx context.Context) {
+	buf := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
-		n, from, err := b.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
-			wait(ctx, nil, retryPause)
+			wait(ctx, nil, retryDelay)
 			continue
 		}
 		var d peerlink.Datagram
 		if msgstream.Unmarshal(buf[:n], &d) == nil {
-			b.take(from, &d)
+			r.handle(from, &d)
 		}
 	}
 }
 
-func (b *LoadReporter) take(from netip.AddrPort, d *peerlink.Datagram) {
-	if onTarget := b.replica.config.OnTarget; onTarget != nil && d.Subscription != nil && d.Subscription.Target != nil {
+func (r *LoadReporter) handle(from netip.AddrPort, d *peerlink.Datagram) {
+	if onTarget := r.replica.config.OnTarget; onTarget != nil && d.Subscription != nil && d.Subscription.Target != nil {
 		onTarget(d.Subscription.Target)
 	}
-	now := b.replica.config.Clock.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if d.Subscription != nil {
-		// An entry that has started anew knows nothing, even at the same address.
-		if known, ok := b.subscribers[from]; !ok || known.start != d.Subscription.Incarnation {
-			b.added = append(b.added, from)
-			b.replica.notifyObserved()
-			b.tellNews(now, from)
+		// A restarted entry has lost its state, even at the same address.
+		if previous, ok := r.subscribers[from]; !ok || previous.incarnation != d.Subscription.Incarnation {
+			r.newSubscribers = append(r.newSubscribers, from)
+			r.replica.wakeReporter()
+			r.sendInitialGossip(now, from)
 		}
-		b.subscribers[from] = subscriber{
-			at: now, region: d.Subscription.Region, start: d.Subscription.Incarnation, loads: d.Subscription.EveryChange, leaving: d.Subscription.Draining,
+		r.subscribers[from] = subscriber{
+			seenAt: now, region: d.Subscription.Region, incarnation: d.Subscription.Incarnation, everyChange: d.Subscription.EveryChange, draining: d.Subscription.Draining,
 		}
 	}
 	if d.Gossip != nil {
-		b.takeNews(now, d.Gossip)
+		r.handleGossip(now, d.Gossip)
 	}
-	if u := d.EntryLoad; u != nil && u.Sequence > b.usages[u.Entry].sequence {
-		b.usages[u.Entry] = usage{at: now, sequence: u.Sequence, readingTokens: u.PrefillTokens}
+	if u := d.EntryLoad; u != nil && u.Sequence > r.entryLoads[u.Entry].sequence {
+		r.entryLoads[u.Entry] = entryLoad{receivedAt: now, sequence: u.Sequence, prefillTokens: u.PrefillTokens}
 	}
 }
 
-// readingTokens sums up what the entries told. Entries that have fallen silent
-// do not count.
-func (b *LoadReporter) readingTokens() int {
-	now := b.replica.config.Clock.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// prefillTokens sums the prefill tokens that entries reported. Entries without a
+// message within subscriptionTTL don't count.
+func (r *LoadReporter) prefillTokens() int {
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	tokens := 0
-	for entry, u := range b.usages {
-		if now.Sub(u.at) > subscriptionTime {
-			delete(b.usages, entry)
+	for entry, u := range r.entryLoads {
+		if now.Sub(u.receivedAt) > subscriptionTTL {
+			delete(r.entryLoads, entry)
 			continue
 		}
-		tokens += u.readingTokens
+		tokens += u.prefillTokens
 	}
 	return tokens
 }
 
-// audience are the entries that get a report.
-type audience struct {
-	// all get one at each refresh, loads at each change, and added at once.
-	all, loads, added []netip.AddrPort
-	// neighbours are those of this instance's region that go on serving.
+// recipients are the entries to send a report to.
+type recipients struct {
+	// all receive one at each refresh, everyChange at each change, and added
+	// immediately.
+	all, everyChange, added []netip.AddrPort
+	// neighbours are the entries of this instance's region that aren't draining.
 	neighbours []string
 }
 
-// current returns the entries whose subscription is not over. Those that are added
-// are returned once.
-func (b *LoadReporter) current() audience {
-	now := b.replica.config.Clock.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	a := audience{added: b.added}
-	b.added = nil
-	for address, s := range b.subscribers {
-		if now.Sub(s.at) > subscriptionTime {
-			delete(b.subscribers, address)
+// recipients returns the entries with a current subscription. It returns each
+// new subscriber in added once.
+func (r *LoadReporter) recipients() recipients {
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	a := recipients{added: r.newSubscribers}
+	r.newSubscribers = nil
+	for address, s := range r.subscribers {
+		if now.Sub(s.seenAt) > subscriptionTTL {
+			delete(r.subscribers, address)
 			continue
 		}
 		a.all = append(a.all, address)
-		if s.loads {
-			a.loads = append(a.loads, address)
+		if s.everyChange {
+			a.everyChange = append(a.everyChange, address)
 		}
-		if s.region == b.replica.config.Region && !s.leaving {
+		if s.region == r.replica.config.Region && !s.draining {
 			a.neighbours = append(a.neighbours, address.String())
 		}
 	}
 	return a
 }
 
-// Entries returns entries of this instance's region that go on serving, in random
-// order. It is safe for concurrent use.
-func (b *LoadReporter) Entries() []netip.AddrPort {
+// Entries returns up to two entries of this instance's region that aren't
+// draining, in random order. It is safe for concurrent use.
+func (r *LoadReporter) Entries() []netip.AddrPort {
 	var entries []netip.AddrPort
-	now := b.replica.config.Clock.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for address, s := range b.subscribers {
-		if now.Sub(s.at) <= subscriptionTime && s.region == b.replica.config.Region && !s.leaving {
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for address, s := range r.subscribers {
+		if now.Sub(s.seenAt) <= subscriptionTTL && s.region == r.replica.config.Region && !s.draining {
 			entries = append(entries, address)
 		}
 	}
-	return entries[:min(len(entries), maxAsked)]
+	return entries[:min(len(entries), maxEntries)]
 }
 
-// maxAsked bounds the entries that are asked before the store.
-const maxAsked = 2
+// maxEntries bounds the entries that are tried before the store is read
+// directly.
+const maxEntries = 2
 
-func (b *LoadReporter) send(a audience) {
-	to := a.loads
-	status := b.status()
-	now := b.replica.config.Clock.Now()
-	status.Sequence = b.last.Sequence
-	refresh := now.Sub(b.lastAt) >= beaconRefresh
-	urgent := status.Closed != b.last.Closed || status.Version != b.last.Version || status.StartUnixMilli != b.last.StartUnixMilli
+func (r *LoadReporter) send(a recipients) {
+	to := a.everyChange
+	status := r.status()
+	now := r.replica.config.Clock.Now()
+	status.Sequence = r.lastStatus.Sequence
+	refresh := now.Sub(r.lastRefresh) >= refreshInterval
+	urgent := status.Closed != r.lastStatus.Closed || status.Version != r.lastStatus.Version || status.StartUnixMilli != r.lastStatus.StartUnixMilli
 	switch {
 	case refresh || urgent:
 		to = a.all
-	case sameStatus(&status, &b.last):
+	case sameStatus(&status, &r.lastStatus):
 		to = a.added
 	default:
 		to = append(to, a.added...)
@@ -220,20 +227,20 @@
 		return
 	}
 	status.Sequence++
-	b.last = status
+	r.lastStatus = status
 	if refresh {
-		b.lastAt = now
-		status.Region = b.replica.config.Region
+		r.lastRefresh = now
+		status.Region = r.replica.config.Region
 		rand.Shuffle(len(a.neighbours), func(i, j int) { a.neighbours[i], a.neighbours[j] = a.neighbours[j], a.neighbours[i] })
-		status.Neighbours = a.neighbours[:min(len(a.neighbours), maxNamed)]
+		status.Neighbours = a.neighbours[:min(len(a.neighbours), maxNeighbours)]
 	}
 	data, err := msgpack.Marshal(&peerlink.Datagram{Status: &status})
 	if err != nil {
 		panic(err)
 	}
 	for _, address := range to {
-		// A lost datagram is replaced by the next one.
-		_, _ = b.conn.WriteToUDPAddrPort(data, address)
+		// The next report replaces a lost datagram.
+		_, _ = r.conn.WriteToUDPAddrPort(data, address)
 	}
 }
 
@@ -242,19 +249,20 @@
 		a.StartUnixMilli == b.StartUnixMilli && a.Model == b.Model && a.Version == b.Version
 }
 
-// status returns the engine's load. An engine that does not answer is closed.
-func (b *LoadReporter) status() peerlink.Status {
-	s := peerlink.Status{Address: b.replica.config.EngineAddress}
-	report := b.replica.report.Load()
-	if report == nil {
+// status returns the engine's load. An engine that doesn't answer is reported as
+// closed.
+func (r *LoadReporter) status() peerlink.Status {
+	s := peerlink.Status{Address: r.replica.config.EngineAddress}
+	state := r.replica.engineState.Load()
+	if state == nil {
 		s.Closed = true
 		return s
 	}
-	s.AgeMicros = b.replica.config.Clock.Now().Sub(report.at).Microseconds()
-	s.StartUnixMilli, s.Running, s.Queued, s.Slowdown = report.StartUnixMilli, report.Running, report.Queued, report.Slowdown
-	s.PrefillTokens = b.readingTokens()
-	s.Closed = report.Busy || b.replica.Draining()
-	for model, w := range report.Weights {
+	s.AgeMicros = r.replica.config.Clock.Now().Sub(state.readAt).Microseconds()
+	s.StartUnixMilli, s.Running, s.Queued, s.Slowdown = state.StartUnixMilli, state.Running, state.Queued, state.Slowdown
+	s.PrefillTokens = r.prefillTokens()
+	s.Closed = state.Busy || r.replica.Draining()
+	for model, w := range state.Weights {
 		if w.Complete {
 			s.Model, s.Version = model, w.Version
 		}
--- a/replica/beacon_test.go
+++ b/replica/beacon_test.go
@@ -12,22 +12,22 @@
 	"github.com/auburnbend/auburnbend/replica"
 )
 
-var _ = Describe("Beacon", func() {
-	// subscribe asks the first agent of a fleet for reports.
-	ask := func(conn *net.UDPConn, loads bool, start uint64) {
-		data, err := msgpack.Marshal(&peerlink.Datagram{Subscription: &peerlink.Subscription{Entry: "e", Region: "0", Incarnation: start, EveryChange: loads}})
+var _ = Describe("LoadReporter", func() {
+	// ask sends a subscription to the first agent of a fleet.
+	ask := func(conn *net.UDPConn, everyChange bool, incarnation uint64) {
+		data, err := msgpack.Marshal(&peerlink.Datagram{Subscription: &peerlink.Subscription{Entry: "e", Region: "0", Incarnation: incarnation, EveryChange: everyChange}})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = conn.Write(data)
 		Expect(err).NotTo(HaveOccurred())
 	}
-	subscribe := func(f *fleet, loads bool) *net.UDPConn {
+	subscribe := func(f *fleet, everyChange bool) *net.UDPConn {
 		conn, err := net.DialUDP("udp", nil, &net.UDPAddr{IP: net.ParseIP(f.host(0)), Port: f.port})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(conn.Close)
-		ask(conn, loads, 1)
+		ask(conn, everyChange, 1)
 		return conn
 	}
-	// next returns the next report, or nil if none comes within the time.
+	// next returns the next report, or nil if none arrives within the given time.
 	next := func(conn *net.UDPConn, within time.Duration) *peerlink.Status {
 		Expect(conn.SetReadDeadline(time.Now().Add(within))).To(Succeed())
 		buf := make([]byte, 2000)
@@ -40,13 +40,13 @@
 		return d.Status
 	}
 
-	It("reports at once to an entry that has just asked", func() {
-		// Guards against entries that know nothing of an engine for a second after a
-		// restart, and send requests to starts that have ended.
+	It("reports at once to an entry that has just subscribed", func() {
+		// Guards against entries that have no load of an engine for a second after a
+		// restart and send requests to server processes that have ended.
 		f := newFleet(1)
-		b, err := replica.NewLoadReporter(f.replicas[0])
+		reporter, err := replica.NewLoadReporter(f.replicas[0])
 		Expect(err).NotTo(HaveOccurred())
-		go b.Run(f.ctx)
+		go reporter.Run(f.ctx)
 		first := subscribe(f, true)
 		Expect(next(first, time.Second)).NotTo(BeNil())
 		time.Sleep(300 * time.Millisecond)
@@ -54,15 +54,16 @@
 		status := next(second, 300*time.Millisecond)
 		Expect(status).NotTo(BeNil())
 		Expect(status.Version).To(Equal(1))
-		Expect(b.Entries()).To(HaveLen(2))
+		Expect(reporter.Entries()).To(HaveLen(2))
 	})
 
-	It("reports at once to an entry that has started anew at its address", func() {
-		// Guards against an entry that knows nothing for a second after a quick restart.
+	It("reports at once to an entry that has restarted at its address", func() {
+		// Guards against an entry that has no load of an engine for a second after a
+		// quick restart.
 		f := newFleet(1)
-		b, err := replica.NewLoadReporter(f.replicas[0])
+		reporter, err := replica.NewLoadReporter(f.replicas[0])
 		Expect(err).NotTo(HaveOccurred())
-		go b.Run(f.ctx)
+		go reporter.Run(f.ctx)
 		conn := subscribe(f, false)
 		Expect(next(conn, time.Second)).NotTo(BeNil())
 		time.Sleep(300 * time.Millisecond)
--- a/replica/config.go
+++ b/replica/config.go
@@ -10,31 +10,32 @@
 	"github.com/auburnbend/auburnbend/peerlink"
 )
 
-// Config holds what a Replica needs from its process.
+// Config holds the parameters and dependencies of a Replica.
 type Config struct {
 	// EngineAddress is the IP address and port of the engine on this instance.
 	EngineAddress string
-	// Region is the region of the instance.
+	// Region is the region of this instance.
 	Region string
 	Engine Engine
-	// Origin returns the origin that the live configuration names; nil if there
-	// is none yet.
+	// Origin returns the origin that the live configuration names, or nil before
+	// there is one.
 	Origin func() Origin
-	// OriginPieceTime returns the time that the origin's link takes for one piece, zero
-	// if it is not known.
+	// OriginPieceTime returns the time that one piece takes on the origin's link,
+	// or zero if it is unknown.
 	OriginPieceTime func() time.Duration
-	// Peers returns the engines of the same service as they are registered now.
+	// Peers returns the currently registered engines of the same service.
 	Peers func() ([]Peer, error)
-	// OnTarget is called with each target that an entry announces; nil ignores them.
+	// OnTarget is called with each target that an entry announces. It may be nil.
 	OnTarget func(*peerlink.Target)
 	// PeerPort is the port on which all agents serve pieces.
 	PeerPort int
-	// Listen is the IP address on which this one serves.
+	// Listen is the IP address on which this agent serves pieces.
 	Listen string
-	// MaxRolloutTime is the time in which a declared version must serve everywhere.
+	// MaxRolloutTime is the time within which a declared version must serve on all
+	// instances.
 	MaxRolloutTime time.Duration
-	// LinkRate is the bandwidth of the instance's link in bytes per second, zero
-	// if it is not known.
+	// LinkRate is the bandwidth of the instance's link in bytes per second, or zero
+	// if it is unknown.
 	LinkRate float64
 	Clock    clock.Clock
 	Log      *eventlog.Logger
@@ -48,44 +49,46 @@
 }
 
 const (
-	// engineInterval is how often the engine's state is read. Calls on the same
+	// enginePollInterval is how often the engine's state is read. Calls within the
 	// instance are free, and about one request starts in this time.
-	engineInterval = 100 * time.Millisecond
-	// engineTimeout bounds a call of the engine on the same instance.
-	engineTimeout = time.Second
-	// originTimeout bounds one call of the origin; a piece takes 30 ms on its
-	// idle link, and many agents share it.
-	originTimeout = 4 * time.Second
-	// retryPause is the pause after a failed step; for failed fetches it doubles up
-	// to maxRetryPause. Few instances ask a lost origin, which takes few connections,
-	// and all wait for these when it returns.
-	retryPause    = 50 * time.Millisecond
-	maxRetryPause = 200 * time.Millisecond
-	// firstOrderShare and lastOrderShare are the parts of VersionTime between
-	// which engines change their weights one after another, so that the rest
-	// keeps serving.
-	firstOrderShare = 0.40
-	lastOrderShare  = 0.88
-	// sameStart is the time after a declaration in which all agents have begun to
-	// fetch, unless they were occupied.
-	sameStart = time.Second
-	// finishShare is the part of a version that must be staged for it to be
-	// finished when a newer one is declared meanwhile.
-	finishShare = 0.5
-	// finishTime is the part of VersionTime that the last pieces take to reach all
-	// instances, an engine to load them and its requests to begin. An older version
-	// that would be served after that, when a newer one must serve, only delays it.
-	finishTime = 0.3
-	// closeBefore is how long before the order the entries are told to send no
-	// more requests: a report takes a few milliseconds.
-	closeBefore = 50 * time.Millisecond
-	// queueLimit bounds the wait for the requests in the engine's queue. They are
-	// worth little after the target latency of usual routes, 400 ms.
-	queueLimit = 400 * time.Millisecond
+	enginePollInterval = 100 * time.Millisecond
+	// engineCallTimeout bounds a call to the engine, which is on the same instance.
+	engineCallTimeout = time.Second
+	// originCallTimeout bounds a call to the origin. A piece takes 30 ms on its
+	// idle link, which many agents share.
+	originCallTimeout = 4 * time.Second
+	// retryDelay is the pause after a failed step. For failed fetches it doubles up
+	// to maxRetryDelay. It can be short because only a few instances call an
+	// unreachable origin, and all the others wait for them when it returns.
+	retryDelay    = 50 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
+	// firstLoadShare and lastLoadShare are the parts of MaxRolloutTime between
+	// which the engines load new weights one after another while the others keep
+	// serving.
+	firstLoadShare = 0.40
+	lastLoadShare  = 0.88
+	// fetchStartWindow is the time after a declaration within which all agents have
+	// started to fetch, unless they were busy.
+	fetchStartWindow = time.Second
+	// minFinishShare is the part of an older version's pieces that must be held for
+	// its fetch to continue after a newer version is declared.
+	minFinishShare = 0.5
+	// loadTimeShare is the part of MaxRolloutTime needed to spread the last pieces
+	// to all instances, load them and start serving. An older version that arrives
+	// within this part of the newer version's time only delays that one.
+	loadTimeShare = 0.3
+	// queuePollInterval is how often the engine's queue is read before a load
+	// order. It also gives entries, which receive a report within a few
+	// milliseconds, time to stop sending requests.
+	queuePollInterval = 50 * time.Millisecond
+	// maxQueueWait bounds the wait for the engine's queue to empty. Requests that
+	// wait longer than 400 ms miss the usual latency target.
+	maxQueueWait = 400 * time.Millisecond
 )
 
-// newBackoff returns the pauses between calls of a source that fails. They are
-// spread by half, so that instances that failed together do not try together.
+// newBackoff returns exponential delays between calls to a failing source. They
+// are randomized by half, so that instances that failed together don't retry
+// together.
 func newBackoff(first, longest time.Duration) *backoff.ExponentialBackOff {
 	return &backoff.ExponentialBackOff{InitialInterval: first, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: longest}
 }
--- a/replica/fetch.go
+++ b/replica/fetch.go
@@ -10,79 +10,80 @@
 )
 
 const (
-	// askQueue bounds the pieces that wait to be asked of one source; the
-	// scheduler asks for fewer.
-	askQueue = 64
-	// fetchTick is how often a fetch looks for pieces whose turn at the origin has
-	// come, and for sources that are too slow.
-	fetchTick = 20 * time.Millisecond
-	// idlePeerAsks is the number of pieces that are asked of peers at the same time
-	// while the engine serves nothing.
-	idlePeerAsks = 10
-	// peersInterval is how often the members are read again during a fetch. It is
-	// long against the reads of a usual fetch, which cost something, and short
-	// against the 12 s in which a restarted fleet must serve again.
-	peersInterval = 1500 * time.Millisecond
-	// originPause and maxOriginPause bound the pauses between failed calls for
-	// pieces. An origin that returns is to be asked soon: what it still has to send
-	// may take less time than a pause, and all engines wait for it.
-	originPause    = 50 * time.Millisecond
-	maxOriginPause = 200 * time.Millisecond
-	// maxSpoilt is the number of times that a piece may fail the check before
-	// the manifest itself is read again.
-	maxSpoilt = 3
+	// requestQueueSize bounds the queued piece requests per source. The scheduler
+	// keeps fewer open.
+	requestQueueSize = 64
+	// fetchTickInterval is how often a fetch looks for pieces that are due at the
+	// origin and for requests that timed out.
+	fetchTickInterval = 20 * time.Millisecond
+	// idlePeerRequests is the number of concurrent piece requests to peers while
+	// the engine serves nothing.
+	idlePeerRequests = 10
+	// peerListInterval is how often the peer list is read again during a fetch.
+	// Reads have a cost, so it is long for a usual fetch; it is short compared with
+	// the 12 s within which a restarted fleet must serve again.
+	peerListInterval = 1500 * time.Millisecond
+	// originRetryDelay and maxOriginRetryDelay bound the delays between failed
+	// piece requests to the origin. They are short because all engines wait for an
+	// origin that returns, and the remaining transfer may take less time than a
+	// long delay.
+	originRetryDelay    = 50 * time.Millisecond
+	maxOriginRetryDelay = 200 * time.Millisecond
+	// maxCorrupt is how often a piece may fail verification before the manifest is
+	// read again.
+	maxCorrupt = 3
 )
 
-// fetch brings the missing pieces of one version to the instance. One goroutine
-// owns the scheduler; each source has one of its own.
+// fetch downloads the missing pieces of one version. One goroutine owns the
+// scheduler; each source has a goroutine of its own.
 type fetch struct {
-	replica  *Replica
-	holdings *holdings
-	plan     *spread.Plan
-	// addresses gives the address of each peer's agent.
+	replica *Replica
+	pieces  *pieceSet
+	plan    *spread.Plan
+	// addresses holds the agent address of each peer.
 	addresses map[string]string
 	// started is about the same time on all instances.
 	started time.Time
-	// originTime is the time that the origin's link takes for one piece.
-	originTime time.Duration
+	// originPieceTime is the time that one piece takes on the origin's link.
+	originPieceTime time.Duration
 
 	scheduler *spread.Scheduler
-	// lists are the members as they are read during the fetch.
-	lists  chan []Peer
-	events chan fetchEvent
-	asks   map[string]chan int
-	// spoilt counts failed checks by piece.
-	spoilt map[int]int
+	// peerLists delivers the peer lists that are read during the fetch.
+	peerLists chan []Peer
+	events    chan fetchEvent
+	requests  map[string]chan int
+	// corrupt counts failed verifications by piece.
+	corrupt map[int]int
 }
 
-// run fetches until all pieces are here, ctx ends, or the manifest proves
-// wrong. It reports whether all pieces are here.
+// run fetches until no piece is missing, ctx ends, or the manifest appears to be
+// wrong. It reports whether all pieces are present.
 func (f *fetch) run(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.events = make(chan fetchEvent)
-	f.asks = make(map[string]chan int)
-	f.spoilt = make(map[int]int)
-	pieces := len(f.holdings.manifest.Digests)
-	f.scheduler = spread.NewScheduler(spread.Config{OriginPieceTime: f.originTime, PeerRequests: f.peerAsks()}, f.plan, pieces, f.holdings.missing(), f.started)
-	f.asks[spread.Origin] = make(chan int, askQueue)
-	go f.askOrigin(ctx, f.asks[spread.Origin])
+	f.requests = make(map[string]chan int)
+	f.corrupt = make(map[int]int)
+	pieces := len(f.pieces.manifest.Digests)
+	f.scheduler = spread.NewScheduler(spread.Config{OriginPieceTime: f.originPieceTime, PeerRequests: f.maxPeerRequests()}, f.plan, pieces, f.pieces.missing(), f.started)
+	f.requests[spread.Origin] = make(chan int, requestQueueSize)
+	go f.fetchFromOrigin(ctx, f.requests[spread.Origin])
 	f.connectPlanned(ctx)
-	f.lists = make(chan []Peer)
-	go f.readPeers(ctx)
-	ticker := time.NewTicker(fetchTick)
+	f.peerLists = make(chan []Peer)
+	go f.refreshPeers(ctx)
+	ticker := time.NewTicker(fetchTickInterval)
 	defer ticker.Stop()
 	for f.scheduler.Remaining() > 0 {
-		f.ask(ctx)
+		f.sendRequests(ctx)
 		select {
 		case <-ctx.Done():
 			return false
 		case e := <-f.events:
-			if !f.take(e) {
+			if !f.handleEvent(e) {
 				return false
 			}
-		case list := <-f.lists:
-			f.follow(list)
+		case list := <-f.peerLists:
+			f.setPeers(list)
 			f.connectPlanned(ctx)
 		case <-ticker.C:
 		}
@@ -90,29 +91,30 @@
 	return true
 }
 
-// readPeers reads the members again and again until ctx ends. Agents that start
-// together, as after a loss of power, see only those that were registered
-// before them, and without this would fetch from the origin what others have.
-func (f *fetch) readPeers(ctx context.Context) {
+// refreshPeers reads the peer list periodically until ctx ends. Agents that
+// start together, as after a power loss, first see only the peers that
+// registered before them and would otherwise fetch from the origin what others
+// already have.
+func (f *fetch) refreshPeers(ctx context.Context) {
 	for {
-		wait(ctx, nil, peersInterval)
+		wait(ctx, nil, peerListInterval)
 		if ctx.Err() != nil {
 			return
 		}
-		peers, known := f.replica.peers()
-		if !known {
+		peers, ok := f.replica.listPeers()
+		if !ok {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case f.lists <- peers:
+		case f.peerLists <- peers:
 		}
 	}
 }
 
-// follow plans with the members as they are now.
-func (f *fetch) follow(peers []Peer) {
-	f.plan = f.replica.plan(peers, len(f.holdings.manifest.Digests))
+// setPeers computes the plan for the current peers.
+func (f *fetch) setPeers(peers []Peer) {
+	f.plan = f.replica.newPlan(peers, len(f.pieces.manifest.Digests))
 	maps.Copy(f.addresses, f.replica.agentAddresses(peers))
 	if f.scheduler != nil {
 		f.scheduler.Replan(f.plan)
@@ -125,47 +127,49 @@
 	}
 }
 
-// peerAsks bounds the pieces on their way: more of them where no live requests
-// wait behind them.
-func (f *fetch) peerAsks() int {
-	if f.replica.serving() {
+// maxPeerRequests bounds the concurrent requests to peers, with zero for the
+// scheduler's default. It is higher while the engine serves nothing, because no
+// live requests queue behind the pieces.
+func (f *fetch) maxPeerRequests() int {
+	if f.replica.hasWeights() {
 		return 0
 	}
-	return idlePeerAsks
+	return idlePeerRequests
 }
 
 func (f *fetch) now() time.Time { return f.replica.config.Clock.Now() }
 
 func (f *fetch) connect(ctx context.Context, id string) {
-	if f.asks[id] != nil {
+	if f.requests[id] != nil {
 		return
 	}
 	if f.addresses[id] == "" {
 		f.scheduler.PeerLost(id)
 		return
 	}
-	f.asks[id] = make(chan int, askQueue)
-	p := &peer{id: id, address: f.addresses[id], events: f.events, asks: f.asks[id]}
-	go p.run(ctx, f.holdings.manifest.Model, f.holdings.manifest.Version)
+	f.requests[id] = make(chan int, requestQueueSize)
+	p := &peerConn{id: id, address: f.addresses[id], events: f.events, requests: f.requests[id]}
+	go p.run(ctx, f.pieces.manifest.Model, f.pieces.manifest.Version)
 }
 
-// ask passes the scheduler's choices on.
-func (f *fetch) ask(ctx context.Context) {
+// sendRequests passes the scheduler's requests to the sources.
+func (f *fetch) sendRequests(ctx context.Context) {
 	now := f.now()
 	for _, id := range f.scheduler.OverdueMembers(now) {
 		f.connect(ctx, id)
 	}
-	for _, a := range f.scheduler.Next(now) {
+	for _, req := range f.scheduler.Next(now) {
 		select {
-		case f.asks[a.Source] <- a.Piece:
+		case f.requests[req.Source] <- req.Piece:
 		default:
-			f.scheduler.Failed(a.Piece, a.Source, false, now)
+			f.scheduler.Failed(req.Piece, req.Source, false, now)
 		}
 	}
 }
 
-// take handles one event. It reports false if the manifest seems wrong.
-func (f *fetch) take(e fetchEvent) bool {
+// handleEvent applies one event to the scheduler. It returns false if the
+// manifest appears to be wrong.
+func (f *fetch) handleEvent(e fetchEvent) bool {
 	switch {
 	case e.lost:
 		f.scheduler.PeerLost(e.source)
@@ -173,35 +177,35 @@
 		f.scheduler.Have(e.source, e.have, f.now())
 	case e.err != nil || len(e.data) == 0:
 		f.scheduler.Failed(e.piece, e.source, false, f.now())
-	case !f.holdings.manifest.Matches(e.piece, e.data):
-		f.replica.spoilt(e.source, e.piece)
+	case !f.pieces.manifest.Matches(e.piece, e.data):
+		f.replica.reportCorrupt(e.source, e.piece)
 		f.scheduler.Failed(e.piece, e.source, true, f.now())
-		f.spoilt[e.piece]++
-		return f.spoilt[e.piece] < maxSpoilt
+		f.corrupt[e.piece]++
+		return f.corrupt[e.piece] < maxCorrupt
 	default:
-		f.replica.received(e.source, len(e.data))
-		f.holdings.put(e.piece, e.data)
+		f.replica.countReceived(e.source, len(e.data))
+		f.pieces.put(e.piece, e.data)
 		f.scheduler.Received(e.piece, f.now())
 	}
 	return true
 }
 
-func (f *fetch) askOrigin(ctx context.Context, pieces <-chan int) {
-	m := f.holdings.manifest
-	pauses := newBackoff(originPause, maxOriginPause)
+func (f *fetch) fetchFromOrigin(ctx context.Context, pieces <-chan int) {
+	m := f.pieces.manifest
+	delays := newBackoff(originRetryDelay, maxOriginRetryDelay)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case piece := <-pieces:
-			callCtx, cancel := context.WithTimeout(ctx, originTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, originCallTimeout)
 			data, err := f.replica.config.Origin().Piece(callCtx, m.Model, m.Version, piece)
 			cancel()
-			f.replica.noteOrigin(ctx, err)
+			f.replica.recordOriginResult(ctx, err)
 			if err != nil {
-				wait(ctx, nil, pauses.NextBackOff())
+				wait(ctx, nil, delays.NextBackOff())
 			} else {
-				pauses.Reset()
+				delays.Reset()
 			}
 			select {
 			case <-ctx.Done():
--- a/replica/fetchtarget.go
+++ b/replica/fetchtarget.go
@@ -7,17 +7,19 @@
 	"strconv"
 	"time"
 
+	"github.com/ansel1/merry/v2"
+
 	"github.com/auburnbend/auburnbend/lib/eventlog"
 	"github.com/auburnbend/auburnbend/lib/spread"
 )
 
-var errNoOrigin = errors.New("the live configuration names no origin")
+var errNoOrigin = errors.New("live configuration names no origin")
 
-// fetchTarget starts to fetch the target unless it is here or on its way. A
-// fetch of an older version goes on if it is nearly done: an engine that skips a
-// version keeps the one before until the newer one has arrived, and all engines
-// would then change at the same moment.
-func (r *Replica) fetchTarget(ctx context.Context, t target, report *EngineState) {
+// startFetch starts to fetch the target unless it is present or already being
+// fetched. It lets a fetch of an older version continue if that is nearly done:
+// an engine that skips a version keeps serving the previous one until the newer
+// one has arrived, and all engines would then load at the same moment.
+func (r *Replica) startFetch(ctx context.Context, t target, state *EngineState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pending {
@@ -25,44 +27,44 @@
 			return
 		}
 	}
-	if r.staged.is(t.model, t.version) && len(r.staged.missing()) == 0 {
-		// The engine has taken the order and loads, or it has restarted since.
-		if !report.Busy {
-			r.pending = append(r.pending, &pendingVersion{target: t, holdings: r.staged})
+	if r.staged.isVersion(t.model, t.version) && len(r.staged.missing()) == 0 {
+		// The engine either carries out the order now or has restarted since.
+		if !state.Busy {
+			r.pending = append(r.pending, &pendingVersion{target: t, pieces: r.staged})
 		}
 		return
 	}
 	if f := r.fetching; f != nil {
-		if f.version == t.version && f.model == t.model || f.holdings != nil && r.worthFinishing(f.holdings, t) {
+		if f.version == t.version && f.model == t.model || f.pieces != nil && r.worthFinishing(f.pieces, t) {
 			return
 		}
 		f.cancel()
 	}
 	fetchCtx, cancel := context.WithCancel(ctx)
-	f := &runningFetch{target: t, cancel: cancel, suspect: r.suspect == t.version}
+	f := &runningFetch{target: t, cancel: cancel, suspect: r.suspectVersion == t.version}
 	r.fetching = f
-	go r.runFetch(fetchCtx, f, len(report.Weights) == 0)
+	go r.runFetch(fetchCtx, f, len(state.Weights) == 0)
 }
 
-// worthFinishing reports whether an older version that is on its way may still
+// worthFinishing reports whether an older version will arrive early enough to
 // serve for a while before the target must.
-func (r *Replica) worthFinishing(h *holdings, t target) bool {
-	if h.share() < finishShare {
+func (r *Replica) worthFinishing(pieces *pieceSet, t target) bool {
+	if pieces.shareHeld() < minFinishShare {
 		return false
 	}
-	bound := float64(r.versionTime.Load())
-	arrives := r.config.Clock.Now().Add(time.Duration(len(h.missing())) * r.config.OriginPieceTime())
-	return arrives.Before(t.since.Add(time.Duration((1 - finishTime) * bound)))
+	maxRolloutTime := float64(r.maxRolloutTime.Load())
+	arrival := r.config.Clock.Now().Add(time.Duration(len(pieces.missing())) * r.config.OriginPieceTime())
+	return arrival.Before(t.since.Add(time.Duration((1 - loadTimeShare) * maxRolloutTime)))
 }
 
-// runFetch fetches one version. adopt tells that the engine may hold its pieces
-// from before.
-func (r *Replica) runFetch(ctx context.Context, f *runningFetch, adopt bool) {
+// runFetch fetches one version. If checkStaged is set, the engine may still hold
+// pieces of it.
+func (r *Replica) runFetch(ctx context.Context, f *runningFetch, checkStaged bool) {
 	defer f.cancel()
-	began := r.config.Clock.Now()
-	h, err := r.fetchVersion(ctx, f, adopt)
+	start := r.config.Clock.Now()
+	pieces, err := r.fetchVersion(ctx, f, checkStaged)
 	if err != nil {
-		wait(ctx, nil, r.nextFetchPause())
+		wait(ctx, nil, r.nextFetchDelay())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,66 +72,66 @@
 		r.fetching = nil
 	}
 	if err == nil {
-		r.fetchPauses.Reset()
-		r.pending = append(r.pending, &pendingVersion{target: f.target, holdings: h, turn: r.turn(f)})
+		r.fetchBackoff.Reset()
+		r.pending = append(r.pending, &pendingVersion{target: f.target, pieces: pieces, loadAfter: r.loadTime(f)})
 		r.config.Log.Log(eventlog.ReplicaFetched, "model", f.model, "version", f.version,
-			"total_ms", r.config.Clock.Now().Sub(began).Milliseconds(),
+			"total_ms", r.config.Clock.Now().Sub(start).Milliseconds(),
 			"origin_bytes", r.stats.OriginBytes.Load(), "peer_bytes", r.stats.PeerBytes.Load())
 	} else if ctx.Err() == nil {
-		if errors.Is(err, errFetch) {
-			r.suspect = f.version
+		if errors.Is(err, errFetchIncomplete) {
+			r.suspectVersion = f.version
 		}
 		r.config.Log.Log(eventlog.FetchFailed, "model", f.model, "version", f.version, "err", err)
 	}
-	r.wakeUp()
+	r.wakeRun()
 }
 
-func (r *Replica) nextFetchPause() time.Duration {
+func (r *Replica) nextFetchDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fetchPauses.NextBackOff()
+	return r.fetchBackoff.NextBackOff()
 }
 
-// fetchVersion returns the whole version.
-func (r *Replica) fetchVersion(ctx context.Context, f *runningFetch, adopt bool) (*holdings, error) {
-	peers, _ := r.peers()
+// fetchVersion returns the complete set of pieces of a version.
+func (r *Replica) fetchVersion(ctx context.Context, f *runningFetch, checkStaged bool) (*pieceSet, error) {
+	peers, _ := r.listPeers()
 	m, err := r.manifest(ctx, f.target, peers, f.suspect)
 	if err != nil {
 		return nil, err
 	}
-	h := newHoldings(m, r.config.Engine)
-	if adopt {
-		h.adopt(ctx)
+	pieces := newPieceSet(m, r.config.Engine)
+	if checkStaged {
+		pieces.readStaged(ctx)
 	}
 	r.mu.Lock()
-	f.holdings = h
+	f.pieces = pieces
 	r.setStaged(r.staged)
 	r.mu.Unlock()
-	for len(h.missing()) > 0 {
-		if !r.newFetch(h, f.target, peers).run(ctx) {
-			return nil, errFetch
+	for len(pieces.missing()) > 0 {
+		if !r.newFetch(pieces, f.target, peers).run(ctx) {
+			return nil, merry.Wrap(errFetchIncomplete, merry.AppendMessagef("%d of %d missing", len(pieces.missing()), len(m.Digests)))
 		}
 	}
-	return h, nil
+	return pieces, nil
 }
 
-var errFetch = errors.New("fetch ended before all pieces were here")
+var errFetchIncomplete = errors.New("fetch ended with missing pieces")
 
-// noteOrigin logs when the origin is lost and when it answers again. ctx is that
-// of the caller: a call that it ended tells nothing.
-func (r *Replica) noteOrigin(ctx context.Context, err error) {
+// recordOriginResult logs when the origin stops answering and when it answers
+// again. It ignores calls that failed because the caller's ctx ended.
+func (r *Replica) recordOriginResult(ctx context.Context, err error) {
 	switch {
 	case ctx.Err() != nil:
-	case err != nil && !r.originLost.Swap(true):
+	case err != nil && !r.originUnreachable.Swap(true):
 		r.config.Log.Log(eventlog.OriginLost, "err", err)
-	case err == nil && r.originLost.Swap(false):
+	case err == nil && r.originUnreachable.Swap(false):
 		r.config.Log.Log(eventlog.OriginRegained)
 	}
 }
 
-// peers returns the engines of the service, and whether they are known. Without
-// them the origin still has every piece.
-func (r *Replica) peers() ([]Peer, bool) {
+// listPeers returns the engines of the service and whether the list could be
+// read. Without it the origin still has every piece.
+func (r *Replica) listPeers() ([]Peer, bool) {
 	peers, err := r.config.Peers()
 	if err != nil {
 		r.config.Log.Log(eventlog.PeerListUnavailable, "err", err)
@@ -137,16 +139,16 @@
 	return peers, err == nil
 }
 
-func (r *Replica) newFetch(h *holdings, t target, peers []Peer) *fetch {
+func (r *Replica) newFetch(pieces *pieceSet, t target, peers []Peer) *fetch {
 	f := &fetch{
-		replica: r, holdings: h, addresses: make(map[string]string),
-		started: r.fetchStart(t), originTime: r.config.OriginPieceTime(),
+		replica: r, pieces: pieces, addresses: make(map[string]string),
+		started: r.fetchStart(t), originPieceTime: r.config.OriginPieceTime(),
 	}
-	f.follow(peers)
+	f.setPeers(peers)
 	return f
 }
 
-// agentAddresses returns the addresses of the agents of engines.
+// agentAddresses returns the address of each peer's agent, by engine address.
 func (r *Replica) agentAddresses(peers []Peer) map[string]string {
 	addresses := make(map[string]string, len(peers))
 	for _, p := range peers {
@@ -158,19 +160,19 @@
 	return addresses
 }
 
-// fetchStart is when the members began to fetch a version: at its declaration,
-// or now if this one comes much later.
+// fetchStart returns the time at which the members started to fetch a version:
+// its declaration, or now if this instance starts much later.
 func (r *Replica) fetchStart(t target) time.Time {
 	now := r.config.Clock.Now()
-	if now.Sub(t.since) < sameStart {
+	if now.Sub(t.since) < fetchStartWindow {
 		return t.since
 	}
 	return now
 }
 
-// plan returns the plan among the peers, which also orders the changes of
-// weights.
-func (r *Replica) plan(peers []Peer, pieces int) *spread.Plan {
+// newPlan returns the distribution plan among the peers, which also determines
+// the order in which engines load new weights.
+func (r *Replica) newPlan(peers []Peer, pieces int) *spread.Plan {
 	members := make([]spread.Member, 0, len(peers))
 	for _, p := range peers {
 		members = append(members, spread.Member{ID: p.Address, Region: p.Region})
@@ -182,44 +184,44 @@
 	return plan
 }
 
-// turn is when this engine may take a version: the engines change one after
-// another, so that the others keep serving. The caller holds mu.
-func (r *Replica) turn(f *runningFetch) time.Time {
+// loadTime returns the time from which this engine may load a version. Engines
+// load one after another, so that the others keep serving. The caller holds mu.
+func (r *Replica) loadTime(f *runningFetch) time.Time {
 	rank, count := 0, 1
 	if r.lastPlan != nil {
 		rank, count = r.lastPlan.Rank()
 	}
-	share := firstOrderShare + (lastOrderShare-firstOrderShare)*float64(rank)/float64(max(1, count-1))
-	return f.since.Add(time.Duration(share * float64(r.versionTime.Load())))
+	share := firstLoadShare + (lastLoadShare-firstLoadShare)*float64(rank)/float64(max(1, count-1))
+	return f.since.Add(time.Duration(share * float64(r.maxRolloutTime.Load())))
 }
 
-// holdingsOf returns the pieces of a version that this instance has or fetches,
-// and a channel that is closed when that changes.
-func (r *Replica) holdingsOf(model string, version int) (*holdings, <-chan struct{}) {
+// findPieces returns the pieces of a version that this instance holds or is
+// fetching, and a channel that is closed when that changes.
+func (r *Replica) findPieces(model string, version int) (*pieceSet, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f := r.fetching; f != nil && f.holdings.is(model, version) {
-		return f.holdings, r.stagedChanged
+	if f := r.fetching; f != nil && f.pieces.isVersion(model, version) {
+		return f.pieces, r.stagedChanged
 	}
 	for _, p := range r.pending {
-		if p.holdings.is(model, version) {
-			return p.holdings, r.stagedChanged
+		if p.pieces.isVersion(model, version) {
+			return p.pieces, r.stagedChanged
 		}
 	}
-	if r.staged.is(model, version) {
+	if r.staged.isVersion(model, version) {
 		return r.staged, r.stagedChanged
 	}
 	return nil, r.stagedChanged
 }
 
-// awaitHoldings returns the pieces of a version that a peer asks for, which
-// this instance may learn of a little later; nil when ctx ends first.
-func (r *Replica) awaitHoldings(ctx context.Context, model string, version int) *holdings {
-	r.openServing(ctx, model, version)
+// awaitPieces returns the pieces of a version that a peer requests. It waits
+// until this instance knows the version, and returns nil if ctx ends first.
+func (r *Replica) awaitPieces(ctx context.Context, model string, version int) *pieceSet {
+	r.discoverStaged(ctx, model, version)
 	for {
-		h, changed := r.holdingsOf(model, version)
-		if h != nil {
-			return h
+		pieces, changed := r.findPieces(model, version)
+		if pieces != nil {
+			return pieces
 		}
 		select {
 		case <-ctx.Done():
@@ -229,28 +231,28 @@
 	}
 }
 
-// openServing finds out which pieces the engine holds when a peer asks for a
-// version that serves here and that this process did not fetch.
-func (r *Replica) openServing(ctx context.Context, model string, version int) {
+// discoverStaged reads which pieces the engine holds when a peer requests a
+// version that serves here but that this process didn't fetch.
+func (r *Replica) discoverStaged(ctx context.Context, model string, version int) {
 	t := r.currentTarget()
 	if r.Phase() != PhaseServing || t.model != model || t.version != version {
 		return
 	}
-	r.opening.Lock()
-	defer r.opening.Unlock()
-	if h, _ := r.holdingsOf(model, version); h != nil {
+	r.discovery.Lock()
+	defer r.discovery.Unlock()
+	if pieces, _ := r.findPieces(model, version); pieces != nil {
 		return
 	}
-	peers, _ := r.peers()
+	peers, _ := r.listPeers()
 	m, err := r.manifest(ctx, t, peers, false)
 	if err != nil {
 		r.config.Log.Log(eventlog.FetchFailed, "model", model, "version", version, "err", err)
 		return
 	}
-	h := newHoldings(m, r.config.Engine)
-	h.adopt(ctx)
-	h.release()
+	pieces := newPieceSet(m, r.config.Engine)
+	pieces.readStaged(ctx)
+	pieces.dropFromMemory()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.setStaged(h)
+	r.setStaged(pieces)
 }
--- a/replica/fleet_test.go
+++ b/replica/fleet_test.go
@@ -24,21 +24,21 @@
 
 const testPieces = 24
 
-// pieceOf is the content of a piece.
-func pieceOf(version, piece int) []byte {
+// pieceData returns the content of a piece.
+func pieceData(version, piece int) []byte {
 	return bytes.Repeat([]byte(fmt.Sprintf("%d/%d;", version, piece)), 200)
 }
 
-// fakeOrigin is an origin in memory.
+// fakeOrigin is an in-memory origin.
 type fakeOrigin struct {
 	served atomic.Int64
-	// manifests counts the manifests that were read.
+	// manifests counts manifest reads.
 	manifests atomic.Int64
-	// spoil is the number of pieces that are sent spoilt first.
-	spoil atomic.Int64
-	down  atomic.Bool
-	// takes is the time of one piece in nanoseconds.
-	takes atomic.Int64
+	// corruptCount is the number of corrupt pieces to send before correct ones.
+	corruptCount atomic.Int64
+	down         atomic.Bool
+	// pieceTime is the time to send one piece, in nanoseconds.
+	pieceTime atomic.Int64
 }
 
 var errDown = errors.New("down")
@@ -50,7 +50,7 @@
 	o.manifests.Add(1)
 	m := &replica.Manifest{Model: model, Version: version}
 	for p := range testPieces {
-		m.Digests = append(m.Digests, sha256.Sum256(pieceOf(version, p)))
+		m.Digests = append(m.Digests, sha256.Sum256(pieceData(version, p)))
 	}
 	return m, nil
 }
@@ -59,41 +59,41 @@
 	if o.down.Load() {
 		return nil, errDown
 	}
-	time.Sleep(time.Duration(o.takes.Load()))
+	time.Sleep(time.Duration(o.pieceTime.Load()))
 	o.served.Add(1)
-	if o.spoil.Add(-1) >= 0 {
-		return []byte("spoilt"), nil
+	if o.corruptCount.Add(-1) >= 0 {
+		return []byte("corrupt"), nil
 	}
-	return pieceOf(version, piece), nil
+	return pieceData(version, piece), nil
 }
 
-// fakeEngine is an engine in memory. It notes what it was ordered to load.
+// fakeEngine is an in-memory engine that records its orders.
 type fakeEngine struct {
-	mu     sync.Mutex
-	born   int64
-	staged map[int][]byte
-	loaded int
-	// mixed tells that an order found pieces that do not belong to its version.
+	mu             sync.Mutex
+	startUnixMilli int64
+	staged         map[int][]byte
+	loaded         int
+	// mixed is set if an order found pieces of another version.
 	mixed  bool
 	orders int
-	// waiting is the number of requests in the queue; rejected counts those that
-	// an order met.
-	waiting, rejected int
+	// queued is the number of queued requests; rejected counts those that an order
+	// rejected.
+	queued, rejected int
 }
 
 func newFakeEngine(version int) *fakeEngine {
-	return &fakeEngine{born: 1, staged: make(map[int][]byte), loaded: version}
+	return &fakeEngine{startUnixMilli: 1, staged: make(map[int][]byte), loaded: version}
 }
 
 func (e *fakeEngine) State(context.Context) (replica.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := replica.EngineState{StartUnixMilli: e.born, Queued: e.waiting, OrdersAccepted: int64(e.orders)}
+	s := replica.EngineState{StartUnixMilli: e.startUnixMilli, Queued: e.queued, OrdersAccepted: int64(e.orders)}
 	if e.loaded > 0 {
-		r.Weights = map[string]directory.Weights{"m": {Version: e.loaded, Complete: true}}
+		s.Weights = map[string]directory.Weights{"m": {Version: e.loaded, Complete: true}}
 	}
-	e.waiting = max(0, e.waiting-1)
-	return r, nil
+	e.queued = max(0, e.queued-1)
+	return s, nil
 }
 
 func (e *fakeEngine) StagePiece(_ context.Context, _ string, piece int, data []byte) error {
@@ -119,9 +119,9 @@
 		return replica.ErrOrderRejected
 	}
 	e.orders++
-	e.rejected += e.waiting
+	e.rejected += e.queued
 	for p := range testPieces {
-		if !bytes.Equal(e.staged[p], pieceOf(version, p)) {
+		if !bytes.Equal(e.staged[p], pieceData(version, p)) {
 			e.mixed = true
 		}
 	}
@@ -143,13 +143,13 @@
 	peers    []replica.Peer
 	port     int
 	ctx      context.Context
-	// logs are the lines of all replicas.
+	// logs holds the log lines of all replicas.
 	logs *gbytes.Buffer
-	// unlisted tells that no engine is registered.
+	// unlisted hides all engines from the peer list.
 	unlisted atomic.Bool
 }
 
-func (f *fleet) listed() ([]replica.Peer, error) {
+func (f *fleet) listPeers() ([]replica.Peer, error) {
 	if f.unlisted.Load() {
 		return nil, nil
 	}
@@ -184,7 +184,7 @@
 		EngineAddress: f.peers[i].Address, Region: f.peers[i].Region, Engine: f.engines[i],
 		Origin:          func() replica.Origin { return f.origin },
 		OriginPieceTime: func() time.Duration { return time.Millisecond },
-		Peers:           f.listed,
+		Peers:           f.listPeers,
 		PeerPort:        f.port, Listen: f.host(i), MaxRolloutTime: time.Second,
 		Clock: clock.System{}, Log: eventlog.OpenPlain(f.logs, clock.System{}),
 	})
@@ -195,7 +195,7 @@
 	return r
 }
 
-func (f *fleet) declare(version int) {
+func (f *fleet) setTarget(version int) {
 	for _, r := range f.replicas {
 		r.SetTarget("m", version)
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-func (f *fleet) expectWhole() {
+func (f *fleet) expectUnmixed() {
 	for _, e := range f.engines {
 		e.mu.Lock()
 		Expect(e.mixed).To(BeFalse())
--- a/replica/holdings.go
+++ b/replica/holdings.go
@@ -5,138 +5,139 @@
 	"sync"
 )
 
-// holdings are the pieces of one version that this instance has, each checked
-// against the manifest: in memory while the version is fetched and until the
-// engine has taken it, and at the engine afterwards. It is safe for concurrent
+// pieceSet holds the pieces of one version that this instance has, each verified
+// against the manifest. They are in memory until the engine has accepted the
+// load order, and staged at the engine afterwards. It is safe for concurrent
 // use.
-type holdings struct {
+type pieceSet struct {
 	manifest *Manifest
 	engine   Engine
 
 	mu     sync.Mutex
 	pieces [][]byte
 	have   []bool
-	// changed is closed at the next change.
+	// changed is closed at the next change of have.
 	changed chan struct{}
 }
 
-func newHoldings(m *Manifest, engine Engine) *holdings {
+func newPieceSet(m *Manifest, engine Engine) *pieceSet {
 	n := len(m.Digests)
-	return &holdings{manifest: m, engine: engine, pieces: make([][]byte, n), have: make([]bool, n), changed: make(chan struct{})}
+	return &pieceSet{manifest: m, engine: engine, pieces: make([][]byte, n), have: make([]bool, n), changed: make(chan struct{})}
 }
 
-// is reports whether these are the pieces of a version.
-func (h *holdings) is(model string, version int) bool {
-	return h != nil && h.manifest.Model == model && h.manifest.Version == version
+// isVersion reports whether the set is that of a version.
+func (s *pieceSet) isVersion(model string, version int) bool {
+	return s != nil && s.manifest.Model == model && s.manifest.Version == version
 }
 
-// put keeps a piece that matches the manifest.
-func (h *holdings) put(piece int, data []byte) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.pieces[piece] = data
-	h.set(piece, true)
+// put adds a piece that has been verified against the manifest.
+func (s *pieceSet) put(piece int, data []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pieces[piece] = data
+	s.setHave(piece, true)
 }
 
-// set takes note whether a piece is here. The caller holds mu.
-func (h *holdings) set(piece int, have bool) {
-	if h.have[piece] == have {
+// setHave records whether a piece is present. The caller holds mu.
+func (s *pieceSet) setHave(piece int, have bool) {
+	if s.have[piece] == have {
 		return
 	}
-	h.have[piece] = have
-	close(h.changed)
-	h.changed = make(chan struct{})
+	s.have[piece] = have
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// missing returns the pieces that are not here.
-func (h *holdings) missing() []int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var list []int
-	for piece, have := range h.have {
+// missing returns the indexes of the missing pieces.
+func (s *pieceSet) missing() []int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var indexes []int
+	for piece, have := range s.have {
 		if !have {
-			list = append(list, piece)
+			indexes = append(indexes, piece)
 		}
 	}
-	return list
+	return indexes
 }
 
-// share returns the part of the pieces that is here.
-func (h *holdings) share() float64 {
-	return 1 - float64(len(h.missing()))/float64(len(h.have))
+// shareHeld returns the fraction of the pieces that is present.
+func (s *pieceSet) shareHeld() float64 {
+	return 1 - float64(len(s.missing()))/float64(len(s.have))
 }
 
-// held returns the pieces that are here, and a channel that is closed at the
-// next change.
-func (h *holdings) held() ([]int, <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var list []int
-	for piece, have := range h.have {
+// held returns the indexes of the present pieces, and a channel that is closed
+// at the next change.
+func (s *pieceSet) held() ([]int, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var indexes []int
+	for piece, have := range s.have {
 		if have {
-			list = append(list, piece)
+			indexes = append(indexes, piece)
 		}
 	}
-	return list, h.changed
+	return indexes, s.changed
 }
 
-// get returns a piece, or nil if it is not here. A piece at the engine is
-// checked, as it may have turned bad there.
-func (h *holdings) get(ctx context.Context, piece int) []byte {
-	h.mu.Lock()
-	data, have := h.pieces[piece], h.have[piece]
-	h.mu.Unlock()
+// get returns a piece, or nil if it is missing. It verifies a piece that is
+// staged at the engine, because it may have been corrupted there.
+func (s *pieceSet) get(ctx context.Context, piece int) []byte {
+	s.mu.Lock()
+	data, have := s.pieces[piece], s.have[piece]
+	s.mu.Unlock()
 	if !have || data != nil {
 		return data
 	}
-	data, err := h.engine.Piece(ctx, h.manifest.Model, piece)
-	if err == nil && h.manifest.Matches(piece, data) {
+	data, err := s.engine.Piece(ctx, s.manifest.Model, piece)
+	if err == nil && s.manifest.Matches(piece, data) {
 		return data
 	}
 	if ctx.Err() == nil {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.set(piece, false)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.setHave(piece, false)
 	}
 	return nil
 }
 
-// stage puts the pieces in memory to the engine, and checks the others there.
-// It reports whether all of them are right at the engine.
-func (h *holdings) stage(ctx context.Context) (bool, error) {
-	for piece := range h.have {
-		h.mu.Lock()
-		data := h.pieces[piece]
-		h.mu.Unlock()
+// stage copies the pieces in memory to the engine and verifies the others there.
+// It reports whether the engine holds all pieces intact.
+func (s *pieceSet) stage(ctx context.Context) (bool, error) {
+	for piece := range s.have {
+		s.mu.Lock()
+		data := s.pieces[piece]
+		s.mu.Unlock()
 		if data == nil {
-			if h.get(ctx, piece) == nil {
+			if s.get(ctx, piece) == nil {
 				return false, ctx.Err()
 			}
 			continue
 		}
-		if err := h.engine.StagePiece(ctx, h.manifest.Model, piece, data); err != nil {
+		if err := s.engine.StagePiece(ctx, s.manifest.Model, piece, data); err != nil {
 			return false, err
 		}
 	}
 	return true, nil
 }
 
-// release drops the pieces from memory once they are at the engine.
-func (h *holdings) release() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	clear(h.pieces)
+// dropFromMemory frees the pieces in memory once they are staged at the engine.
+func (s *pieceSet) dropFromMemory() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.pieces)
 }
 
-// adopt takes the pieces that the engine holds from before and that match.
-func (h *holdings) adopt(ctx context.Context) {
-	for piece := range h.have {
-		data, err := h.engine.Piece(ctx, h.manifest.Model, piece)
+// readStaged adds the pieces that are already staged at the engine and match the
+// manifest.
+func (s *pieceSet) readStaged(ctx context.Context) {
+	for piece := range s.have {
+		data, err := s.engine.Piece(ctx, s.manifest.Model, piece)
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && h.manifest.Matches(piece, data) {
-			h.put(piece, data)
+		if err == nil && s.manifest.Matches(piece, data) {
+			s.put(piece, data)
 		}
 	}
 }
--- a/replica/manifest.go
+++ b/replica/manifest.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// manifestReaders is the number of instances of a region that read a manifest from
-	// the origin. A manifest of 96 pieces has 6 KB: for 150 instances that is more
-	// than a third of a copy of the weights, and more connections than an origin takes.
+	// manifestReaders is the number of instances per region that read a manifest
+	// from the origin. A manifest of 96 pieces has 6 KB; read by 150 instances that
+	// is more than a third of a copy of the weights, and more connections than an
+	// origin accepts.
 	manifestReaders = 2
-	// manifestWait bounds the wait for one of them. It reads the manifest at the same
-	// moment.
-	manifestWait = 700 * time.Millisecond
-	// manifestPatience is the time after which the other instances turn to the origin
-	// too, one after another at manifestStagger.
-	manifestPatience = 2500 * time.Millisecond
-	manifestStagger  = 50 * time.Millisecond
+	// manifestPeerTimeout bounds a manifest request to one of them, which reads the
+	// manifest at the same time.
+	manifestPeerTimeout = 700 * time.Millisecond
+	// manifestOriginDelay is the time after which other instances also read from
+	// the origin, one after another at intervals of manifestStagger.
+	manifestOriginDelay = 2500 * time.Millisecond
+	manifestStagger     = 50 * time.Millisecond
 )
 
 var (
@@ -35,40 +36,41 @@
 	errUnreachable = errors.New("instance is unreachable")
 )
 
-// manifest returns the manifest of a version: from the origin if this instance is
-// one of those that read it there, and from them otherwise. suspect tells that the
-// last one seemed wrong, so that the origin is asked.
+// manifest returns the manifest of a version. The first manifestReaders
+// instances of a region read it from the origin, the others from those. If
+// suspect is set, the last manifest appeared to be wrong, and the origin is
+// read.
 func (r *Replica) manifest(ctx context.Context, t target, peers []Peer, suspect bool) (*Manifest, error) {
-	ranked := r.manifestRank(t, peers)
-	rank := slices.Index(ranked, r.config.EngineAddress)
+	order := r.manifestOrder(t, peers)
+	rank := slices.Index(order, r.config.EngineAddress)
 	if suspect || rank < manifestReaders {
 		return r.originManifest(ctx, t)
 	}
 	reached := false
-	for _, id := range ranked[:manifestReaders] {
+	for _, id := range order[:manifestReaders] {
 		m, err := r.peerManifest(ctx, t, id)
 		if err == nil {
 			return m, nil
 		}
 		reached = reached || !errors.Is(err, errUnreachable)
 	}
-	// While one of them is there, the origin is what is missing.
-	if reached || r.config.Clock.Now().Sub(t.since) < manifestPatience+time.Duration(rank)*manifestStagger {
+	// If one of them answered, it is the origin that can't be reached.
+	if reached || r.config.Clock.Now().Sub(t.since) < manifestOriginDelay+time.Duration(rank)*manifestStagger {
 		return nil, errNoManifest
 	}
 	return r.originManifest(ctx, t)
 }
 
-// manifestRank returns the instances of this region in the order in which they
-// read a manifest, on which all of them agree.
-func (r *Replica) manifestRank(t target, peers []Peer) []string {
-	near := []string{r.config.EngineAddress}
+// manifestOrder returns the instances of this region in the order in which they
+// read a manifest. All instances compute the same order.
+func (r *Replica) manifestOrder(t target, peers []Peer) []string {
+	ids := []string{r.config.EngineAddress}
 	for _, p := range peers {
-		if p.Region == r.config.Region && !slices.Contains(near, p.Address) {
-			near = append(near, p.Address)
+		if p.Region == r.config.Region && !slices.Contains(ids, p.Address) {
+			ids = append(ids, p.Address)
 		}
 	}
-	return rendezvous.Rank(t.model+" "+strconv.Itoa(t.version), near, len(near))
+	return rendezvous.Rank(t.model+" "+strconv.Itoa(t.version), ids, len(ids))
 }
 
 func (r *Replica) originManifest(ctx context.Context, t target) (*Manifest, error) {
@@ -76,20 +78,21 @@
 	if origin == nil {
 		return nil, errNoOrigin
 	}
-	callCtx, cancel := context.WithTimeout(ctx, originTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, originCallTimeout)
 	defer cancel()
 	m, err := origin.Manifest(callCtx, t.model, t.version)
-	r.noteOrigin(ctx, err)
+	r.recordOriginResult(ctx, err)
 	return m, err
 }
 
-// peerManifest asks another instance for a manifest, which it may not have yet.
+// peerManifest requests a manifest from another instance, which may not have it
+// yet.
 func (r *Replica) peerManifest(ctx context.Context, t target, id string) (*Manifest, error) {
 	host, _, err := net.SplitHostPort(id)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, manifestWait)
+	ctx, cancel := context.WithTimeout(ctx, manifestPeerTimeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", net.JoinHostPort(host, strconv.Itoa(r.config.PeerPort)))
 	if err != nil {
@@ -98,18 +101,18 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	q := peerlink.PieceRequest{Model: t.model, Version: t.version, Piece: peerlink.ManifestOnly}
-	if err := msgstream.Encode(conn, &q); err != nil {
+	req := peerlink.PieceRequest{Model: t.model, Version: t.version, Piece: peerlink.ManifestOnly}
+	if err := msgstream.Encode(conn, &req); err != nil {
 		return nil, err
 	}
-	var a peerlink.PieceResponse
-	if err := msgstream.NewDecoder(conn, peerBuffer, answerLimit).Decode(&a); err != nil {
+	var resp peerlink.PieceResponse
+	if err := msgstream.NewDecoder(conn, peerBufferBytes, maxResponseBytes).Decode(&resp); err != nil {
 		return nil, err
 	}
-	return decodeManifest(t.model, t.version, a.Data)
+	return decodeManifest(t.model, t.version, resp.Data)
 }
 
-// decodeManifest reads the digests of the pieces, one after another.
+// decodeManifest reads the concatenated digests of the pieces.
 func decodeManifest(model string, version int, data []byte) (*Manifest, error) {
 	if len(data) == 0 || len(data)%sha256.Size != 0 {
 		return nil, errNoManifest
@@ -129,10 +132,10 @@
 	return data
 }
 
-// sendManifest answers a peer that wants the manifest only.
-func (r *Replica) sendManifest(ctx context.Context, s *peerSession, q *peerlink.PieceRequest) {
-	if h := r.holdingsFor(ctx, q.Model, q.Version); h != nil {
-		// A peer that has gone asks another one.
-		_ = s.send(&peerlink.PieceResponse{Piece: peerlink.NoPiece, Data: h.manifest.encode()})
+// sendManifest answers a peer that requests only the manifest.
+func (r *Replica) sendManifest(ctx context.Context, s *peerSession, req *peerlink.PieceRequest) {
+	if pieces := r.awaitPiecesWithTimeout(ctx, req.Model, req.Version); pieces != nil {
+		// If this fails, the peer asks another instance.
+		_ = s.send(&peerlink.PieceResponse{Piece: peerlink.NoPiece, Data: pieces.manifest.encode()})
 	}
 }
--- a/replica/news.go
+++ b/replica/news.go
@@ -8,72 +8,73 @@
 )
 
 const (
-	// maxSuspects bounds the contents that an agent remembers for entries.
+	// maxSuspects bounds the suspected contents that an agent remembers for
+	// entries.
 	maxSuspects = 256
-	// likelyCrashes is the number of ended servers from which on a content is told to
-	// an entry that has just started; maxTold bounds these contents.
-	likelyCrashes = 2
-	maxTold       = 20
-	// leavingTime is how long a server that leaves is remembered: its row tells it by
-	// then, or is gone. maxLeaving bounds these servers.
-	leavingTime = time.Minute
-	maxLeaving  = 256
-	// entriesTold is the number of entries of each region that news are passed on to;
-	// the second one covers a lost datagram.
-	entriesTold = 2
+	// minCrashes is the number of crashed servers from which a content is sent to
+	// an entry that has just started; maxInitialSuspects bounds these contents.
+	minCrashes         = 2
+	maxInitialSuspects = 20
+	// drainingTTL is how long a draining server is remembered; after that its row
+	// shows it or is deleted. maxDraining bounds these servers.
+	drainingTTL = time.Minute
+	maxDraining = 256
+	// gossipFanout is the number of entries per region to which gossip is
+	// forwarded. The second one covers a lost datagram.
+	gossipFanout = 2
 )
 
-// takeNews keeps what an entry tells of backend servers and passes it on to entries
-// of each region. The caller holds mu.
-func (b *LoadReporter) takeNews(now time.Time, n *peerlink.Gossip) {
-	b.suspects.Tick(now)
-	b.suspects.Merge(now, n.Suspects)
-	b.keepLeaving(now, n.Draining)
-	if !n.Forward {
+// handleGossip records what an entry reports about backend servers and forwards
+// it to entries of each region if asked to. The caller holds mu.
+func (r *LoadReporter) handleGossip(now time.Time, g *peerlink.Gossip) {
+	r.suspects.Tick(now)
+	r.suspects.Merge(now, g.Suspects)
+	r.recordDraining(now, g.Draining)
+	if !g.Forward {
 		return
 	}
-	told := make(map[string]int)
-	for address, s := range b.subscribers {
-		if now.Sub(s.at) <= subscriptionTime && !s.leaving && told[s.region] < entriesTold {
-			told[s.region]++
-			b.sendNews(n, address)
+	forwarded := make(map[string]int)
+	for address, s := range r.subscribers {
+		if now.Sub(s.seenAt) <= subscriptionTTL && !s.draining && forwarded[s.region] < gossipFanout {
+			forwarded[s.region]++
+			r.sendGossip(g, address)
 		}
 	}
 }
 
-func (b *LoadReporter) keepLeaving(now time.Time, servers []peerlink.ServerKey) {
-	for server, at := range b.leaving {
-		if now.Sub(at) > leavingTime {
-			delete(b.leaving, server)
+func (r *LoadReporter) recordDraining(now time.Time, servers []peerlink.ServerKey) {
+	for server, at := range r.draining {
+		if now.Sub(at) > drainingTTL {
+			delete(r.draining, server)
 		}
 	}
 	for _, server := range servers {
-		if _, known := b.leaving[server]; !known && len(b.leaving) < maxLeaving {
-			b.leaving[server] = now
+		if _, known := r.draining[server]; !known && len(r.draining) < maxDraining {
+			r.draining[server] = now
 		}
 	}
 }
 
-// tellNews tells an entry that has just asked for reports what it should know. The
-// caller holds mu.
-func (b *LoadReporter) tellNews(now time.Time, to netip.AddrPort) {
-	news := &peerlink.Gossip{}
-	if likely := b.suspects.TopSuspects(now, likelyCrashes, maxTold); likely != nil {
-		news.Suspects = *likely
+// sendInitialGossip sends the known suspects and draining servers to an entry
+// that has just subscribed. The caller holds mu.
+func (r *LoadReporter) sendInitialGossip(now time.Time, to netip.AddrPort) {
+	gossip := &peerlink.Gossip{}
+	if top := r.suspects.TopSuspects(now, minCrashes, maxInitialSuspects); top != nil {
+		gossip.Suspects = *top
 	}
-	for server, at := range b.leaving {
-		if now.Sub(at) <= leavingTime {
-			news.Draining = append(news.Draining, server)
+	for server, at := range r.draining {
+		if now.Sub(at) <= drainingTTL {
+			gossip.Draining = append(gossip.Draining, server)
 		}
 	}
-	if !news.Empty() {
-		b.sendNews(news, to)
+	if !gossip.Empty() {
+		r.sendGossip(gossip, to)
 	}
 }
 
-func (b *LoadReporter) sendNews(n *peerlink.Gossip, to netip.AddrPort) {
-	for _, data := range n.Datagrams(maxDatagram) {
-		// Entries tell each other again and again, so that a lost datagram is replaced.
-		_, _ = b.conn.WriteToUDPAddrPort(data, to)
+func (r *LoadReporter) sendGossip(g *peerlink.Gossip, to netip.AddrPort) {
+	for _, data := range g.Datagrams(maxDatagramBytes) {
+		// Entries repeat their gossip, which makes up for a lost datagram.
+		_, _ = r.conn.WriteToUDPAddrPort(data, to)
 	}
 }
--- a/replica/order.go
+++ b/replica/order.go
@@ -7,81 +7,82 @@
 	"github.com/auburnbend/auburnbend/lib/eventlog"
 )
 
-// next returns the newest fetched version whose turn has come, and whether any
-// waits. An engine that serves nothing waits for no turn.
-func (r *Replica) next(report *EngineState) (due *pendingVersion, waiting bool) {
+// nextLoad returns the newest fetched version that is due to be loaded, or nil,
+// and whether any version is pending. For an engine that serves nothing all
+// versions are due.
+func (r *Replica) nextLoad(state *EngineState) (due *pendingVersion, pending bool) {
 	now := r.config.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := len(r.pending) - 1; i >= 0; i-- {
 		p := r.pending[i]
-		if len(report.Weights) == 0 || !now.Before(p.turn) {
+		if len(state.Weights) == 0 || !now.Before(p.loadAfter) {
 			return p, true
 		}
 	}
 	return nil, len(r.pending) > 0
 }
 
-// order hands a version to the engine.
-func (r *Replica) order(ctx context.Context, p *pendingVersion) {
-	r.closed.Store(true)
-	r.notifyObserved()
-	// From the order on the engine itself tells that it is busy.
-	defer r.closed.Store(false)
-	r.awaitQueue(ctx)
-	whole, err := p.holdings.stage(ctx)
+// load stages a version at the engine and orders the engine to load it.
+func (r *Replica) load(ctx context.Context, p *pendingVersion) {
+	r.draining.Store(true)
+	r.wakeReporter()
+	// Once it has accepted the order, the engine itself reports that it is busy.
+	defer r.draining.Store(false)
+	r.awaitEmptyQueue(ctx)
+	complete, err := p.pieces.stage(ctx)
 	if err != nil {
-		r.engineFailed(err)
+		r.logEngineError(err)
 		return
 	}
-	if !whole {
-		r.drop(p)
+	if !complete {
+		r.discard(p)
 		return
 	}
-	report := r.report.Load()
-	if report == nil {
+	state := r.engineState.Load()
+	if state == nil {
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, engineTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
-	err = r.config.Engine.StartLoad(callCtx, p.model, p.version, report.OrdersAccepted)
+	err = r.config.Engine.StartLoad(callCtx, p.model, p.version, state.OrdersAccepted)
 	r.config.Log.Log(eventlog.LoadOrdered, "model", p.model, "version", p.version, "err", err)
 	if err != nil && errors.Is(err, ErrOrderRejected) {
 		return
 	}
-	// After a lost answer the engine may have accepted the order. If it has not,
-	// its state asks for the order again.
-	r.taken(p)
-	r.observe(ctx)
+	// Without a response the engine may or may not have accepted the order. If it
+	// has not, its state leads to another order.
+	r.markLoaded(p)
+	r.readEngineState(ctx)
 }
 
-// awaitQueue waits until the requests that the engine has taken have begun: the
-// order rejects those that wait.
-func (r *Replica) awaitQueue(ctx context.Context) {
-	limit := r.config.Clock.Now().Add(queueLimit)
-	for ctx.Err() == nil && r.config.Clock.Now().Before(limit) {
-		wait(ctx, nil, closeBefore)
-		r.observe(ctx)
-		if report := r.report.Load(); report == nil || report.Queued == 0 {
+// awaitEmptyQueue waits until the engine has started its queued requests, which
+// the order would reject.
+func (r *Replica) awaitEmptyQueue(ctx context.Context) {
+	deadline := r.config.Clock.Now().Add(maxQueueWait)
+	for ctx.Err() == nil && r.config.Clock.Now().Before(deadline) {
+		wait(ctx, nil, queuePollInterval)
+		r.readEngineState(ctx)
+		if state := r.engineState.Load(); state == nil || state.Queued == 0 {
 			return
 		}
 	}
 }
 
-// taken takes note that a version is at the engine.
-func (r *Replica) taken(p *pendingVersion) {
+// markLoaded records that the pieces of a version are at the engine.
+func (r *Replica) markLoaded(p *pendingVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for len(r.pending) > 0 && r.pending[0].version <= p.version {
 		r.pending = r.pending[1:]
 	}
-	r.setStaged(p.holdings)
-	p.holdings.release()
+	r.setStaged(p.pieces)
+	p.pieces.dropFromMemory()
 }
 
-// drop forgets a version with pieces that have turned bad; what is missing is
+// discard removes a pending version that has corrupt pieces, which are then
 // fetched again.
-func (r *Replica) drop(p *pendingVersion) {
+func (r *Replica) discard(p *pendingVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, q := range r.pending {
--- a/replica/peers.go
+++ b/replica/peers.go
@@ -10,61 +10,61 @@
 )
 
 const (
-	// peerDialTimeout is long against the round trip between regions; a peer
-	// that does not accept by then is left alone for a while.
+	// peerDialTimeout is long compared with the round trip between regions. A peer
+	// that doesn't accept within it is retried later.
 	peerDialTimeout = 400 * time.Millisecond
-	// peerRetryAfter is when a peer that was lost is tried again.
-	peerRetryAfter = time.Second
-	// peerIdleTimeout ends connections of peers that ask no more. Both ends send
-	// something more often while a version spreads.
+	// peerRetryDelay is the time until a lost peer is dialled again.
+	peerRetryDelay = time.Second
+	// peerIdleTimeout closes the connections of silent peers. While a version
+	// spreads, both ends send more often.
 	peerIdleTimeout = 15 * time.Second
-	// peerBuffer is the size of a connection's read buffer in bytes.
-	peerBuffer = 4 << 10
-	// answerLimit bounds a peer's message with a piece in bytes, queryLimit one that
-	// asks for it.
-	answerLimit = 16 << 20
-	queryLimit  = 4 << 10
+	// peerBufferBytes is the size of a connection's read buffer.
+	peerBufferBytes = 4 << 10
+	// maxResponseBytes bounds a peer's response, which carries a piece;
+	// maxRequestBytes bounds a request.
+	maxResponseBytes = 16 << 20
+	maxRequestBytes  = 4 << 10
 )
 
-// peer is a connection to another agent while a version is fetched. run reads
-// from it; ask belongs to the fetch's goroutine.
-type peer struct {
+// peerConn is the connection to another agent during a fetch. run reads from it;
+// requests are queued by the fetch's goroutine.
+type peerConn struct {
 	id, address string
 	events      chan<- fetchEvent
-	asks        chan int
+	requests    chan int
 }
 
-// fetchEvent is what happens while a version is fetched.
+// fetchEvent is an event during a fetch.
 type fetchEvent struct {
 	source string
-	// lost tells that the source cannot be reached.
+	// lost means that the source cannot be reached.
 	lost bool
 	have []int
-	// piece is a piece that was asked for, or peerlink.NoPiece.
+	// piece is the requested piece, or peerlink.NoPiece.
 	piece int
 	data  []byte
 	err   error
 }
 
 // run keeps a connection to the peer until ctx ends.
-func (p *peer) run(ctx context.Context, model string, version int) {
+func (p *peerConn) run(ctx context.Context, model string, version int) {
 	for ctx.Err() == nil {
-		p.connect(ctx, model, version)
+		p.exchange(ctx, model, version)
 		p.send(ctx, fetchEvent{source: p.id, lost: true, piece: peerlink.NoPiece})
-		wait(ctx, nil, peerRetryAfter)
+		wait(ctx, nil, peerRetryDelay)
 	}
 }
 
-func (p *peer) send(ctx context.Context, e fetchEvent) {
+func (p *peerConn) send(ctx context.Context, e fetchEvent) {
 	select {
 	case <-ctx.Done():
 	case p.events <- e:
 	}
 }
 
-// connect asks for the pieces that are queued and passes on what the peer
-// sends. It returns when the connection ends.
-func (p *peer) connect(ctx context.Context, model string, version int) {
+// exchange sends queued requests and passes on the peer's responses. It returns
+// when the connection ends.
+func (p *peerConn) exchange(ctx context.Context, model string, version int) {
 	dialer := net.Dialer{Timeout: peerDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", p.address)
 	if err != nil {
@@ -75,33 +75,33 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	defer conn.Close()
-	go p.write(ctx, conn, model, version)
-	decode := msgstream.NewDecoder(conn, peerBuffer, answerLimit)
+	go p.writeRequests(ctx, conn, model, version)
+	decoder := msgstream.NewDecoder(conn, peerBufferBytes, maxResponseBytes)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(peerIdleTimeout)) != nil {
 			return
 		}
-		var a peerlink.PieceResponse
-		if decode.Decode(&a) != nil {
+		var resp peerlink.PieceResponse
+		if decoder.Decode(&resp) != nil {
 			return
 		}
-		p.send(ctx, fetchEvent{source: p.id, have: a.Have, piece: a.Piece, data: a.Data})
+		p.send(ctx, fetchEvent{source: p.id, have: resp.Have, piece: resp.Piece, data: resp.Data})
 	}
 }
 
-// write sends the queued asks. A failed write ends the connection.
-func (p *peer) write(ctx context.Context, conn net.Conn, model string, version int) {
-	q := peerlink.PieceRequest{Model: model, Version: version, Piece: peerlink.NoPiece}
+// writeRequests sends queued requests. A failed write closes the connection.
+func (p *peerConn) writeRequests(ctx context.Context, conn net.Conn, model string, version int) {
+	req := peerlink.PieceRequest{Model: model, Version: version, Piece: peerlink.NoPiece}
 	for {
-		if msgstream.Encode(conn, &q) != nil {
+		if msgstream.Encode(conn, &req) != nil {
 			_ = conn.Close()
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case piece := <-p.asks:
-			q = peerlink.PieceRequest{Piece: piece}
+		case piece := <-p.requests:
+			req = peerlink.PieceRequest{Piece: piece}
 		}
 	}
 }
--- a/replica/phase.go
+++ b/replica/phase.go
@@ -7,50 +7,51 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Phase is where an instance stands on its way to a declared version.
+// Phase is the progress of an instance towards a declared version.
 type Phase string
 
-// Phases.
+// Phases of an instance.
 const (
-	// PhaseIdle means that nothing is declared or the engine does not answer.
+	// PhaseIdle means that no version is declared or that the engine doesn't
+	// answer.
 	PhaseIdle Phase = "idle"
 	// PhaseFetching means that pieces are missing.
 	PhaseFetching Phase = "fetching"
-	// PhaseFetched means that all pieces are here and the engine still serves
-	// what it has.
+	// PhaseFetched means that all pieces are present and that the engine hasn't
+	// been ordered to load them yet.
 	PhaseFetched Phase = "fetched"
-	// PhaseLoading means that the engine has its order.
+	// PhaseLoading means that the engine is carrying out an order.
 	PhaseLoading Phase = "loading"
-	// PhaseServing means that the declared version serves.
+	// PhaseServing means that the engine serves the declared version.
 	PhaseServing Phase = "serving"
 )
 
-// trigger is what was found out about the instance.
+// trigger is an observation about the instance that may change its phase.
 type trigger string
 
 const (
-	// triggerUnknown means that the engine does not answer.
+	// triggerUnknown means that no version is declared or that the engine doesn't
+	// answer.
 	triggerUnknown trigger = "unknown"
-	// triggerMissing means that the engine lacks the version and so does the
-	// agent.
+	// triggerMissing means that neither the engine nor the agent has the version.
 	triggerMissing trigger = "missing"
 	// triggerFetched means that the agent has the version.
 	triggerFetched trigger = "fetched"
-	// triggerBusy means that the engine follows an order.
+	// triggerBusy means that the engine is carrying out an order.
 	triggerBusy trigger = "busy"
 	// triggerServing means that the engine serves the version.
 	triggerServing trigger = "serving"
 )
 
-// phases is the machine of one replica. Its owner is the replica's goroutine;
-// phase may be called by others.
-type phases struct {
+// phaseMachine is the state machine of one replica. Only the replica's goroutine
+// calls fire; phase is safe for concurrent use.
+type phaseMachine struct {
 	machine *stateless.StateMachine
 	current atomic.Value
 }
 
-func newPhases(changed func(from, to Phase)) *phases {
-	p := &phases{machine: stateless.NewStateMachine(PhaseIdle)}
+func newPhaseMachine(changed func(from, to Phase)) *phaseMachine {
+	p := &phaseMachine{machine: stateless.NewStateMachine(PhaseIdle)}
 	p.current.Store(PhaseIdle)
 	p.machine.Configure(PhaseIdle).
 		Ignore(triggerUnknown).
@@ -90,11 +91,12 @@
 	return p
 }
 
-// fire moves the machine on. A trigger that does not fit is a broken invariant.
-func (p *phases) fire(t trigger) {
+// fire applies a trigger. It panics on a trigger that the current phase doesn't
+// permit, which is a programming error.
+func (p *phaseMachine) fire(t trigger) {
 	if err := p.machine.Fire(t); err != nil {
 		panic(err)
 	}
 }
 
-func (p *phases) phase() Phase { return p.current.Load().(Phase) }
+func (p *phaseMachine) phase() Phase { return p.current.Load().(Phase) }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -14,63 +14,69 @@
 	"github.com/auburnbend/auburnbend/lib/spread"
 )
 
-// Replica keeps one engine on the declared version. Its Run goroutine owns the
-// phases and decides on orders; fetches run beside it.
+// Replica brings one engine to the declared version and keeps it there. The
+// goroutine of Run owns the phases and decides on orders; fetches run
+// concurrently. All methods but Run are safe for concurrent use.
 type Replica struct {
-	config  Config
-	phases  *phases
-	uploads *uploads
-	stats   Stats
-	// versionTime is the time in nanoseconds in which a declared version must serve
-	// everywhere.
-	versionTime atomic.Int64
-	// wake makes Run look at once.
+	config        Config
+	phases        *phaseMachine
+	uploadLimiter *uploadLimiter
+	stats         Stats
+	// maxRolloutTime is the time within which a declared version must serve on all
+	// instances, in nanoseconds.
+	maxRolloutTime atomic.Int64
+	// wake makes Run read the state again at once.
 	wake chan struct{}
-	// originLost tells that the last call of the origin failed.
-	originLost atomic.Bool
-	// closed tells that the engine should get no more requests.
-	closed atomic.Bool
-	// report is the engine's last state; nil if it did not answer.
-	report atomic.Pointer[timedReport]
-	// observed tells that report is new.
-	observed chan struct{}
-
-	// mu guards what follows.
+	// originUnreachable is set if the last call to the origin failed.
+	originUnreachable atomic.Bool
+	// draining is set while entries should send no more requests to the engine.
+	draining atomic.Bool
+	// engineState is the last state read from the engine, or nil if the engine
+	// didn't answer.
+	engineState atomic.Pointer[timedState]
+	// reporterWake makes the LoadReporter check for changes.
+	reporterWake chan struct{}
+
+	// mu guards the following fields.
 	mu     sync.Mutex
 	target target
-	// pending are fetched versions that the engine has not taken, oldest first.
+	// pending are fetched versions that haven't been handed to the engine, oldest
+	// first.
 	pending []*pendingVersion
-	// fetching is the version that is being fetched; nil if there is none.
+	// fetching is the running fetch, or nil.
 	fetching *runningFetch
-	// fetchPauses are the pauses after failed fetches.
-	fetchPauses *backoff.ExponentialBackOff
-	// suspect is the version whose manifest seemed wrong last; zero for none.
-	suspect int
-	// lastPlan is the plan of the last fetch; nil before the first one.
+	// fetchBackoff gives the delays after failed fetches.
+	fetchBackoff *backoff.ExponentialBackOff
+	// suspectVersion is the last version whose manifest appeared to be wrong, or
+	// zero.
+	suspectVersion int
+	// lastPlan is the plan of the last fetch, or nil.
 	lastPlan *spread.Plan
-	// staged is the version at the engine, if this process knows it.
-	staged *holdings
+	// staged holds the pieces at the engine, or nil if this process doesn't know
+	// them.
+	staged *pieceSet
 	// stagedChanged is closed when fetching or staged changes.
 	stagedChanged chan struct{}
-	// opening admits one goroutine at a time to openServing.
-	opening sync.Mutex
+	// discovery serializes discoverStaged.
+	discovery sync.Mutex
 }
 
 // New returns a Replica without a target.
 func New(config Config) *Replica {
 	r := &Replica{
-		config: config, uploads: newUploads(config.LinkRate),
-		wake: make(chan struct{}, 1), observed: make(chan struct{}, 1), stagedChanged: make(chan struct{}), fetchPauses: newBackoff(retryPause, maxRetryPause),
+		config: config, uploadLimiter: newUploadLimiter(config.LinkRate),
+		wake: make(chan struct{}, 1), reporterWake: make(chan struct{}, 1), stagedChanged: make(chan struct{}), fetchBackoff: newBackoff(retryDelay, maxRetryDelay),
 	}
-	r.versionTime.Store(int64(config.MaxRolloutTime))
-	r.phases = newPhases(func(from, to Phase) {
+	r.maxRolloutTime.Store(int64(config.MaxRolloutTime))
+	r.phases = newPhaseMachine(func(from, to Phase) {
 		t := r.currentTarget()
 		config.Log.Log(eventlog.ReplicaPhase, "from", string(from), "to", string(to), "model", t.model, "version", t.version)
 	})
 	return r
 }
 
-// SetTarget sets the version that the engine must serve. Older ones are ignored.
+// SetTarget sets the version that the engine must serve. It ignores older
+// versions of the same model.
 func (r *Replica) SetTarget(model string, version int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,33 +84,34 @@
 		return
 	}
 	r.target = target{model: model, version: version, since: r.config.Clock.Now()}
-	r.wakeUp()
+	r.wakeRun()
 }
 
-// SetLimits changes the time in which a declared version must serve everywhere
-// and the bandwidth of the instance's link in bytes per second, zero if it is not
-// known.
-func (r *Replica) SetLimits(versionTime time.Duration, linkRate float64) {
-	r.versionTime.Store(int64(versionTime))
-	r.uploads.setLinkRate(linkRate)
+// SetLimits changes the time within which a declared version must serve on all
+// instances, and the bandwidth of the instance's link in bytes per second, with
+// zero for unknown.
+func (r *Replica) SetLimits(maxRolloutTime time.Duration, linkRate float64) {
+	r.maxRolloutTime.Store(int64(maxRolloutTime))
+	r.uploadLimiter.setLinkRate(linkRate)
 }
 
-// Phase returns where the instance stands.
+// Phase returns the current phase.
 func (r *Replica) Phase() Phase { return r.phases.phase() }
 
-// Draining reports whether the engine should get no more requests.
-func (r *Replica) Draining() bool { return r.closed.Load() }
+// Draining reports whether entries should send no more requests to the engine.
+func (r *Replica) Draining() bool { return r.draining.Load() }
 
-// Stats returns the counters.
+// Stats returns the transfer counters.
 func (r *Replica) Stats() *Stats { return &r.stats }
 
-// serving reports whether the engine holds weights, and so may have streams.
-func (r *Replica) serving() bool {
-	report := r.report.Load()
-	return report != nil && len(report.Weights) > 0
+// hasWeights reports whether the engine has loaded weights and so may be serving
+// streams.
+func (r *Replica) hasWeights() bool {
+	state := r.engineState.Load()
+	return state != nil && len(state.Weights) > 0
 }
 
-func (r *Replica) wakeUp() {
+func (r *Replica) wakeRun() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -117,7 +124,8 @@
 	return r.target
 }
 
-// Run serves peers and follows the target until ctx ends.
+// Run serves peers and follows the target until ctx ends. It returns an error if
+// it cannot listen on the peer port.
 func (r *Replica) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp", net.JoinHostPort(r.config.Listen, strconv.Itoa(r.config.PeerPort)))
 	if err != nil {
@@ -127,15 +135,15 @@
 	defer stop()
 	go r.servePeers(ctx, ln)
 	for ctx.Err() == nil {
-		r.observe(ctx)
-		r.step(ctx)
-		wait(ctx, r.wake, engineInterval)
+		r.readEngineState(ctx)
+		r.reconcile(ctx)
+		wait(ctx, r.wake, enginePollInterval)
 	}
 	return nil
 }
 
-// wait returns when ctx ends, changed is ready, or the time is over; zero time
-// waits without limit.
+// wait returns when ctx ends, changed is ready, or limit has passed. A limit of
+// zero means none.
 func wait(ctx context.Context, changed <-chan struct{}, limit time.Duration) {
 	var timer <-chan time.Time
 	if limit > 0 {
@@ -148,75 +156,75 @@
 	}
 }
 
-// timedReport is an engine's state and when it was read.
-type timedReport struct {
+// timedState is an engine's state with the time at which it was read.
+type timedState struct {
 	EngineState
-	at time.Time
+	readAt time.Time
 }
 
-// observe reads the engine's state.
-func (r *Replica) observe(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+// readEngineState updates engineState and wakes the LoadReporter.
+func (r *Replica) readEngineState(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
-	report, err := r.config.Engine.State(ctx)
+	state, err := r.config.Engine.State(ctx)
 	if err != nil {
-		r.report.Store(nil)
+		r.engineState.Store(nil)
 	} else {
-		r.report.Store(&timedReport{EngineState: report, at: r.config.Clock.Now()})
+		r.engineState.Store(&timedState{EngineState: state, readAt: r.config.Clock.Now()})
 	}
-	r.notifyObserved()
+	r.wakeReporter()
 }
 
-// notifyObserved makes the beacon look for changes.
-func (r *Replica) notifyObserved() {
+// wakeReporter makes the LoadReporter check for changes.
+func (r *Replica) wakeReporter() {
 	select {
-	case r.observed <- struct{}{}:
+	case r.reporterWake <- struct{}{}:
 	default:
 	}
 }
 
-// step does what the engine's state and the target ask for.
-func (r *Replica) step(ctx context.Context) {
+// reconcile acts on the difference between the engine's state and the target.
+func (r *Replica) reconcile(ctx context.Context) {
 	t := r.currentTarget()
-	report := r.report.Load()
+	state := r.engineState.Load()
 	switch {
-	case t.version == 0 || report == nil:
+	case t.version == 0 || state == nil:
 		r.phases.fire(triggerUnknown)
 		return
-	case report.serves(t.model, t.version):
+	case state.serves(t.model, t.version):
 		r.phases.fire(triggerServing)
 		return
 	}
-	r.fetchTarget(ctx, t, &report.EngineState)
-	switch p, waiting := r.next(&report.EngineState); {
-	case report.Busy:
+	r.startFetch(ctx, t, &state.EngineState)
+	switch p, pending := r.nextLoad(&state.EngineState); {
+	case state.Busy:
 		r.phases.fire(triggerBusy)
 	case p != nil:
 		r.phases.fire(triggerFetched)
-		r.order(ctx, p)
-	case waiting:
+		r.load(ctx, p)
+	case pending:
 		r.phases.fire(triggerFetched)
 	default:
 		r.phases.fire(triggerMissing)
 	}
 }
 
-// setStaged changes what is at the engine. The caller holds mu.
-func (r *Replica) setStaged(h *holdings) {
-	r.staged = h
+// setStaged replaces the pieces at the engine. The caller holds mu.
+func (r *Replica) setStaged(pieces *pieceSet) {
+	r.staged = pieces
 	close(r.stagedChanged)
 	r.stagedChanged = make(chan struct{})
 }
 
-func (r *Replica) received(source string, n int) {
+func (r *Replica) countReceived(source string, bytes int) {
 	if source == spread.Origin {
-		r.stats.OriginBytes.Add(int64(n))
+		r.stats.OriginBytes.Add(int64(bytes))
 		return
 	}
-	r.stats.PeerBytes.Add(int64(n))
+	r.stats.PeerBytes.Add(int64(bytes))
 }
 
-func (r *Replica) spoilt(source string, piece int) {
+func (r *Replica) reportCorrupt(source string, piece int) {
 	r.stats.CorruptPieces.Add(1)
 	if source == spread.Origin {
 		source = "origin"
@@ -224,6 +232,6 @@
 	r.config.Log.Log(eventlog.PieceCorrupt, "source", source, "piece", piece)
 }
 
-func (r *Replica) engineFailed(err error) {
+func (r *Replica) logEngineError(err error) {
 	r.config.Log.Log(eventlog.EngineCallFailed, "err", err)
 }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -12,61 +12,62 @@
 )
 
 var _ = Describe("Replica", func() {
-	const soon = 20 * time.Second
+	const timeout = 20 * time.Second
 
-	It("brings a declared version to all engines, with one copy from the origin", func() {
+	It("rolls a declared version out to all engines with one copy from the origin", func() {
 		f := newFleet(1, 1, 1, 1, 1, 1)
-		f.declare(1)
-		f.declare(2)
-		Eventually(f.serving(2), soon).Should(BeTrue())
-		f.expectWhole()
-		// A member that is late by chance may read a piece once more.
+		f.setTarget(1)
+		f.setTarget(2)
+		Eventually(f.serving(2), timeout).Should(BeTrue())
+		f.expectUnmixed()
+		// A member that happens to be late may read a piece from the origin a second
+		// time.
 		Expect(f.origin.served.Load()).To(BeNumerically("<=", 2*testPieces))
 	})
 
-	It("reads a manifest from the origin at two engines of a region only", func() {
-		// Guards against manifests that take the origin's link from the weights: with
-		// 150 engines they were more than a third of a copy, and connections over the
-		// origin's limit were reset.
+	It("reads a manifest from the origin on two instances per region only", func() {
+		// Guards against manifest reads that use up the origin's link: with 150
+		// engines they took more than a third of a copy of the weights, and
+		// connections above the origin's limit were reset.
 		f := newFleet(1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-		f.declare(2)
-		Eventually(f.serving(2), soon).Should(BeTrue())
+		f.setTarget(2)
+		Eventually(f.serving(2), timeout).Should(BeTrue())
 		Expect(f.origin.manifests.Load()).To(BeNumerically("<=", 4))
 	})
 
-	It("reads the manifest from the origin when those who should have it are gone", func() {
+	It("reads the manifest from the origin when the instances that should have it are gone", func() {
 		f := newFleet(1)
 		for i := range 12 {
-			// Nobody listens at these addresses.
+			// Nothing listens at these addresses.
 			f.peers = append(f.peers, replica.Peer{Address: fmt.Sprintf("127.0.2.%d:9", i+1), Region: "0"})
 		}
-		f.declare(2)
-		Eventually(f.serving(2), soon).Should(BeTrue())
+		f.setTarget(2)
+		Eventually(f.serving(2), timeout).Should(BeTrue())
 	})
 
-	It("skips nothing and mixes nothing when versions follow each other", func() {
+	It("does not mix pieces of versions declared in quick succession", func() {
 		// Guards against an engine that loads pieces of two versions.
 		f := newFleet(1, 1, 1, 1)
-		f.declare(2)
+		f.setTarget(2)
 		time.Sleep(300 * time.Millisecond)
-		f.declare(3)
-		Eventually(f.serving(3), soon).Should(BeTrue())
-		f.expectWhole()
+		f.setTarget(3)
+		Eventually(f.serving(3), timeout).Should(BeTrue())
+		f.expectUnmixed()
 	})
 
-	It("gives up an older version that would come too late to serve", func() {
-		// Guards against a version that arrives when the next one must serve already, and
-		// delays it: on umurage-crest scale-1 the origin returned 2.5 s before the bound
-		// of the newer version, and 2 s of it went to the older one.
+	It("abandons an older version that would arrive too late to serve", func() {
+		// Guards against an older version that arrives when the next one must already
+		// serve, and delays it. On umurage-crest scale-1 the origin returned 2.5 s
+		// before the newer version's deadline, and 2 s of that went to the older one.
 		f := newFleet(1, 1)
-		f.origin.takes.Store(int64(20 * time.Millisecond))
-		f.declare(2)
-		Eventually(f.origin.served.Load, soon).Should(BeNumerically(">=", testPieces*3/4))
+		f.origin.pieceTime.Store(int64(20 * time.Millisecond))
+		f.setTarget(2)
+		Eventually(f.origin.served.Load, timeout).Should(BeNumerically(">=", testPieces*3/4))
 		f.origin.down.Store(true)
-		f.declare(3)
+		f.setTarget(3)
 		time.Sleep(900 * time.Millisecond)
 		f.origin.down.Store(false)
-		Eventually(f.serving(3), soon).Should(BeTrue())
+		Eventually(f.serving(3), timeout).Should(BeTrue())
 		for _, e := range f.engines {
 			e.mu.Lock()
 			Expect(e.orders).To(Equal(1))
@@ -74,92 +75,93 @@
 		}
 	})
 
-	It("never loads spoilt pieces", func() {
-		// Guards against weights that are not whole.
+	It("never loads corrupt pieces", func() {
+		// Guards against loading corrupt or incomplete weights.
 		f := newFleet(1, 1)
-		f.origin.spoil.Store(7)
-		f.declare(2)
-		Eventually(f.serving(2), soon).Should(BeTrue())
-		f.expectWhole()
+		f.origin.corruptCount.Store(7)
+		f.setTarget(2)
+		Eventually(f.serving(2), timeout).Should(BeTrue())
+		f.expectUnmixed()
 		Expect(f.replicas[0].Stats().CorruptPieces.Load() + f.replicas[1].Stats().CorruptPieces.Load()).To(Equal(int64(7)))
 	})
 
-	It("brings an added engine up from peers while the origin is down", func() {
+	It("supplies an added engine from peers", func() {
 		f := newFleet(0, 0)
-		f.declare(1)
-		Eventually(f.serving(1), soon).Should(BeTrue())
+		f.setTarget(1)
+		Eventually(f.serving(1), timeout).Should(BeTrue())
 		f.engines = append(f.engines, newFakeEngine(0))
 		f.peers = append(f.peers, replica.Peer{Address: f.host(2) + ":9", Region: "0"})
 		served := f.origin.served.Load()
 		added := f.start(2)
 		added.SetTarget("m", 1)
-		Eventually(f.serving(1), soon).Should(BeTrue())
+		Eventually(f.serving(1), timeout).Should(BeTrue())
 		Expect(f.origin.served.Load()).To(BeNumerically("<", served+testPieces))
 	})
 
-	It("fetches from peers that register after it has begun", func() {
-		// Guards against restarted engines that read a whole copy each from the
-		// origin because no other one was registered yet when they began.
+	It("fetches from peers that register after the fetch has started", func() {
+		// Guards against restarted engines that each read a whole copy from the origin
+		// because no other engine was registered when they started.
 		f := newFleet(0)
-		f.declare(1)
-		Eventually(f.serving(1), soon).Should(BeTrue())
-		f.origin.takes.Store(int64(200 * time.Millisecond))
+		f.setTarget(1)
+		Eventually(f.serving(1), timeout).Should(BeTrue())
+		f.origin.pieceTime.Store(int64(200 * time.Millisecond))
 		f.engines = append(f.engines, newFakeEngine(0))
 		f.peers = append(f.peers, replica.Peer{Address: f.host(1) + ":9", Region: "0"})
 		f.unlisted.Store(true)
 		served := f.origin.served.Load()
 		added := f.start(1)
 		added.SetTarget("m", 1)
-		Eventually(f.origin.served.Load, soon).Should(BeNumerically(">", served))
+		Eventually(f.origin.served.Load, timeout).Should(BeNumerically(">", served))
 		f.unlisted.Store(false)
-		Eventually(f.serving(1), soon).Should(BeTrue())
+		Eventually(f.serving(1), timeout).Should(BeTrue())
 		Expect(f.origin.served.Load()).To(BeNumerically("<", served+testPieces/2))
 	})
 
-	It("loads what an engine still holds after a restart", func() {
+	It("loads the pieces that an engine still holds after a restart", func() {
 		f := newFleet(0)
-		f.declare(1)
-		Eventually(f.serving(1), soon).Should(BeTrue())
+		f.setTarget(1)
+		Eventually(f.serving(1), timeout).Should(BeTrue())
 		served := f.origin.served.Load()
 		f.engines[0].mu.Lock()
-		f.engines[0].born, f.engines[0].loaded = 2, 0
+		f.engines[0].startUnixMilli, f.engines[0].loaded = 2, 0
 		f.engines[0].mu.Unlock()
-		Eventually(f.serving(1), soon).Should(BeTrue())
+		Eventually(f.serving(1), timeout).Should(BeTrue())
 		Expect(f.origin.served.Load()).To(Equal(served))
 	})
 
-	It("fetches a piece again that has turned bad at the engine", func() {
+	It("fetches a piece again that was corrupted at the engine", func() {
 		f := newFleet(0)
-		f.declare(1)
-		Eventually(f.serving(1), soon).Should(BeTrue())
+		f.setTarget(1)
+		Eventually(f.serving(1), timeout).Should(BeTrue())
 		f.engines[0].mu.Lock()
-		f.engines[0].staged[3] = []byte("rotten")
-		f.engines[0].born, f.engines[0].loaded = 2, 0
+		f.engines[0].staged[3] = []byte("corrupt")
+		f.engines[0].startUnixMilli, f.engines[0].loaded = 2, 0
 		f.engines[0].mu.Unlock()
-		Eventually(f.serving(1), soon).Should(BeTrue())
-		f.expectWhole()
+		Eventually(f.serving(1), timeout).Should(BeTrue())
+		f.expectUnmixed()
 	})
 
-	It("lets the requests in the engine's queue begin before its order", func() {
-		// Guards against requests that wait in vain: an order rejects them.
+	It("lets the engine start its queued requests before the load order", func() {
+		// Guards against requests that wait in the queue only to be rejected by the
+		// order.
 		f := newFleet(1)
-		f.declare(1)
+		f.setTarget(1)
 		f.engines[0].mu.Lock()
-		f.engines[0].waiting = 3
+		f.engines[0].queued = 3
 		f.engines[0].mu.Unlock()
-		f.declare(2)
-		Eventually(f.serving(2), soon).Should(BeTrue())
+		f.setTarget(2)
+		Eventually(f.serving(2), timeout).Should(BeTrue())
 		Expect(f.engines[0].rejected).To(BeZero())
 	})
 
-	It("goes on once the origin is back", func() {
+	It("continues once the origin is back", func() {
 		f := newFleet(1)
 		f.origin.down.Store(true)
-		f.declare(2)
+		f.setTarget(2)
 		Consistently(f.serving(2), 500*time.Millisecond).Should(BeFalse())
 		Eventually(f.logs).Should(gbytes.Say("event=7308 .*err=down"))
 		f.origin.down.Store(false)
-		Eventually(f.serving(2), soon).Should(BeTrue())
+		Eventually(f.serving(2), timeout).Should(BeTrue())
 		Eventually(f.logs).Should(gbytes.Say("event=7309"))
 	})
 })
--- a/replica/serve.go
+++ b/replica/serve.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// maxPeerConns bounds the connections of peers; each costs a buffer.
+	// maxPeerConns bounds the connections from peers, each of which uses a buffer.
 	maxPeerConns = 256
-	// acceptPause keeps a failing listener from spinning.
-	acceptPause = 50 * time.Millisecond
-	// announceInterval is how often a peer is told of new pieces, which bounds
-	// the number of messages.
+	// acceptRetryDelay keeps a failing listener from causing a busy loop.
+	acceptRetryDelay = 50 * time.Millisecond
+	// announceInterval is the minimum time between two announcements of new pieces
+	// to a peer, which bounds the number of messages.
 	announceInterval = 50 * time.Millisecond
-	// versionWait is how long a peer waits for this instance to learn of a
-	// version that it has not heard of yet.
-	versionWait = 5 * time.Second
+	// versionWaitTimeout is how long a peer's request waits for this instance to
+	// learn of the requested version.
+	versionWaitTimeout = 5 * time.Second
 )
 
-// servePeers answers peers until the listener closes.
+// servePeers serves connections from peers until ctx ends.
 func (r *Replica) servePeers(ctx context.Context, ln net.Listener) {
 	slots := make(chan struct{}, maxPeerConns)
 	for {
@@ -32,7 +32,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		select {
@@ -47,17 +47,17 @@
 	}
 }
 
-// peerSession serves one peer.
+// peerSession is the connection of one peer.
 type peerSession struct {
-	replica  *Replica
-	conn     net.Conn
-	holdings *holdings
+	replica *Replica
+	conn    net.Conn
+	pieces  *pieceSet
 
-	// mu keeps messages apart.
+	// mu serializes writes to conn.
 	mu sync.Mutex
 }
 
-// servePeer answers one peer's queries in order, and tells it of new pieces.
+// servePeer answers a peer's requests in order and announces new pieces to it.
 func (r *Replica) servePeer(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -65,58 +65,57 @@
 	defer stop()
 	defer conn.Close()
 	s := &peerSession{replica: r, conn: conn}
-	decode := msgstream.NewDecoder(conn, peerBuffer, queryLimit)
+	decoder := msgstream.NewDecoder(conn, peerBufferBytes, maxRequestBytes)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(peerIdleTimeout)) != nil {
 			return
 		}
-		var q peerlink.PieceRequest
-		if decode.Decode(&q) != nil {
+		var req peerlink.PieceRequest
+		if decoder.Decode(&req) != nil {
 			return
 		}
-		if q.Piece == peerlink.ManifestOnly {
-			r.sendManifest(ctx, s, &q)
+		if req.Piece == peerlink.ManifestOnly {
+			r.sendManifest(ctx, s, &req)
 			return
 		}
-		if s.holdings == nil {
-			if s.holdings = r.holdingsFor(ctx, q.Model, q.Version); s.holdings == nil {
+		if s.pieces == nil {
+			if s.pieces = r.awaitPiecesWithTimeout(ctx, req.Model, req.Version); s.pieces == nil {
 				return
 			}
 			go s.announce(ctx)
 		}
-		if q.Piece != peerlink.NoPiece && !s.sendPiece(ctx, q.Piece) {
+		if req.Piece != peerlink.NoPiece && !s.sendPiece(ctx, req.Piece) {
 			return
 		}
 	}
 }
 
-// holdingsFor returns the holdings of a version, which this instance may learn
-// of a little later than its peer.
-func (r *Replica) holdingsFor(ctx context.Context, model string, version int) *holdings {
-	ctx, cancel := context.WithTimeout(ctx, versionWait)
+// awaitPiecesWithTimeout is awaitPieces with a limit of versionWaitTimeout.
+func (r *Replica) awaitPiecesWithTimeout(ctx context.Context, model string, version int) *pieceSet {
+	ctx, cancel := context.WithTimeout(ctx, versionWaitTimeout)
 	defer cancel()
-	return r.awaitHoldings(ctx, model, version)
+	return r.awaitPieces(ctx, model, version)
 }
 
-func (s *peerSession) send(a *peerlink.PieceResponse) bool {
+func (s *peerSession) send(resp *peerlink.PieceResponse) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.conn.SetWriteDeadline(time.Now().Add(peerIdleTimeout)) == nil && msgstream.Encode(s.conn, a) == nil
+	return s.conn.SetWriteDeadline(time.Now().Add(peerIdleTimeout)) == nil && msgstream.Encode(s.conn, resp) == nil
 }
 
-// announce tells the peer of the pieces that are here until ctx ends.
+// announce tells the peer which pieces are present, until ctx ends.
 func (s *peerSession) announce(ctx context.Context) {
-	told := make(map[int]bool)
+	announced := make(map[int]bool)
 	for ctx.Err() == nil {
-		pieces, changed := s.holdings.held()
-		var fresh []int
+		pieces, changed := s.pieces.held()
+		var added []int
 		for _, piece := range pieces {
-			if !told[piece] {
-				told[piece] = true
-				fresh = append(fresh, piece)
+			if !announced[piece] {
+				announced[piece] = true
+				added = append(added, piece)
 			}
 		}
-		if len(fresh) > 0 && !s.send(&peerlink.PieceResponse{Have: fresh, Piece: peerlink.NoPiece}) {
+		if len(added) > 0 && !s.send(&peerlink.PieceResponse{Have: added, Piece: peerlink.NoPiece}) {
 			_ = s.conn.Close()
 			return
 		}
@@ -125,16 +124,17 @@
 	}
 }
 
-// sendPiece sends a piece, or that it is not here.
+// sendPiece sends a piece, or an empty response if it is missing. It returns
+// false if the connection should be closed.
 func (s *peerSession) sendPiece(ctx context.Context, piece int) bool {
-	a := &peerlink.PieceResponse{Piece: piece}
-	if piece >= 0 && piece < len(s.holdings.manifest.Digests) {
-		a.Data = s.holdings.get(ctx, piece)
+	resp := &peerlink.PieceResponse{Piece: piece}
+	if piece >= 0 && piece < len(s.pieces.manifest.Digests) {
+		resp.Data = s.pieces.get(ctx, piece)
 	}
-	release, err := s.replica.uploads.acquire(ctx, len(a.Data), s.replica.serving())
+	release, err := s.replica.uploadLimiter.acquire(ctx, len(resp.Data), s.replica.hasWeights())
 	if err != nil {
 		return false
 	}
 	defer release()
-	return s.send(a)
+	return s.send(resp)
 }
--- a/replica/versions.go
+++ b/replica/versions.go
@@ -10,29 +10,30 @@
 type target struct {
 	model   string
 	version int
-	// since is when it was declared, or when this process learned of it.
+	// since is the time of the declaration, or when this process learned of it.
 	since time.Time
 }
 
-// pendingVersion is a fetched version that waits for its turn.
+// pendingVersion is a fetched version that is waiting to be loaded.
 type pendingVersion struct {
 	target
-	holdings *holdings
-	// turn is when the engine may take it.
-	turn time.Time
+	pieces *pieceSet
+	// loadAfter is the time from which the engine may load it.
+	loadAfter time.Time
 }
 
-// runningFetch is a fetch on its way.
+// runningFetch is a fetch in progress.
 type runningFetch struct {
 	target
 	cancel context.CancelFunc
-	// suspect tells that the last manifest of this version seemed wrong.
+	// suspect is set if the last manifest of this version appeared to be wrong.
 	suspect bool
-	// holdings is nil until the manifest has been read.
-	holdings *holdings
+	// pieces is nil until the manifest has been read.
+	pieces *pieceSet
 }
 
-// Stats counts bytes of weights by source.
+// Stats counts received weights in bytes by source, and pieces that failed
+// verification.
 type Stats struct {
 	OriginBytes, PeerBytes, CorruptPieces atomic.Int64
 }
