--- a/lib/spread/member.go
+++ b/lib/spread/member.go
@@ -2,8 +2,9 @@
 
 // Member is an instance that takes part in a distribution.
 type Member struct {
-	// ID orders the members; it is the same everywhere.
+	// ID identifies the member on all instances and determines the order of
+	// members.
 	ID string
-	// Region is where bytes are cheap.
+	// Region is the area within which transfers are cheap.
 	Region string
 }
--- a/lib/spread/piece.go
+++ b/lib/spread/piece.go
@@ -4,16 +4,16 @@
 
 // piece is a missing piece.
 type piece struct {
-	// asks are the sources that were asked and have not answered.
-	asks map[string]time.Time
-	// knownAt is when it came into the deployment; zero if it has not.
-	knownAt time.Time
-	// refused are sources that sent it spoilt or did not have it.
-	refused map[string]bool
+	// requests holds the start time of each open request, by source.
+	requests map[string]time.Time
+	// availableAt is when the piece first became available at a member, or zero.
+	availableAt time.Time
+	// excluded are sources that sent the piece corrupt.
+	excluded map[string]bool
 }
 
 // source is a peer or the origin.
 type source struct {
-	has   map[int]bool
-	asked int
+	has          map[int]bool
+	openRequests int
 }
--- a/lib/spread/plan.go
+++ b/lib/spread/plan.go
@@ -6,34 +6,35 @@
 	"sort"
 )
 
-// Origin is the source of the first copy.
+// Origin is the source ID of the origin.
 const Origin = ""
 
-// Plan tells which member brings which piece into the deployment and into each
-// region. It is immutable.
+// Plan determines which member fetches each piece from the origin, and which one
+// fetches it into each region. It is immutable.
 type Plan struct {
 	self Member
-	// members are all members by ID, self included, each of them once.
+	// members are all members sorted by ID, including self, without duplicates.
 	members []Member
 	// regions holds the members of each region in the same order.
 	regions map[string][]Member
-	// ranked lists all members for each piece, first the one that brings it into
-	// the deployment; rankedNear is the same for the region of self.
-	ranked, rankedNear [][]Member
-	// nearIDs are the members of the region of self.
-	nearIDs map[string]bool
+	// ranked lists all members for each piece, starting with the one responsible
+	// for fetching it from the origin; rankedInRegion does the same for the members
+	// of self's region.
+	ranked, rankedInRegion [][]Member
+	// regionIDs are the members of self's region.
+	regionIDs map[string]bool
 }
 
 // NewPlan returns the plan of an instance for a number of pieces. The members
-// may include the instance, and may name one twice: an instance that has
-// restarted is registered under its old and its new start for a while.
+// may include the instance and may contain duplicates, because a restarted
+// instance is registered under both its old and its new start for a while.
 func NewPlan(self Member, members []Member, pieces int) *Plan {
-	p := &Plan{self: self, regions: make(map[string][]Member), nearIDs: make(map[string]bool)}
-	listed := map[string]bool{self.ID: true}
+	p := &Plan{self: self, regions: make(map[string][]Member), regionIDs: make(map[string]bool)}
+	seen := map[string]bool{self.ID: true}
 	p.members = append(p.members, self)
 	for _, m := range members {
-		if !listed[m.ID] {
-			listed[m.ID] = true
+		if !seen[m.ID] {
+			seen[m.ID] = true
 			p.members = append(p.members, m)
 		}
 	}
@@ -41,17 +42,18 @@
 	for _, m := range p.members {
 		p.regions[m.Region] = append(p.regions[m.Region], m)
 	}
-	near := p.regions[self.Region]
-	for _, m := range near {
-		p.nearIDs[m.ID] = true
+	inRegion := p.regions[self.Region]
+	for _, m := range inRegion {
+		p.regionIDs[m.ID] = true
 	}
-	p.ranked, p.rankedNear = rank(p.members, pieces), rank(near, pieces)
+	p.ranked, p.rankedInRegion = rank(p.members, pieces), rank(inRegion, pieces)
 	return p
 }
 
-// rank orders the members for each piece. Each member is first for as many pieces
-// as the others: by random weights, which change less with a member, some had
-// half as much again, and a fetch took 4.5 s in place of 3.7 s.
+// rank orders the members for each piece by rotation, so that each member is
+// first for the same number of pieces. Random weights would change less with a
+// member, but gave some members half as many pieces again, and a fetch took
+// 4.5 s instead of 3.7 s.
 func rank(members []Member, pieces int) [][]Member {
 	ranked := make([][]Member, pieces)
 	for piece := range ranked {
@@ -64,61 +66,62 @@
 // Self returns the instance that the plan is for.
 func (p *Plan) Self() Member { return p.self }
 
-// near reports whether a member is in the instance's own region.
-func (p *Plan) near(id string) bool { return p.nearIDs[id] }
+// inRegion reports whether a member is in the instance's region.
+func (p *Plan) inRegion(id string) bool { return p.regionIDs[id] }
 
-// Peers returns the members that the instance needs: all of its region, and
-// those of other regions that have pieces which it brings into its own.
+// Peers returns the members to which the instance connects: all of its region,
+// and those of other regions that are responsible for pieces that it fetches
+// into its own.
 func (p *Plan) Peers() []string {
 	needed := make(map[string]bool)
 	for _, m := range p.regions[p.self.Region] {
 		needed[m.ID] = true
 	}
 	for piece := range p.ranked {
-		if p.rankedNear[piece][0].ID == p.self.ID {
+		if p.rankedInRegion[piece][0].ID == p.self.ID {
 			needed[p.ranked[piece][0].ID] = true
 		}
 	}
 	delete(needed, p.self.ID)
-	return sorted(needed)
+	return sortedIDs(needed)
 }
 
-// firstAlive returns the member that brings a piece into the deployment.
-func (p *Plan) firstAlive(piece int, dead map[string]bool) string {
+// responsible returns the reachable member that fetches a piece from the origin.
+func (p *Plan) responsible(piece int, unreachable map[string]bool) string {
 	for _, m := range p.ranked[piece] {
-		if !dead[m.ID] {
+		if !unreachable[m.ID] {
 			return m.ID
 		}
 	}
 	return p.self.ID
 }
 
-func sorted(set map[string]bool) []string {
-	list := make([]string, 0, len(set))
+func sortedIDs(set map[string]bool) []string {
+	ids := make([]string, 0, len(set))
 	for id := range set {
-		list = append(list, id)
+		ids = append(ids, id)
 	}
-	sort.Strings(list)
-	return list
+	sort.Strings(ids)
+	return ids
 }
 
-// turnAlive returns how many living members of a ranking bring a piece in before
-// the instance does.
-func (p *Plan) turnAlive(ranking []Member, dead map[string]bool) int {
-	turn := 0
+// liveMembersBefore returns the number of reachable members that precede the
+// instance in a ranking.
+func (p *Plan) liveMembersBefore(ranking []Member, unreachable map[string]bool) int {
+	count := 0
 	for _, m := range ranking {
 		if m.ID == p.self.ID {
-			return turn
+			return count
 		}
-		if !dead[m.ID] {
-			turn++
+		if !unreachable[m.ID] {
+			count++
 		}
 	}
-	return turn
+	return count
 }
 
-// Rank returns the position of this instance among the members and their
-// number. Neighbours in this order are of different regions where possible.
+// Rank returns the position of this instance among the members, and their
+// number. Consecutive positions are in different regions where possible.
 func (p *Plan) Rank() (rank, count int) {
 	names := make([]string, 0, len(p.regions))
 	for name := range p.regions {
--- a/lib/spread/schedule.go
+++ b/lib/spread/schedule.go
@@ -2,69 +2,72 @@
 
 import "time"
 
-// schedule tells when pieces are due at the origin: one after another, at the pace
-// of its link, so that each of them spreads while the next one is on its way. All
-// members have about the same one. While the origin is lost, they look for it one
-// after another; if all asked at once when it returns, their pieces would share its
-// link and arrive together at the end.
+// schedule determines when pieces are due at the origin: one after another at
+// the rate of its link, so that each spreads while the next one is being sent.
+// All members have about the same schedule. While the origin is down, it also
+// spreads the members' retries: if all of them asked at once when it returned,
+// their pieces would share its link and arrive together at the end.
 type schedule struct {
-	pace time.Duration
-	// began is when the first piece of order is due.
-	began time.Time
-	// positions are the places of the pieces in the order.
+	interval time.Duration
+	// start is when the first piece is due.
+	start time.Time
+	// positions maps each piece to its position in the order.
 	positions map[int]int
-	// round is the time in which each piece is due once more while the origin is
-	// lost; zero while it is not.
-	round time.Duration
+	// retryRound is the interval at which each piece is due again while the origin
+	// is down, or zero while it is up.
+	retryRound time.Duration
 }
 
 const (
-	// minRound bounds the time between two looks of a member for a lost origin.
-	minRound = time.Second
-	// minSlot is the least time in which a member may look.
-	minSlot = 60 * time.Millisecond
+	// minRetryRound is the minimum interval between a member's requests to an
+	// origin that is down.
+	minRetryRound = time.Second
+	// minRetrySlot is the minimum time in each round in which a member may send a
+	// request.
+	minRetrySlot = 60 * time.Millisecond
 )
 
-func newSchedule(pace time.Duration, pieces []int, began time.Time) schedule {
-	s := schedule{pace: pace}
-	s.begin(pieces, began)
+func newSchedule(interval time.Duration, pieces []int, start time.Time) schedule {
+	s := schedule{interval: interval}
+	s.reset(pieces, start)
 	return s
 }
 
-// begin orders the pieces anew.
-func (s *schedule) begin(pieces []int, began time.Time) {
-	s.began, s.positions = began, make(map[int]int, len(pieces))
-	for i, number := range pieces {
-		s.positions[number] = i
+// reset starts a new order of pieces.
+func (s *schedule) reset(pieces []int, start time.Time) {
+	s.start, s.positions = start, make(map[int]int, len(pieces))
+	for i, piece := range pieces {
+		s.positions[piece] = i
 	}
 }
 
-// lost reports whether the origin did not answer lately.
-func (s *schedule) lost() bool { return s.round > 0 }
+// originDown reports whether the origin failed to answer the last time.
+func (s *schedule) originDown() bool { return s.retryRound > 0 }
 
-// lose takes note that the origin does not answer.
-func (s *schedule) lose(missing []int, now time.Time) {
-	if s.lost() {
+// markDown records that the origin doesn't answer.
+func (s *schedule) markDown(pieces []int, now time.Time) {
+	if s.originDown() {
 		return
 	}
-	s.begin(missing, now)
-	s.round = max(minRound, time.Duration(len(missing))*s.pace)
+	s.reset(pieces, now)
+	s.retryRound = max(minRetryRound, time.Duration(len(pieces))*s.interval)
 }
 
-// resume takes note that a piece came from the origin again.
-func (s *schedule) resume(missing []int, now time.Time) {
-	s.round = 0
-	s.begin(missing, now)
+// markUp records that a piece has come from the origin again.
+func (s *schedule) markUp(pieces []int, now time.Time) {
+	s.retryRound = 0
+	s.reset(pieces, now)
 }
 
-// sinceDue returns how long a piece has been due; negative if it is not yet. While
-// the origin is lost it is due for a short while in each round.
-func (s *schedule) sinceDue(number int, now time.Time) time.Duration {
-	since := now.Sub(s.began) - time.Duration(s.positions[number])*s.pace
-	if !s.lost() || since < 0 {
+// sinceDue returns how long a piece has been due, or a negative duration if it
+// isn't due yet. While the origin is down a piece is due for a short time in
+// each round.
+func (s *schedule) sinceDue(piece int, now time.Time) time.Duration {
+	since := now.Sub(s.start) - time.Duration(s.positions[piece])*s.interval
+	if !s.originDown() || since < 0 {
 		return since
 	}
-	if since %= s.round; since > max(s.pace, minSlot) {
+	if since %= s.retryRound; since > max(s.interval, minRetrySlot) {
 		return -1
 	}
 	return since
--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -7,224 +7,224 @@
 	"github.com/auburnbend/auburnbend/lib/rendezvous"
 )
 
-// PieceRequest is a piece that is to be asked of a source.
+// PieceRequest is a piece to request from a source.
 type PieceRequest struct {
 	Source string
 	Piece  int
 }
 
-// Scheduler decides which piece to ask of which source. It keeps to the plan
-// while the plan works: the origin is asked by one member for each piece, and
-// another region by one member of each region. It is not safe for concurrent
-// use. Time is passed in.
+// Scheduler decides which pieces to request from which sources. As long as the
+// planned members are reachable it follows the plan: each piece is requested
+// from the origin by one member, and from another region by one member per
+// region. It is not safe for concurrent use. The caller passes in the time.
 type Scheduler struct {
 	config Config
 	plan   *Plan
-	// news is when a piece was last seen that was known nowhere before.
-	news time.Time
-	// known tells which pieces some member has.
-	known []bool
-	// schedule tells when each piece is due at the origin.
+	// lastNewPiece is when a piece last became available at any member.
+	lastNewPiece time.Time
+	// available marks the pieces that some member has.
+	available []bool
+	// schedule determines when each piece is due at the origin.
 	schedule schedule
 
 	missing map[int]*piece
-	// order lists the pieces in the order in which they are asked of peers. It is
-	// another one for each member, so that members of a region get different
-	// pieces first and can offer them to each other.
-	order   []int
-	sources map[string]*source
-	dead    map[string]bool
+	// order is the order in which pieces are requested from peers. It differs
+	// between members, so that the members of a region receive different pieces
+	// first and can offer them to each other.
+	order       []int
+	sources     map[string]*source
+	unreachable map[string]bool
 }
 
 // NewScheduler returns a Scheduler for the missing pieces of a version that all
-// members began to fetch at about the time started.
+// members started to fetch at about the given time.
 func NewScheduler(config Config, plan *Plan, pieces int, missing []int, started time.Time) *Scheduler {
 	s := &Scheduler{
-		config: config.applyDefaults(), plan: plan, news: started, known: make([]bool, pieces),
-		missing: make(map[int]*piece, len(missing)), sources: make(map[string]*source), dead: make(map[string]bool),
+		config: config.applyDefaults(), plan: plan, lastNewPiece: started, available: make([]bool, pieces),
+		missing: make(map[int]*piece, len(missing)), sources: make(map[string]*source), unreachable: make(map[string]bool),
 	}
-	for i := range s.known {
-		s.known[i] = true
+	for i := range s.available {
+		s.available[i] = true
 	}
 	for _, p := range missing {
-		s.known[p] = false
-		s.missing[p] = &piece{asks: make(map[string]time.Time), refused: make(map[string]bool)}
+		s.available[p] = false
+		s.missing[p] = &piece{requests: make(map[string]time.Time), excluded: make(map[string]bool)}
 	}
-	s.schedule = newSchedule(s.config.OriginPieceTime, s.unknown(), started)
+	s.schedule = newSchedule(s.config.OriginPieceTime, s.unavailable(), started)
 	s.order = rand.New(rand.NewPCG(rendezvous.Hash(plan.self.ID), 0)).Perm(pieces)
 	return s
 }
 
-// unknown returns the pieces that no member is known to have.
-func (s *Scheduler) unknown() []int {
-	var list []int
-	for number, known := range s.known {
-		if !known {
-			list = append(list, number)
+// unavailable returns the pieces that no member is known to have.
+func (s *Scheduler) unavailable() []int {
+	var pieces []int
+	for piece, available := range s.available {
+		if !available {
+			pieces = append(pieces, piece)
 		}
 	}
-	return list
+	return pieces
 }
 
-// Replan takes a plan with other members. What is known of sources stays.
+// Replan replaces the plan after a change of members. What is known about the
+// sources is kept.
 func (s *Scheduler) Replan(plan *Plan) { s.plan = plan }
 
 // Remaining returns the number of missing pieces.
 func (s *Scheduler) Remaining() int { return len(s.missing) }
 
-// Have takes note that a peer has pieces.
+// Have records that a peer has pieces.
 func (s *Scheduler) Have(peer string, pieces []int, now time.Time) {
-	delete(s.dead, peer)
+	delete(s.unreachable, peer)
 	src := s.source(peer)
 	for _, number := range pieces {
 		src.has[number] = true
-		s.learn(number, now)
+		s.markAvailable(number, now)
 	}
 }
 
-// learn takes note that a piece has come into the deployment.
-func (s *Scheduler) learn(number int, now time.Time) {
-	if s.known[number] {
+// markAvailable records that a piece is available at a member.
+func (s *Scheduler) markAvailable(number int, now time.Time) {
+	if s.available[number] {
 		return
 	}
-	s.known[number] = true
-	s.news = now
-	if s.schedule.lost() {
-		s.schedule.resume(s.unknown(), now)
+	s.available[number] = true
+	s.lastNewPiece = now
+	if s.schedule.originDown() {
+		s.schedule.markUp(s.unavailable(), now)
 	}
 	if p := s.missing[number]; p != nil {
-		p.knownAt = now
+		p.availableAt = now
 	}
 }
 
-// PeerLost takes note that a peer cannot be reached.
+// PeerLost records that a peer cannot be reached.
 func (s *Scheduler) PeerLost(peer string) {
-	s.dead[peer] = true
+	s.unreachable[peer] = true
 	delete(s.sources, peer)
 	for _, p := range s.missing {
-		delete(p.asks, peer)
+		delete(p.requests, peer)
 	}
 }
 
-// Received takes note that a piece is staged.
+// Received records that a piece has been received and verified.
 func (s *Scheduler) Received(number int, now time.Time) {
 	p := s.missing[number]
 	if p == nil {
 		return
 	}
-	s.learn(number, now)
-	for from := range p.asks {
-		s.answered(p, from)
+	s.markAvailable(number, now)
+	for from := range p.requests {
+		s.closeRequest(p, from)
 	}
 	delete(s.missing, number)
 }
 
-// Failed takes note that a source did not deliver a piece. A peer that sent a
-// spoilt piece is not asked for it again.
-func (s *Scheduler) Failed(number int, from string, spoilt bool, now time.Time) {
+// Failed records that a source didn't deliver a piece. A peer that sent a
+// corrupt piece is not asked for it again.
+func (s *Scheduler) Failed(number int, from string, corrupt bool, now time.Time) {
 	p := s.missing[number]
 	if p == nil {
 		return
 	}
-	s.answered(p, from)
+	s.closeRequest(p, from)
 	if from == Origin {
-		// The silence is the origin's: the members are not late, and each of them
-		// asks for its own pieces. All of them would ask for the same ones when it
+		// The delay is the origin's and not that of the responsible members, so don't
+		// let others take over: all of them would request the same pieces when it
 		// returns.
-		s.news = now
-		if !spoilt {
-			s.schedule.lose(s.unknown(), now)
+		s.lastNewPiece = now
+		if !corrupt {
+			s.schedule.markDown(s.unavailable(), now)
 		}
 		return
 	}
-	if spoilt {
-		p.refused[from] = true
+	if corrupt {
+		p.excluded[from] = true
 	}
 	if src := s.sources[from]; src != nil {
 		delete(src.has, number)
 	}
 }
 
-func (s *Scheduler) answered(p *piece, from string) {
-	if _, asked := p.asks[from]; !asked {
+func (s *Scheduler) closeRequest(p *piece, from string) {
+	if _, open := p.requests[from]; !open {
 		return
 	}
-	delete(p.asks, from)
+	delete(p.requests, from)
 	if src := s.sources[from]; src != nil {
-		src.asked--
+		src.openRequests--
 	}
 }
 
-// Next returns what is to be asked now.
+// Next returns the requests to send now.
 func (s *Scheduler) Next(now time.Time) []PieceRequest {
-	asks := s.nextOfOrigin(now)
-	free := s.config.PeerRequests - s.peersAsked(now)
+	requests := s.nextFromOrigin(now)
+	free := s.config.PeerRequests - s.openPeerRequests(now)
 	for _, number := range s.order {
 		if free <= 0 {
 			break
 		}
 		p := s.missing[number]
-		if p == nil || s.waiting(p, now) {
+		if p == nil || s.recentlyRequested(p, now) {
 			continue
 		}
 		if from, ok := s.choosePeer(number, p, now); ok {
-			asks = append(asks, s.ask(number, p, from, now))
+			requests = append(requests, s.request(number, p, from, now))
 			free--
 		}
 	}
-	return asks
+	return requests
 }
 
-// nextOfOrigin asks the origin in the order of the pieces, which is that of
-// their turns.
-func (s *Scheduler) nextOfOrigin(now time.Time) []PieceRequest {
-	var asks []PieceRequest
-	free := s.config.OriginRequests - s.source(Origin).asked
-	for number := 0; number < len(s.known) && free > 0; number++ {
+// nextFromOrigin returns requests to the origin in the order of the pieces,
+// which is the order in which they are due.
+func (s *Scheduler) nextFromOrigin(now time.Time) []PieceRequest {
+	var requests []PieceRequest
+	free := s.config.OriginRequests - s.source(Origin).openRequests
+	for number := 0; number < len(s.available) && free > 0; number++ {
 		p := s.missing[number]
-		if p == nil || s.waiting(p, now) {
+		if p == nil || s.recentlyRequested(p, now) {
 			continue
 		}
-		_, asked := p.asks[Origin]
-		if asked || s.offered(number, p) && !s.late(p, now) || !s.mayAskOrigin(number, now) {
+		_, open := p.requests[Origin]
+		if open || s.offeredByPeer(number, p) && !s.anyTimedOut(p, now) || !s.mayUseOrigin(number, now) {
 			continue
 		}
-		asks = append(asks, s.ask(number, p, Origin, now))
+		requests = append(requests, s.request(number, p, Origin, now))
 		free--
 	}
-	return asks
+	return requests
 }
 
-func (s *Scheduler) ask(number int, p *piece, from string, now time.Time) PieceRequest {
-	p.asks[from] = now
-	s.source(from).asked++
+func (s *Scheduler) request(number int, p *piece, from string, now time.Time) PieceRequest {
+	p.requests[from] = now
+	s.source(from).openRequests++
 	return PieceRequest{Source: from, Piece: number}
 }
 
-// OverdueMembers returns the members that should have brought a piece in by now and
-// that are not heard of. Finding out which of them are dead lets the next ones
-// take over at once.
+// OverdueMembers returns unconnected members that are responsible for an overdue
+// piece. If one turns out to be unreachable, the next one can take over at once.
 func (s *Scheduler) OverdueMembers(now time.Time) []string {
-	var suspects []string
+	var overdue []string
 	for _, number := range s.order {
 		p := s.missing[number]
-		if p == nil || s.known[number] || s.schedule.sinceDue(number, now) < s.config.OverdueAfter {
+		if p == nil || s.available[number] || s.schedule.sinceDue(number, now) < s.config.OverdueAfter {
 			continue
 		}
-		first := s.plan.firstAlive(number, s.dead)
-		if first != s.plan.self.ID && s.sources[first] == nil {
-			suspects = append(suspects, first)
+		member := s.plan.responsible(number, s.unreachable)
+		if member != s.plan.self.ID && s.sources[member] == nil {
+			overdue = append(overdue, member)
 		}
 	}
-	return suspects
+	return overdue
 }
 
-// peersAsked counts the pieces that were asked of peers and may still arrive in
-// time. Slow peers must not use up the asks.
-func (s *Scheduler) peersAsked(now time.Time) int {
+// openPeerRequests counts the requests to peers that haven't timed out. Slow
+// peers must not use up the limit.
+func (s *Scheduler) openPeerRequests(now time.Time) int {
 	n := 0
 	for _, p := range s.missing {
-		for from, at := range p.asks {
+		for from, at := range p.requests {
 			if from != Origin && now.Sub(at) < s.config.RequestTimeout {
 				n++
 			}
--- a/lib/spread/scheduler_choice.go
+++ b/lib/spread/scheduler_choice.go
@@ -6,19 +6,21 @@
 	"github.com/auburnbend/auburnbend/lib/rendezvous"
 )
 
-// offered reports whether a peer has a piece that it has not sent spoilt.
-func (s *Scheduler) offered(number int, p *piece) bool {
+// offeredByPeer reports whether a peer that hasn't sent the piece corrupt has
+// it.
+func (s *Scheduler) offeredByPeer(number int, p *piece) bool {
 	for id, src := range s.sources {
-		if id != Origin && src.has[number] && !p.refused[id] {
+		if id != Origin && src.has[number] && !p.excluded[id] {
 			return true
 		}
 	}
 	return false
 }
 
-// waiting reports whether a piece was asked for recently.
-func (s *Scheduler) waiting(p *piece, now time.Time) bool {
-	for _, at := range p.asks {
+// recentlyRequested reports whether a request for the piece is open and hasn't
+// timed out.
+func (s *Scheduler) recentlyRequested(p *piece, now time.Time) bool {
+	for _, at := range p.requests {
 		if now.Sub(at) < s.config.RequestTimeout {
 			return true
 		}
@@ -26,29 +28,29 @@
 	return false
 }
 
-// choosePeer returns the peer to ask for a piece: one of the region, or one of
-// another region if this instance brings the piece in.
+// choosePeer returns the peer to request a piece from: one of the region, or one
+// of another region if this instance fetches the piece into its own.
 func (s *Scheduler) choosePeer(number int, p *piece, now time.Time) (string, bool) {
-	best, bestNear, found := "", false, false
-	cross := s.mayCross(number, now)
+	best, bestLocal, found := "", false, false
+	cross := s.mayCrossRegions(number, now)
 	for id, src := range s.sources {
-		if id == Origin || !src.has[number] || p.refused[id] {
+		if id == Origin || !src.has[number] || p.excluded[id] {
 			continue
 		}
-		near := s.plan.near(id)
-		if _, asked := p.asks[id]; asked || !near && !cross {
+		local := s.plan.inRegion(id)
+		if _, open := p.requests[id]; open || !local && !cross {
 			continue
 		}
-		if !found || near && !bestNear || near == bestNear && s.lighter(id, best, number) {
-			best, bestNear, found = id, near, true
+		if !found || local && !bestLocal || local == bestLocal && s.preferred(id, best, number) {
+			best, bestLocal, found = id, local, true
 		}
 	}
 	return best, found
 }
 
-// late reports whether a source that was asked for a piece takes too long.
-func (s *Scheduler) late(p *piece, now time.Time) bool {
-	for _, at := range p.asks {
+// anyTimedOut reports whether an open request for the piece has timed out.
+func (s *Scheduler) anyTimedOut(p *piece, now time.Time) bool {
+	for _, at := range p.requests {
 		if now.Sub(at) >= s.config.RequestTimeout {
 			return true
 		}
@@ -56,39 +58,39 @@
 	return false
 }
 
-// lighter reports whether a is to be preferred to b: it has fewer open asks of
-// this instance, or a higher weight. Weights differ between instances and
-// pieces, so that not all ask the same peer.
-func (s *Scheduler) lighter(a, b string, number int) bool {
-	if s.sources[a].asked != s.sources[b].asked {
-		return s.sources[a].asked < s.sources[b].asked
+// preferred reports whether peer a is preferred to peer b: this instance has
+// fewer open requests to it, or its weight is higher. Weights differ between
+// instances and pieces, so that not all instances choose the same peer.
+func (s *Scheduler) preferred(a, b string, number int) bool {
+	if s.sources[a].openRequests != s.sources[b].openRequests {
+		return s.sources[a].openRequests < s.sources[b].openRequests
 	}
 	key := rendezvous.Hash(s.plan.self.ID) + uint64(number)
 	return rendezvous.Combine(key, rendezvous.Hash(a)) > rendezvous.Combine(key, rendezvous.Hash(b))
 }
 
-// mayCross reports whether this instance brings a piece into its region: it is
-// the first living member for it, or those before it had their time since the
-// piece came into the deployment.
-func (s *Scheduler) mayCross(number int, now time.Time) bool {
-	turn := s.plan.turnAlive(s.plan.rankedNear[number], s.dead)
+// mayCrossRegions reports whether this instance may fetch a piece from another
+// region: it is the first reachable member of its region for the piece, or those
+// before it have had their time since the piece became available.
+func (s *Scheduler) mayCrossRegions(number int, now time.Time) bool {
+	before := s.plan.liveMembersBefore(s.plan.rankedInRegion[number], s.unreachable)
 	p := s.missing[number]
-	return turn == 0 || !p.knownAt.IsZero() && now.Sub(p.knownAt) >= s.config.OverdueAfter+time.Duration(turn)*s.config.TakeoverStagger
+	return before == 0 || !p.availableAt.IsZero() && now.Sub(p.availableAt) >= s.config.OverdueAfter+time.Duration(before)*s.config.TakeoverStagger
 }
 
-// mayAskOrigin reports whether this instance brings a piece into the
-// deployment: it is the first living member for it, or those before it had their
-// time and the origin is quiet. While it is busy, more readers would only share
-// its link.
-func (s *Scheduler) mayAskOrigin(number int, now time.Time) bool {
+// mayUseOrigin reports whether this instance may fetch a piece from the origin:
+// it is the first reachable member for the piece, or those before it have had
+// their time and the origin's link is idle. On a busy link additional readers
+// would only share it.
+func (s *Scheduler) mayUseOrigin(number int, now time.Time) bool {
 	since := s.schedule.sinceDue(number, now)
 	if since < 0 {
 		return false
 	}
-	turn := s.plan.turnAlive(s.plan.ranked[number], s.dead)
-	if turn == 0 {
+	before := s.plan.liveMembersBefore(s.plan.ranked[number], s.unreachable)
+	if before == 0 {
 		return true
 	}
-	quiet := max(quietPieces*s.config.OriginPieceTime, s.config.OriginIdleAfter) + time.Duration(turn)*s.config.TakeoverStagger
-	return since >= s.config.OverdueAfter && now.Sub(s.news) >= quiet
+	idle := max(originIdlePieces*s.config.OriginPieceTime, s.config.OriginIdleAfter) + time.Duration(before)*s.config.TakeoverStagger
+	return since >= s.config.OverdueAfter && now.Sub(s.lastNewPiece) >= idle
 }
--- a/lib/spread/scheduler_test.go
+++ b/lib/spread/scheduler_test.go
@@ -10,18 +10,18 @@
 )
 
 var _ = Describe("Scheduler", func() {
-	It("takes one copy from the origin and sends one to each other region", func() {
-		// Guards against agents that all read from the origin, whose link carries
-		// one copy in 2.6 s and whose bytes are paid for.
+	It("reads one copy from the origin and sends one to each other region", func() {
+		// Guards against agents that all read from the origin, whose link carries one
+		// copy in 2.6 s and whose traffic is paid for.
 		s := newSwarm(3, 5, 96)
 		s.start()
-		Expect(s.play(10 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(Equal(96))
-		Expect(s.crossed).To(Equal(2 * 96))
+		Expect(s.run(10 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(Equal(96))
+		Expect(s.regionCrossings).To(Equal(2 * 96))
 	})
 
-	It("brings new instances up from their own region alone", func() {
-		// Guards against bytes from the origin for instances that are added.
+	It("supplies new instances from their own region only", func() {
+		// Guards against origin traffic for added instances.
 		s := newSwarm(3, 4, 96)
 		for _, id := range []string{"0.0", "0.1", "1.2", "2.3"} {
 			for p := range 96 {
@@ -29,132 +29,134 @@
 			}
 		}
 		s.start()
-		Expect(s.play(10 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(BeZero())
-		Expect(s.crossed).To(BeZero())
+		Expect(s.run(10 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(BeZero())
+		Expect(s.regionCrossings).To(BeZero())
 	})
 
-	It("completes when members die before they bring their pieces in", func() {
-		// Guards against pieces that nobody asks for because their member is gone.
+	It("completes when members die before they fetch their pieces", func() {
+		// Guards against pieces that nobody requests because the responsible member is
+		// gone.
 		s := newSwarm(3, 4, 96)
 		s.agents["0.1"].dead = true
 		s.agents["1.0"].dead = true
 		s.start()
-		Expect(s.play(10 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(Equal(96))
+		Expect(s.run(10 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(Equal(96))
 	})
 
-	It("brings the pieces of dead members in while others are slow", func() {
-		// Guards against a fetch that never ends: slow members and new ones had
-		// something new to offer all the time, and nobody took over the pieces of
-		// the dead.
+	It("fetches the pieces of dead members while others are slow", func() {
+		// Guards against a fetch that never ends: slow and new members offered new
+		// pieces all the time, so that nobody took over the pieces of unreachable
+		// members.
 		s := newSwarm(3, 6, 96)
 		s.start()
-		Expect(s.play(200 * time.Millisecond)).To(BeFalse())
+		Expect(s.run(200 * time.Millisecond)).To(BeFalse())
 		for _, id := range []string{"0.1", "1.0", "2.4"} {
 			s.agents[id].dead = true
 		}
 		s.agents["0.5"].slow = true
 		s.agents["2.0"].slow = true
-		Expect(s.play(7 * time.Second)).To(BeTrue())
+		Expect(s.run(7 * time.Second)).To(BeTrue())
 	})
 
-	It("completes when a member is silent but not known to be dead", func() {
+	It("completes when a listed member does not exist", func() {
 		s := newSwarm(2, 3, 24)
 		delete(s.agents, "0.0")
 		s.start()
-		Expect(s.play(10 * time.Second)).To(BeTrue())
+		Expect(s.run(10 * time.Second)).To(BeTrue())
 	})
 
-	It("asks others when a peer sends spoilt pieces", func() {
-		// Guards against an agent that asks the same corrupt source for ever.
+	It("requests pieces elsewhere when a peer sends corrupt ones", func() {
+		// Guards against an agent that keeps requesting a piece from the same corrupt
+		// source.
 		s := newSwarm(2, 3, 24)
-		s.spoils["0.0"] = true
+		s.sendsCorrupt["0.0"] = true
 		s.start()
-		Expect(s.play(12 * time.Second)).To(BeTrue())
+		Expect(s.run(12 * time.Second)).To(BeTrue())
 	})
 
-	It("still takes one copy from an origin that was down for a while", func() {
-		// Guards against members that all read everything from an origin that has
-		// just come back: in a run 7 copies left it, and a version took 20 s.
+	It("still reads one copy from an origin that was down for a while", func() {
+		// Guards against members that all read everything from an origin that has just
+		// returned: 7 copies left it, and a version took 20 s.
 		s := newSwarm(3, 5, 96)
 		s.start()
-		Expect(s.play(time.Second)).To(BeFalse())
-		s.down = true
-		Expect(s.play(6 * time.Second)).To(BeFalse())
-		s.down = false
-		Expect(s.play(6 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(BeNumerically("<=", 96+15))
+		Expect(s.run(time.Second)).To(BeFalse())
+		s.originDown = true
+		Expect(s.run(6 * time.Second)).To(BeFalse())
+		s.originDown = false
+		Expect(s.run(6 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(BeNumerically("<=", 96+15))
 	})
 
-	It("takes one copy while restarted instances are registered twice", func() {
-		// Guards against plans that differ between instances: after a loss of power
-		// the old and the new registrations overlapped, each instance saw other ones
-		// twice, and a copy took 10 s where the origin's link takes 4 s.
+	It("reads one copy while restarted instances are registered twice", func() {
+		// Guards against plans that differ between instances: after a power loss the
+		// old and new registrations overlapped, each instance saw different members
+		// twice, and a copy took 10 s although the origin's link needs 4 s.
 		s := newSwarm(3, 5, 96)
-		s.lists = make(map[string][]spread.Member)
+		s.knownMembers = make(map[string][]spread.Member)
 		for i, m := range s.members {
-			s.lists[m.ID] = append(append([]spread.Member{}, s.members...), s.members[:i]...)
+			s.knownMembers[m.ID] = append(append([]spread.Member{}, s.members...), s.members[:i]...)
 		}
 		s.start()
-		Expect(s.play(4 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(Equal(96))
-		Expect(s.crossed).To(Equal(2 * 96))
+		Expect(s.run(4 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(Equal(96))
+		Expect(s.regionCrossings).To(Equal(2 * 96))
 	})
 
-	It("takes little more than one copy while instances know different members", func() {
-		// Guards against a plan that changes as a whole with one member: while the
-		// fleet restarts, each instance reads the registrations of that moment.
+	It("reads at most two copies while instances know different members", func() {
+		// Guards against a plan that changes completely with one member: while the
+		// fleet restarts, the instances read different sets of registrations.
 		s := newSwarm(3, 5, 96)
-		s.lists = make(map[string][]spread.Member)
+		s.knownMembers = make(map[string][]spread.Member)
 		for i, m := range s.members {
-			s.lists[m.ID] = append(append([]spread.Member{}, s.members[:i]...), s.members[min(i+2, len(s.members)):]...)
+			s.knownMembers[m.ID] = append(append([]spread.Member{}, s.members[:i]...), s.members[min(i+2, len(s.members)):]...)
 		}
 		s.start()
-		Expect(s.play(6 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(BeNumerically("<=", 2*96))
+		Expect(s.run(6 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(BeNumerically("<=", 2*96))
 	})
 
-	It("asks an origin that returns for each missing piece about once", func() {
-		// Guards against members that all ask for the first missing piece when an
-		// origin returns: most of a copy had left it, and the last few pieces then took
-		// 1.4 s, in which no engine could serve.
+	It("requests each missing piece about once from an origin that returns", func() {
+		// Guards against members that all request the first missing piece when an
+		// origin returns: most of a copy had already been sent, yet the last few
+		// pieces took 1.4 s, during which no engine could serve.
 		s := newSwarm(3, 5, 96)
 		s.start()
-		Expect(s.play(2400 * time.Millisecond)).To(BeFalse())
-		s.down = true
-		Expect(s.play(6 * time.Second)).To(BeFalse())
-		s.down = false
-		Expect(s.play(2 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(BeNumerically("<=", 96+5))
+		Expect(s.run(2400 * time.Millisecond)).To(BeFalse())
+		s.originDown = true
+		Expect(s.run(6 * time.Second)).To(BeFalse())
+		s.originDown = false
+		Expect(s.run(2 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(BeNumerically("<=", 96+5))
 	})
 
-	It("asks an origin that returns for one piece after another", func() {
-		// Guards against members that all ask at the moment of its return: their pieces
-		// shared the origin's link, more connections than it takes were reset, and on
-		// the large site the last piece came 4.5 s after its return to all members at
-		// once, which then took another 3 s to spread.
+	It("requests one piece after another from an origin that returns", func() {
+		// Guards against members that all send requests at the moment the origin
+		// returns: their pieces shared its link, connections above its limit were
+		// reset, and on the large site the last piece reached all members at once 4.5
+		// s after the return, and then took another 3 s to spread.
 		s := newSwarm(3, 16, 96)
 		s.start()
-		s.down = true
-		Expect(s.play(6 * time.Second)).To(BeFalse())
-		s.down, s.mostOpen = false, 0
-		Expect(s.play(8 * time.Second)).To(BeTrue())
-		Expect(s.mostOpen).To(BeNumerically("<=", 8))
-		Expect(s.fromOrigin).To(BeNumerically("<=", 96+5))
+		s.originDown = true
+		Expect(s.run(6 * time.Second)).To(BeFalse())
+		s.originDown, s.maxOpenAtOrigin = false, 0
+		Expect(s.run(8 * time.Second)).To(BeTrue())
+		Expect(s.maxOpenAtOrigin).To(BeNumerically("<=", 8))
+		Expect(s.originTransfers).To(BeNumerically("<=", 96+5))
 	})
 
-	It("completes alone from the origin", func() {
+	It("completes from the origin with a single instance", func() {
 		s := newSwarm(1, 1, 24)
 		s.start()
-		Expect(s.play(10 * time.Second)).To(BeTrue())
-		Expect(s.fromOrigin).To(Equal(24))
+		Expect(s.run(10 * time.Second)).To(BeTrue())
+		Expect(s.originTransfers).To(Equal(24))
 	})
 })
 
 var _ = Describe("Plan", func() {
-	It("gives every member another rank, neighbours in different regions", func() {
-		// Guards against engines of one region that change weights together.
+	It("gives each member a unique rank, with neighbours in different regions", func() {
+		// Guards against engines of one region that load new weights at the same time.
 		s := newSwarm(3, 4, 1)
 		ranks := make(map[int]string)
 		for _, m := range s.members {
--- a/lib/spread/swarm_test.go
+++ b/lib/spread/swarm_test.go
@@ -8,23 +8,24 @@
 	"github.com/auburnbend/auburnbend/lib/spread"
 )
 
-// swarm plays a distribution in simulated time. Each transfer takes a fixed
-// time; links are not modelled.
+// swarm simulates a distribution in virtual time. Each transfer takes a fixed
+// time; link bandwidth is not modelled.
 type swarm struct {
 	now       time.Time
 	pieces    int
 	members   []spread.Member
 	agents    map[string]*agent
 	transfers []transfer
-	// fromOrigin and crossed count transfers, mostOpen the most that were open at the
-	// origin at the same time.
-	fromOrigin, crossed, mostOpen int
-	// down tells that the origin does not answer.
-	down bool
-	// spoils tells whether a source sends spoilt bytes.
-	spoils map[string]bool
-	// lists gives the members that each one knows, where it does not know all.
-	lists map[string][]spread.Member
+	// originTransfers and regionCrossings count transfers; maxOpenAtOrigin is the
+	// largest number of concurrent transfers from the origin.
+	originTransfers, regionCrossings, maxOpenAtOrigin int
+	// originDown makes all requests to the origin fail.
+	originDown bool
+	// sendsCorrupt marks sources that send corrupt pieces.
+	sendsCorrupt map[string]bool
+	// knownMembers holds the members that an instance knows, for instances that
+	// don't know all of them.
+	knownMembers map[string][]spread.Member
 }
 
 type agent struct {
@@ -33,15 +34,15 @@
 	scheduler *spread.Scheduler
 	has       map[int]bool
 	dead      bool
-	// slow members send and receive a piece in a second.
+	// slow members take a second to send or receive a piece.
 	slow   bool
 	doneAt time.Time
 }
 
 type transfer struct {
-	at       time.Time
-	to, from string
-	piece    int
+	arrivesAt time.Time
+	to, from  string
+	piece     int
 }
 
 const (
@@ -50,7 +51,7 @@
 )
 
 func newSwarm(regions, perRegion, pieces int) *swarm {
-	s := &swarm{now: time.Unix(1000, 0), pieces: pieces, agents: make(map[string]*agent), spoils: make(map[string]bool)}
+	s := &swarm{now: time.Unix(1000, 0), pieces: pieces, agents: make(map[string]*agent), sendsCorrupt: make(map[string]bool)}
 	for r := range regions {
 		for i := range perRegion {
 			s.members = append(s.members, spread.Member{ID: fmt.Sprintf("%d.%d", r, i), Region: fmt.Sprint(r)})
@@ -70,41 +71,42 @@
 				missing = append(missing, p)
 			}
 		}
-		a.plan = spread.NewPlan(a.member, s.listed(a.member), s.pieces)
+		a.plan = spread.NewPlan(a.member, s.membersKnownTo(a.member), s.pieces)
 		a.scheduler = spread.NewScheduler(spread.Config{OriginPieceTime: pieceTime}, a.plan, s.pieces, missing, s.now)
 	}
 }
 
-// listed returns the members that one of them knows.
-func (s *swarm) listed(m spread.Member) []spread.Member {
-	if list, ok := s.lists[m.ID]; ok {
-		return list
+// membersKnownTo returns the members that an instance knows.
+func (s *swarm) membersKnownTo(m spread.Member) []spread.Member {
+	if known, ok := s.knownMembers[m.ID]; ok {
+		return known
 	}
 	return s.members
 }
 
-// play runs until all living agents have all pieces, or the limit.
-func (s *swarm) play(limit time.Duration) bool {
+// run advances the simulation by at most limit, and reports whether all live
+// agents that aren't slow received all pieces.
+func (s *swarm) run(limit time.Duration) bool {
 	end := s.now.Add(limit)
 	for s.now.Before(end) {
-		open := 0
+		unfinished := 0
 		for _, id := range s.ids() {
 			a := s.agents[id]
 			if a.dead || a.scheduler.Remaining() == 0 {
 				continue
 			}
 			if !a.slow {
-				open++
+				unfinished++
 			}
 			s.announce(a)
-			for _, ask := range a.scheduler.Next(s.now) {
-				s.transfers = append(s.transfers, transfer{at: s.now.Add(s.transferTime(id, ask.Source)), to: id, from: ask.Source, piece: ask.Piece})
+			for _, req := range a.scheduler.Next(s.now) {
+				s.transfers = append(s.transfers, transfer{arrivesAt: s.now.Add(s.transferTime(id, req.Source)), to: id, from: req.Source, piece: req.Piece})
 			}
 		}
-		if open == 0 {
+		if unfinished == 0 {
 			return true
 		}
-		s.mostOpen = max(s.mostOpen, s.openAtOrigin())
+		s.maxOpenAtOrigin = max(s.maxOpenAtOrigin, s.openAtOrigin())
 		s.now = s.now.Add(step)
 		s.deliver()
 	}
@@ -165,35 +167,35 @@
 }
 
 func (s *swarm) deliver() {
-	var later []transfer
+	var pending []transfer
 	for _, t := range s.transfers {
-		if t.at.After(s.now) {
-			later = append(later, t)
+		if t.arrivesAt.After(s.now) {
+			pending = append(pending, t)
 			continue
 		}
 		a := s.agents[t.to]
 		switch from := s.agents[t.from]; {
 		case a.dead:
-		case t.from == spread.Origin && s.down:
+		case t.from == spread.Origin && s.originDown:
 			a.scheduler.Failed(t.piece, t.from, false, s.now)
 		case t.from == spread.Origin:
-			s.fromOrigin++
-			s.got(a, t)
+			s.originTransfers++
+			s.receive(a, t)
 		case from.dead:
 			a.scheduler.PeerLost(t.from)
-		case s.spoils[t.from]:
+		case s.sendsCorrupt[t.from]:
 			a.scheduler.Failed(t.piece, t.from, true, s.now)
 		default:
 			if from.member.Region != a.member.Region {
-				s.crossed++
+				s.regionCrossings++
 			}
-			s.got(a, t)
+			s.receive(a, t)
 		}
 	}
-	s.transfers = later
+	s.transfers = pending
 }
 
-func (s *swarm) got(a *agent, t transfer) {
+func (s *swarm) receive(a *agent, t transfer) {
 	a.has[t.piece] = true
 	a.scheduler.Received(t.piece, s.now)
 	a.doneAt = s.now
