--- a/lib/weights/build.go
+++ b/lib/weights/build.go
@@ -10,12 +10,13 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Build reads a whole set of weights and returns its manifest. All chunks but
-// the last have chunkSize bytes, which is between 1 and MaxChunkSize. The base
-// is zero unless the set is an adapter.
+// Build reads a complete set of weights and returns its manifest. All chunks but
+// the last have chunkSize bytes, between 1 and MaxChunkSize. The base is zero
+// unless the set is an adapter. It returns ErrManifestInvalid if the chunk size
+// or the manifest is outside the limits, and read errors of r.
 func Build(r io.Reader, object string, base model.Digest, chunkSize int) (*Manifest, error) {
 	if chunkSize < 1 || chunkSize > MaxChunkSize {
-		return nil, merry.Wrap(ErrManifestInvalid, merry.AppendMessagef("chunk size %d, allowed are 1 to %d", chunkSize, MaxChunkSize))
+		return nil, merry.Wrap(ErrManifestInvalid, merry.AppendMessagef("chunk size is %d bytes, must be 1 to %d", chunkSize, MaxChunkSize))
 	}
 	m := &Manifest{Object: object, Base: base}
 	buf := make([]byte, chunkSize)
@@ -34,7 +35,7 @@
 	}
 }
 
-// BuildBytes returns the manifest of data.
+// BuildBytes returns the manifest of data, like Build.
 func BuildBytes(data []byte, object string, base model.Digest, chunkSize int) (*Manifest, error) {
 	return Build(bytes.NewReader(data), object, base, chunkSize)
 }
--- a/lib/weights/errors.go
+++ b/lib/weights/errors.go
@@ -3,14 +3,15 @@
 import "github.com/ansel1/merry/v2"
 
 var (
-	// ErrManifestDigest means that a manifest is not the one that was asked for.
+	// ErrManifestDigest means that a manifest doesn't have the expected digest.
 	ErrManifestDigest = merry.New("manifest digest mismatch")
-	// ErrManifestInvalid means that a manifest breaks the limits of the format.
+	// ErrManifestInvalid means that a manifest is malformed or outside the limits
+	// of the format.
 	ErrManifestInvalid = merry.New("invalid manifest")
-	// ErrChunkCorrupt means that a chunk's bytes do not have its digest.
+	// ErrChunkCorrupt means that the data of a chunk doesn't have its digest.
 	ErrChunkCorrupt = merry.New("chunk digest mismatch")
-	// ErrIncomplete means that chunks of a manifest are missing.
+	// ErrIncomplete means that chunks are missing.
 	ErrIncomplete = merry.New("weights incomplete")
-	// ErrStoreFull means that the bound of the staging area leaves no room.
+	// ErrStoreFull means that the size limit of the staging area is reached.
 	ErrStoreFull = merry.New("chunk store full")
 )
--- a/lib/weights/manifest.go
+++ b/lib/weights/manifest.go
@@ -1,5 +1,5 @@
 // Package weights describes sets of weights as content-addressed chunks and
-// holds the chunks of one instance.
+// stores the chunks of one instance.
 package weights
 
 import (
@@ -10,14 +10,15 @@
 	"github.com/auburnbend/auburnbend/lib/msgstream"
 )
 
-// MaxChunkSize bounds a chunk so that it fits into one frame between processes.
+// MaxChunkSize bounds the size of a chunk in bytes, so that it fits into one
+// frame between processes.
 const MaxChunkSize = 4 << 20
 
-// MaxChunks bounds the length of a manifest: 64 TiB of 4 MiB chunks would not
-// fit, 4 TiB do, which is beyond any model in use.
+// MaxChunks bounds the number of chunks in a manifest. With chunks of 4 MiB it
+// allows 4 TiB, more than any model in use.
 const MaxChunks = 1 << 20
 
-// Chunk is one piece of a set of weights.
+// Chunk is one content-addressed part of a set of weights.
 type Chunk struct {
 	Digest model.Digest `msgpack:"d"`
 	// Size is the length in bytes.
@@ -29,8 +30,8 @@
 	// Object is the name under which the origin and the weight store serve the
 	// concatenated chunks.
 	Object string `msgpack:"o"`
-	// Base is the manifest digest of the base model of an adapter; it is zero
-	// for a base model.
+	// Base is the manifest digest of an adapter's base model, and zero for a base
+	// model.
 	Base   model.Digest `msgpack:"b"`
 	Chunks []Chunk      `msgpack:"c"`
 }
@@ -44,7 +45,7 @@
 	return total
 }
 
-// Offset returns the position of a chunk in the object in bytes.
+// Offset returns the byte offset of a chunk in the object.
 func (m *Manifest) Offset(index int) int64 {
 	var offset int64
 	for _, c := range m.Chunks[:index] {
@@ -53,10 +54,10 @@
 	return offset
 }
 
-// Encode returns the canonical encoding, over which Digest is computed.
+// Encode returns the canonical encoding, from which Digest is computed.
 func (m *Manifest) Encode() ([]byte, error) { return msgpack.Marshal(m) }
 
-// Digest returns the identity of the version.
+// Digest returns the digest of the encoding, which identifies the version.
 func (m *Manifest) Digest() (model.Digest, error) {
 	b, err := m.Encode()
 	if err != nil {
@@ -65,8 +66,9 @@
 	return model.Sum(b), nil
 }
 
-// Decode reads an encoded manifest and checks it against the expected digest
-// and against the limits of the format.
+// Decode decodes a manifest. It returns ErrManifestDigest if the data doesn't
+// have the expected digest, and ErrManifestInvalid if it is malformed or outside
+// the limits of the format.
 func Decode(data []byte, want model.Digest) (*Manifest, error) {
 	if got := model.Sum(data); got != want {
 		return nil, merry.Wrap(ErrManifestDigest, merry.AppendMessagef("got %s, want %s", got.Short(), want.Short()))
@@ -83,11 +85,11 @@
 		return merry.Wrap(ErrManifestInvalid, merry.AppendMessage("object is empty"))
 	}
 	if len(m.Chunks) == 0 || len(m.Chunks) > MaxChunks {
-		return merry.Wrap(ErrManifestInvalid, merry.AppendMessagef("%d chunks, allowed are 1 to %d", len(m.Chunks), MaxChunks))
+		return merry.Wrap(ErrManifestInvalid, merry.AppendMessagef("%d chunks, must be 1 to %d", len(m.Chunks), MaxChunks))
 	}
 	for i, c := range m.Chunks {
 		if c.Size == 0 || c.Size > MaxChunkSize {
-			return merry.Wrap(ErrManifestInvalid, merry.AppendMessagef("chunk %d has %d bytes, allowed are 1 to %d", i, c.Size, MaxChunkSize))
+			return merry.Wrap(ErrManifestInvalid, merry.AppendMessagef("chunk %d has %d bytes, must be 1 to %d", i, c.Size, MaxChunkSize))
 		}
 	}
 	return nil
--- a/lib/weights/storage_directory.go
+++ b/lib/weights/storage_directory.go
@@ -11,45 +11,46 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// stagingMode is the permission of staging files: the engine of the same
+// stagingFileMode is the permission of staging files. The engine of the same
 // instance may run as another user of the group.
-const stagingMode = 0o640
+const stagingFileMode = 0o640
 
-// DirectoryStorage keeps one file per chunk in the engine's staging directory.
+// DirectoryStorage stores one file per chunk in the engine's staging directory.
 type DirectoryStorage struct {
 	path string
 }
 
-// NewDirectoryStorage returns a sink over an existing or new directory.
+// NewDirectoryStorage returns a storage in a directory, which it creates if
+// necessary.
 func NewDirectoryStorage(path string) (*DirectoryStorage, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
-		return nil, merry.Prepend(err, "staging directory")
+		return nil, merry.Prepend(err, "create staging directory")
 	}
 	return &DirectoryStorage{path: path}, nil
 }
 
-// Put writes the chunk under a temporary name and renames it, so that a
-// process that dies while it writes leaves no chunk with a valid name.
+// Put writes the chunk to a temporary file and renames it, so that a process
+// that stops while writing leaves no partial file under a valid name.
 func (s *DirectoryStorage) Put(digest model.Digest, data []byte) error {
 	f, err := os.CreateTemp(s.path, "incoming-*")
 	if err != nil {
-		return merry.Prepend(err, "stage chunk")
+		return merry.Prepend(err, "write staging file")
 	}
 	_, err = f.Write(data)
-	err = errors.Join(err, f.Chmod(stagingMode), f.Close())
+	err = errors.Join(err, f.Chmod(stagingFileMode), f.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), s.name(digest))
+		err = os.Rename(f.Name(), s.file(digest))
 	}
 	if err != nil {
 		_ = os.Remove(f.Name())
-		return merry.Prepend(err, "stage chunk")
+		return merry.Prepend(err, "write staging file")
 	}
 	return nil
 }
 
-// Get reads a chunk.
+// Get reads a chunk. It returns ErrIncomplete if the file cannot be read.
 func (s *DirectoryStorage) Get(digest model.Digest) ([]byte, error) {
-	data, err := os.ReadFile(s.name(digest))
+	data, err := os.ReadFile(s.file(digest))
 	if err != nil {
 		return nil, merry.Wrap(ErrIncomplete, merry.WithCause(err))
 	}
@@ -58,14 +59,14 @@
 
 // Remove deletes a chunk.
 func (s *DirectoryStorage) Remove(digest model.Digest) error {
-	err := os.Remove(s.name(digest))
+	err := os.Remove(s.file(digest))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return merry.Wrap(err)
 	}
 	return nil
 }
 
-func (s *DirectoryStorage) name(digest model.Digest) string {
+func (s *DirectoryStorage) file(digest model.Digest) string {
 	return filepath.Join(s.path, ChunkFile(digest))
 }
 
--- a/lib/weights/storage_memory.go
+++ b/lib/weights/storage_memory.go
@@ -8,18 +8,18 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// MemoryStorage keeps chunks in memory.
+// MemoryStorage stores chunks in memory.
 type MemoryStorage struct {
 	mu     sync.RWMutex
 	chunks map[model.Digest][]byte
 }
 
-// NewMemoryStorage returns an empty sink.
+// NewMemoryStorage returns an empty storage.
 func NewMemoryStorage() *MemoryStorage {
 	return &MemoryStorage{chunks: make(map[model.Digest][]byte)}
 }
 
-// Put keeps data, which must not be modified afterwards.
+// Put stores data without copying it; the caller must not modify it afterwards.
 func (s *MemoryStorage) Put(digest model.Digest, data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,18 +27,18 @@
 	return nil
 }
 
-// Get returns the bytes of a chunk.
+// Get returns the data of a chunk, or ErrIncomplete if it is absent.
 func (s *MemoryStorage) Get(digest model.Digest) ([]byte, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	data, ok := s.chunks[digest]
 	if !ok {
-		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessagef("no chunk %s", digest.Short()))
+		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessagef("chunk %s not found", digest.Short()))
 	}
 	return data, nil
 }
 
-// Remove frees a chunk.
+// Remove deletes a chunk.
 func (s *MemoryStorage) Remove(digest model.Digest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lib/weights/store.go
+++ b/lib/weights/store.go
@@ -9,14 +9,14 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// DefaultMaxBytes bounds a store whose settings name no bound: 64 GiB.
+// DefaultMaxBytes is the size limit of a store if the settings give none.
 const DefaultMaxBytes = 64 << 30
 
-// StoreConfig holds the settings of a Store.
+// StoreConfig holds the parameters of a Store.
 type StoreConfig struct {
-	// Storage keeps the bytes; a MemorySink when nil.
+	// Storage stores the data. The default is a MemoryStorage.
 	Storage Storage
-	// MaxBytes bounds the sum of the chunk sizes.
+	// MaxBytes bounds the sum of the chunk sizes. The default is DefaultMaxBytes.
 	MaxBytes int64
 }
 
@@ -30,54 +30,55 @@
 }
 
 // Store holds the verified chunks of one instance by digest, so that versions
-// and adapters share chunks. It is safe for concurrent use: uploads read while
-// downloads write. The lock covers the index only, not the sink.
+// and adapters share chunks. It is safe for concurrent use. Its lock covers the
+// index but not reads and writes of chunk data.
 type Store struct {
 	cfg StoreConfig
 
-	mu     sync.Mutex
-	sizes  map[model.Digest]uint32
-	wanted map[model.Digest]struct{}
-	bytes  int64
+	mu       sync.Mutex
+	sizes    map[model.Digest]uint32
+	retained map[model.Digest]struct{}
+	bytes    int64
 }
 
 // NewStore returns an empty store.
 func NewStore(cfg StoreConfig) *Store {
 	cfg.applyDefaults()
 	return &Store{
-		cfg:    cfg,
-		sizes:  make(map[model.Digest]uint32),
-		wanted: make(map[model.Digest]struct{}),
+		cfg:      cfg,
+		sizes:    make(map[model.Digest]uint32),
+		retained: make(map[model.Digest]struct{}),
 	}
 }
 
-// SetRetained replaces the set of manifests whose chunks must be kept. Other chunks
-// stay until Prune or until their space is needed, so that a version change
-// that is taken back costs no second transfer.
+// SetRetained replaces the set of manifests whose chunks must be kept. Other
+// chunks are kept until Prune or until their space is needed, so that reverting
+// a version change needs no second transfer.
 func (s *Store) SetRetained(manifests ...*Manifest) {
-	wanted := make(map[model.Digest]struct{})
+	retained := make(map[model.Digest]struct{})
 	for _, m := range manifests {
 		for _, c := range m.Chunks {
-			wanted[c.Digest] = struct{}{}
+			retained[c.Digest] = struct{}{}
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanted = wanted
+	s.retained = retained
 }
 
-// Prune drops all chunks that no wanted manifest needs.
+// Prune deletes all chunks that no retained manifest uses.
 func (s *Store) Prune() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.evict(s.bytes)
 }
 
-// Put verifies a chunk and keeps it. It returns ErrChunkCorrupt if the bytes
-// don't have the digest, and ErrStoreFull if the bound leaves no room.
+// Put verifies and stores a chunk. It returns ErrChunkCorrupt if the data
+// doesn't match the chunk's size and digest, and ErrStoreFull if the size limit
+// is reached.
 func (s *Store) Put(c Chunk, data []byte) error {
 	if len(data) != int(c.Size) || model.Sum(data) != c.Digest {
-		return merry.Wrap(ErrChunkCorrupt, merry.AppendMessagef("chunk %s, %d bytes", c.Digest.Short(), len(data)))
+		return merry.Wrap(ErrChunkCorrupt, merry.AppendMessagef("chunk %s, got %d of %d bytes", c.Digest.Short(), len(data), c.Size))
 	}
 	held, err := s.reserve(c)
 	if err != nil || held {
@@ -92,14 +93,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.sizes[c.Digest]; ok {
-		s.bytes -= int64(c.Size) // a concurrent Put of the same chunk counted it too
+		s.bytes -= int64(c.Size) // a concurrent Put of the same chunk has also counted it
 	}
 	s.sizes[c.Digest] = c.Size
 	return nil
 }
 
 // reserve counts the bytes of a chunk that is about to be written, or reports
-// that it is held already.
+// that it is already held.
 func (s *Store) reserve(c Chunk) (held bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,20 +113,20 @@
 		}
 	}
 	if s.bytes+int64(c.Size) > s.cfg.MaxBytes {
-		return false, merry.Wrap(ErrStoreFull, merry.AppendMessagef("%d of %d bytes used", s.bytes, s.cfg.MaxBytes))
+		return false, merry.Wrap(ErrStoreFull, merry.AppendMessagef("%d of %d bytes used, chunk has %d", s.bytes, s.cfg.MaxBytes, c.Size))
 	}
 	s.bytes += int64(c.Size)
 	return false, nil
 }
 
-// evict drops unwanted chunks until the given number of bytes is free. The
-// caller holds the lock.
+// evict deletes chunks that aren't retained until the given number of bytes is
+// freed or none is left. The caller holds the lock.
 func (s *Store) evict(need int64) error {
 	for digest, size := range s.sizes {
 		if need <= 0 {
 			return nil
 		}
-		if _, ok := s.wanted[digest]; ok {
+		if _, ok := s.retained[digest]; ok {
 			continue
 		}
 		if err := s.cfg.Storage.Remove(digest); err != nil {
@@ -153,15 +154,16 @@
 	return s.bytes
 }
 
-// Get returns the bytes of a held chunk.
+// Get returns the data of a held chunk. It returns ErrIncomplete if the chunk is
+// absent.
 func (s *Store) Get(digest model.Digest) ([]byte, error) {
 	if !s.Has(digest) {
-		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessagef("no chunk %s", digest.Short()))
+		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessagef("chunk %s not found", digest.Short()))
 	}
 	return s.cfg.Storage.Get(digest)
 }
 
-// Have returns which chunks of a manifest are held.
+// Have returns a bitmap of the held chunks of a manifest.
 func (s *Store) Have(m *Manifest) Bitmap {
 	have := NewBitmap(len(m.Chunks))
 	s.mu.Lock()
@@ -174,26 +176,28 @@
 	return have
 }
 
-// Verify reads the whole set and checks each chunk against the manifest. It is
-// called right before a load, so that damage after the transfer is found too:
-// a damaged chunk is dropped and ErrChunkCorrupt returned; the transfer then
-// fetches it again. A missing chunk gives ErrIncomplete.
-func (s *Store) Verify(m *Manifest) error { return s.each(m, func([]byte) error { return nil }) }
+// Verify reads all chunks of a manifest and checks their digests. It is called
+// right before a load to detect data corrupted after the transfer. It drops the
+// first corrupt chunk, so that the transfer fetches it again, and returns
+// ErrChunkCorrupt. It returns ErrIncomplete if a chunk is missing.
+func (s *Store) Verify(m *Manifest) error {
+	return s.forEachChunk(m, func([]byte) error { return nil })
+}
 
 // Assemble writes the concatenated chunks in the order of the manifest and
-// verifies each one as it goes. After an error the output is invalid.
+// verifies each one. After an error the output is invalid.
 func (s *Store) Assemble(m *Manifest, w io.Writer) error {
-	return s.each(m, func(data []byte) error {
+	return s.forEachChunk(m, func(data []byte) error {
 		_, err := w.Write(data)
 		return merry.Wrap(err)
 	})
 }
 
-func (s *Store) each(m *Manifest, visit func([]byte) error) error {
+func (s *Store) forEachChunk(m *Manifest, visit func([]byte) error) error {
 	for i, c := range m.Chunks {
 		data, err := s.Get(c.Digest)
 		if err != nil {
-			s.drop(c.Digest) // the staging area may have lost its bytes
+			s.drop(c.Digest) // the file may be gone from the staging area
 			return merry.Prependf(err, "chunk %d of %d", i, len(m.Chunks))
 		}
 		if len(data) != int(c.Size) || model.Sum(data) != c.Digest {
--- a/lib/weights/store_test.go
+++ b/lib/weights/store_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 
-	It("assembles what was built, and refuses an incomplete or corrupt set (guards against partial weights)", func() {
+	It("assembles what was built, and rejects an incomplete or corrupt set (guards against loading partial weights)", func() {
 		m, s := build(data), weights.NewStore(weights.StoreConfig{})
 		Expect(m.TotalSize()).To(BeEquivalentTo(len(data)))
 		Expect(s.Verify(m)).To(MatchError(weights.ErrIncomplete))
@@ -38,7 +38,7 @@
 		Expect(out.Bytes()).To(Equal(data))
 	})
 
-	It("finds damage in the staging directory right before a load (guards against bytes that changed after the transfer)", func() {
+	It("detects corruption in the staging directory right before a load (guards against data that changed after the transfer)", func() {
 		dir := GinkgoT().TempDir()
 		sink, err := weights.NewDirectoryStorage(dir)
 		Expect(err).NotTo(HaveOccurred())
@@ -46,14 +46,14 @@
 		fill(s, m, data)
 		Expect(s.Verify(m)).To(Succeed())
 		name := filepath.Join(dir, m.Chunks[3].Digest.String()+".chunk")
-		Expect(os.WriteFile(name, []byte("damaged"), 0o600)).To(Succeed())
+		Expect(os.WriteFile(name, []byte("corrupt"), 0o600)).To(Succeed())
 		Expect(s.Verify(m)).To(MatchError(weights.ErrChunkCorrupt))
-		Expect(s.Have(m).Get(3)).To(BeFalse(), "a damaged chunk is offered to nobody")
+		Expect(s.Have(m).Get(3)).To(BeFalse(), "a corrupt chunk is not offered to peers")
 		fill(s, m, data)
 		Expect(s.Verify(m)).To(Succeed())
 	})
 
-	It("shares chunks between versions and drops only what no wanted one needs (guards against a staging area that fills up)", func() {
+	It("shares chunks between versions and drops only those that no retained version uses (guards against a staging area that fills up)", func() {
 		other := append(append([]byte(nil), data[:5000]...), make([]byte, 4000)...)
 		m, n := build(data), build(other)
 		s := weights.NewStore(weights.StoreConfig{MaxBytes: 13_000})
@@ -63,20 +63,20 @@
 		s.SetRetained(m, n)
 		Expect(s.Prune()).To(Succeed())
 		Expect(s.Verify(m)).To(Succeed())
-		fill(s, n, other) // 4 chunks of zeros are one
+		fill(s, n, other) // the 4 chunks of zeros are identical
 		Expect(s.Verify(m)).To(Succeed())
 		Expect(s.Verify(n)).To(Succeed())
 		extra := bytes.Repeat([]byte{7}, 2000)
 		x := build(append(extra[:1000:1000], bytes.Repeat([]byte{8}, 1000)...))
 		Expect(s.Put(x.Chunks[0], extra[:1000])).To(Succeed())
-		Expect(s.Put(x.Chunks[1], bytes.Repeat([]byte{8}, 1000))).To(Succeed(), "x's first chunk is unwanted and makes room")
+		Expect(s.Put(x.Chunks[1], bytes.Repeat([]byte{8}, 1000))).To(Succeed(), "x's first chunk is not retained and makes room")
 		s.SetRetained(n)
 		Expect(s.Prune()).To(Succeed())
 		Expect(s.Verify(n)).To(Succeed())
 		Expect(s.Bytes()).To(BeEquivalentTo(6000))
 	})
 
-	It("refuses a manifest with another digest or invalid limits (guards against a corrupt manifest)", func() {
+	It("rejects a manifest with another digest or outside the limits (guards against a corrupt manifest)", func() {
 		encoded, err := build(data).Encode()
 		Expect(err).NotTo(HaveOccurred())
 		digest := model.Sum(encoded)
