--- a/lib/follow/follower.go
+++ b/lib/follow/follower.go
@@ -1,6 +1,6 @@
-// Package follow keeps the configuration replica of one process up to date from
-// the store and from its connections to other processes. Entries and agents use
-// it alike; only entries poll the store.
+// Package follow keeps one process's replica of the configuration up to date,
+// from the store and from connections to other processes. Entries and agents
+// both use it; only entries poll the store.
 package follow
 
 import (
@@ -17,41 +17,42 @@
 // SendFunc sends a message to a peer without blocking.
 type SendFunc func(wire.Message) error
 
-// Config sets up a Follower.
+// Config holds the dependencies of a Follower.
 type Config struct {
 	Clock clock.Clock
 	Rand  *rand.Rand
 	Log   *eventlog.Logger
-	// Heartbeat returns a heartbeat of the process without the configuration fields.
-	// It is sent out of turn to peers that do not know a new revision yet.
+	// Heartbeat returns a heartbeat of the process without the configuration
+	// fields. It is sent immediately to peers that don't know a new revision yet.
 	Heartbeat func() wire.Heartbeat
 }
 
-// Follower is safe for concurrent use.
+// Follower keeps the configuration of one process up to date. It is safe for
+// concurrent use, except for Watch.
 type Follower struct {
 	cfg     Config
 	replica *config.Replica
 
 	mu       sync.Mutex
 	peers    *config.Peers
-	sends    map[config.PeerID]SendFunc
+	senders  map[config.PeerID]SendFunc
 	watchers []func(*config.View)
-	// stale is set while the configuration is older than staleAfter.
-	stale bool
+	// staleReported is set while the configuration is older than staleAfter.
+	staleReported bool
 }
 
-// staleAfter is the age from which on a configuration is reported as not
-// confirmed. A change has to be in force everywhere within 9 s; the rest lets
-// one lost poll and one lost heartbeat pass.
+// staleAfter is the age at which an unconfirmed configuration is reported. A
+// change must be in force everywhere within 9 s; the rest allows for a lost poll
+// and a lost heartbeat.
 const staleAfter = 15 * time.Second
 
-// New returns a follower without a configuration.
+// New returns a Follower without a configuration.
 func New(cfg Config) *Follower {
 	return &Follower{
 		cfg:     cfg,
 		replica: config.NewReplica(config.ReplicaConfig{}, cfg.Clock.Now()),
 		peers:   config.NewPeers(config.PeersConfig{}, cfg.Rand),
-		sends:   make(map[config.PeerID]SendFunc),
+		senders: make(map[config.PeerID]SendFunc),
 	}
 }
 
@@ -65,30 +66,31 @@
 	return f.replica.Age(f.cfg.Clock.Now())
 }
 
-// Watch calls fn after each change of the configuration in force, one call at
-// a time. It is called before the first connection.
+// Watch registers fn to be called after each change of the configuration in
+// force, one call at a time. It must be called before the first connection.
 func (f *Follower) Watch(fn func(*config.View)) { f.watchers = append(f.watchers, fn) }
 
 // SetConfigFields sets the configuration fields of a heartbeat.
 func (f *Follower) SetConfigFields(beat *wire.Heartbeat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stamp(beat)
+	f.setConfigFields(beat)
 }
 
-func (f *Follower) stamp(beat *wire.Heartbeat) {
+func (f *Follower) setConfigFields(beat *wire.Heartbeat) {
 	head := f.replica.Head()
 	beat.ConfigRevision = head.Number
 	beat.ConfigDigest = head.Digest
 	beat.ConfigAgeMillis = f.replica.Age(f.cfg.Clock.Now()).Milliseconds()
 }
 
-// PeerConnected adds a peer. Leaf marks a connection between an entry and an agent:
-// agents pass nothing on, so they hear of changes from one entry only.
+// PeerConnected adds a peer. leaf marks a connection between an entry and an
+// agent. Agents don't forward revisions, so one entry suffices to tell them
+// about a change.
 func (f *Follower) PeerConnected(id config.PeerID, leaf bool, send SendFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sends[id] = send
+	f.senders[id] = send
 	f.peers.Add(id, leaf)
 }
 
@@ -96,11 +98,11 @@
 func (f *Follower) PeerLost(id config.PeerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.sends, id)
+	delete(f.senders, id)
 	f.peers.Remove(id)
 }
 
-// HandleHeartbeat takes the configuration fields of a peer's heartbeat.
+// HandleHeartbeat processes the configuration fields of a peer's heartbeat.
 func (f *Follower) HandleHeartbeat(id config.PeerID, beat *wire.Heartbeat) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,26 +110,26 @@
 	head := config.Head{Number: beat.ConfigRevision, Digest: beat.ConfigDigest}
 	age := time.Duration(beat.ConfigAgeMillis) * time.Millisecond
 	if _, err := f.replica.ObserveHead(head, age, now); err != nil {
-		f.refuse(id, err)
+		f.reject(id, err)
 		return
 	}
 	f.peers.ObserveHead(id, head)
-	f.fetch(now)
+	f.requestRevisions(now)
 }
 
-func (f *Follower) refuse(id config.PeerID, err error) {
+func (f *Follower) reject(id config.PeerID, err error) {
 	f.peers.Reject(id)
 	f.cfg.Log.Log(eventlog.ConfigRejected, "peer", id.Instance, "err", err)
 }
 
-// fetch asks the best peer for revisions that this process lacks.
-func (f *Follower) fetch(now time.Time) {
+// requestRevisions requests missing revisions from the best peer.
+func (f *Follower) requestRevisions(now time.Time) {
 	head := f.replica.Head()
 	id, ok := f.peers.StartFetch(head, now)
 	if !ok {
 		return
 	}
-	if send := f.sends[id]; send != nil {
+	if send := f.senders[id]; send != nil {
 		_ = send(&wire.ConfigFetch{After: head.Number})
 	}
 }
@@ -143,7 +145,7 @@
 	}
 }
 
-// HandleDelta takes revisions that a peer sent.
+// HandleDelta applies revisions from a peer.
 func (f *Follower) HandleDelta(id config.PeerID, m *wire.ConfigDelta) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,38 +153,38 @@
 	f.peers.FetchAnswered(id)
 	before := f.replica.Current()
 	if _, err := f.replica.Apply(m.Revisions, now); err != nil && config.IsDamaged(err) {
-		f.refuse(id, err)
+		f.reject(id, err)
 	}
-	f.spread(before, now)
-	f.fetch(now)
+	f.publishIfChanged(before, now)
+	f.requestRevisions(now)
 }
 
-// Tick advances time-driven work; it is called a few times per second.
+// Tick does time-driven work. The caller calls it several times per second.
 func (f *Follower) Tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
 	before := f.replica.Current()
 	f.replica.Tick(now)
-	f.spread(before, now)
-	f.announce(now)
-	f.fetch(now)
-	f.checkAge(now)
+	f.publishIfChanged(before, now)
+	f.announceHead(now)
+	f.requestRevisions(now)
+	f.logIfStale(now)
 }
 
-// checkAge reports once when the configuration in force gets too old.
-func (f *Follower) checkAge(now time.Time) {
+// logIfStale logs once when the configuration in force becomes too old.
+func (f *Follower) logIfStale(now time.Time) {
 	age := f.replica.Age(now)
 	stale := f.replica.Current() != nil && age > staleAfter
-	if stale && !f.stale {
+	if stale && !f.staleReported {
 		f.cfg.Log.Log(eventlog.ConfigStale, "revision", f.replica.Head().Number, "age", age)
 	}
-	f.stale = stale
+	f.staleReported = stale
 }
 
-// spread tells watchers and peers about a configuration that has just come in
-// force.
-func (f *Follower) spread(before *config.View, now time.Time) {
+// publishIfChanged notifies watchers and peers if the configuration in force
+// differs from before.
+func (f *Follower) publishIfChanged(before *config.View, now time.Time) {
 	view := f.replica.Current()
 	if view == nil || view == before {
 		return
@@ -191,18 +193,18 @@
 	for _, watch := range f.watchers {
 		watch(view)
 	}
-	f.announce(now)
+	f.announceHead(now)
 }
 
-func (f *Follower) announce(now time.Time) {
+func (f *Follower) announceHead(now time.Time) {
 	head := f.replica.Head()
 	for _, id := range f.peers.AnnounceTargets(head, now) {
-		send := f.sends[id]
+		send := f.senders[id]
 		if send == nil {
 			continue
 		}
 		beat := f.cfg.Heartbeat()
-		f.stamp(&beat)
+		f.setConfigFields(&beat)
 		_ = send(&beat)
 		f.peers.MarkAnnounced(id, head, now)
 	}
--- a/lib/follow/follower_test.go
+++ b/lib/follow/follower_test.go
@@ -18,28 +18,29 @@
 	"github.com/auburnbend/auburnbend/standin/table"
 )
 
-var _ = Describe("A follower", func() {
-	// Guards against a failure domain that is cut off without a sign of it.
-	It("reports once that its configuration is not confirmed any more", func() {
-		var lines bytes.Buffer
-		reports := func() int { return bytes.Count(lines.Bytes(), []byte("event=2003 ")) }
-		now := clock.NewFake(time.Unix(1000, 0))
+var _ = Describe("Follower", func() {
+	// Guards against a failure domain that loses contact with the store without a
+	// log line.
+	It("logs once that its configuration is no longer confirmed", func() {
+		var logs bytes.Buffer
+		staleEvents := func() int { return bytes.Count(logs.Bytes(), []byte("event=2003 ")) }
+		fakeClock := clock.NewFake(time.Unix(1000, 0))
 		f := follow.New(follow.Config{
-			Clock: now, Rand: rand.New(rand.NewSource(1)), Log: eventlog.New(log.NewLogfmtLogger(&lines)),
+			Clock: fakeClock, Rand: rand.New(rand.NewSource(1)), Log: eventlog.New(log.NewLogfmtLogger(&logs)),
 			Heartbeat: func() wire.Heartbeat { return wire.Heartbeat{} },
 		})
-		pass := func(d time.Duration) {
+		advance := func(d time.Duration) {
 			for range d / time.Second {
-				now.Advance(time.Second)
+				fakeClock.Advance(time.Second)
 				f.Tick()
 			}
 		}
-		pass(time.Minute)
-		Expect(reports()).To(BeZero(), "nothing is declared yet")
+		advance(time.Minute)
+		Expect(staleEvents()).To(BeZero(), "no configuration applied yet")
 
 		declared, err := config.Parse([]byte("[tenant engravers]\nshare = 1\n"))
 		Expect(err).NotTo(HaveOccurred())
-		store := config.NewStore(table.New(), config.StoreConfig{Clock: now})
+		store := config.NewStore(table.New(), config.StoreConfig{Clock: fakeClock})
 		accepted, err := store.Apply(context.Background(), config.Request{Config: declared, Operation: "first", Author: "ops"})
 		Expect(err).NotTo(HaveOccurred())
 		f.Accepted(accepted.EncodedRevision)
@@ -49,15 +50,15 @@
 		}
 		confirm()
 		for range 10 {
-			pass(9 * time.Second)
+			advance(9 * time.Second)
 			confirm()
 		}
 		Expect(f.Current()).NotTo(BeNil())
-		Expect(reports()).To(BeZero())
-		pass(time.Minute)
-		Expect(reports()).To(Equal(1))
+		Expect(staleEvents()).To(BeZero())
+		advance(time.Minute)
+		Expect(staleEvents()).To(Equal(1))
 		confirm()
-		pass(time.Minute)
-		Expect(reports()).To(Equal(2))
+		advance(time.Minute)
+		Expect(staleEvents()).To(Equal(2))
 	})
 })
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -14,8 +14,8 @@
 // pollTimeout bounds one poll of the store.
 const pollTimeout = 3 * time.Second
 
-// PollStore reads the store until ctx ends. Fleet tells how many entries share
-// the store's budget of reads.
+// PollStore polls the store until ctx ends. fleet returns how many entries share
+// the store's read budget.
 func (f *Follower) PollStore(ctx context.Context, store *config.Store, fleet func() config.FleetSize, rng *rand.Rand) {
 	poller := config.NewPoller(config.PollerConfig{}, fleet(), rng, f.cfg.Clock.Now())
 	timer := time.NewTimer(poller.Next().Sub(f.cfg.Clock.Now()))
@@ -28,7 +28,7 @@
 			return
 		}
 		more, err := f.pollOnce(ctx, store)
-		available = f.logAvailability(available, err)
+		available = f.logStoreAvailability(available, err)
 		poller.PollDone(err, more, fleet(), f.cfg.Clock.Now())
 		timer.Reset(poller.Next().Sub(f.cfg.Clock.Now()))
 	}
@@ -52,29 +52,29 @@
 		f.cfg.Log.Log(eventlog.ConfigRejected, "source", "store", "err", err)
 		return false, merry.Wrap(err)
 	}
-	// With more revisions to read, the replica is behind and must not count as
-	// confirmed.
+	// If there are more revisions to read, the replica is behind and must not count
+	// as confirmed.
 	if poll.Head.Number > 0 && !poll.More {
 		if _, err := f.replica.ObserveHead(poll.Head, 0, now); err != nil {
 			f.cfg.Log.Log(eventlog.ConfigRejected, "source", "store", "err", err)
 		}
 	}
-	f.spread(before, now)
+	f.publishIfChanged(before, now)
 	return poll.More, nil
 }
 
-func (f *Follower) logAvailability(before bool, err error) bool {
+func (f *Follower) logStoreAvailability(wasAvailable bool, err error) bool {
 	switch {
-	case err != nil && before:
+	case err != nil && wasAvailable:
 		f.cfg.Log.Log(eventlog.StoreUnavailable, "err", err)
-	case err == nil && !before:
+	case err == nil && !wasAvailable:
 		f.cfg.Log.Log(eventlog.StoreRecovered)
 	}
 	return err == nil
 }
 
-// Accepted hands a revision that this process has just had accepted to the
-// replica, so that it need not be polled.
+// Accepted applies a revision that the store has just accepted from this
+// process, so that it need not be polled. It ignores nil.
 func (f *Follower) Accepted(encoded []byte) {
 	if encoded == nil {
 		return
@@ -83,7 +83,7 @@
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
 	before := f.replica.Current()
-	// A gap means that other revisions came first; the next poll reads them.
+	// After a gap, the next poll reads the revisions in between.
 	_, _ = f.replica.Apply([][]byte{encoded}, now)
-	f.spread(before, now)
+	f.publishIfChanged(before, now)
 }
