--- a/lib/watch/config.go
+++ b/lib/watch/config.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// ResponseTimeout is the silence after which a source gives a call up, beyond the
-	// time that it waits for a change: it allows for a store that answers slowly.
+	// ResponseTimeout is the time without received data after which a source gives
+	// up a call, in addition to the long-poll timeout. It allows for a slow store.
 	ResponseTimeout = 1500 * time.Millisecond
-	// transferLimit bounds the time of an answer that goes on arriving. A large
-	// configuration takes seconds on links that a whole region shares.
-	transferLimit = 10 * time.Second
+	// transferTimeout bounds the time in which a response may keep arriving. A
+	// large configuration takes seconds on links that a whole region shares.
+	transferTimeout = 10 * time.Second
 )
 
-// Config holds the timing of a Follower. Zero fields take the defaults.
+// Config holds the timing of a Watcher. Zero fields take their defaults.
 type Config struct {
-	// LongPollTimeout is how long one call waits for a change. It is shortened by up to a
-	// third at random, so that the calls of a fleet do not end together.
+	// LongPollTimeout is how long one call waits for a change. It is shortened by
+	// up to a third at random, so that the calls of a fleet don't end together.
 	LongPollTimeout time.Duration
-	// MinBackoff and MaxBackoff bound the pause after a failed call. The store
-	// limits calls of all instances together, so that pauses are spread.
+	// MinBackoff and MaxBackoff bound the delay after a failed call. Delays are
+	// randomized, because the store limits the total call rate of all instances.
 	MinBackoff, MaxBackoff time.Duration
 }
 
 const (
-	// defaultWait trades store calls against the time in which a call that will
-	// never be answered is noticed: the store may have been away meanwhile.
-	defaultWait       = 3 * time.Second
-	defaultMinBackoff = 100 * time.Millisecond
-	// defaultMaxBackoff keeps the recovery after an outage well within the time
-	// in which a configuration must be in force.
+	// defaultLongPollTimeout balances the rate of store calls against the time to
+	// notice a call that will never be answered, during which the store may have
+	// been down.
+	defaultLongPollTimeout = 3 * time.Second
+	defaultMinBackoff      = 100 * time.Millisecond
+	// defaultMaxBackoff keeps the recovery after an outage well within the time in
+	// which a configuration must be in force.
 	defaultMaxBackoff = 800 * time.Millisecond
 )
 
@@ -37,7 +38,7 @@
 			*v = fallback
 		}
 	}
-	set(&c.LongPollTimeout, defaultWait)
+	set(&c.LongPollTimeout, defaultLongPollTimeout)
 	set(&c.MinBackoff, defaultMinBackoff)
 	set(&c.MaxBackoff, defaultMaxBackoff)
 	return c
--- a/lib/watch/handler.go
+++ b/lib/watch/handler.go
@@ -1,11 +1,12 @@
 package watch
 
-// Handler takes what a Follower learns. Its methods are called by one goroutine.
+// Handler receives what a Watcher reads. Its methods are called by one
+// goroutine.
 type Handler interface {
-	// Replace takes a full read. recovered tells that it ends an outage, in
-	// which rows may have lapsed without their owners being gone.
+	// Replace receives the whole table. recovered means that the read ends an
+	// outage, during which rows may have expired although their owners are alive.
 	Replace(rows Rows, recovered bool)
-	// Apply takes changes in order. recovered is as for Replace.
+	// Apply receives changes in order. recovered is as for Replace.
 	Apply(rows Rows, recovered bool)
 	// Lost reports that the store stopped answering.
 	Lost(err error)
--- a/lib/watch/row.go
+++ b/lib/watch/row.go
@@ -1,6 +1,6 @@
 package watch
 
-// Row is one row of a table, or the note that it was deleted.
+// Row is one row of a table, or the record of its deletion.
 type Row struct {
 	Key     string
 	Data    []byte
@@ -13,6 +13,6 @@
 type Rows struct {
 	Rows     []Row
 	Revision int64
-	// AfterOutage tells that these are the first ones after the store was away.
+	// AfterOutage marks the first rows after an outage of the store.
 	AfterOutage bool
 }
--- a/lib/watch/watcher.go
+++ b/lib/watch/watcher.go
@@ -1,6 +1,6 @@
-// Package watch follows one table of a store: a full read first, changes
-// afterwards, and another full read whenever the history is lost. It never
-// passes on a state that is older than one that it has passed on before.
+// Package watch follows one table of a store. It reads the whole table first,
+// then its changes, and the whole table again whenever the history is lost. It
+// never delivers a state older than one that it has already delivered.
 package watch
 
 import (
@@ -10,99 +10,100 @@
 	"time"
 )
 
-// Watcher follows one table. Run belongs to one goroutine.
+// Watcher follows one table. Run must be called by one goroutine only.
 type Watcher struct {
 	config  Config
 	source  Source
 	handler Handler
 
-	// revision is the newest one that the handler has seen; negative before the
+	// revision is the newest one delivered to the handler; negative before the
 	// first read.
 	revision int64
-	// synced tells that Changes may continue at revision.
+	// synced is set if the next call may read the changes since revision.
 	synced bool
-	// lost tells that the last call failed.
-	lost    bool
+	// failing is set if the last call failed.
+	failing bool
 	backoff time.Duration
 }
 
-// New returns a Follower.
+// New returns a Watcher.
 func New(config Config, source Source, handler Handler) *Watcher {
 	return &Watcher{config: config.applyDefaults(), source: source, handler: handler, revision: -1}
 }
 
 // Run follows the table until ctx ends.
-func (f *Watcher) Run(ctx context.Context) {
+func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if pause := f.step(ctx); pause > 0 {
+		if delay := w.step(ctx); delay > 0 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
 		}
 	}
 }
 
-// step makes one call and returns the pause before the next one.
-func (f *Watcher) step(ctx context.Context) time.Duration {
-	rows, err := f.call(ctx)
+// step makes one call and returns the delay before the next one.
+func (w *Watcher) step(ctx context.Context) time.Duration {
+	rows, err := w.call(ctx)
 	switch {
 	case ctx.Err() != nil:
 		return 0
 	case errors.Is(err, ErrHistoryLost):
-		f.synced = false
-		return f.pause()
+		w.synced = false
+		return w.nextBackoff()
 	case err != nil:
-		if !f.lost {
-			f.lost = true
-			f.handler.Lost(err)
+		if !w.failing {
+			w.failing = true
+			w.handler.Lost(err)
 		}
-		return f.pause()
-	case rows.Revision < f.revision:
-		// A read that lags behind what is known already must not undo it.
-		return f.pause()
+		return w.nextBackoff()
+	case rows.Revision < w.revision:
+		// A read from a lagging store must not undo what has been delivered.
+		return w.nextBackoff()
 	}
-	f.deliver(rows)
+	w.deliver(rows)
 	return 0
 }
 
-func (f *Watcher) call(ctx context.Context) (Rows, error) {
-	wait := f.wait()
-	ctx, cancel := context.WithTimeout(ctx, wait+ResponseTimeout+transferLimit)
+func (w *Watcher) call(ctx context.Context) (Rows, error) {
+	wait := w.longPollTimeout()
+	ctx, cancel := context.WithTimeout(ctx, wait+ResponseTimeout+transferTimeout)
 	defer cancel()
-	if f.synced {
-		return f.source.Changes(ctx, f.revision, wait)
+	if w.synced {
+		return w.source.Changes(ctx, w.revision, wait)
 	}
-	return f.source.Snapshot(ctx)
+	return w.source.Snapshot(ctx)
 }
 
-// wait is how long the next call waits for a change. After a failure it asks
-// for an answer at once: a call that waits cannot be told from one that is lost,
-// and would delay what was missed.
-func (f *Watcher) wait() time.Duration {
-	if !f.synced || f.lost {
+// longPollTimeout returns how long the next call waits for a change. After a
+// failure it is zero: a waiting call can't be told from a lost one, and would
+// delay the changes that were missed.
+func (w *Watcher) longPollTimeout() time.Duration {
+	if !w.synced || w.failing {
 		return 0
 	}
-	return f.config.LongPollTimeout - rand.N(f.config.LongPollTimeout/3+1)
+	return w.config.LongPollTimeout - rand.N(w.config.LongPollTimeout/3+1)
 }
 
-func (f *Watcher) deliver(rows Rows) {
-	recovered := f.lost || rows.AfterOutage
-	f.lost = false
-	f.backoff = 0
-	f.revision = rows.Revision
-	if !f.synced {
-		f.synced = true
-		f.handler.Replace(rows, recovered)
+func (w *Watcher) deliver(rows Rows) {
+	recovered := w.failing || rows.AfterOutage
+	w.failing = false
+	w.backoff = 0
+	w.revision = rows.Revision
+	if !w.synced {
+		w.synced = true
+		w.handler.Replace(rows, recovered)
 		return
 	}
 	if len(rows.Rows) > 0 || recovered {
-		f.handler.Apply(rows, recovered)
+		w.handler.Apply(rows, recovered)
 	}
 }
 
-// pause doubles the backoff and spreads it over half of its length.
-func (f *Watcher) pause() time.Duration {
-	f.backoff = min(max(2*f.backoff, f.config.MinBackoff), f.config.MaxBackoff)
-	return f.backoff/2 + rand.N(f.backoff/2)
+// nextBackoff doubles the backoff and returns a random delay between half of it
+// and all of it.
+func (w *Watcher) nextBackoff() time.Duration {
+	w.backoff = min(max(2*w.backoff, w.config.MinBackoff), w.config.MaxBackoff)
+	return w.backoff/2 + rand.N(w.backoff/2)
 }
