--- a/peerlink/gossip.go
+++ b/peerlink/gossip.go
@@ -6,36 +6,37 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Gossip tells what one entry has found out about backend servers and others should
-// know soon.
+// Gossip carries what one entry has observed about backend servers and others
+// should learn soon.
 type Gossip struct {
-	// Suspects are contents that have ended backend servers.
+	// Suspects are contents that have crashed backend servers.
 	Suspects wire.SuspectUpdate `msgpack:"u"`
-	// Draining are starts of servers that have said that they leave.
+	// Draining are servers that have announced that they are draining.
 	Draining []ServerKey `msgpack:"l,omitempty"`
-	// Forward asks an agent to pass it on to entries, and an entry to pass what is news
-	// to it on to the others of its region.
+	// Forward asks an agent to forward the message to entries, and an entry to
+	// forward what it didn't know yet to the other entries of its region.
 	Forward bool `msgpack:"s,omitempty"`
 }
 
-// Empty reports whether there is nothing to tell.
-func (n *Gossip) Empty() bool { return len(n.Suspects.Suspects) == 0 && len(n.Draining) == 0 }
+// Empty reports whether there is nothing to send.
+func (g *Gossip) Empty() bool { return len(g.Suspects.Suspects) == 0 && len(g.Draining) == 0 }
 
-// Datagrams encodes the news in datagrams of at most limit bytes.
-func (n *Gossip) Datagrams(limit int) [][]byte {
-	data, err := msgpack.Marshal(&Datagram{Gossip: n})
+// Datagrams encodes the gossip in datagrams of at most limit bytes, splitting it
+// as necessary. A single suspect or server is never split.
+func (g *Gossip) Datagrams(limit int) [][]byte {
+	data, err := msgpack.Marshal(&Datagram{Gossip: g})
 	if err != nil {
 		panic(err)
 	}
-	suspects, leaving := n.Suspects.Suspects, n.Draining
-	if len(data) <= limit || len(suspects)+len(leaving) < 2 {
+	suspects, draining := g.Suspects.Suspects, g.Draining
+	if len(data) <= limit || len(suspects)+len(draining) < 2 {
 		return [][]byte{data}
 	}
-	part := func(s []wire.Suspect, l []ServerKey) [][]byte {
-		return (&Gossip{Suspects: wire.SuspectUpdate{Suspects: s}, Draining: l, Forward: n.Forward}).Datagrams(limit)
+	encode := func(suspects []wire.Suspect, draining []ServerKey) [][]byte {
+		return (&Gossip{Suspects: wire.SuspectUpdate{Suspects: suspects}, Draining: draining, Forward: g.Forward}).Datagrams(limit)
 	}
-	if len(suspects) > 0 && len(leaving) > 0 {
-		return append(part(suspects, nil), part(nil, leaving)...)
+	if len(suspects) > 0 && len(draining) > 0 {
+		return append(encode(suspects, nil), encode(nil, draining)...)
 	}
-	return append(part(suspects[:len(suspects)/2], leaving[:len(leaving)/2]), part(suspects[len(suspects)/2:], leaving[len(leaving)/2:])...)
+	return append(encode(suspects[:len(suspects)/2], draining[:len(draining)/2]), encode(suspects[len(suspects)/2:], draining[len(draining)/2:])...)
 }
