--- a/lib/eventlog/async.go
+++ b/lib/eventlog/async.go
@@ -7,67 +7,69 @@
 )
 
 const (
-	// asyncLines is the number of lines that may wait for a slow reader.
-	asyncLines = 512
-	// asyncBatch bounds the bytes of one write.
-	asyncBatch = 16 << 10
-	// closeTimeout bounds the wait for the last lines at the end of a process.
+	// asyncQueueLines is the number of lines that may be queued for a slow writer.
+	asyncQueueLines = 512
+	// asyncBatchBytes is the size from which a write takes no further lines.
+	asyncBatchBytes = 16 << 10
+	// closeTimeout bounds how long Close waits for queued lines.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// AsyncWriter writes lines in the background, so that a slow or stuck reader never
-// holds up the caller. Lines that do not fit are counted and dropped. Write is
-// safe for concurrent use.
+// AsyncWriter writes lines in the background, so that a slow or blocked writer
+// never delays the caller. It drops and counts lines that don't fit into its
+// queue. Write and Dropped are safe for concurrent use.
 type AsyncWriter struct {
-	lines   chan []byte
-	done    chan struct{}
-	stopped chan struct{}
-	dropped atomic.Int64
+	lines    chan []byte
+	closing  chan struct{}
+	finished chan struct{}
+	dropped  atomic.Int64
 }
 
 var _ io.Writer = (*AsyncWriter)(nil)
 
-// NewAsyncWriter returns an Async that writes to w.
+// NewAsyncWriter returns an AsyncWriter that writes to w. Close must be called
+// to end its goroutine.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	a := &AsyncWriter{lines: make(chan []byte, asyncLines), done: make(chan struct{}), stopped: make(chan struct{})}
+	a := &AsyncWriter{lines: make(chan []byte, asyncQueueLines), closing: make(chan struct{}), finished: make(chan struct{})}
 	go a.run(w)
 	return a
 }
 
-// Write queues one line. It never blocks and never fails.
+// Write queues a copy of one line. It never blocks and never returns an error.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	queued := append([]byte(nil), line...)
 	select {
-	case a.lines <- kept:
+	case a.lines <- queued:
 	default:
 		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were dropped.
+// Dropped returns the number of dropped lines.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what is queued, for a short time at most.
+// Close writes the queued lines, waiting for at most closeTimeout. It must be
+// called once.
 func (a *AsyncWriter) Close() {
-	close(a.done)
+	close(a.closing)
 	select {
-	case <-a.stopped:
+	case <-a.finished:
 	case <-time.After(closeTimeout):
 	}
 }
 
 func (a *AsyncWriter) run(w io.Writer) {
-	defer close(a.stopped)
+	defer close(a.finished)
 	batch := make([]byte, 0, 4096)
 	for {
 		select {
 		case line := <-a.lines:
-			batch = a.collect(append(batch[:0], line...))
-			// A failed write loses log lines only.
+			batch = a.appendQueued(append(batch[:0], line...))
+			// Nowhere to report a failed write; the lines are lost.
 			_, _ = w.Write(batch)
-		case <-a.done:
-			if batch = a.collect(batch[:0]); len(batch) == 0 {
+		case <-a.closing:
+			if batch = a.appendQueued(batch[:0]); len(batch) == 0 {
 				return
 			}
 			_, _ = w.Write(batch)
@@ -75,9 +77,9 @@
 	}
 }
 
-// collect adds the lines that wait already, which saves system calls.
-func (a *AsyncWriter) collect(batch []byte) []byte {
-	for len(batch) < asyncBatch {
+// appendQueued appends lines that are already queued, to save system calls.
+func (a *AsyncWriter) appendQueued(batch []byte) []byte {
+	for len(batch) < asyncBatchBytes {
 		select {
 		case line := <-a.lines:
 			batch = append(batch, line...)
--- a/lib/eventlog/event.go
+++ b/lib/eventlog/event.go
@@ -5,20 +5,20 @@
 // Level is the severity of an event.
 type Level string
 
-// Severities.
+// Levels of severity.
 const (
 	Info  Level = "info"
 	Warn  Level = "warn"
 	Error Level = "error"
 )
 
-// Event is one entry of the catalogue. Numbers are stable: operators' alerts
-// refer to them.
+// Event is an entry of the catalogue. Its number never changes, because
+// operators' alerts refer to it.
 type Event struct {
 	Number int
 	Level  Level
 	// Message is the text of the log line.
 	Message string
-	// Action tells an operator what to do, or that nothing is needed.
+	// Action tells operators what to do, or that nothing is needed.
 	Action string
 }
--- a/lib/eventlog/eventlog_test.go
+++ b/lib/eventlog/eventlog_test.go
@@ -24,8 +24,8 @@
 		Expect(string(page)).To(Equal(eventlog.Markdown()))
 	})
 
-	// Operators' alerts refer to numbers: two events must not share one.
-	It("has unique numbers, each in the range of its file and all listed", func() {
+	// Operators' alerts refer to numbers, so two events must not share one.
+	It("has unique numbers, each in the range of its file and listed", func() {
 		listed := map[int]bool{}
 		for _, e := range eventlog.Catalogue() {
 			Expect(listed).NotTo(HaveKey(e.Number))
@@ -69,14 +69,14 @@
 		Entry("json", settings.LogJSON, "{\"event\":3102,\"instance\":\"huye-1\",\"level\":\"warn\",\"msg\":\"backend server did not load a version\",\"ts\":\"2026-05-01T12:03:09.250Z\",\"weights\":\"ab12\"}\n"),
 	)
 
-	It("bounds the rate of an event that repeats", func() {
+	It("limits the rate of a repeated event", func() {
 		var b bytes.Buffer
-		q := eventlog.Open(settings.Log{}, &b, now).RateLimited(now, time.Minute)
+		limited := eventlog.Open(settings.Log{}, &b, now).RateLimited(now, time.Minute)
 		for range 5 {
-			q.Log(eventlog.StoreUnavailable)
+			limited.Log(eventlog.StoreUnavailable)
 		}
 		now.Advance(time.Minute)
-		q.Log(eventlog.StoreUnavailable)
+		limited.Log(eventlog.StoreUnavailable)
 		Expect(bytes.Count(b.Bytes(), []byte("\n"))).To(Equal(2))
 		Expect(b.String()).To(ContainSubstring("dropped=4"))
 	})
--- a/lib/eventlog/events_request.go
+++ b/lib/eventlog/events_request.go
@@ -2,14 +2,14 @@
 
 // Events 4000 to 4999: requests.
 var (
-	RequestNotRun        = Event{4001, Info, "request was not run", "Nothing unless frequent; the reason says which limit."}
-	RequestUnknown       = Event{4002, Warn, "request may have run and has no complete answer", "Nothing; the caller was told."}
-	RequestInvalid       = Event{4003, Info, "request was malformed", "Nothing; the caller was told what and where."}
+	RequestNotRun        = Event{4001, Info, "request was not run", "Nothing unless frequent; the reason names the limit."}
+	RequestUnknown       = Event{4002, Warn, "request may have run but has no complete response", "Nothing; the caller was told."}
+	RequestInvalid       = Event{4003, Info, "request is malformed", "Nothing; the caller was told what is wrong and where."}
 	GateMismatch         = Event{4101, Info, "agent refused a request for weights that are not loaded", "Nothing unless it lasts beyond a rollout."}
-	ClaimWithoutResult   = Event{4301, Warn, "idempotency key is claimed and has no result", "Ask the service whether the request ran."}
-	ClaimReleased        = Event{4302, Info, "claim released: its request was proved not run", "Nothing."}
-	RequestQuarantined   = Event{4401, Warn, "request is quarantined: backend servers crashed while they ran it", "Find the content by its fingerprint and tell its caller."}
-	BackendServerCrashed = Event{4402, Warn, "backend server died with requests in flight", "Nothing unless it repeats."}
+	ClaimWithoutResult   = Event{4301, Warn, "idempotency key is claimed but has no result", "Ask the service whether the request ran."}
+	ClaimReleased        = Event{4302, Info, "claim released: request proved not run", "Nothing."}
+	RequestQuarantined   = Event{4401, Warn, "request quarantined: backend servers crashed while running it", "Find the content by its fingerprint and inform its caller."}
+	BackendServerCrashed = Event{4402, Warn, "backend server crashed with requests in flight", "Nothing unless it repeats."}
 )
 
 var requestEvents = []Event{
--- a/lib/eventlog/events_weight.go
+++ b/lib/eventlog/events_weight.go
@@ -3,19 +3,19 @@
 // Events 3000 to 3999: weights.
 var (
 	VersionFetchStarted = Event{3001, Info, "instance starts to fetch a version", "Nothing."}
-	VersionVerified     = Event{3002, Info, "all chunks of a version are verified", "Nothing."}
+	VersionVerified     = Event{3002, Info, "all chunks of a version verified", "Nothing."}
 	VersionLive         = Event{3003, Info, "instance serves a version", "Nothing."}
-	TransferPeerLost    = Event{3101, Info, "agent was lost during a transfer", "Nothing; its grants expire."}
-	LoadFailed          = Event{3102, Warn, "backend server did not load a version", "Check the backend server; the agent orders the load again."}
+	TransferPeerLost    = Event{3101, Info, "agent lost during a transfer", "Nothing; its grants expire."}
+	LoadFailed          = Event{3102, Warn, "backend server did not load a version", "Check the backend server; the agent repeats the order."}
 	TransferStalled     = Event{3103, Info, "chunk transfer made no progress before its deadline", "Nothing unless frequent; then check the link of the source."}
 	ChunkCorrupt        = Event{3104, Warn, "chunk does not match its digest", "Check the named source if it repeats."}
 	ManifestCorrupt     = Event{3105, Warn, "manifest does not match its digest", "Check the manifest object at the origin."}
-	VersionReplaced     = Event{3106, Info, "wanted version changed while copies were in flight", "Nothing."}
-	GrantExpired        = Event{3107, Info, "result arrived for an assignment that had expired", "Nothing."}
+	VersionReplaced     = Event{3106, Info, "wanted version changed during transfers", "Nothing."}
+	GrantExpired        = Event{3107, Info, "result arrived for an expired assignment", "Nothing."}
 	FencingIgnored      = Event{3108, Info, "backend server does not check fencing numbers", "Nothing; the agent reads its state before and after each order."}
-	SourceThrottled     = Event{3109, Info, "source of weights asked to come back later", "Nothing; check the source limits if a rollout is late."}
-	RoleNotSet          = Event{3111, Warn, "backend server did not take its declared role", "Check the backend server; the agent gives the order again."}
-	TrackerUnreachable  = Event{3110, Warn, "no tracker is reachable; agents exchange chunks directly", "Check the entry instances of the failure domain."}
+	SourceThrottled     = Event{3109, Info, "source of weights asked to retry later", "Nothing; if a rollout is late, check the limits of the source."}
+	RoleNotSet          = Event{3111, Warn, "backend server did not switch to its declared role", "Check the backend server; the agent repeats the order."}
+	TrackerUnreachable  = Event{3110, Warn, "no tracker reachable; agents exchange chunks directly", "Check the entry instances of the failure domain."}
 )
 
 var weightEvents = []Event{
--- a/lib/eventlog/level.go
+++ b/lib/eventlog/level.go
@@ -1,7 +1,7 @@
 package eventlog
 
-// severity orders levels; a higher number is more severe. Unknown levels count
-// as the least severe, so that a wrong filter drops nothing.
+// severity returns the rank of a level; higher is more severe. Unknown levels
+// rank lowest, so that a misspelt filter drops no events.
 func (l Level) severity() int {
 	switch l {
 	case Error:
--- a/lib/eventlog/logger.go
+++ b/lib/eventlog/logger.go
@@ -6,8 +6,8 @@
 // is.
 type Logger struct {
 	base log.Logger
-	// least is the severity below which events are dropped.
-	least int
+	// minSeverity is the severity below which events are dropped.
+	minSeverity int
 }
 
 // New returns a Logger that adds the given key-value pairs to each event.
@@ -20,13 +20,13 @@
 
 // With returns a Logger that adds more key-value pairs.
 func (l *Logger) With(keyvals ...any) *Logger {
-	return &Logger{base: log.With(l.base, keyvals...), least: l.least}
+	return &Logger{base: log.With(l.base, keyvals...), minSeverity: l.minSeverity}
 }
 
-// Log writes one event. A failed write is dropped: logging never stops a
-// request.
+// Log writes one event. It ignores write errors, because a logging failure must
+// not stop a request.
 func (l *Logger) Log(e Event, keyvals ...any) {
-	if e.Level.severity() < l.least {
+	if e.Level.severity() < l.minSeverity {
 		return
 	}
 	fields := append([]any{"event", e.Number, "level", string(e.Level), "msg", e.Message}, keyvals...)
--- a/lib/eventlog/markdown.go
+++ b/lib/eventlog/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown returns docs/events.md.
+// Markdown returns the content of docs/events.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\n")
--- a/lib/eventlog/rate_limited.go
+++ b/lib/eventlog/rate_limited.go
@@ -7,36 +7,36 @@
 	"github.com/auburnbend/auburnbend/lib/clock"
 )
 
-// RateLimitedLogger bounds the rate of each event. It is safe for concurrent use if the
-// logger is.
+// RateLimitedLogger limits the rate of each event. It is safe for concurrent use
+// if its logger is.
 type RateLimitedLogger struct {
 	logger   *Logger
 	clock    clock.Clock
 	interval time.Duration
 
-	mu      sync.Mutex
-	last    map[int]time.Time
-	dropped map[int]int
+	mu          sync.Mutex
+	lastWritten map[int]time.Time
+	dropped     map[int]int
 }
 
-// Log writes the event, with the number of dropped ones before it, unless it
-// was written within the interval.
-func (q *RateLimitedLogger) Log(e Event, keyvals ...any) {
-	now := q.clock.Now()
-	q.mu.Lock()
-	if q.last == nil {
-		q.last, q.dropped = make(map[int]time.Time), make(map[int]int)
+// Log writes the event unless it was written within the interval. It adds the
+// number of events dropped since the last one written.
+func (l *RateLimitedLogger) Log(e Event, keyvals ...any) {
+	now := l.clock.Now()
+	l.mu.Lock()
+	if l.lastWritten == nil {
+		l.lastWritten, l.dropped = make(map[int]time.Time), make(map[int]int)
 	}
-	if at, ok := q.last[e.Number]; ok && now.Sub(at) < q.interval {
-		q.dropped[e.Number]++
-		q.mu.Unlock()
+	if at, ok := l.lastWritten[e.Number]; ok && now.Sub(at) < l.interval {
+		l.dropped[e.Number]++
+		l.mu.Unlock()
 		return
 	}
-	dropped := q.dropped[e.Number]
-	q.last[e.Number], q.dropped[e.Number] = now, 0
-	q.mu.Unlock()
+	dropped := l.dropped[e.Number]
+	l.lastWritten[e.Number], l.dropped[e.Number] = now, 0
+	l.mu.Unlock()
 	if dropped > 0 {
 		keyvals = append(keyvals, "dropped", dropped)
 	}
-	q.logger.Log(e, keyvals...)
+	l.logger.Log(e, keyvals...)
 }
