--- a/replica/load_reporter.go
+++ b/replica/load_reporter.go
@@ -134,8 +134,8 @@
 	if d.Gossip != nil {
 		r.handleGossip(now, d.Gossip)
 	}
-	if u := d.EntryLoad; u != nil && u.Sequence > r.entryLoads[u.Entry].sequence {
-		r.entryLoads[u.Entry] = entryLoad{receivedAt: now, sequence: u.Sequence, prefillTokens: u.PrefillTokens}
+	if load := d.EntryLoad; load != nil && load.Sequence > r.entryLoads[load.Entry].sequence {
+		r.entryLoads[load.Entry] = entryLoad{receivedAt: now, sequence: load.Sequence, prefillTokens: load.PrefillTokens}
 	}
 }
 
@@ -146,12 +146,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	tokens := 0
-	for entry, u := range r.entryLoads {
-		if now.Sub(u.receivedAt) > subscriptionTTL {
+	for entry, load := range r.entryLoads {
+		if now.Sub(load.receivedAt) > subscriptionTTL {
 			delete(r.entryLoads, entry)
 			continue
 		}
-		tokens += u.prefillTokens
+		tokens += load.prefillTokens
 	}
 	return tokens
 }
@@ -171,22 +171,22 @@
 	now := r.replica.config.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := recipients{added: r.newSubscribers}
+	result := recipients{added: r.newSubscribers}
 	r.newSubscribers = nil
 	for address, s := range r.subscribers {
 		if now.Sub(s.seenAt) > subscriptionTTL {
 			delete(r.subscribers, address)
 			continue
 		}
-		a.all = append(a.all, address)
+		result.all = append(result.all, address)
 		if s.everyChange {
-			a.everyChange = append(a.everyChange, address)
+			result.everyChange = append(result.everyChange, address)
 		}
 		if s.region == r.replica.config.Region && !s.draining {
-			a.neighbours = append(a.neighbours, address.String())
+			result.neighbours = append(result.neighbours, address.String())
 		}
 	}
-	return a
+	return result
 }
 
 // Entries returns up to two entries of this instance's region that aren't
@@ -208,8 +208,8 @@
 // directly.
 const maxEntries = 2
 
-func (r *LoadReporter) send(a recipients) {
-	to := a.everyChange
+func (r *LoadReporter) send(list recipients) {
+	to := list.everyChange
 	status := r.status()
 	now := r.replica.config.Clock.Now()
 	status.Sequence = r.lastStatus.Sequence
@@ -217,11 +217,11 @@
 	urgent := status.Closed != r.lastStatus.Closed || status.Version != r.lastStatus.Version || status.StartUnixMilli != r.lastStatus.StartUnixMilli
 	switch {
 	case refresh || urgent:
-		to = a.all
+		to = list.all
 	case sameStatus(&status, &r.lastStatus):
-		to = a.added
+		to = list.added
 	default:
-		to = append(to, a.added...)
+		to = append(to, list.added...)
 	}
 	if len(to) == 0 {
 		return
@@ -231,8 +231,8 @@
 	if refresh {
 		r.lastRefresh = now
 		status.Region = r.replica.config.Region
-		rand.Shuffle(len(a.neighbours), func(i, j int) { a.neighbours[i], a.neighbours[j] = a.neighbours[j], a.neighbours[i] })
-		status.Neighbours = a.neighbours[:min(len(a.neighbours), maxNeighbours)]
+		rand.Shuffle(len(list.neighbours), func(i, j int) { list.neighbours[i], list.neighbours[j] = list.neighbours[j], list.neighbours[i] })
+		status.Neighbours = list.neighbours[:min(len(list.neighbours), maxNeighbours)]
 	}
 	data, err := msgpack.Marshal(&peerlink.Datagram{Status: &status})
 	if err != nil {
--- a/replica/load_reporter_test.go
+++ b/replica/load_reporter_test.go
@@ -13,8 +13,8 @@
 )
 
 var _ = Describe("LoadReporter", func() {
-	// ask sends a subscription to the first agent of a fleet.
-	ask := func(conn *net.UDPConn, everyChange bool, incarnation uint64) {
+	// sendSubscription sends a subscription to the first agent of a fleet.
+	sendSubscription := func(conn *net.UDPConn, everyChange bool, incarnation uint64) {
 		data, err := msgpack.Marshal(&peerlink.Datagram{Subscription: &peerlink.Subscription{Entry: "e", Region: "0", Incarnation: incarnation, EveryChange: everyChange}})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = conn.Write(data)
@@ -24,7 +24,7 @@
 		conn, err := net.DialUDP("udp", nil, &net.UDPAddr{IP: net.ParseIP(f.host(0)), Port: f.port})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(conn.Close)
-		ask(conn, everyChange, 1)
+		sendSubscription(conn, everyChange, 1)
 		return conn
 	}
 	// next returns the next report, or nil if none arrives within the given time.
@@ -67,7 +67,7 @@
 		conn := subscribe(f, false)
 		Expect(next(conn, time.Second)).NotTo(BeNil())
 		time.Sleep(300 * time.Millisecond)
-		ask(conn, false, 2)
+		sendSubscription(conn, false, 2)
 		Expect(next(conn, 300*time.Millisecond)).NotTo(BeNil())
 	})
 })
