--- /dev/null
+++ b/lib/watch/watcher_test.go
@@ -0,0 +1,121 @@
+package watch
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+// scriptedSource answers calls with responses in order.
+type scriptedSource struct {
+	responses []response
+	calls     []string
+	waits     []time.Duration
+}
+
+type response struct {
+	rows Rows
+	err  error
+}
+
+func (s *scriptedSource) next(call string) (Rows, error) {
+	s.calls = append(s.calls, call)
+	resp := s.responses[0]
+	s.responses = s.responses[1:]
+	return resp.rows, resp.err
+}
+
+func (s *scriptedSource) Snapshot(context.Context) (Rows, error) { return s.next("snapshot") }
+
+func (s *scriptedSource) Changes(_ context.Context, _ int64, wait time.Duration) (Rows, error) {
+	s.waits = append(s.waits, wait)
+	return s.next("changes")
+}
+
+// recordingHandler records what a Watcher delivers.
+type recordingHandler struct{ events []string }
+
+func (r *recordingHandler) record(kind string, rows Rows, recovered bool) {
+	if recovered {
+		kind += " recovered"
+	}
+	for _, row := range rows.Rows {
+		kind += " " + row.Key
+	}
+	r.events = append(r.events, kind)
+}
+
+func (r *recordingHandler) Replace(rows Rows, recovered bool) { r.record("replace", rows, recovered) }
+func (r *recordingHandler) Apply(rows Rows, recovered bool)   { r.record("apply", rows, recovered) }
+func (r *recordingHandler) Lost(error)                        { r.events = append(r.events, "lost") }
+
+func at(revision int64, keys ...string) response {
+	resp := response{rows: Rows{Revision: revision}}
+	for _, key := range keys {
+		resp.rows.Rows = append(resp.rows.Rows, Row{Key: key, Revision: revision})
+	}
+	return resp
+}
+
+var _ = Describe("Watcher", func() {
+	down := response{err: errors.New("no answer")}
+	historyLost := response{err: ErrHistoryLost}
+	run := func(responses ...response) (*scriptedSource, *recordingHandler, []time.Duration) {
+		s, r := &scriptedSource{responses: responses}, &recordingHandler{}
+		w := New(Config{}, s, r)
+		var delays []time.Duration
+		for range responses {
+			delays = append(delays, w.step(context.Background()))
+		}
+		return s, r, delays
+	}
+
+	It("reads the table once and then its changes", func() {
+		s, r, _ := run(at(5, "a"), at(5), at(7, "b"))
+		Expect(s.calls).To(Equal([]string{"snapshot", "changes", "changes"}))
+		Expect(r.events).To(Equal([]string{"replace a", "apply b"}))
+	})
+
+	It("reads the table again when the history is lost", func() {
+		s, r, _ := run(at(5, "a"), historyLost, at(9, "b"))
+		Expect(s.calls).To(Equal([]string{"snapshot", "changes", "snapshot"}))
+		Expect(r.events).To(Equal([]string{"replace a", "replace b"}))
+	})
+
+	It("never delivers a state older than one already delivered", func() {
+		// Guards against a stale read that undoes a configuration.
+		_, r, delays := run(at(5, "a"), historyLost, at(4, "old"), at(6, "b"))
+		Expect(r.events).To(Equal([]string{"replace a", "replace b"}))
+		Expect(delays[2]).To(BeNumerically(">", 0))
+	})
+
+	It("reports an outage once, and its end with the next response", func() {
+		// Guards against servers that are dropped because their rows expired during
+		// the outage.
+		_, r, _ := run(at(5, "a"), down, down, at(5), down, historyLost, at(6, "b"))
+		Expect(r.events).To(Equal([]string{"replace a", "lost", "apply recovered", "lost", "replace recovered b"}))
+	})
+
+	It("does not wait for changes in the first call after a failure", func() {
+		// Guards against a call that hangs in an unresponsive store and delays a
+		// configuration that was accepted in the meantime: it arrived 3.4 s after it
+		// was acknowledged.
+		s, _, _ := run(at(5, "a"), at(5), down, at(6), at(6))
+		Expect(s.waits).To(HaveLen(4))
+		Expect(s.waits[0]).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<=", 3*time.Second)))
+		Expect(s.waits[2]).To(BeZero())
+		Expect(s.waits[3]).To(BeNumerically(">=", 2*time.Second))
+	})
+
+	It("increases the delay with each failure, up to a limit", func() {
+		// Guards against instances that use up the store's call rate while it is down.
+		_, _, delays := run(down, down, down, down, down, down, down)
+		for i, delay := range delays {
+			longest := min(defaultMinBackoff<<i, defaultMaxBackoff)
+			Expect(delay).To(And(BeNumerically(">=", longest/2), BeNumerically("<=", longest)))
+		}
+	})
+})
--- /dev/null
+++ b/replica/gossip.go
@@ -0,0 +1,80 @@
+package replica
+
+import (
+	"net/netip"
+	"time"
+
+	"github.com/auburnbend/auburnbend/peerlink"
+)
+
+const (
+	// maxSuspects bounds the suspected contents that an agent remembers for
+	// entries.
+	maxSuspects = 256
+	// minCrashes is the number of crashed servers from which a content is sent to
+	// an entry that has just started; maxInitialSuspects bounds these contents.
+	minCrashes         = 2
+	maxInitialSuspects = 20
+	// drainingTTL is how long a draining server is remembered; after that its row
+	// shows it or is deleted. maxDraining bounds these servers.
+	drainingTTL = time.Minute
+	maxDraining = 256
+	// gossipFanout is the number of entries per region to which gossip is
+	// forwarded. The second one covers a lost datagram.
+	gossipFanout = 2
+)
+
+// handleGossip records what an entry reports about backend servers and forwards
+// it to entries of each region if asked to. The caller holds mu.
+func (r *LoadReporter) handleGossip(now time.Time, g *peerlink.Gossip) {
+	r.suspects.Tick(now)
+	r.suspects.Merge(now, g.Suspects)
+	r.recordDraining(now, g.Draining)
+	if !g.Forward {
+		return
+	}
+	forwarded := make(map[string]int)
+	for address, s := range r.subscribers {
+		if now.Sub(s.seenAt) <= subscriptionTTL && !s.draining && forwarded[s.region] < gossipFanout {
+			forwarded[s.region]++
+			r.sendGossip(g, address)
+		}
+	}
+}
+
+func (r *LoadReporter) recordDraining(now time.Time, servers []peerlink.ServerKey) {
+	for server, at := range r.draining {
+		if now.Sub(at) > drainingTTL {
+			delete(r.draining, server)
+		}
+	}
+	for _, server := range servers {
+		if _, known := r.draining[server]; !known && len(r.draining) < maxDraining {
+			r.draining[server] = now
+		}
+	}
+}
+
+// sendInitialGossip sends the known suspects and draining servers to an entry
+// that has just subscribed. The caller holds mu.
+func (r *LoadReporter) sendInitialGossip(now time.Time, to netip.AddrPort) {
+	gossip := &peerlink.Gossip{}
+	if top := r.suspects.TopSuspects(now, minCrashes, maxInitialSuspects); top != nil {
+		gossip.Suspects = *top
+	}
+	for server, at := range r.draining {
+		if now.Sub(at) <= drainingTTL {
+			gossip.Draining = append(gossip.Draining, server)
+		}
+	}
+	if !gossip.Empty() {
+		r.sendGossip(gossip, to)
+	}
+}
+
+func (r *LoadReporter) sendGossip(g *peerlink.Gossip, to netip.AddrPort) {
+	for _, data := range g.Datagrams(maxDatagramBytes) {
+		// Entries repeat their gossip, which makes up for a lost datagram.
+		_, _ = r.conn.WriteToUDPAddrPort(data, to)
+	}
+}
--- /dev/null
+++ b/replica/load_reporter.go
@@ -0,0 +1,271 @@
+package replica
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"github.com/auburnbend/auburnbend/lib/msgstream"
+	"github.com/auburnbend/auburnbend/lib/poison"
+	"github.com/auburnbend/auburnbend/peerlink"
+)
+
+const (
+	// refreshInterval is how often an unchanged status and the list of neighbours
+	// are sent.
+	refreshInterval = time.Second
+	// subscriptionTTL is how long an entry receives reports after a subscription;
+	// entries renew theirs once a second.
+	subscriptionTTL = 4 * time.Second
+	// maxDatagramBytes bounds the size of a datagram.
+	maxDatagramBytes = 1200
+	// maxNeighbours bounds the neighbour addresses in one report: at 22 bytes each
+	// they fit into a datagram with the other fields.
+	maxNeighbours = 40
+)
+
+// LoadReporter sends the engine's load to the entries that subscribe to it.
+type LoadReporter struct {
+	replica *Replica
+	conn    *net.UDPConn
+
+	mu          sync.Mutex
+	subscribers map[netip.AddrPort]subscriber
+	// newSubscribers have not received a report yet.
+	newSubscribers []netip.AddrPort
+	// entryLoads holds the last load message of each entry.
+	entryLoads map[string]entryLoad
+
+	// suspects are the suspected contents that entries reported, kept for entries
+	// that restart.
+	suspects *poison.Monitor
+
+	// draining maps servers that entries reported as draining to the time of the
+	// first report.
+	draining map[peerlink.ServerKey]time.Time
+
+	lastStatus  peerlink.Status
+	lastRefresh time.Time
+}
+
+// subscriber is an entry that subscribed to reports.
+type subscriber struct {
+	seenAt time.Time
+	region string
+	// incarnation distinguishes the process starts of an entry.
+	incarnation uint64
+	// everyChange requests a report at each load change; draining marks an entry
+	// that is about to stop.
+	everyChange, draining bool
+}
+
+// entryLoad is the work that an entry has placed on the engine.
+type entryLoad struct {
+	receivedAt    time.Time
+	sequence      uint64
+	prefillTokens int
+}
+
+// NewLoadReporter opens a UDP socket on the replica's peer port. It returns an
+// error if the port cannot be bound.
+func NewLoadReporter(r *Replica) (*LoadReporter, error) {
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(r.config.Listen), Port: r.config.PeerPort})
+	if err != nil {
+		return nil, err
+	}
+	return &LoadReporter{replica: r, conn: conn, subscribers: make(map[netip.AddrPort]subscriber), entryLoads: make(map[string]entryLoad), suspects: poison.New(poison.Config{MaxSuspects: maxSuspects}, "", 0), draining: make(map[peerlink.ServerKey]time.Time)}, nil
+}
+
+// Run receives messages from entries and sends them reports until ctx ends, then
+// closes the socket.
+func (r *LoadReporter) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { _ = r.conn.Close() })
+	// stop cancels the AfterFunc if Run sees the end of ctx first, so close here
+	// too.
+	defer func() {
+		stop()
+		_ = r.conn.Close()
+	}()
+	go r.receive(ctx)
+	for ctx.Err() == nil {
+		wait(ctx, r.replica.reporterWake, 2*enginePollInterval)
+		r.send(r.recipients())
+	}
+}
+
+func (r *LoadReporter) receive(ctx context.Context) {
+	buf := make([]byte, maxDatagramBytes)
+	for ctx.Err() == nil {
+		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
+		if err != nil {
+			wait(ctx, nil, retryDelay)
+			continue
+		}
+		var d peerlink.Datagram
+		if msgstream.Unmarshal(buf[:n], &d) == nil {
+			r.handle(from, &d)
+		}
+	}
+}
+
+func (r *LoadReporter) handle(from netip.AddrPort, d *peerlink.Datagram) {
+	if onTarget := r.replica.config.OnTarget; onTarget != nil && d.Subscription != nil && d.Subscription.Target != nil {
+		onTarget(d.Subscription.Target)
+	}
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if d.Subscription != nil {
+		// A restarted entry has lost its state, even at the same address.
+		if previous, ok := r.subscribers[from]; !ok || previous.incarnation != d.Subscription.Incarnation {
+			r.newSubscribers = append(r.newSubscribers, from)
+			r.replica.wakeReporter()
+			r.sendInitialGossip(now, from)
+		}
+		r.subscribers[from] = subscriber{
+			seenAt: now, region: d.Subscription.Region, incarnation: d.Subscription.Incarnation, everyChange: d.Subscription.EveryChange, draining: d.Subscription.Draining,
+		}
+	}
+	if d.Gossip != nil {
+		r.handleGossip(now, d.Gossip)
+	}
+	if load := d.EntryLoad; load != nil && load.Sequence > r.entryLoads[load.Entry].sequence {
+		r.entryLoads[load.Entry] = entryLoad{receivedAt: now, sequence: load.Sequence, prefillTokens: load.PrefillTokens}
+	}
+}
+
+// prefillTokens sums the prefill tokens that entries reported. Entries without a
+// message within subscriptionTTL don't count.
+func (r *LoadReporter) prefillTokens() int {
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	tokens := 0
+	for entry, load := range r.entryLoads {
+		if now.Sub(load.receivedAt) > subscriptionTTL {
+			delete(r.entryLoads, entry)
+			continue
+		}
+		tokens += load.prefillTokens
+	}
+	return tokens
+}
+
+// recipients are the entries to send a report to.
+type recipients struct {
+	// all receive one at each refresh, everyChange at each change, and added
+	// immediately.
+	all, everyChange, added []netip.AddrPort
+	// neighbours are the entries of this instance's region that aren't draining.
+	neighbours []string
+}
+
+// recipients returns the entries with a current subscription. It returns each
+// new subscriber in added once.
+func (r *LoadReporter) recipients() recipients {
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	result := recipients{added: r.newSubscribers}
+	r.newSubscribers = nil
+	for address, s := range r.subscribers {
+		if now.Sub(s.seenAt) > subscriptionTTL {
+			delete(r.subscribers, address)
+			continue
+		}
+		result.all = append(result.all, address)
+		if s.everyChange {
+			result.everyChange = append(result.everyChange, address)
+		}
+		if s.region == r.replica.config.Region && !s.draining {
+			result.neighbours = append(result.neighbours, address.String())
+		}
+	}
+	return result
+}
+
+// Entries returns up to two entries of this instance's region that aren't
+// draining, in random order. It is safe for concurrent use.
+func (r *LoadReporter) Entries() []netip.AddrPort {
+	var entries []netip.AddrPort
+	now := r.replica.config.Clock.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for address, s := range r.subscribers {
+		if now.Sub(s.seenAt) <= subscriptionTTL && s.region == r.replica.config.Region && !s.draining {
+			entries = append(entries, address)
+		}
+	}
+	return entries[:min(len(entries), maxEntries)]
+}
+
+// maxEntries bounds the entries that are tried before the store is read
+// directly.
+const maxEntries = 2
+
+func (r *LoadReporter) send(list recipients) {
+	to := list.everyChange
+	status := r.status()
+	now := r.replica.config.Clock.Now()
+	status.Sequence = r.lastStatus.Sequence
+	refresh := now.Sub(r.lastRefresh) >= refreshInterval
+	urgent := status.Closed != r.lastStatus.Closed || status.Version != r.lastStatus.Version || status.StartUnixMilli != r.lastStatus.StartUnixMilli
+	switch {
+	case refresh || urgent:
+		to = list.all
+	case sameStatus(&status, &r.lastStatus):
+		to = list.added
+	default:
+		to = append(to, list.added...)
+	}
+	if len(to) == 0 {
+		return
+	}
+	status.Sequence++
+	r.lastStatus = status
+	if refresh {
+		r.lastRefresh = now
+		status.Region = r.replica.config.Region
+		rand.Shuffle(len(list.neighbours), func(i, j int) { list.neighbours[i], list.neighbours[j] = list.neighbours[j], list.neighbours[i] })
+		status.Neighbours = list.neighbours[:min(len(list.neighbours), maxNeighbours)]
+	}
+	data, err := msgpack.Marshal(&peerlink.Datagram{Status: &status})
+	if err != nil {
+		panic(err)
+	}
+	for _, address := range to {
+		// The next report replaces a lost datagram.
+		_, _ = r.conn.WriteToUDPAddrPort(data, address)
+	}
+}
+
+func sameStatus(a, b *peerlink.Status) bool {
+	return a.Running == b.Running && a.PrefillTokens == b.PrefillTokens && a.Queued == b.Queued && a.Slowdown == b.Slowdown && a.Closed == b.Closed &&
+		a.StartUnixMilli == b.StartUnixMilli && a.Model == b.Model && a.Version == b.Version
+}
+
+// status returns the engine's load. An engine that doesn't answer is reported as
+// closed.
+func (r *LoadReporter) status() peerlink.Status {
+	s := peerlink.Status{Address: r.replica.config.EngineAddress}
+	state := r.replica.engineState.Load()
+	if state == nil {
+		s.Closed = true
+		return s
+	}
+	s.AgeMicros = r.replica.config.Clock.Now().Sub(state.readAt).Microseconds()
+	s.StartUnixMilli, s.Running, s.Queued, s.Slowdown = state.StartUnixMilli, state.Running, state.Queued, state.Slowdown
+	s.PrefillTokens = r.prefillTokens()
+	s.Closed = state.Busy || r.replica.Draining()
+	for model, w := range state.Weights {
+		if w.Complete {
+			s.Model, s.Version = model, w.Version
+		}
+	}
+	return s
+}
