--- a/gateway/place.go
+++ b/gateway/place.go
@@ -198,7 +198,7 @@
 	q := &peerlink.PlacementRequest{
 		Entry: l.name, Incarnation: l.queries.start, Domain: g.config.Placement.Domain, Service: d.Service, Model: d.Model,
 		Version: d.Version, MinVersion: d.MinVersion, NextVersion: d.NextVersion,
-		PromptTokens: d.PromptTokens, OutputTokens: d.AnswerTokens,
+		PromptTokens: d.PromptTokens, OutputTokens: d.OutputTokens,
 		LatencyTargetMillis: d.LatencyTarget.Milliseconds(), RemainingMillis: d.Remaining.Milliseconds(), MayHaveRun: d.MayHaveRun,
 	}
 	if d.NextVersion != 0 {
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -21,7 +21,7 @@
 		Slots: 8, StepTime: 13 * time.Millisecond, PrefillRate: 12700, StepsPerPass: 5, ChunkTokens: 2048, UsualPrompt: 900, UsualAnswer: 75,
 	}
 	demand := placement.Request{
-		Service: "drafts", Engine: engine, Model: "m", PromptTokens: 900, AnswerTokens: 75,
+		Service: "drafts", Engine: engine, Model: "m", PromptTokens: 900, OutputTokens: 75,
 		LatencyTarget: 800 * time.Millisecond, Remaining: 6 * time.Second,
 	}
 	const servers = 6
--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -48,7 +48,7 @@
 	d := placement.Request{
 		Service: q.Service, Engine: service.Engine, Domain: q.Domain, Model: q.Model, Version: q.Version,
 		MinVersion:   max(q.MinVersion, g.versions.MinVersion(q.Model, now)),
-		PromptTokens: q.PromptTokens, AnswerTokens: q.OutputTokens,
+		PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
 		LatencyTarget: milliseconds(q.LatencyTargetMillis), Remaining: milliseconds(q.RemainingMillis), MayHaveRun: q.MayHaveRun,
 	}
 	d.NextVersion, d.NextVersionAt = g.versions.NextMinVersion(q.Model, now)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -90,7 +90,7 @@
 func (r *request) demand(now time.Time) placement.Request {
 	d := placement.Request{
 		Service: r.service, Engine: r.engine, Model: r.call.Model, Version: r.stream.version, MinVersion: r.gateway.versions.MinVersion(r.call.Model, now),
-		PromptTokens: r.call.PromptTokens, AnswerTokens: r.call.ExpectedTokens,
+		PromptTokens: r.call.PromptTokens, OutputTokens: r.call.ExpectedTokens,
 		Remaining: r.left(now), Exclude: r.tried, MayHaveRun: r.stream.begun || r.ran,
 	}
 	d.NextVersion, d.NextVersionAt = r.gateway.versions.NextMinVersion(r.call.Model, now)
--- a/lib/placement/demand.go
+++ b/lib/placement/demand.go
@@ -25,7 +25,7 @@
 	NextVersion   int
 	NextVersionAt time.Time
 	// PromptTokens and AnswerTokens are the expected work of an engine.
-	PromptTokens, AnswerTokens int
+	PromptTokens, OutputTokens int
 	// LatencyTarget is the time until the first answer beyond which a service counts as
 	// overloaded; zero sets none.
 	LatencyTarget time.Duration
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -23,7 +23,7 @@
 	}
 	grant := func(l placement.LeaseID) *placement.Lease {
 		lease, refusal := g.Grant(l, placement.Request{
-			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, AnswerTokens: 100, Remaining: 6 * time.Second,
+			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, OutputTokens: 100, Remaining: 6 * time.Second,
 		}, now)
 		Expect(refusal).To(BeNil())
 		return lease
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -39,7 +39,7 @@
 	}
 	demand := func() placement.Request {
 		return placement.Request{
-			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, AnswerTokens: 100,
+			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, OutputTokens: 100,
 			LatencyTarget: 400 * time.Millisecond, Remaining: 6 * time.Second,
 		}
 	}
