--- a/gateway/placer.go
+++ b/gateway/placer.go
@@ -100,7 +100,7 @@
 }
 
 func leaseID(entry string, start, number uint64) placement.LeaseID {
-	return placement.LeaseID{Entry: entry, Start: start, Number: number}
+	return placement.LeaseID{Entry: entry, Incarnation: start, Number: number}
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/lib/placement/granted.go
+++ b/lib/placement/granted.go
@@ -6,8 +6,8 @@
 // entry.
 type LeaseID struct {
 	Entry string
-	// Start differs between the starts of an entry.
-	Start uint64
+	// Incarnation differs between the starts of an entry.
+	Incarnation uint64
 	// Number counts the entry's leases.
 	Number uint64
 }
@@ -95,7 +95,7 @@
 		named[n] = true
 	}
 	for id, l := range g.leases[entry] {
-		if (id.Start != start || !named[id.Number]) && now.Sub(l.started) > endNoticeTime {
+		if (id.Incarnation != start || !named[id.Number]) && now.Sub(l.started) > endNoticeTime {
 			g.end(id, l, Rejected, now)
 		}
 	}
--- a/lib/placement/granted_test.go
+++ b/lib/placement/granted_test.go
@@ -19,7 +19,7 @@
 		dir *directory.Directory
 	)
 	id := func(entry string, start, number uint64) placement.LeaseID {
-		return placement.LeaseID{Entry: entry, Start: start, Number: number}
+		return placement.LeaseID{Entry: entry, Incarnation: start, Number: number}
 	}
 	grant := func(l placement.LeaseID) *placement.Lease {
 		lease, refusal := g.Grant(l, placement.Request{
