--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// Dialect translates between headers and the types of this package. It is safe
-// for concurrent use.
+// Dialect translates between HTTP headers and the types of this package.
+// Implementations must be safe for concurrent use.
 type Dialect interface {
-	// ParseRequest reads what the caller says; an error names the header.
+	// ParseRequest decodes a caller's headers. An error names the malformed header.
 	ParseRequest(h http.Header) (RequestInfo, error)
-	// PrepareAttempt changes the caller's headers into those for a backend server.
+	// PrepareAttempt turns the caller's headers into those for a backend server, in
+	// place.
 	PrepareAttempt(h http.Header, d AttemptInfo)
-	// ParseResponse reads what a backend server says.
+	// ParseResponse decodes a backend server's status and headers.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// PrepareRefusal marks an answer of the gateway's own. after is when the caller may
-	// come back; zero gives no time.
-	PrepareRefusal(h http.Header, id string, after time.Duration)
+	// PrepareRefusal sets the headers of a response that the gateway itself makes to
+	// the request with the given ID. retryAfter is the time after which the caller may
+	// retry; zero sets none.
+	PrepareRefusal(h http.Header, id string, retryAfter time.Duration)
 }
--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -12,44 +12,46 @@
 )
 
 const (
-	// maxNearEngines and maxFarEngines bound the engines that report to one entry,
-	// so that reports do not grow with the square of the fleet.
-	maxNearEngines = 64
-	maxFarEngines  = 24
-	// maxFarUnplaced bounds the engines of other regions that an entry asks which
-	// places no requests of others: it needs them if its own region has none.
-	maxFarUnplaced = 2
+	// maxLocalEngines and maxRemoteEngines bound the engines of this region and of
+	// other regions that report to one entry, so that the number of reports does not
+	// grow with the square of the fleet.
+	maxLocalEngines  = 64
+	maxRemoteEngines = 24
+	// maxRemoteEnginesNonPlacer bounds the engines of other regions that report to an
+	// entry which places no requests for others. It needs them only if its own region
+	// has none.
+	maxRemoteEnginesNonPlacer = 2
 )
 
 // engine is a model engine whose agent reports to this entry.
 type engine struct {
-	host    netip.Addr
-	service string
+	agentAddr netip.Addr
+	service   string
 }
 
-// engines returns the engines that this entry asks for reports: those of its
-// region and some of the others, chosen by its name so that all engines have
-// about the same number of entries. An entry that places requests needs more of
-// the others.
-func (g *Gateway) engines(table *serving.Table, name string, places bool) []engine {
-	near, far, services := g.engineAddresses(table)
-	distant := maxFarUnplaced
-	if places {
-		distant = maxFarEngines
+// subscribedEngines returns the engines whose reports this entry subscribes to:
+// those of its own region and some of the others. They are ranked by the entry's
+// name, so that all engines report to about the same number of entries. A placer
+// needs more engines of other regions.
+func (g *Gateway) subscribedEngines(table *serving.Table, name string, placer bool) []engine {
+	local, remote, services := g.enginesByRegion(table)
+	maxRemote := maxRemoteEnginesNonPlacer
+	if placer {
+		maxRemote = maxRemoteEngines
 	}
-	chosen := append(rendezvous.Rank(name, near, maxNearEngines), rendezvous.Rank(name, far, distant)...)
+	chosen := append(rendezvous.Rank(name, local, maxLocalEngines), rendezvous.Rank(name, remote, maxRemote)...)
 	engines := make([]engine, 0, len(chosen))
 	for _, address := range chosen {
 		if parsed, err := netip.ParseAddrPort(address); err == nil {
-			engines = append(engines, engine{host: parsed.Addr(), service: services[address]})
+			engines = append(engines, engine{agentAddr: parsed.Addr(), service: services[address]})
 		}
 	}
 	return engines
 }
 
-// engineAddresses returns the addresses of the engines of this entry's region
-// and of the others, and the service of each.
-func (g *Gateway) engineAddresses(table *serving.Table) (near, far []string, services map[string]string) {
+// enginesByRegion returns the addresses of the engines in this entry's region and in
+// the others, and the service of each address.
+func (g *Gateway) enginesByRegion(table *serving.Table) (local, remote []string, services map[string]string) {
 	regions := g.config.Placement.Regions
 	own := regions[g.config.Placement.Domain]
 	services = make(map[string]string)
@@ -62,16 +64,16 @@
 		}
 		services[s.Address] = s.Service
 		if regions[s.Domain] == own {
-			near = append(near, s.Address)
+			local = append(local, s.Address)
 			return
 		}
-		far = append(far, s.Address)
+		remote = append(remote, s.Address)
 	})
-	return near, far, services
+	return local, remote, services
 }
 
-// regions returns the number of regions of the deployment.
-func (g *Gateway) regions() int {
+// regionCount returns the number of regions of the deployment.
+func (g *Gateway) regionCount() int {
 	distinct := make(map[string]bool)
 	for _, region := range g.config.Placement.Regions {
 		distinct[region] = true
@@ -79,14 +81,14 @@
 	return max(1, len(distinct))
 }
 
-// takeStatus takes an agent's report on the engine at its address. It applies
-// to the server that is registered there with the same start.
-func (g *Gateway) takeStatus(status peerlink.Status) {
-	spread := func() {}
+// handleStatus applies an agent's report to the engine at its address, provided that
+// the same incarnation is registered there.
+func (g *Gateway) handleStatus(status peerlink.Status) {
+	publish := func() {}
 	g.mu.Lock()
 	defer func() {
 		g.mu.Unlock()
-		spread()
+		publish()
 	}()
 	now := g.now()
 	server := g.directory.ByAddress(status.Address)
@@ -95,17 +97,18 @@
 	}
 	if status.StartUnixMilli != 0 && server.StartUnixMilli != 0 && status.StartUnixMilli != server.StartUnixMilli {
 		if status.StartUnixMilli > server.StartUnixMilli {
-			// The row of the later start is on its way; the listed one has ended.
+			// The row of the later incarnation has not been read yet; the listed incarnation
+			// has ended.
 			g.picker.MarkSuperseded(server.Key())
-			spread = g.ended(server.Key(), endedLaterStart)
+			publish = g.recordServerEnd(server.Key(), signAddressReused)
 		}
 		return
 	}
 	if status.StartUnixMilli != 0 {
-		spread = g.alive(server.Key(), now.Add(-time.Duration(status.AgeMicros)*time.Microsecond))
+		publish = g.recordAlive(server.Key(), now.Add(-time.Duration(status.AgeMicros)*time.Microsecond))
 	}
 	if status.Model != "" && server.Weights[status.Model].Version < status.Version {
-		g.amendWeights(server, status.Model, status.Version)
+		g.updateWeights(server, status.Model, status.Version)
 	}
 	g.picker.Report(server.Key(), placement.Load{
 		Running: status.Running, Queued: status.Queued, PrefillTokens: status.PrefillTokens,
@@ -113,9 +116,9 @@
 	}, now)
 }
 
-// amendWeights takes note that a listed engine serves a newer version than its row
-// tells. The caller holds mu. It returns the new listing.
-func (g *Gateway) amendWeights(server *directory.Server, model string, version int) *directory.Server {
+// updateWeights records that a listed engine serves a newer version than its row
+// states, and returns the new listing. The caller holds mu.
+func (g *Gateway) updateWeights(server *directory.Server, model string, version int) *directory.Server {
 	updated := *server
 	updated.Weights = map[string]directory.Weights{model: {Version: version, Complete: true}}
 	g.directory.Update(&updated)
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -10,25 +10,25 @@
 	"github.com/auburnbend/auburnbend/lib/placement"
 )
 
-// refuse answers with a status of the gateway's own. A 429 or 503 promises that
+// refuse responds with a status of the gateway's own. A 429 or 503 guarantees that
 // the request has not run and never will.
-func (r *request) refuse(status int, o outcome, reason string, after time.Duration) {
-	r.seen.Outcome, r.seen.Reason, r.seen.Status, r.seen.RetryAfter = string(o), reason, status, after
+func (r *request) refuse(status int, o outcome, reason string, retryAfter time.Duration) {
+	r.summary.Outcome, r.summary.Reason, r.summary.Status, r.summary.RetryAfter = string(o), reason, status, retryAfter
 	h := r.writer.Header()
 	h["Content-Type"] = nil
-	r.gateway.config.Dialect.PrepareRefusal(h, r.call.ID, after)
+	r.gateway.config.Dialect.PrepareRefusal(h, r.info.ID, retryAfter)
 	r.writer.WriteHeader(status)
 }
 
-// giveUp ends a request for which there is no server.
-func (r *request) giveUp(refusal *placement.Refusal) {
-	r.seen.Predicted, r.seen.ExcludedServers = refusal.Predicted, strings.Join(refusal.ExcludedServers, ", ")
+// endUnplaced ends a request for which no server was found.
+func (r *request) endUnplaced(refusal *placement.Refusal) {
+	r.summary.Predicted, r.summary.ExcludedServers = refusal.Predicted, strings.Join(refusal.ExcludedServers, ", ")
 	switch {
-	case r.stream.begun:
+	case r.stream.started:
 		r.abort(string(refusal.Reason))
-	case r.failure != nil:
-		r.deliver(r.failure)
-	case r.ran:
+	case r.serverError != nil:
+		r.deliver(r.serverError)
+	case r.mayHaveRun:
 		r.refuse(http.StatusBadGateway, outcomeUnknown, string(refusal.Reason), 0)
 	default:
 		r.refuse(http.StatusServiceUnavailable, outcomeRefused, string(refusal.Reason), refusal.RetryAfter)
@@ -36,80 +36,82 @@
 }
 
 // fail ends a request after its last attempt.
-func (r *request) fail(end ending) {
+func (r *request) fail(result attemptResult) {
 	switch {
-	case r.stream.begun:
-		r.abort(end.reason)
-	case r.failure != nil:
-		r.deliver(r.failure)
-	case r.ran:
-		r.refuse(http.StatusBadGateway, outcomeUnknown, end.reason, 0)
+	case r.stream.started:
+		r.abort(result.reason)
+	case r.serverError != nil:
+		r.deliver(r.serverError)
+	case r.mayHaveRun:
+		r.refuse(http.StatusBadGateway, outcomeUnknown, result.reason, 0)
 	default:
-		r.refuse(http.StatusServiceUnavailable, outcomeRefused, end.reason, rejectedAfter)
+		r.refuse(http.StatusServiceUnavailable, outcomeRefused, result.reason, rejectedRetryAfter)
 	}
 }
 
-// rejectedAfter is when a caller may come back whose request several servers
-// did not take.
-const rejectedAfter = 200 * time.Millisecond
+// rejectedRetryAfter is when a caller may retry whose request several servers
+// rejected.
+const rejectedRetryAfter = 200 * time.Millisecond
 
-// timeOver ends a request whose caller has left or whose time is over.
-func (r *request) timeOver() {
-	left := r.http.Context().Err() != nil
+// endTimedOut ends a request whose context has ended: its caller is gone or its
+// deadline has passed.
+func (r *request) endTimedOut() {
+	disconnected := r.http.Context().Err() != nil
 	switch {
-	case left && !errors.Is(context.Cause(r.http.Context()), context.DeadlineExceeded):
-		r.callerLeft()
-	case r.stream.begun:
+	case disconnected && !errors.Is(context.Cause(r.http.Context()), context.DeadlineExceeded):
+		r.endCallerGone()
+	case r.stream.started:
 		r.abort("time over")
-	case r.failure != nil:
-		r.deliver(r.failure)
-	case r.ran:
+	case r.serverError != nil:
+		r.deliver(r.serverError)
+	case r.mayHaveRun:
 		r.refuse(http.StatusGatewayTimeout, outcomeUnknown, "time over", 0)
 	default:
-		r.refuse(http.StatusServiceUnavailable, outcomeRefused, "time over", rejectedAfter)
+		r.refuse(http.StatusServiceUnavailable, outcomeRefused, "time over", rejectedRetryAfter)
 	}
 }
 
-// callerLeft ends a request whose caller is not there any more. Without an abort
-// the library would answer with an empty success, which a caller that has closed
-// only its own direction would take for the answer.
-func (r *request) callerLeft() {
-	r.seen.Outcome, r.seen.Reason = string(outcomeLeft), "caller left"
+// endCallerGone ends a request whose caller has disconnected. Without the abort,
+// net/http would send an empty 200 response, and a caller that has closed only its
+// sending side would take it for the real one.
+func (r *request) endCallerGone() {
+	r.summary.Outcome, r.summary.Reason = string(outcomeCallerGone), "caller left"
 	panic(http.ErrAbortHandler)
 }
 
-// abort breaks a stream off, so that it does not look complete. The library
-// closes the connection when it sees this value.
+// abort cuts a stream, so that it does not look complete: net/http closes the
+// connection on this panic value.
 func (r *request) abort(reason string) {
-	r.seen.Outcome, r.seen.Reason = string(outcomeBroken), reason
+	r.summary.Outcome, r.summary.Reason = string(outcomeBroken), reason
 	panic(http.ErrAbortHandler)
 }
 
-// deliver passes on a backend server's whole answer.
-func (r *request) deliver(a *answer) {
-	r.seen.Outcome, r.seen.Status = string(outcomeAnswered), a.status
-	r.seen.TimeToFirstByte = r.gateway.now().Sub(r.arrived)
-	copyAnswerHeader(r.writer.Header(), a.header)
-	r.writer.WriteHeader(a.status)
-	if len(a.body) > 0 {
-		// A failed write means that the caller left.
-		_, _ = r.writer.Write(a.body)
+// deliver passes on a whole response of a backend server.
+func (r *request) deliver(response *bufferedResponse) {
+	r.summary.Outcome, r.summary.Status = string(outcomeAnswered), response.status
+	r.summary.TimeToFirstByte = r.gateway.now().Sub(r.arrived)
+	copyResponseHeader(r.writer.Header(), response.header)
+	r.writer.WriteHeader(response.status)
+	if len(response.body) > 0 {
+		// A write fails only if the caller has gone.
+		_, _ = r.writer.Write(response.body)
 	}
 }
 
-// finish gives back what the request holds and reports its end.
+// finish releases the memory that the request holds and reports its end to
+// Config.Observe.
 func (r *request) finish() {
 	for _, release := range r.releases {
 		release()
 	}
-	if r.hashed {
-		r.seen.ContentFingerprint = r.content.String()
+	if r.contentHashed {
+		r.summary.ContentFingerprint = r.content.String()
 	}
-	if r.seen.Outcome == OutcomeAnswered {
-		r.gateway.noteAnswered(r.fingerprint())
+	if r.summary.Outcome == OutcomeAnswered {
+		r.gateway.recordAnswered(r.fingerprint())
 	}
-	r.seen.TotalTime = r.gateway.now().Sub(r.arrived)
+	r.summary.TotalTime = r.gateway.now().Sub(r.arrived)
 	if r.gateway.config.Observe != nil {
-		r.gateway.config.Observe(r.seen)
+		r.gateway.config.Observe(r.summary)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,60 +17,64 @@
 	"github.com/auburnbend/auburnbend/lib/versions"
 )
 
-// Config holds what a Gateway needs from its process.
+// Config configures a Gateway.
 type Config struct {
 	Dialect Dialect
 	Clock   clock.Clock
 	Log     *eventlog.Logger
-	// Observe takes the end of each request; nil takes none.
+	// Observe is called at the end of each request, on the request's goroutine; nil
+	// disables it.
 	Observe func(Observation)
 	Retry   retry.Config
-	// Entries is assumed to be the number of entries that share the retry
-	// budget until SetEntries tells more.
+	// Entries is the assumed number of entries that share the retry budget, until
+	// SetEntries is called.
 	Entries int
-	// Seed starts the random choices.
+	// Seed seeds the random choices.
 	Seed uint64
 	// Placement configures the choice of backend servers.
 	Placement placement.Config
-	// MaxRolloutTime is the time in which new weights must serve everywhere.
+	// MaxRolloutTime is the time after which only a newly declared version of weights
+	// may serve.
 	MaxRolloutTime time.Duration
-	// MaxBufferedBytes bounds the memory in bytes of the answers that are read whole; zero
-	// takes a default.
+	// MaxBufferedBytes bounds the memory of all buffered responses together; zero takes
+	// a default of 16 MiB.
 	MaxBufferedBytes int64
 }
 
-// defaultBodyMemory is an eighth of the memory of a small instance.
-const defaultBodyMemory = 16 << 20
+// defaultMaxBufferedBytes is an eighth of the memory of a small instance.
+const defaultMaxBufferedBytes = 16 << 20
 
-// Gateway serves callers. It is safe for concurrent use.
+// Gateway is an http.Handler that serves callers. All methods are safe for
+// concurrent use.
 type Gateway struct {
-	config Config
-	table  atomic.Pointer[serving.Table]
-	bodies *upstream.BodyBudget
+	config     Config
+	table      atomic.Pointer[serving.Table]
+	bodyBudget *upstream.BodyBudget
 
-	// mu guards what follows.
+	// mu guards the fields down to configAt.
 	mu        sync.Mutex
 	directory *directory.Directory
 	picker    *placement.Picker
-	// granted are the places that other entries have got here.
-	granted  *placement.LeaseTable
+	// leases are the leases that this entry has granted to other entries.
+	leases   *placement.LeaseTable
 	budget   *retry.Budget
 	versions *versions.Registry
 	suspects *suspects
 	// configAt is when the configuration came into force.
 	configAt time.Time
 
-	// loads is the link to agents and other entries; nil if there is none. It is set
+	// peerLink connects to agents and other entries; nil if there is none. It is set
 	// before the first request.
-	loads *PeerLink
+	peerLink *PeerLink
 
-	draining atomic.Bool
-	open     atomic.Int64
+	draining     atomic.Bool
+	openRequests atomic.Int64
 }
 
 var _ http.Handler = (*Gateway)(nil)
 
-// New returns a Gateway without a configuration.
+// New returns a Gateway without a configuration. It refuses all requests until
+// SetConfig is called.
 func New(config Config) *Gateway {
 	d := directory.New()
 	config.Placement.OnEject = func(s *directory.Server, while time.Duration, because placement.Result) {
@@ -78,21 +82,22 @@
 	}
 	picker := placement.New(config.Placement, d, rand.New(rand.NewPCG(config.Seed, config.Seed)))
 	if config.MaxBufferedBytes <= 0 {
-		config.MaxBufferedBytes = defaultBodyMemory
+		config.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
 	return &Gateway{
-		config:    config,
-		bodies:    upstream.NewBodyBudget(config.MaxBufferedBytes),
-		directory: d,
-		picker:    picker,
-		granted:   placement.NewLeaseTable(picker),
-		budget:    retry.New(config.Retry, config.Entries),
-		versions:  versions.NewRegistry(config.MaxRolloutTime),
-		suspects:  newSuspects(),
+		config:     config,
+		bodyBudget: upstream.NewBodyBudget(config.MaxBufferedBytes),
+		directory:  d,
+		picker:     picker,
+		leases:     placement.NewLeaseTable(picker),
+		budget:     retry.New(config.Retry, config.Entries),
+		versions:   versions.NewRegistry(config.MaxRolloutTime),
+		suspects:   newSuspects(),
 	}
 }
 
-// SetConfig puts a configuration in force. Older ones are ignored.
+// SetConfig puts a configuration in force and reports whether it did: a version that
+// is not newer than the current one is ignored.
 func (g *Gateway) SetConfig(c *serving.Config) bool {
 	for {
 		current := g.table.Load()
@@ -109,25 +114,26 @@
 	}
 }
 
-// Ready reports whether the gateway can serve callers.
+// Ready reports whether the gateway accepts callers: it has a configuration and is
+// not draining.
 func (g *Gateway) Ready() bool { return !g.draining.Load() && g.table.Load() != nil }
 
-// Drain makes the gateway report that it is not ready. It goes on serving.
+// Drain makes Ready report false. The gateway continues to serve requests.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Draining reports whether Drain was called. It is safe for concurrent use.
+// Draining reports whether Drain was called.
 func (g *Gateway) Draining() bool { return g.draining.Load() }
 
-// OpenRequests returns the number of requests that are being served.
-func (g *Gateway) OpenRequests() int { return int(g.open.Load()) }
+// OpenRequests returns the number of requests in progress.
+func (g *Gateway) OpenRequests() int { return int(g.openRequests.Load()) }
 
-// SetBounds changes the bounds on repeats and the time in which new weights must
-// serve everywhere.
-func (g *Gateway) SetBounds(r retry.Config, versionTime time.Duration) {
+// SetBounds changes the retry budget and the time after which only a newly declared
+// version of weights may serve.
+func (g *Gateway) SetBounds(budget retry.Config, maxRolloutTime time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.budget.SetConfig(r)
-	g.versions.SetTimeLimit(versionTime)
+	g.budget.SetConfig(budget)
+	g.versions.SetTimeLimit(maxRolloutTime)
 }
 
 // SetEntries sets the number of entries that share the retry budget.
@@ -137,35 +143,36 @@
 	g.budget.SetEntries(n)
 }
 
-// Report takes a backend server's load.
+// Report records a backend server's load.
 func (g *Gateway) Report(key directory.Key, load placement.Load) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.picker.Report(key, load, g.now())
 }
 
-// UpdateServers changes the directory of backend servers.
+// UpdateServers calls change with the directory of backend servers and the current
+// time. change runs under the Gateway's mutex: it must not call the Gateway.
 func (g *Gateway) UpdateServers(change func(*directory.Directory, time.Time)) {
 	g.mu.Lock()
 	change(g.directory, g.now())
 	g.picker.Prune()
-	spread := g.endUnlisted()
+	publish := g.recordUnlistedEnds()
 	g.mu.Unlock()
-	spread()
-	if g.loads != nil && !g.loads.hasLearned() {
+	publish()
+	if g.peerLink != nil && !g.peerLink.isWarm() {
 		g.announceTargets()
 	}
 }
 
-// ReplaceServers takes a full list of backend servers. recovered tells that an
-// outage of the store has just ended.
+// ReplaceServers replaces the list of backend servers. recovered is set if an outage
+// of the store has just ended.
 func (g *Gateway) ReplaceServers(servers []*directory.Server, recovered bool) {
 	g.UpdateServers(func(d *directory.Directory, now time.Time) { d.Replace(servers, recovered, now) })
 	g.announceTargets()
 }
 
-// SetWantedVersion takes the version of a model that must serve. fresh tells that it was
-// declared just now.
+// SetWantedVersion sets the declared version of a model. fresh is set if it was
+// declared just now; otherwise its age is unknown.
 func (g *Gateway) SetWantedVersion(model string, version int, fresh bool) {
 	defer g.announceTargets()
 	g.mu.Lock()
--- a/gateway/header.go
+++ b/gateway/header.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only and are not passed on.
+// hopHeaders are the hop-by-hop headers, and others that concern one connection
+// only. They are not passed on.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwardedHeader copies a header without what concerns one connection only.
+// forwardedHeader returns a copy of a header without its hop-by-hop fields.
 func forwardedHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h)+4)
 	for name, values := range h {
@@ -29,12 +30,12 @@
 	return out
 }
 
-// copyAnswerHeader copies a backend server's header to the caller.
-func copyAnswerHeader(to, from http.Header) {
+// copyResponseHeader copies a backend server's response header to the caller.
+func copyResponseHeader(to, from http.Header) {
 	for name, values := range forwardedHeader(from) {
 		to[name] = values
 	}
-	// The library adds a type of its own if the backend server gave none.
+	// net/http would add a content type of its own if the backend server gave none.
 	if _, ok := from["Content-Type"]; !ok {
 		to["Content-Type"] = nil
 	}
--- a/gateway/interrupted.go
+++ b/gateway/interrupted.go
@@ -15,73 +15,75 @@
 	"github.com/auburnbend/auburnbend/lib/placement"
 )
 
-// aliveTimeout bounds the check whether a backend server has ended. It is above a
-// round trip between regions, and small against the target of a first answer.
-const aliveTimeout = 100 * time.Millisecond
+// probeTimeout bounds the connection attempt that checks whether a backend server
+// has ended. It is longer than a round trip between regions, and short against the
+// target of a first response.
+const probeTimeout = 100 * time.Millisecond
 
-// noteInterrupted takes note of an exchange that a backend server has not ended with
-// an answer: it has closed the connection or fallen silent. Answers that are
-// malformed or too long are other faults. Where the server has closed the connection,
-// the gateway checks whether it has ended.
-func (r *request) noteInterrupted(lease *placement.Lease, err error) {
+// recordInterrupted records an exchange that a backend server did not end with a
+// response, because the connection was closed or timed out. Malformed and oversized
+// responses are not counted: they do not show that the server has ended. If the
+// connection was closed, the gateway checks whether the server has ended.
+func (r *request) recordInterrupted(lease *placement.Lease, err error) {
 	if errors.Is(r.ctx.Err(), context.Canceled) {
 		return
 	}
-	closed := r.ctx.Err() == nil && endedByPeer(err)
-	if !closed && !silent(r.ctx.Err(), err) {
+	closed := r.ctx.Err() == nil && closedByPeer(err)
+	if !closed && !timedOut(r.ctx.Err(), err) {
 		return
 	}
 	g, server := r.gateway, lease.Server
 	content := r.fingerprint()
 	if closed {
-		g.config.Log.Log(eventlog.AttemptAborted, "request", r.call.ID, "content", content,
+		g.config.Log.Log(eventlog.AttemptAborted, "request", r.info.ID, "content", content,
 			"server", server.ID, "born", server.StartUnixMilli, "service", r.service, "err", err)
 	}
 	g.mu.Lock()
 	now := g.now()
-	known, _ := g.suspects.monitor.Crashes(now, content)
-	start := startID(server.Key())
-	ended, first := g.suspects.attributor.Interrupted(now, start, content)
-	spread := func() {}
+	crashes, _ := g.suspects.monitor.Crashes(now, content)
+	id := incarnationID(server.Key())
+	ended, firstInterrupted := g.suspects.attributor.Interrupted(now, id, content)
+	publish := func() {}
 	if ended {
-		spread = g.crashed(server.Key(), []model.Fingerprint{content})
+		publish = g.recordCrash(server.Key(), []model.Fingerprint{content})
 	} else {
-		g.suspects.starts[start] = server.Key()
+		g.suspects.pendingServers[id] = server.Key()
 	}
 	g.mu.Unlock()
-	spread()
+	publish()
 	switch {
 	case ended || !closed:
-	case known > 0:
-		// Whether it may be repeated depends on what is found.
-		g.checkAlive(server)
-	case first:
-		go g.checkAlive(server)
+	case crashes > 0:
+		// The content has already crashed servers, so a retry depends on the result of the
+		// probe.
+		g.probe(server)
+	case firstInterrupted:
+		go g.probe(server)
 	}
 }
 
-// checkAlive opens a connection to a backend server whose connections end before their
-// answers: the address of a server that has ended refuses it.
-func (g *Gateway) checkAlive(server *directory.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), aliveTimeout)
+// probe connects to a backend server whose connections end before their responses.
+// If its process has ended, its address refuses the connection, which is recorded.
+func (g *Gateway) probe(server *directory.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	x, err := upstream.Dial(ctx, server.Address)
+	conn, err := upstream.Dial(ctx, server.Address)
 	if err != nil {
-		g.noteUnreachable(server, err)
+		g.recordUnreachable(server, err)
 		return
 	}
-	x.Close()
+	conn.Close()
 }
 
-// endedByPeer reports whether an error of an exchange means that the other end has
+// closedByPeer reports whether an error of an exchange means that the server has
 // closed or reset the connection.
-func endedByPeer(err error) bool {
+func closedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// silent reports whether an exchange ended because nothing came from the other end:
-// the time of the request, of its first answer or of the connection was over.
-func silent(request, err error) bool {
+// timedOut reports whether an exchange ended because nothing came from the server:
+// the deadline of the request, of the first byte or of the connection passed.
+func timedOut(request, err error) bool {
 	return errors.Is(request, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.ETIMEDOUT)
 }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -8,73 +8,74 @@
 )
 
 const (
-	// memberTime is how long an entry that agents have named counts as serving.
-	memberTime = 4 * time.Second
-	// countedTime is how long it counts among those that share the retry budget: an
-	// entry that is cut off for a while goes on repeating requests.
-	countedTime = 30 * time.Second
-	// memberRefresh is how often the members are ranked anew.
-	memberRefresh = 250 * time.Millisecond
+	// memberTTL is how long an entry counts as serving after an agent named it.
+	memberTTL = 4 * time.Second
+	// budgetMemberTTL is how long it counts among the entries that share the retry
+	// budget. It is longer because an entry that is cut off for a while continues to
+	// retry requests.
+	budgetMemberTTL = 30 * time.Second
+	// rankRefreshInterval is how long a ranking is cached.
+	rankRefreshInterval = 250 * time.Millisecond
 )
 
-// members are the entries of the region, as agents name them. They are not safe
-// for concurrent use.
+// members tracks the entries of the region, as agents name them. It is not safe for
+// concurrent use.
 type members struct {
 	self netip.AddrPort
-	// seen is when agents named an entry last; it does not hold this one.
-	seen map[netip.AddrPort]time.Time
-	// ranked are the members that serve, in the order of their weight for each key,
-	// since rankedAt.
+	// lastSeen is when agents last named each other entry.
+	lastSeen map[netip.AddrPort]time.Time
+	// ranked caches the serving members in rank order by key, computed since rankedAt.
 	ranked   map[string][]netip.AddrPort
 	rankedAt time.Time
 }
 
 func newMembers(self netip.AddrPort) *members {
-	return &members{self: self, seen: make(map[netip.AddrPort]time.Time)}
+	return &members{self: self, lastSeen: make(map[netip.AddrPort]time.Time)}
 }
 
-// learn takes entries that an agent names. Addresses that cannot be read name
-// nobody.
-func (m *members) learn(addresses []string, now time.Time) {
-	for _, text := range addresses {
-		if address, err := netip.ParseAddrPort(text); err == nil && address != m.self {
-			m.seen[address] = now
+// observe records the entries that an agent names. Addresses that cannot be parsed
+// are ignored.
+func (m *members) observe(addresses []string, now time.Time) {
+	for _, s := range addresses {
+		if address, err := netip.ParseAddrPort(s); err == nil && address != m.self {
+			m.lastSeen[address] = now
 		}
 	}
 }
 
-// count returns the number of entries that may use the region's share of the
-// retry budget.
-func (m *members) count() int { return 1 + len(m.seen) }
+// count returns the number of entries that share the region's part of the retry
+// budget, including this one.
+func (m *members) count() int { return 1 + len(m.lastSeen) }
 
-// rank returns the members, this one among them, in an order for a key on which all
-// members with the same view agree. The slice must not be changed.
+// rank returns the serving members, including this one, in an order for a key on
+// which all members with the same view agree. The slice must not be modified.
 func (m *members) rank(key string, now time.Time) []netip.AddrPort {
-	if now.Sub(m.rankedAt) >= memberRefresh {
+	if now.Sub(m.rankedAt) >= rankRefreshInterval {
 		m.ranked, m.rankedAt = make(map[string][]netip.AddrPort), now
 	}
 	if m.ranked[key] == nil {
-		m.ranked[key] = m.serving(key, now)
+		m.ranked[key] = m.rankLive(key, now)
 	}
 	return m.ranked[key]
 }
 
-func (m *members) serving(key string, now time.Time) []netip.AddrPort {
-	texts := []string{m.self.String()}
-	known := map[string]netip.AddrPort{texts[0]: m.self}
-	for address, at := range m.seen {
+// rankLive computes the order of rank, and drops members that have expired.
+func (m *members) rankLive(key string, now time.Time) []netip.AddrPort {
+	addresses := []string{m.self.String()}
+	byText := map[string]netip.AddrPort{addresses[0]: m.self}
+	for address, at := range m.lastSeen {
 		switch age := now.Sub(at); {
-		case age > countedTime:
-			delete(m.seen, address)
-		case age <= memberTime:
+		case age > budgetMemberTTL:
+			delete(m.lastSeen, address)
+		case age <= memberTTL:
 			text := address.String()
-			known[text] = address
-			texts = append(texts, text)
+			byText[text] = address
+			addresses = append(addresses, text)
 		}
 	}
 	var ranked []netip.AddrPort
-	for _, text := range rendezvous.Rank(key, texts, len(texts)) {
-		ranked = append(ranked, known[text])
+	for _, text := range rendezvous.Rank(key, addresses, len(addresses)) {
+		ranked = append(ranked, byText[text])
 	}
 	return ranked
 }
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -20,12 +20,12 @@
 	}
 	now := time.Unix(1000, 0)
 
-	It("are ranked alike by all of them", func() {
-		// Guards against entries that ask different ones for places.
+	It("are ranked in the same order by every member", func() {
+		// Guards against entries that choose different placers.
 		var orders [][]netip.AddrPort
 		for _, text := range addresses(30) {
 			m := newMembers(netip.MustParseAddrPort(text))
-			m.learn(append(addresses(30), "nonsense"), now)
+			m.observe(append(addresses(30), "nonsense"), now)
 			orders = append(orders, m.rank("k", now))
 		}
 		Expect(orders[0]).To(HaveLen(30))
@@ -34,16 +34,16 @@
 		}
 	})
 
-	It("are forgotten when agents no longer name them, later for the retry budget", func() {
-		// Guards against a share of the retry budget that grows while entries are cut
-		// off: they go on using theirs.
+	It("expire when agents no longer name them, later for the retry budget", func() {
+		// Guards against a retry share that grows while other entries are cut off: they
+		// continue to use theirs.
 		m := newMembers(self)
-		m.learn(addresses(3), now)
+		m.observe(addresses(3), now)
 		Expect(m.rank("k", now)).To(HaveLen(3))
-		later := now.Add(memberTime + time.Second)
+		later := now.Add(memberTTL + time.Second)
 		Expect(m.rank("k", later)).To(ConsistOf(self))
 		Expect(m.count()).To(Equal(3))
-		m.rank("k", now.Add(countedTime+time.Second))
+		m.rank("k", now.Add(budgetMemberTTL+time.Second))
 		Expect(m.count()).To(Equal(1))
 	})
 })
--- a/gateway/observation.go
+++ b/gateway/observation.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// Observation is the end of one request, for logs and metrics.
+// Observation describes one request at its end, for logs and metrics.
 type Observation struct {
 	ID, Route, Service, Team string
 	Outcome                  string
-	// Reason tells more about outcomes other than answered.
+	// Reason details outcomes other than answered.
 	Reason string
 	Status int
-	// ContentFingerprint is the fingerprint of the request's content if it was needed; empty
-	// otherwise.
+	// ContentFingerprint identifies the content of the request; empty if it was not
+	// computed.
 	ContentFingerprint string
 	// Server is the last backend server; empty if none had the request.
 	Server string
-	// Predicted, Occupancy and LoadAge are what the last placement rested on.
+	// Predicted, LoadAge and Occupancy are those of the last lease.
 	Predicted, LoadAge time.Duration
 	Occupancy          int
-	// PlacedBy is the address of the entry that chose the server, or refused the
+	// PlacedBy is the address of the entry that chose the server or refused the
 	// request; empty for this one.
 	PlacedBy string
-	// ExcludedServers names servers that a refused request did not get because they leave or
-	// want a pause.
+	// ExcludedServers lists servers that were not considered for a refused request
+	// because they are draining or have asked for a pause.
 	ExcludedServers string
-	// RetryAfter is when a refused caller was told to come back.
+	// RetryAfter is the time after which a refused caller was told to retry.
 	RetryAfter time.Duration
-	// Timeout is the earlier one of the caller's limit and the route's timeout; zero
-	// for none.
+	// Timeout is the shorter one of the caller's and the route's timeouts; zero for
+	// none.
 	Timeout time.Duration
-	// Attempts counts the backend servers that had the request.
+	// Attempts counts the backend servers that the request was sent to.
 	Attempts int
-	// ConfigVersion is the configuration that decided.
+	// ConfigVersion is the version of the configuration that the request was served
+	// with.
 	ConfigVersion int64
-	// TimeToFirstByte is the time to the first byte of the answer, Total the whole time.
+	// TimeToFirstByte is the time from the arrival of the request to the first byte of
+	// the response, TotalTime that to its end.
 	TimeToFirstByte, TotalTime time.Duration
-	// LongestGap is the longest pause between events of a stream.
+	// LongestGap is the longest time between two events of a stream.
 	LongestGap time.Duration
 	Events     int
 }
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -1,24 +1,25 @@
 package gateway
 
-// OutcomeAnswered is the outcome of requests with a backend server's whole answer.
+// OutcomeAnswered is the outcome of requests that got a whole response of a backend
+// server.
 const OutcomeAnswered = "answered"
 
-// outcome is how the gateway ended a request.
+// outcome is how a request ended.
 type outcome string
 
-// Outcomes, as used in logs and metrics.
+// Outcomes as logs and metrics name them.
 const (
-	// outcomeAnswered is a backend server's whole answer.
+	// outcomeAnswered is a whole response of a backend server.
 	outcomeAnswered outcome = OutcomeAnswered
-	// outcomeRefused is a refusal of a request that was not run.
+	// outcomeRefused is a refusal of a request that has not run.
 	outcomeRefused outcome = "refused"
-	// outcomeInvalid is a refusal of a request that the configuration does not
-	// allow or that is malformed.
+	// outcomeInvalid is a refusal of a request that is malformed or not allowed by the
+	// configuration.
 	outcomeInvalid outcome = "invalid"
 	// outcomeUnknown is a failure of a request that may have run.
 	outcomeUnknown outcome = "unknown"
 	// outcomeBroken is a stream that was cut before its end.
 	outcomeBroken outcome = "broken"
-	// outcomeLeft means that the caller left.
-	outcomeLeft outcome = "left"
+	// outcomeCallerGone means that the caller disconnected.
+	outcomeCallerGone outcome = "left"
 )
--- /dev/null
+++ b/gateway/peer_link.go
@@ -0,0 +1,242 @@
+package gateway
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"github.com/auburnbend/auburnbend/lib/eventlog"
+	"github.com/auburnbend/auburnbend/lib/msgstream"
+	"github.com/auburnbend/auburnbend/lib/placement"
+	"github.com/auburnbend/auburnbend/peerlink"
+)
+
+const (
+	// subscribeInterval is how often subscriptions to load reports are renewed.
+	subscribeInterval = time.Second
+	// maxDatagram is the maximum size of a datagram in bytes.
+	maxDatagram = 1200
+	// reorderWindow is the number of messages by which one may be overtaken. A larger
+	// step back in the sequence means that the sender has restarted.
+	reorderWindow = 50
+)
+
+// PeerLink exchanges datagrams with the agents of model engines and with the other
+// entries of the region. Agents report the load of their engines and name the
+// entries of the region. The first two entries in rank order are placers: they place
+// the requests of all entries of the region.
+type PeerLink struct {
+	gateway *Gateway
+	name    string
+	region  string
+	self    netip.AddrPort
+	conn    *net.UDPConn
+	// wake makes Run renew the subscriptions, and with them the announced targets, at
+	// once.
+	wake chan struct{}
+	// sequences holds the newest sequence number by sender. Only the receiving
+	// goroutine uses it.
+	sequences  map[string]uint64
+	placements *pendingPlacements
+	// warm is closed once agents have had time to report which contents crash backend
+	// servers.
+	warm     chan struct{}
+	warmOnce sync.Once
+	// placer is the first placer in rank order. Only Run uses it.
+	placer netip.AddrPort
+
+	// mu guards members and sequence.
+	mu       sync.Mutex
+	members  *members
+	sequence uint64
+}
+
+// NewPeerLink listens on an IP address and UDP port and attaches the link to the
+// gateway. Agents and other entries listen on the same port. incarnation differs
+// between the process starts of this entry.
+func NewPeerLink(g *Gateway, name, region, address string, port int, incarnation uint64) (*PeerLink, error) {
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(address), Port: port})
+	if err != nil {
+		return nil, err
+	}
+	self := conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	l := &PeerLink{
+		gateway: g, name: name, region: region, conn: conn, self: self,
+		sequences: make(map[string]uint64), members: newMembers(self),
+		placements: newPendingPlacements(incarnation), wake: make(chan struct{}, 1), warm: make(chan struct{}),
+	}
+	g.peerLink = l
+	return l, nil
+}
+
+// announceTargets makes Run announce the targets at once.
+func (l *PeerLink) announceTargets() {
+	select {
+	case l.wake <- struct{}{}:
+	default:
+	}
+}
+
+// Run subscribes to load reports and handles datagrams until ctx ends. It closes the
+// socket.
+func (l *PeerLink) Run(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { _ = l.conn.Close() })
+	// The AfterFunc does not run if this goroutine is the first to see the end of ctx.
+	defer func() {
+		stop()
+		_ = l.conn.Close()
+	}()
+	go l.receive(ctx)
+	ticker := time.NewTicker(subscribeInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil {
+		l.subscribe()
+		select {
+		case <-ctx.Done():
+		case <-ticker.C:
+		case <-l.wake:
+			// Batch changes that come together.
+			time.Sleep(announceDelay)
+		}
+	}
+}
+
+// subscribe renews the subscriptions to load reports and announces the targets of
+// the engines.
+func (l *PeerLink) subscribe() {
+	table := l.gateway.table.Load()
+	if table == nil {
+		return
+	}
+	l.gateway.expireLeases()
+	l.logPlacerChange()
+	l.resendGossip(table)
+	placer := l.isPlacer()
+	targets := l.gateway.weightTargets(table)
+	subscriptions := make(map[string][]byte)
+	engines := l.gateway.subscribedEngines(table, l.name, placer)
+	l.scheduleWarmup(len(engines))
+	for _, engine := range engines {
+		subscription := subscriptions[engine.service]
+		if subscription == nil {
+			subscription = encode(&peerlink.Datagram{Subscription: &peerlink.Subscription{
+				Entry: l.name, Region: l.region, Incarnation: l.placements.incarnation, EveryChange: placer, Draining: l.gateway.draining.Load(), Target: targets[engine.service],
+			}})
+			subscriptions[engine.service] = subscription
+		}
+		l.send(subscription, netip.AddrPortFrom(engine.agentAddr, l.self.Port()))
+	}
+}
+
+// logPlacerChange logs that another entry has become the first placer.
+func (l *PeerLink) logPlacerChange() {
+	ranked := l.Rank(placementDuty)
+	if ranked[0] == l.placer {
+		return
+	}
+	l.placer = ranked[0]
+	l.gateway.config.Log.Log(eventlog.PlacerChanged, "entry", l.placer, "self", l.placer == l.self, "members", len(ranked))
+}
+
+func encode(d *peerlink.Datagram) []byte {
+	data, err := msgpack.Marshal(d)
+	if err != nil {
+		panic(err)
+	}
+	return data
+}
+
+// send sends a datagram. A lost one is not repeated: later ones replace it.
+func (l *PeerLink) send(data []byte, to netip.AddrPort) { _, _ = l.conn.WriteToUDPAddrPort(data, to) }
+
+// sendUsage reports the requests that this entry has placed on an engine to the
+// engine's agent.
+func (l *PeerLink) sendUsage(server string, u placement.Usage) {
+	address, err := netip.ParseAddrPort(server)
+	if err != nil {
+		return
+	}
+	l.mu.Lock()
+	l.sequence++
+	sequence := l.sequence
+	l.mu.Unlock()
+	l.send(encode(&peerlink.Datagram{EntryLoad: &peerlink.EntryLoad{
+		Entry: l.name, PrefillTokens: u.PrefillTokens, Sequence: sequence,
+	}}), netip.AddrPortFrom(address.Addr(), l.self.Port()))
+}
+
+func (l *PeerLink) receive(ctx context.Context) {
+	buf := make([]byte, maxDatagram)
+	for ctx.Err() == nil {
+		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
+		if err != nil {
+			select {
+			case <-ctx.Done():
+			case <-time.After(subscribeInterval):
+			}
+			continue
+		}
+		var d peerlink.Datagram
+		if msgstream.Unmarshal(buf[:n], &d) == nil {
+			l.handleDatagram(&d, from)
+		}
+	}
+}
+
+func (l *PeerLink) handleDatagram(d *peerlink.Datagram, from netip.AddrPort) {
+	switch {
+	case d.Status != nil && l.isNewer(d.Status.Address, d.Status.Sequence):
+		l.markWarm()
+		l.recordMembers(d.Status)
+		l.gateway.handleStatus(*d.Status)
+	case d.PlacementRequest != nil:
+		l.handlePlacementRequest(d.PlacementRequest, from)
+	case d.PlacementNotice != nil:
+		l.handlePlacementNotice(d.PlacementNotice)
+	case d.PlacementResponse != nil:
+		l.placements.deliver(d.PlacementResponse)
+	case d.Gossip != nil:
+		l.handleGossip(d.Gossip)
+	}
+}
+
+// isNewer reports whether a message is newer than those received before: datagrams
+// may overtake each other.
+func (l *PeerLink) isNewer(sender string, sequence uint64) bool {
+	if newest := l.sequences[sender]; sequence <= newest && newest-sequence < reorderWindow {
+		return false
+	}
+	l.sequences[sender] = sequence
+	return true
+}
+
+// recordMembers records the entries of this region that an agent names, and updates
+// this entry's share of the retry budget. The budget's slack is divided evenly
+// between regions, and within a region between its entries, so that the shares add
+// up to it.
+func (l *PeerLink) recordMembers(status *peerlink.Status) {
+	if status.Region != l.region || len(status.Neighbours) == 0 {
+		return
+	}
+	l.mu.Lock()
+	l.members.observe(status.Neighbours, l.gateway.now())
+	count := l.members.count()
+	l.mu.Unlock()
+	l.gateway.SetEntries(count * l.gateway.regionCount())
+}
+
+// Rank returns the serving entries of the region, including this one, ranked for a
+// duty. Entries that know the same members get the same order. It is safe for
+// concurrent use. The slice must not be modified.
+func (l *PeerLink) Rank(duty string) []netip.AddrPort {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.members.rank(duty, l.gateway.now())
+}
+
+// Self returns the address of this entry as Rank lists it.
+func (l *PeerLink) Self() netip.AddrPort { return l.self }
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -16,7 +16,7 @@
 	"github.com/auburnbend/auburnbend/lib/serving"
 )
 
-var _ = Describe("Entries of a region", func() {
+var _ = Describe("Placement by the entries of a region", func() {
 	engine := &serving.Engine{
 		Slots: 8, StepTime: 13 * time.Millisecond, PrefillRate: 12700, StepsPerPass: 5, ChunkTokens: 2048, UsualPrompt: 900, UsualAnswer: 75,
 	}
@@ -26,13 +26,13 @@
 	}
 	const servers = 6
 
-	// region starts entries that know each other and the engines.
-	region := func(n int) []*PeerLink {
+	// startRegion starts n entries that know each other and the engines.
+	startRegion := func(n int) []*PeerLink {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		port := conn.LocalAddr().(*net.UDPAddr).Port
 		conn.Close()
-		var loads []*PeerLink
+		var links []*PeerLink
 		var addresses []string
 		for i := range n {
 			g := New(Config{Clock: clock.System{}, Log: eventlog.Discard(), Placement: placement.Config{Domain: "north", Regions: map[string]string{"north": "n"}}})
@@ -41,7 +41,7 @@
 			l, err := NewPeerLink(g, address, "n", address, port, uint64(i+1))
 			Expect(err).NotTo(HaveOccurred())
 			addresses = append(addresses, l.self.String())
-			loads = append(loads, l)
+			links = append(links, l)
 			g.UpdateServers(func(d *directory.Directory, _ time.Time) {
 				for s := range servers {
 					d.Put(&directory.Server{
@@ -56,17 +56,17 @@
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
-		for _, l := range loads {
-			l.members.learn(addresses, time.Now())
+		for _, l := range links {
+			l.members.observe(addresses, time.Now())
 			go l.receive(ctx)
 			DeferCleanup(func() { _ = l.conn.Close() })
 		}
-		return loads
+		return links
 	}
-	// placer returns the position of an entry in the order of the region.
-	byRank := func(loads []*PeerLink, rank int) *PeerLink {
-		address := loads[0].Rank(placing)[rank]
-		for _, l := range loads {
+	// byRank returns the entry at a position in the placement order of the region.
+	byRank := func(links []*PeerLink, rank int) *PeerLink {
+		address := links[0].Rank(placementDuty)[rank]
+		for _, l := range links {
 			if l.self == address {
 				return l
 			}
@@ -74,18 +74,18 @@
 		return nil
 	}
 
-	It("get places from one of them, which knows all", func() {
-		// Guards against entries that choose the same engine at the same moment, as
+	It("is done by the placer, which knows all placements", func() {
+		// Guards against entries that choose the same engine at the same moment because
 		// each knows only its own requests.
-		loads := region(4)
-		placer := byRank(loads, 0)
+		links := startRegion(4)
+		placer := byRank(links, 0)
 		counts := make(map[string]int)
 		for i := range 4 * servers {
-			l := loads[i%len(loads)]
+			l := links[i%len(links)]
 			if l == placer {
 				continue
 			}
-			granted, refusal, _ := l.ask(context.Background(), &demand)
+			granted, refusal, _ := l.requestPlacement(context.Background(), &demand)
 			Expect(refusal).To(BeNil())
 			Expect(granted).NotTo(BeNil())
 			Expect(granted.by).To(Equal(placer.self))
@@ -97,62 +97,62 @@
 		}
 	})
 
-	It("give their places back", func() {
-		loads := region(3)
-		placer, other := byRank(loads, 0), byRank(loads, 2)
-		granted, _, _ := other.ask(context.Background(), &demand)
+	It("releases leases when requests end", func() {
+		links := startRegion(3)
+		placer, other := byRank(links, 0), byRank(links, 2)
+		granted, _, _ := other.requestPlacement(context.Background(), &demand)
 		Expect(granted).NotTo(BeNil())
-		other.end(granted, placement.Answered)
+		other.endLease(granted, placement.Answered)
 		Eventually(func() int {
 			placer.gateway.mu.Lock()
 			defer placer.gateway.mu.Unlock()
-			return placer.gateway.granted.Len()
+			return placer.gateway.leases.Len()
 		}).Should(BeZero())
 	})
 
-	It("ask the next one while the first does not answer, and place by themselves at last", func() {
-		// Guards against requests that wait for an entry which is gone.
-		loads := region(3)
-		first, second, other := byRank(loads, 0), byRank(loads, 1), byRank(loads, 2)
+	It("falls back to the standby placer, then to the entry itself", func() {
+		// Guards against requests that wait for an entry which has stopped.
+		links := startRegion(3)
+		first, second, other := byRank(links, 0), byRank(links, 1), byRank(links, 2)
 		first.conn.Close()
-		granted, _, _ := other.ask(context.Background(), &demand)
+		granted, _, _ := other.requestPlacement(context.Background(), &demand)
 		Expect(granted).NotTo(BeNil())
 		Expect(granted.by).To(Equal(second.self))
 		second.conn.Close()
-		granted, refusal, _ := other.ask(context.Background(), &demand)
+		granted, refusal, _ := other.requestPlacement(context.Background(), &demand)
 		Expect(granted).To(BeNil())
 		Expect(refusal).To(BeNil())
-		_, _, ok := other.queries.begin(first.self, time.Now())
-		Expect(ok).To(BeFalse(), "an entry that did not answer is left alone for a while")
+		_, _, ok := other.placements.begin(first.self, time.Now())
+		Expect(ok).To(BeFalse(), "an entry that did not respond is not asked again for a while")
 	})
 
-	It("do not place for others when they leave or know no loads", func() {
-		loads := region(3)
-		first, second, other := byRank(loads, 0), byRank(loads, 1), byRank(loads, 2)
+	It("is not done by a draining placer", func() {
+		links := startRegion(3)
+		first, second, other := byRank(links, 0), byRank(links, 1), byRank(links, 2)
 		first.gateway.Drain()
-		granted, _, _ := other.ask(context.Background(), &demand)
+		granted, _, _ := other.requestPlacement(context.Background(), &demand)
 		Expect(granted).NotTo(BeNil())
 		Expect(granted.by).To(Equal(second.self))
 	})
 
-	It("do not send to a server that they know to leave", func() {
-		// Guards against requests to a leaving server because the entry that places
-		// them has not learned of it yet.
-		loads := region(2)
-		other := byRank(loads, 1)
-		granted, _, _ := other.ask(context.Background(), &demand)
+	It("rejects a lease on a server that the entry knows to be draining", func() {
+		// Guards against requests to a draining server whose drain the placer has not
+		// learned of yet.
+		links := startRegion(2)
+		other := byRank(links, 1)
+		granted, _, _ := other.requestPlacement(context.Background(), &demand)
 		Expect(granted).NotTo(BeNil())
 		other.gateway.UpdateServers(func(d *directory.Directory, _ time.Time) {
-			left := *d.Get(granted.server)
-			left.Draining = true
-			d.Put(&left)
+			draining := *d.Get(granted.server)
+			draining.Draining = true
+			d.Put(&draining)
 		})
 		Expect(other.gateway.adopt(granted, &demand)).To(BeNil())
 	})
 
-	It("share the retry budget of their region", func() {
-		l := region(2)[0]
+	It("counts the entries of all regions for the retry budget", func() {
+		l := startRegion(2)[0]
 		l.gateway.config.Placement.Regions = map[string]string{"north": "n", "south": "s", "west": "w"}
-		Expect(l.members.count() * l.gateway.regions()).To(Equal(6))
+		Expect(l.members.count() * l.gateway.regionCount()).To(Equal(6))
 	})
 })
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -12,111 +12,113 @@
 	"github.com/auburnbend/auburnbend/lib/sse"
 )
 
-// relay passes a stream on, event by event. The head is sent with the first
-// event, so that a stream which breaks before it can begin anew elsewhere.
-func (r *request) relay(lease *placement.Lease, x *upstream.Exchange, resp *http.Response, reply ResponseInfo) ending {
-	if r.stream.begun && r.stream.version > 0 && reply.Version != r.stream.version {
-		return r.unknown("continuation on other weights")
+// relay passes a stream on, event by event. The head is sent with the first event,
+// so that a stream which breaks earlier can restart on another server.
+func (r *request) relay(lease *placement.Lease, conn *upstream.Exchange, resp *http.Response, reply ResponseInfo) attemptResult {
+	if r.stream.started && r.stream.version > 0 && reply.Version != r.stream.version {
+		return r.mayHaveRunResult("continuation on other weights")
 	}
 	events := sse.NewReader(resp.Body)
 	control := http.NewResponseController(r.writer)
-	stall := r.stallLimit()
-	progress := func() {
-		limit := time.Time{}
-		if stall > 0 {
-			limit = r.gateway.now().Add(stall)
+	timeout := r.stallTimeout()
+	extendDeadline := func() {
+		deadline := time.Time{}
+		if timeout > 0 {
+			deadline = r.gateway.now().Add(timeout)
 		}
-		x.SetReadDeadline(limit)
+		conn.SetReadDeadline(deadline)
 	}
-	progress()
+	extendDeadline()
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			return r.streamEnd()
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			r.noteInterrupted(lease, err)
-			return r.unknown("stream stalled")
+			r.recordInterrupted(lease, err)
+			return r.mayHaveRunResult("stream stalled")
 		}
 		if err != nil {
-			r.noteInterrupted(lease, err)
-			return r.unknown("stream broken off")
+			r.recordInterrupted(lease, err)
+			return r.mayHaveRunResult("stream broken off")
 		}
-		if event.HasID && event.ID <= r.stream.last {
-			return r.unknown("event out of order")
+		if event.HasID && event.ID <= r.stream.lastEventID {
+			return r.mayHaveRunResult("event out of order")
 		}
 		r.beginStream(resp, reply)
 		if _, err := r.writer.Write(event.Raw); err != nil {
-			return r.callerGone()
+			return r.callerWriteFailed()
 		}
 		if !events.Buffered() {
 			if err := control.Flush(); err != nil {
-				return r.callerGone()
+				return r.callerWriteFailed()
 			}
 		}
-		r.noteEvent(event)
-		// A comment is no sign that the stream goes on.
+		r.recordEvent(event)
+		// A comment does not show that the stream makes progress.
 		if event.HasID || event.HasData {
-			progress()
+			extendDeadline()
 		}
 	}
 }
 
-// stallGaps is the pause between two events, in the longest ones of a good stream,
-// after which another server may go on with it. Callers leave after twice as long.
-const stallGaps = 4
+// maxStallGaps is the time between two events after which another server may
+// continue a stream, as a multiple of the longest one of a healthy stream. Callers
+// disconnect after twice that time.
+const maxStallGaps = 4
 
-// stallLimit is the longest pause between two events of this attempt; zero sets
-// none. A slow stream that nobody else can go on with is left alone.
-func (r *request) stallLimit() time.Duration {
+// stallTimeout returns the longest time between two events of this attempt; zero
+// sets no limit. A slow stream that no other server can continue is not cut.
+func (r *request) stallTimeout() time.Duration {
 	g := r.gateway
-	last := r.route.MaxBackendServers > 0 && r.reached >= r.route.MaxBackendServers
+	last := r.route.MaxBackendServers > 0 && r.dispatched >= r.route.MaxBackendServers
 	if r.route.Repeatable() && !last && r.route.EventGap > 0 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.budget.Remaining(r.service, g.now()) >= 1 {
-			return stallGaps * r.route.EventGap
+			return maxStallGaps * r.route.EventGap
 		}
 	}
 	if r.deadline.IsZero() {
-		return defaultLimit
+		return defaultTimeout
 	}
 	return 0
 }
 
 func (r *request) beginStream(resp *http.Response, reply ResponseInfo) {
-	if r.stream.begun {
+	if r.stream.started {
 		return
 	}
-	r.stream.begun = true
+	r.stream.started = true
 	r.stream.version = reply.Version
-	r.seen.TimeToFirstByte = r.gateway.now().Sub(r.arrived)
-	r.seen.Status = resp.StatusCode
-	copyAnswerHeader(r.writer.Header(), resp.Header)
+	r.summary.TimeToFirstByte = r.gateway.now().Sub(r.arrived)
+	r.summary.Status = resp.StatusCode
+	copyResponseHeader(r.writer.Header(), resp.Header)
 	r.writer.WriteHeader(resp.StatusCode)
 }
 
-func (r *request) noteEvent(event sse.Event) {
+func (r *request) recordEvent(event sse.Event) {
 	now := r.gateway.now()
-	if r.seen.Events > 0 {
-		r.seen.LongestGap = max(r.seen.LongestGap, now.Sub(r.stream.lastAt))
+	if r.summary.Events > 0 {
+		r.summary.LongestGap = max(r.summary.LongestGap, now.Sub(r.stream.lastEventAt))
 	}
-	r.stream.lastAt = now
-	r.seen.Events++
+	r.stream.lastEventAt = now
+	r.summary.Events++
 	if event.HasID {
-		r.stream.last = event.ID
+		r.stream.lastEventID = event.ID
 	}
 }
 
-func (r *request) streamEnd() ending {
-	if !r.stream.begun {
-		return r.unknown("stream without events")
+func (r *request) streamEnd() attemptResult {
+	if !r.stream.started {
+		return r.mayHaveRunResult("stream without events")
 	}
-	r.seen.Outcome = string(outcomeAnswered)
-	return ending{result: placement.Answered, final: true, sent: true}
+	r.summary.Outcome = string(outcomeAnswered)
+	return attemptResult{result: placement.Answered, delivered: true, sent: true}
 }
 
-// callerGone ends an attempt whose caller takes nothing more.
-func (r *request) callerGone() ending {
-	return ending{result: placement.Cancelled, left: true, sent: true}
+// callerWriteFailed ends an attempt whose caller does not accept the response any
+// more.
+func (r *request) callerWriteFailed() attemptResult {
+	return attemptResult{result: placement.Cancelled, callerGone: true, sent: true}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -12,102 +12,106 @@
 	"github.com/auburnbend/auburnbend/lib/serving"
 )
 
-// request is one request of a caller while it is served. It belongs to the
+// request is one request of a caller while it is being served. It belongs to the
 // goroutine that serves it.
 type request struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
 	http    *http.Request
-	// ctx ends when the caller leaves or its time is over.
+	// ctx ends when the caller disconnects or the deadline passes.
 	ctx   context.Context
-	call  RequestInfo
+	info  RequestInfo
 	table *serving.Table
 	route *serving.Route
 	team  *serving.Team
 	body  []byte
-	// content is the request's fingerprint once it is hashed.
-	content model.Fingerprint
-	hashed  bool
+	// content is the fingerprint of the request; valid if contentHashed is set.
+	content       model.Fingerprint
+	contentHashed bool
 
 	service string
 	engine  *serving.Engine
 	arrived time.Time
-	// deadline is when nobody waits any more; zero if there is none.
+	// deadline is when the response is no longer needed; zero if there is none.
 	deadline time.Time
 
-	// tried are the servers that may have run the request or that refused it.
-	tried []directory.Key
-	// nextVersion is declared, and from nextAt on no request may begin on an older one;
-	// zero if none was due when the request was placed.
+	// triedServers are the servers that may have run the request, or that rejected it.
+	triedServers []directory.Key
+	// nextVersion is a declared version of the weights. From nextAt on, the request
+	// must not begin on an older one. Zero if no such change was due when the request
+	// was placed.
 	nextVersion int
 	nextAt      time.Time
-	// granted is the place that another entry has granted; nil if the request was
-	// placed here.
+	// granted is the lease that another entry has granted; nil if the request was
+	// placed by this entry.
 	granted *grant
-	// reached counts the servers that the request was sent to.
-	reached int
-	// ran tells that some server may have run the request.
-	ran bool
-	// failure is a backend server's own failure, kept in case no other server
-	// answers better.
-	failure *answer
-	// releases give back the memory of answers at the end of the request.
+	// dispatched counts the servers that the request was sent to.
+	dispatched int
+	// mayHaveRun is set if some server may have run the request.
+	mayHaveRun bool
+	// serverError is a 5xx response of a backend server, delivered if no other server
+	// responds better.
+	serverError *bufferedResponse
+	// releases return the memory of buffered responses at the end of the request.
 	releases []func()
 	stream   streamState
-	seen     Observation
+	summary  Observation
 }
 
-// answer is a backend server's whole answer.
-type answer struct {
+// bufferedResponse is a whole response of a backend server.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// streamState is what the caller has of a stream.
+// streamState is what the caller has received of a stream.
 type streamState struct {
-	// begun tells that the head was sent.
-	begun bool
-	// last is the last event that was sent; negative before the first.
-	last int64
-	// version is the version of the weights that made the events.
-	version int
-	lastAt  time.Time
+	// started is set once the head has been sent.
+	started bool
+	// lastEventID is the last event that was sent; negative before the first.
+	lastEventID int64
+	// version is the version of the weights that the events were made with.
+	version     int
+	lastEventAt time.Time
 }
 
-// left returns the time until nobody waits any more; zero sets no limit.
-func (r *request) left(now time.Time) time.Duration {
+// remaining returns the time until the deadline, at least 1 ms; zero if there is
+// none.
+func (r *request) remaining(now time.Time) time.Duration {
 	if r.deadline.IsZero() {
 		return 0
 	}
 	return max(r.deadline.Sub(now), time.Millisecond)
 }
 
-// maxTargetRatio bounds how much shorter than its own target a request may wait
-// because of another route with a very short one.
+// maxTargetRatio bounds how far another route to the same service, with a shorter
+// target, can shorten the target of a request.
 const maxTargetRatio = 2
 
-func (r *request) demand(now time.Time) placement.Request {
-	d := placement.Request{
-		Service: r.service, Engine: r.engine, Model: r.call.Model, Version: r.stream.version, MinVersion: r.gateway.versions.MinVersion(r.call.Model, now),
-		PromptTokens: r.call.PromptTokens, OutputTokens: r.call.ExpectedTokens,
-		Remaining: r.left(now), Exclude: r.tried, MayHaveRun: r.stream.begun || r.ran,
+// placementRequest returns the request as the placement sees it. The caller holds the
+// Gateway's mutex.
+func (r *request) placementRequest(now time.Time) placement.Request {
+	req := placement.Request{
+		Service: r.service, Engine: r.engine, Model: r.info.Model, Version: r.stream.version, MinVersion: r.gateway.versions.MinVersion(r.info.Model, now),
+		PromptTokens: r.info.PromptTokens, OutputTokens: r.info.ExpectedTokens,
+		Remaining: r.remaining(now), Exclude: r.triedServers, MayHaveRun: r.stream.started || r.mayHaveRun,
 	}
-	d.NextVersion, d.NextVersionAt = r.gateway.versions.NextMinVersion(r.call.Model, now)
-	r.nextVersion, r.nextAt = d.NextVersion, d.NextVersionAt
-	// All requests to a service may wait equally long. With their own targets,
-	// those with the longest one would take the places of the others when there
-	// are too few. Time that a request has lost at a dead server is no load of the
-	// others, so that it does not count.
+	req.NextVersion, req.NextVersionAt = r.gateway.versions.NextMinVersion(r.info.Model, now)
+	r.nextVersion, r.nextAt = req.NextVersion, req.NextVersionAt
+	// All requests to a service get about the same latency target. With their own
+	// targets, those with the longest one would take the capacity of the others under
+	// overload. Time that the request has lost at a failed server does not count
+	// against the target: it is no load of the other servers.
 	if own := r.route.TargetLatency; own > 0 {
-		d.LatencyTarget = max(r.table.LeastTarget(r.service), own/maxTargetRatio)
+		req.LatencyTarget = max(r.table.LeastTarget(r.service), own/maxTargetRatio)
 	}
-	return d
+	return req
 }
 
-func (r *request) upstreamRequest(d AttemptInfo) *upstream.Request {
+func (r *request) upstreamRequest(attempt AttemptInfo) *upstream.Request {
 	header := forwardedHeader(r.http.Header)
-	r.gateway.config.Dialect.PrepareAttempt(header, d)
+	r.gateway.config.Dialect.PrepareAttempt(header, attempt)
 	return &upstream.Request{
 		Method: r.http.Method, Target: r.http.RequestURI, Host: r.http.Host,
 		Header: header, Body: r.body,
--- /dev/null
+++ b/gateway/response_info.go
@@ -0,0 +1,30 @@
+package gateway
+
+import "time"
+
+// ResponseInfo is what a backend server states in the head of a response.
+type ResponseInfo struct {
+	// RequestID is the request that the response belongs to.
+	RequestID string
+	// Signed is set if the response carries the signature of a backend server.
+	Signed bool
+	// NotExecuted is set if the server did not run the request.
+	NotExecuted bool
+	// Misdirected is set if the address belongs to another server by now.
+	Misdirected bool
+	// Version is the version of the weights that the response was made with; zero if
+	// unknown.
+	Version int
+	// Draining is set if the server is about to stop and accepts no further requests.
+	Draining bool
+	// Pause is how long this entry must send the server no requests; zero for no pause.
+	Pause time.Duration
+	// Load is the server's load; nil if it did not report it.
+	Load *Load
+}
+
+// Load is the load of a backend server at the time of a response, as counts of
+// requests.
+type Load struct {
+	Running, Queued, Slots int
+}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// notConfiguredAfter is when callers may come back to an entry that has no
-	// configuration yet; others of its domain may have one.
-	notConfiguredAfter = 500 * time.Millisecond
-	// defaultBodyLimit bounds a request's body in bytes where the configuration
-	// sets no limit.
-	defaultBodyLimit = 4 << 20
-	// answerLimit bounds a whole answer in bytes.
-	answerLimit = 4 << 20
-	// defaultLimit ends requests for which neither the caller nor the route sets a
-	// limit, while nothing goes on.
-	defaultLimit = 30 * time.Second
+	// unconfiguredRetryAfter is when callers may retry at an entry that has no
+	// configuration yet. Other entries of its domain may have one.
+	unconfiguredRetryAfter = 500 * time.Millisecond
+	// defaultMaxBodyBytes bounds a request's body where the configuration sets no
+	// limit.
+	defaultMaxBodyBytes = 4 << 20
+	// maxResponseBytes bounds the body of a buffered response.
+	maxResponseBytes = 4 << 20
+	// defaultTimeout applies where neither the caller nor the route sets a timeout: to
+	// receiving the body and to the time between two events of a stream.
+	defaultTimeout = 30 * time.Second
 )
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP implements http.Handler: it serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	g.open.Add(1)
-	defer g.open.Add(-1)
+	g.openRequests.Add(1)
+	defer g.openRequests.Add(-1)
 	r := &request{gateway: g, writer: w, http: hr, ctx: hr.Context(), arrived: g.now()}
-	r.stream.last = -1
+	r.stream.lastEventID = -1
 	defer r.finish()
 	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -42,46 +42,46 @@
 		return
 	}
 	if !r.deadline.IsZero() {
-		ctx, cancel := context.WithTimeout(r.ctx, r.left(r.arrived))
+		ctx, cancel := context.WithTimeout(r.ctx, r.remaining(r.arrived))
 		defer cancel()
 		r.ctx = ctx
 	}
 	r.run()
 }
 
-// accept checks a request against the configuration and reads its body. It
-// answers requests that it does not accept.
+// accept checks a request against the configuration and reads its body. If it
+// returns false, it has sent the refusal.
 func (r *request) accept() bool {
 	g := r.gateway
 	call, err := g.config.Dialect.ParseRequest(r.http.Header)
-	r.call = call
-	r.seen.ID = call.ID
+	r.info = call
+	r.summary.ID = call.ID
 	if err != nil {
 		r.refuse(http.StatusBadRequest, outcomeInvalid, "malformed header", 0)
 		return false
 	}
 	r.table = g.table.Load()
 	if r.table == nil {
-		r.refuse(http.StatusServiceUnavailable, outcomeRefused, "no configuration", notConfiguredAfter)
+		r.refuse(http.StatusServiceUnavailable, outcomeRefused, "no configuration", unconfiguredRetryAfter)
 		return false
 	}
-	r.seen.ConfigVersion = r.table.Config().Version
+	r.summary.ConfigVersion = r.table.Config().Version
 	r.route = r.table.Route(r.http.Host, rawPath(r.http.RequestURI))
 	if r.route == nil {
 		r.refuse(http.StatusNotFound, outcomeInvalid, "no route", 0)
 		return false
 	}
-	r.seen.Route = r.route.Name
+	r.summary.Route = r.route.Name
 	r.team = r.table.Team(call.APIKey)
 	if r.team == nil && !r.route.Public && len(r.table.Config().Teams) > 0 {
 		r.refuse(http.StatusUnauthorized, outcomeInvalid, "unknown key", 0)
 		return false
 	}
 	if r.team != nil {
-		r.seen.Team = r.team.Name
+		r.summary.Team = r.team.Name
 	}
 	r.service = r.route.Pick(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	r.seen.Service = r.service
+	r.summary.Service = r.service
 	if s := r.table.Service(r.service); s != nil {
 		r.engine = s.Engine
 	}
@@ -89,20 +89,22 @@
 	return r.readBody()
 }
 
-// setDeadline takes the earlier one of the caller's limit and the route's.
+// setDeadline sets the deadline from the shorter one of the caller's and the route's
+// timeouts.
 func (r *request) setDeadline() {
-	limit := r.call.Timeout
+	limit := r.info.Timeout
 	if t := r.route.Timeout; t > 0 && (limit <= 0 || t < limit) {
 		limit = t
 	}
-	r.seen.Timeout = limit
+	r.summary.Timeout = limit
 	if limit > 0 {
 		r.deadline = r.arrived.Add(limit)
 	}
 }
 
+// readBody reads the body. If it returns false, it has sent the refusal.
 func (r *request) readBody() bool {
-	limit := int64(defaultBodyLimit)
+	limit := int64(defaultMaxBodyBytes)
 	if n := r.table.Config().Limits.BodyBytes; n > 0 {
 		limit = int64(n)
 	}
@@ -127,17 +129,18 @@
 	return true
 }
 
-// receiveBody reads the body within the time that the request has.
+// receiveBody reads the body until the deadline of the request, or within
+// defaultTimeout if it has none.
 func (r *request) receiveBody(limit int64) ([]byte, error) {
 	if r.http.ContentLength == 0 {
 		return nil, nil
 	}
-	end := r.deadline
-	if end.IsZero() {
-		end = r.arrived.Add(defaultLimit)
+	deadline := r.deadline
+	if deadline.IsZero() {
+		deadline = r.arrived.Add(defaultTimeout)
 	}
 	control := http.NewResponseController(r.writer)
-	if err := control.SetReadDeadline(end); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	if err := control.SetReadDeadline(deadline); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, err
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(r.writer, r.http.Body, limit))
@@ -150,58 +153,58 @@
 	return body, nil
 }
 
-// run sends the request to backend servers until one answers or no further one
-// may have it.
+// run sends the request to backend servers, one after another, until one responds or
+// the request must not be retried.
 func (r *request) run() {
 	g := r.gateway
-	g.awaitSuspects(r.ctx)
+	g.awaitWarmup(r.ctx)
 	if refusal := r.quarantined(); refusal != nil {
-		r.giveUp(refusal)
+		r.endUnplaced(refusal)
 		return
 	}
 	for {
 		now := g.now()
 		lease, refusal := r.place(now)
 		if refusal != nil {
-			r.giveUp(refusal)
+			r.endUnplaced(refusal)
 			return
 		}
-		r.seen.Server = lease.Server.ID
-		r.seen.Predicted, r.seen.Occupancy, r.seen.LoadAge = lease.Predicted, lease.Occupancy, lease.LoadAge
-		end := r.exchange(lease)
-		r.done(lease, end.result)
+		r.summary.Server = lease.Server.ID
+		r.summary.Predicted, r.summary.Occupancy, r.summary.LoadAge = lease.Predicted, lease.Occupancy, lease.LoadAge
+		result := r.exchange(lease)
+		r.endAttempt(lease, result.result)
 		switch {
-		case end.final:
+		case result.delivered:
 			return
-		case end.left:
-			r.callerLeft()
+		case result.callerGone:
+			r.endCallerGone()
 		case r.ctx.Err() != nil:
-			r.timeOver()
+			r.endTimedOut()
 			return
-		case !r.mayRepeat(end):
-			r.fail(end)
+		case !r.mayRetry(result):
+			r.fail(result)
 			return
 		}
-		g.config.Log.Log(eventlog.RequestRetried, "request", r.call.ID, "content", r.fingerprint(), "server", lease.Server.ID, "reason", end.reason,
-			"sent", end.sent, "may_have_run", end.mayHaveRun, "last_event", r.stream.last, "config", r.seen.ConfigVersion)
+		g.config.Log.Log(eventlog.RequestRetried, "request", r.info.ID, "content", r.fingerprint(), "server", lease.Server.ID, "reason", result.reason,
+			"sent", result.sent, "may_have_run", result.mayHaveRun, "last_event", r.stream.lastEventID, "config", r.summary.ConfigVersion)
 	}
 }
 
-// mayRepeat reports whether another server may have the request after an
-// attempt ended without an answer.
-func (r *request) mayRepeat(end ending) bool {
-	if end.sent && end.mayHaveRun && !r.route.Repeatable() {
+// mayRetry reports whether another server may get the request after an attempt
+// without a response. It charges the retry budget.
+func (r *request) mayRetry(result attemptResult) bool {
+	if result.sent && result.mayHaveRun && !r.route.Repeatable() {
 		return false
 	}
 	if r.quarantined() != nil {
 		return false
 	}
-	if !end.sent {
-		// The request never left, so that neither the hop limit nor the retry
-		// budget is concerned. The list of tried servers bounds the loop.
-		return len(r.tried) < maxUnsent
+	if !result.sent {
+		// The request was not sent, so neither the limit on backend servers nor the retry
+		// budget applies. The list of tried servers bounds the loop.
+		return len(r.triedServers) < maxUnsentAttempts
 	}
-	if limit := r.route.MaxBackendServers; limit > 0 && r.reached >= limit {
+	if limit := r.route.MaxBackendServers; limit > 0 && r.dispatched >= limit {
 		return false
 	}
 	g := r.gateway
@@ -210,14 +213,15 @@
 	return g.budget.Take(r.service, g.now())
 }
 
-// maxUnsent bounds the servers that are tried in vain for one request.
-const maxUnsent = 4
+// maxUnsentAttempts bounds the servers tried for one request while attempts fail
+// before the request is sent.
+const maxUnsentAttempts = 4
 
-// streaming reports whether the answer is a series of events.
-func (r *request) streaming() bool { return r.route.Kind == serving.Streaming }
+// isStreaming reports whether the response is a stream of events.
+func (r *request) isStreaming() bool { return r.route.Kind == serving.Streaming }
 
-// rawPath returns the path of a request target as the caller wrote it: what is
-// routed must be what the backend server sees.
+// rawPath returns the path of a request target in the form that the caller wrote:
+// routing must see the same path as the backend server.
 func rawPath(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
--- a/gateway/server_signals.go
+++ b/gateway/server_signals.go
@@ -9,46 +9,46 @@
 	"github.com/auburnbend/auburnbend/peerlink"
 )
 
-// noteSignals takes what a server says about further requests. It reports whether it
-// is news that the server leaves. The caller holds mu.
-func (g *Gateway) noteSignals(server *directory.Server, reply ResponseInfo, now time.Time) (leaves bool) {
-	if reply.Pause > 0 && g.picker.Pause(server.Key(), now.Add(reply.Pause), now) {
-		g.config.Log.Log(eventlog.ServerPaused, "server", server.ID, "born", server.StartUnixMilli, "service", server.Service, "for_ms", reply.Pause.Milliseconds())
+// recordSignals records the pause and the drain that a server announces in a
+// response. It reports whether the drain is news. The caller holds mu.
+func (g *Gateway) recordSignals(server *directory.Server, info ResponseInfo, now time.Time) (draining bool) {
+	if info.Pause > 0 && g.picker.Pause(server.Key(), now.Add(info.Pause), now) {
+		g.config.Log.Log(eventlog.ServerPaused, "server", server.ID, "born", server.StartUnixMilli, "service", server.Service, "for_ms", info.Pause.Milliseconds())
 	}
-	if !reply.Draining || !g.directory.MarkDraining(server.Key(), directory.SourceResponse, now) {
+	if !info.Draining || !g.directory.MarkDraining(server.Key(), directory.SourceResponse, now) {
 		return false
 	}
-	g.logLeaving(server.Key(), directory.SourceResponse)
+	g.logDraining(server.Key(), directory.SourceResponse)
 	return true
 }
 
-// mergeLeaving takes servers of which others tell that they leave. It returns those
-// that are news.
-func (g *Gateway) mergeLeaving(servers []peerlink.ServerKey) []peerlink.ServerKey {
+// mergeDraining records servers that are draining according to others, and returns
+// those that were not known to be.
+func (g *Gateway) mergeDraining(servers []peerlink.ServerKey) []peerlink.ServerKey {
 	if len(servers) == 0 {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var news []peerlink.ServerKey
+	var fresh []peerlink.ServerKey
 	for _, server := range servers {
 		key := directory.Key{ID: server.ID, StartUnixMilli: server.StartUnixMilli}
 		if g.directory.MarkDraining(key, directory.SourcePeer, g.now()) {
-			g.logLeaving(key, directory.SourcePeer)
-			news = append(news, server)
+			g.logDraining(key, directory.SourcePeer)
+			fresh = append(fresh, server)
 		}
 	}
-	return news
+	return fresh
 }
 
-func (g *Gateway) logLeaving(server directory.Key, source string) {
+func (g *Gateway) logDraining(server directory.Key, source string) {
 	g.config.Log.Log(eventlog.ServerDraining, "server", server.ID, "born", server.StartUnixMilli, "source", source)
 }
 
-// allPaused refuses a request that only servers could run which want nothing from
-// this entry now.
-func (g *Gateway) allPaused(d *placement.Request, now time.Time) *placement.Refusal {
+// refuseIfPaused refuses a request if all servers that could run it have asked this
+// entry for a pause. It returns nil otherwise.
+func (g *Gateway) refuseIfPaused(req *placement.Request, now time.Time) *placement.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.picker.RefuseIfPaused(d, now)
+	return g.picker.RefuseIfPaused(req, now)
 }
--- a/gateway/state.go
+++ b/gateway/state.go
@@ -7,30 +7,29 @@
 	"github.com/auburnbend/auburnbend/lib/placement"
 )
 
-// State is what an entry believes of the deployment.
+// State is an entry's view of the deployment, for metrics.
 type State struct {
-	// ConfigVersion is the version of the configuration, zero for none, ConfigAge
-	// the time since it came into force here.
+	// ConfigVersion is the version of the configuration, zero for none. ConfigAge is
+	// the time since it came into force on this entry.
 	ConfigVersion int64
 	ConfigAge     time.Duration
 	// Servers counts the backend servers by service and condition.
 	Servers map[ServerGroup]int
-	// Engines counts the engines by model and the version that they serve.
+	// Engines counts the engines by model and loaded version.
 	Engines map[ModelVersion]int
-	// RetriesLeft is the part of the retry budget that is left to this entry, by
-	// service.
+	// RetriesLeft is the unused part of this entry's retry budget, by service.
 	RetriesLeft map[string]float64
-	// OpenRequests is the number of requests that are being served.
+	// OpenRequests is the number of requests in progress.
 	OpenRequests int
 	// Quarantined is the number of contents that are refused because backend servers
-	// ended while they ran them.
+	// crashed while they ran them.
 	Quarantined int
-	// GrantedLeases is the number of requests of other entries that were placed here and
-	// are being served.
+	// GrantedLeases is the number of open leases that this entry has granted to other
+	// entries.
 	GrantedLeases int
 }
 
-// ServerGroup is a service and a condition.
+// ServerGroup is the group of servers of one service in one condition.
 type ServerGroup struct {
 	Service   string
 	Condition placement.Condition
@@ -42,7 +41,7 @@
 	Version int
 }
 
-// State returns what the entry believes now.
+// State returns the entry's current view.
 func (g *Gateway) State() State {
 	s := State{
 		Servers: make(map[ServerGroup]int), Engines: make(map[ModelVersion]int), RetriesLeft: make(map[string]float64),
@@ -52,8 +51,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	s.GrantedLeases = g.granted.Len()
-	s.Quarantined = len(g.suspects.logged)
+	s.GrantedLeases = g.leases.Len()
+	s.Quarantined = len(g.suspects.quarantined)
 	if table != nil {
 		config := table.Config()
 		s.ConfigVersion, s.ConfigAge = config.Version, now.Sub(g.configAt)
--- a/gateway/loads_test.go
+++ b/gateway/status_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnbend/auburnbend/peerlink"
 )
 
-var _ = Describe("Reports of agents", func() {
+var _ = Describe("Agent status reports", func() {
 	const address = "10.0.0.1:80"
 	var g *Gateway
 	listed := func() (ids []string) {
@@ -23,8 +23,8 @@
 		})
 		return ids
 	}
-	report := func(born int64, version int) {
-		g.takeStatus(peerlink.Status{Address: address, StartUnixMilli: born, Model: "m", Version: version})
+	report := func(start int64, version int) {
+		g.handleStatus(peerlink.Status{Address: address, StartUnixMilli: start, Model: "m", Version: version})
 	}
 	var now *clock.Fake
 
@@ -36,10 +36,11 @@
 		})
 	})
 
-	It("do not bring a server back whose row has lapsed", func() {
-		// Guards against requests to a server that has left: its row went while the
-		// store refused this entry, its agent told of newer weights, and it stayed
-		// listed for good. A request reached it 4.5 s after it had left.
+	It("do not restore a server whose row has expired", func() {
+		// Guards against requests to a stopped server. Its row expired while the store was
+		// unreachable for this entry, a report of its agent on newer weights listed it
+		// again, and it was never removed: a request reached it 4.5 s after it had
+		// stopped.
 		g.UpdateServers(func(d *directory.Directory, at time.Time) { d.Remove("a", true, at) })
 		report(5, 2)
 		Expect(listed()).To(ConsistOf("a"))
@@ -47,14 +48,14 @@
 		Expect(listed()).To(BeEmpty())
 	})
 
-	It("tell of newer weights before the row does", func() {
+	It("update the weights before the row does", func() {
 		report(5, 2)
 		Expect(g.State().Engines).To(HaveKeyWithValue(ModelVersion{"m", 2}, 1))
 	})
 
-	It("close a start that a later one has replaced", func() {
-		// Guards against requests to starts that ended in a loss of power and whose
-		// rows have not lapsed yet.
+	It("close an incarnation that a later one has replaced", func() {
+		// Guards against requests to incarnations that ended in a power failure and whose
+		// rows have not expired yet.
 		report(9, 1)
 		Expect(g.State().Servers).To(HaveKeyWithValue(ServerGroup{"s", placement.Closed}, 1))
 	})
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -16,72 +16,73 @@
 )
 
 const (
-	// quarantineCrashes is the number of backend servers that may end while they run
-	// a content before it is refused. A server takes all its requests with it, so that
-	// sound ones meet one crash often, and two now and then.
+	// quarantineCrashes is the number of backend servers that must crash while they run
+	// a content before it is refused. A crash ends all requests on the server, so that
+	// innocent ones often see one crash, and sometimes two.
 	quarantineCrashes = 3
-	// maxSuspects and maxProven bound the contents that are remembered, at a few
+	// maxSuspects and maxKnownGood bound the contents that are remembered, at a few
 	// hundred bytes each.
-	maxSuspects = 1024
-	maxProven   = 1024
-	// answerCredit is the number of crashes that earlier answers excuse: content that
-	// many callers ask for may be in flight on many servers that others end.
-	answerCredit = 16
+	maxSuspects  = 1024
+	maxKnownGood = 1024
+	// maxCrashCredit is the number of crashes that earlier responses excuse: popular
+	// content may be in flight on many servers that are crashed by other requests.
+	maxCrashCredit = 16
 )
 
-// quarantinedReason is the reason of a refusal.
+// quarantinedReason is the reason for refusing a quarantined request.
 const quarantinedReason placement.Reason = "quarantined"
 
-// Signs that a backend server has ended, as they stand in log lines.
+// Signs that a backend server has ended, as logged.
 const (
-	endedRefuses    = "its address refuses connections"
-	endedLaterStart = "a later start has its address"
-	endedUnlisted   = "its row is gone"
+	signConnectionRefused = "its address refuses connections"
+	signAddressReused     = "a later start has its address"
+	signRowDeleted        = "its row is gone"
 )
 
-// suspects are the contents under which backend servers have ended. Plain services
-// have no agent that would report a crash: an entry sees connections that end before
-// their answers, and then signs that the server has ended. It belongs to the
-// Gateway's mutex.
+// suspects tracks the contents during which backend servers have crashed. Plain
+// services have no agent that would report a crash: an entry sees connections that
+// end before the response, and later signs that the server has ended. It is guarded
+// by the Gateway's mutex.
 type suspects struct {
 	monitor    *poison.Monitor
 	attributor *poison.Attributor
-	// starts are the keys of the servers whose exchanges wait for a sign.
-	starts map[model.InstanceID]directory.Key
-	// logged are the contents whose quarantine was logged.
-	logged map[model.Fingerprint]bool
+	// pendingServers are the servers with interrupted exchanges for which no sign has
+	// been seen yet.
+	pendingServers map[model.InstanceID]directory.Key
+	// quarantined are the contents whose quarantine was logged.
+	quarantined map[model.Fingerprint]bool
 }
 
 func newSuspects() *suspects {
 	return &suspects{
-		monitor:    poison.New(poison.Config{MaxSuspects: maxSuspects, MaxKnownGood: maxProven, MaxCredit: answerCredit, QuarantineCrashes: quarantineCrashes}, "", 0),
-		attributor: poison.NewAttributor(), starts: make(map[model.InstanceID]directory.Key), logged: make(map[model.Fingerprint]bool),
+		monitor:    poison.New(poison.Config{MaxSuspects: maxSuspects, MaxKnownGood: maxKnownGood, MaxCredit: maxCrashCredit, QuarantineCrashes: quarantineCrashes}, "", 0),
+		attributor: poison.NewAttributor(), pendingServers: make(map[model.InstanceID]directory.Key), quarantined: make(map[model.Fingerprint]bool),
 	}
 }
 
-// startID names one start of a backend server, whose id may come back.
-func startID(k directory.Key) model.InstanceID {
+// incarnationID identifies one incarnation of a backend server, as its ID may be
+// reused.
+func incarnationID(k directory.Key) model.InstanceID {
 	return model.InstanceID(fmt.Sprintf("%s/%d", k.ID, k.StartUnixMilli))
 }
 
-// pending returns the servers whose exchanges wait for a sign, and forgets the
-// others.
+// pending returns the servers with interrupted exchanges for which no sign has been
+// seen yet. It drops those whose exchanges have expired.
 func (s *suspects) pending(now time.Time) []directory.Key {
-	if len(s.starts) == 0 {
+	if len(s.pendingServers) == 0 {
 		return nil
 	}
 	var keys []directory.Key
 	waiting := make(map[model.InstanceID]directory.Key)
 	for _, id := range s.attributor.Pending(now) {
-		waiting[id] = s.starts[id]
-		keys = append(keys, s.starts[id])
+		waiting[id] = s.pendingServers[id]
+		keys = append(keys, s.pendingServers[id])
 	}
-	s.starts = waiting
+	s.pendingServers = waiting
 	return keys
 }
 
-// quarantined returns the refusal of a request whose content has ended too many
-// backend servers, or nil.
+// quarantined returns the refusal of a request whose content is quarantined, or nil.
 func (r *request) quarantined() *placement.Refusal {
 	crashes, until := r.crashes()
 	if crashes < quarantineCrashes {
@@ -90,8 +91,8 @@
 	return &placement.Refusal{Reason: quarantinedReason, RetryAfter: until.Sub(r.gateway.now())}
 }
 
-// crashes returns the number of backend servers that have ended under the request's
-// content, and when the last of these is forgotten.
+// crashes returns the number of backend servers that have crashed with the request's
+// content, and when the last of these crashes expires.
 func (r *request) crashes() (int, time.Time) {
 	g := r.gateway
 	g.mu.Lock()
@@ -106,90 +107,92 @@
 	return g.suspects.monitor.Crashes(g.now(), content)
 }
 
-// noteUnreachable takes note of a backend server to which no connection could be
-// opened.
-func (g *Gateway) noteUnreachable(server *directory.Server, err error) {
+// recordUnreachable records a failed connection to a backend server. A refused one
+// is a sign that the server has ended.
+func (g *Gateway) recordUnreachable(server *directory.Server, err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
 	g.mu.Lock()
-	spread := g.ended(server.Key(), endedRefuses)
+	publish := g.recordServerEnd(server.Key(), signConnectionRefused)
 	g.mu.Unlock()
-	spread()
+	publish()
 }
 
-// noteAnswered takes note of a whole answer to a content.
-func (g *Gateway) noteAnswered(content model.Fingerprint) {
+// recordAnswered records a whole response to a content, which clears it.
+func (g *Gateway) recordAnswered(content model.Fingerprint) {
 	g.mu.Lock()
 	update := g.suspects.monitor.Answered(g.now(), content)
 	g.mu.Unlock()
-	g.spread(update)
+	g.broadcastSuspects(update)
 }
 
-// ended takes note that a backend server has ended. The caller holds mu, and calls
-// the result without it.
-func (g *Gateway) ended(server directory.Key, sign string) (spread func()) {
-	contents := g.suspects.attributor.Ended(g.now(), startID(server))
+// recordServerEnd records that a backend server has ended, and attributes the end to
+// its interrupted exchanges. The caller holds mu, and calls publish after releasing
+// it.
+func (g *Gateway) recordServerEnd(server directory.Key, sign string) (publish func()) {
+	contents := g.suspects.attributor.Ended(g.now(), incarnationID(server))
 	if len(contents) == 0 {
 		return func() {}
 	}
 	g.config.Log.Log(eventlog.ServerCrashed, "server", server.ID, "born", server.StartUnixMilli, "sign", sign, "requests", len(contents))
-	return g.crashed(server, contents)
+	return g.recordCrash(server, contents)
 }
 
-// crashed attributes the end of a backend server to contents. The caller holds mu,
-// and calls the result without it.
-func (g *Gateway) crashed(server directory.Key, contents []model.Fingerprint) (spread func()) {
+// recordCrash attributes the crash of a backend server to contents. The caller holds
+// mu, and calls publish after releasing it.
+func (g *Gateway) recordCrash(server directory.Key, contents []model.Fingerprint) (publish func()) {
 	now := g.now()
-	update := g.suspects.monitor.Crashed(now, startID(server), 0, wire.CrashReport{InFlight: contents})
+	update := g.suspects.monitor.Crashed(now, incarnationID(server), 0, wire.CrashReport{InFlight: contents})
 	g.logQuarantined(now, contents)
-	return func() { g.spread(update) }
+	return func() { g.broadcastSuspects(update) }
 }
 
-// alive takes note that a backend server was alive at a moment. The caller holds
-// mu, and calls the result without it.
-func (g *Gateway) alive(server directory.Key, at time.Time) (spread func()) {
-	if g.suspects.attributor.EndCount() == 0 || !g.suspects.attributor.MarkAlive(startID(server), at) {
+// recordAlive records that a backend server was alive at a given time, which takes
+// back an earlier report of its end. The caller holds mu, and calls publish after
+// releasing it.
+func (g *Gateway) recordAlive(server directory.Key, at time.Time) (publish func()) {
+	if g.suspects.attributor.EndCount() == 0 || !g.suspects.attributor.MarkAlive(incarnationID(server), at) {
 		return func() {}
 	}
 	g.config.Log.Log(eventlog.ServerAlive, "server", server.ID, "born", server.StartUnixMilli)
-	update := g.suspects.monitor.Survived(g.now(), startID(server))
-	return func() { g.spread(update) }
+	update := g.suspects.monitor.Survived(g.now(), incarnationID(server))
+	return func() { g.broadcastSuspects(update) }
 }
 
-// endUnlisted takes note of backend servers with interrupted exchanges whose rows are
-// gone, or whose address a later start has. The caller holds mu, and calls the
-// result without it.
-func (g *Gateway) endUnlisted() (spread func()) {
-	var spreads []func()
+// recordUnlistedEnds records the end of backend servers with interrupted exchanges
+// whose rows are gone, or whose address belongs to a later incarnation. The caller
+// holds mu, and calls publish after releasing it.
+func (g *Gateway) recordUnlistedEnds() (publish func()) {
+	var publishers []func()
 	for _, server := range g.suspects.pending(g.now()) {
 		listing := g.directory.Get(server)
 		switch {
 		case listing == nil:
-			spreads = append(spreads, g.ended(server, endedUnlisted))
+			publishers = append(publishers, g.recordServerEnd(server, signRowDeleted))
 		case g.directory.ByAddress(listing.Address) != listing:
-			spreads = append(spreads, g.ended(server, endedLaterStart))
+			publishers = append(publishers, g.recordServerEnd(server, signAddressReused))
 		}
 	}
 	return func() {
-		for _, spread := range spreads {
-			spread()
+		for _, publish := range publishers {
+			publish()
 		}
 	}
 }
 
-// mergeSuspects takes what another entry or an agent knows. It returns what was
-// news.
+// mergeSuspects merges an update of another entry or an agent, and returns the part
+// that was new.
 func (g *Gateway) mergeSuspects(update *wire.SuspectUpdate) *wire.SuspectUpdate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	news := g.suspects.monitor.Merge(now, *update)
-	if news == nil {
+	fresh := g.suspects.monitor.Merge(now, *update)
+	if fresh == nil {
 		return nil
 	}
 	var contents []model.Fingerprint
-	for _, s := range news.Suspects {
+	for _, s := range fresh.Suspects {
 		contents = append(contents, s.Finger)
 		for _, in := range s.Incidents {
 			if !in.Cleared {
@@ -198,52 +201,52 @@
 		}
 	}
 	g.logQuarantined(now, contents)
-	return news
+	return fresh
 }
 
-// repeatedNews returns what is worth to be told again and again: contents under
-// which two servers or more have ended, and servers that have said not long ago that
-// they leave.
-func (g *Gateway) repeatedNews() *peerlink.Gossip {
+// gossipToResend returns what is repeated at intervals: contents with which at least
+// two servers have crashed, and servers that recently announced that they are
+// draining.
+func (g *Gateway) gossipToResend() *peerlink.Gossip {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	g.suspects.monitor.Tick(now)
-	for content := range g.suspects.logged {
+	for content := range g.suspects.quarantined {
 		if crashes, _ := g.suspects.monitor.Crashes(now, content); crashes < quarantineCrashes {
-			delete(g.suspects.logged, content)
+			delete(g.suspects.quarantined, content)
 		}
 	}
-	news := &peerlink.Gossip{}
-	if likely := g.suspects.monitor.TopSuspects(now, quarantineCrashes-1, maxToldAgain); likely != nil {
-		news.Suspects = *likely
+	gossip := &peerlink.Gossip{}
+	if likely := g.suspects.monitor.TopSuspects(now, quarantineCrashes-1, maxResent); likely != nil {
+		gossip.Suspects = *likely
 	}
-	for _, server := range g.directory.DrainingSince(now.Add(-leavingToldFor), maxToldAgain) {
-		news.Draining = append(news.Draining, peerlink.ServerKey{ID: server.ID, StartUnixMilli: server.StartUnixMilli})
+	for _, server := range g.directory.DrainingSince(now.Add(-drainResendPeriod), maxResent) {
+		gossip.Draining = append(gossip.Draining, peerlink.ServerKey{ID: server.ID, StartUnixMilli: server.StartUnixMilli})
 	}
-	return news
+	return gossip
 }
 
 const (
-	// maxToldAgain bounds the contents and the servers that are told again and again.
-	maxToldAgain = 20
-	// leavingToldFor is how long it is told again that a server leaves: a few lost
-	// datagrams.
-	leavingToldFor = 5 * time.Second
+	// maxResent bounds the contents, and the servers, that are repeated in one message.
+	maxResent = 20
+	// drainResendPeriod is how long the drain of a server is repeated, which covers a
+	// few lost datagrams.
+	drainResendPeriod = 5 * time.Second
 )
 
-// logQuarantined logs contents that are quarantined from now on.
+// logQuarantined logs contents that are newly quarantined.
 func (g *Gateway) logQuarantined(now time.Time, contents []model.Fingerprint) {
 	for _, content := range contents {
 		crashes, until := g.suspects.monitor.Crashes(now, content)
 		if crashes < quarantineCrashes {
-			delete(g.suspects.logged, content)
+			delete(g.suspects.quarantined, content)
 			continue
 		}
-		if g.suspects.logged[content] {
+		if g.suspects.quarantined[content] {
 			continue
 		}
-		g.suspects.logged[content] = true
+		g.suspects.quarantined[content] = true
 		g.config.Log.Log(eventlog.ContentQuarantined, "content", content, "servers", crashes, "until", until)
 	}
 }
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -7,11 +7,13 @@
 	"github.com/auburnbend/auburnbend/peerlink"
 )
 
-// announcePause is the least time between two announcements of changed targets.
-const announcePause = 20 * time.Millisecond
+// announceDelay is the delay before changed targets are announced, so that changes
+// which come together are announced once.
+const announceDelay = 20 * time.Millisecond
 
-// targets returns what the engines of each service must serve.
-func (g *Gateway) targets(table *serving.Table) map[string]*peerlink.Target {
+// weightTargets returns the version that the engines of each service must load, and
+// its origin.
+func (g *Gateway) weightTargets(table *serving.Table) map[string]*peerlink.Target {
 	config := table.Config()
 	targets := make(map[string]*peerlink.Target)
 	g.mu.Lock()
@@ -25,9 +27,10 @@
 	return targets
 }
 
-// announceTargets makes the agents learn of a change at once.
+// announceTargets announces changed targets to the agents without waiting for the
+// next interval.
 func (g *Gateway) announceTargets() {
-	if g.loads != nil {
-		g.loads.announceTargets()
+	if g.peerLink != nil {
+		g.peerLink.announceTargets()
 	}
 }
--- a/gateway/upstream/bounded_reader.go
+++ b/gateway/upstream/bounded_reader.go
@@ -2,12 +2,12 @@
 
 import "io"
 
-// boundedReader fails once it has read more than it may.
+// boundedReader limits the bytes that are read from source, until unbounded is set.
 type boundedReader struct {
 	source io.Reader
-	// left is the number of bytes that may still be read.
-	left int
-	// unbounded lifts the bound.
+	// remaining is the number of bytes that may still be read.
+	remaining int
+	// unbounded lifts the limit.
 	unbounded bool
 }
 
@@ -16,10 +16,10 @@
 	if r.unbounded {
 		return r.source.Read(p)
 	}
-	if r.left <= 0 {
+	if r.remaining <= 0 {
 		return 0, errHeadTooLong
 	}
-	n, err := r.source.Read(p[:min(len(p), r.left)])
-	r.left -= n
+	n, err := r.source.Read(p[:min(len(p), r.remaining)])
+	r.remaining -= n
 	return n, err
 }
--- a/gateway/upstream/encode.go
+++ b/gateway/upstream/encode.go
@@ -7,13 +7,13 @@
 )
 
 var (
-	errInterim      = errors.New("too many interim answers")
-	errHeadTooLong  = errors.New("head of the answer is too long")
-	errBodyTooLong  = errors.New("answer is too long")
-	errNoBodyMemory = errors.New("too many long answers at the same time")
+	errTooManyInterim  = errors.New("too many interim responses")
+	errHeadTooLong     = errors.New("response head is too long")
+	errBodyTooLong     = errors.New("response body is too long")
+	errBudgetExhausted = errors.New("memory for buffered responses is used up")
 )
 
-// encode returns the request as it is sent, with the length of its body.
+// encode returns the request as HTTP/1.1, with the length of its body.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
@@ -23,7 +23,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	// A write to a bytes.Buffer does not fail.
+	// Writes to a bytes.Buffer do not fail.
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || r.Method != "GET" && r.Method != "HEAD" {
 		b.WriteString("Content-Length: ")
--- a/gateway/upstream/exchange.go
+++ b/gateway/upstream/exchange.go
@@ -1,7 +1,7 @@
-// Package upstream sends one request to one backend server and reads its
-// answer. Each exchange has a connection of its own: it costs a round trip
-// within the deployment, and in return no request can meet a connection that
-// the server is closing, and no answer can meet the wrong request.
+// Package upstream sends one request to one backend server and reads its response.
+// Each exchange has its own connection. This costs a round trip within the
+// deployment, but no request can be sent on a connection that the server is closing,
+// and no response can be taken for that of another request.
 package upstream
 
 import (
@@ -15,40 +15,41 @@
 )
 
 const (
-	// dialTimeout covers the round trip between regions, and the 135 ms for which
-	// pieces of weights may fill a narrow link. A server that does not accept
-	// connections by then is taken as unreachable, and another one may still answer
+	// dialTimeout covers a round trip between regions, plus the 135 ms for which
+	// transfers of weights may fill a narrow link. A server that has not accepted the
+	// connection by then counts as unreachable, early enough for another one to respond
 	// in time.
 	dialTimeout = 250 * time.Millisecond
-	// readBuffer is the size in bytes of a connection's read buffer.
-	readBuffer = 2 << 10
-	// inlineBody is the size in bytes up to which a body is written before the
-	// answer is read. It fits into the buffers of the operating system.
-	inlineBody = 16 << 10
-	// headLimit bounds the head of an answer in bytes, interim answers included. A
-	// server in trouble may send bytes without an end.
-	headLimit = 64 << 10
-	// maxInterim bounds the interim answers before the final one.
-	maxInterim = 4
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 2 << 10
+	// maxInlineBody is the size in bytes up to which a body is written before the
+	// response is read. It fits into the socket buffers of the operating system.
+	maxInlineBody = 16 << 10
+	// maxHeadBytes bounds the head of a response, including interim responses. A faulty
+	// server may send an endless one.
+	maxHeadBytes = 64 << 10
+	// maxInterimResponses bounds the 1xx responses before the final one.
+	maxInterimResponses = 4
 )
 
-// Request is what is sent to a backend server.
+// Request is a request to a backend server.
 type Request struct {
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
 }
 
-// Exchange is one request on its way and its answer. It belongs to one goroutine.
+// Exchange is one request and its response on one connection. It is not safe for
+// concurrent use.
 type Exchange struct {
-	conn   net.Conn
-	bounds *boundedReader
-	reader *bufio.Reader
-	stop   func() bool
+	conn       net.Conn
+	limiter    *boundedReader
+	reader     *bufio.Reader
+	stopCancel func() bool
 }
 
-// UnreachableError means that no connection was opened: the request cannot have
-// been run.
+// UnreachableError means that no connection was opened, so the request cannot have
+// run.
 type UnreachableError struct{ Cause error }
 
 // Error implements error.
@@ -57,46 +58,49 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// Dial connects to a backend server. The connection is closed when ctx ends.
+// Dial connects to a backend server at an IP address and port. The connection is
+// closed when ctx ends. Errors are of type *UnreachableError.
 func Dial(ctx context.Context, address string) (*Exchange, error) {
 	conn, err := sockopt.Dialer(dialTimeout).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, &UnreachableError{Cause: err}
 	}
-	bounds := &boundedReader{source: conn, left: headLimit}
-	x := &Exchange{conn: conn, bounds: bounds, reader: bufio.NewReaderSize(bounds, readBuffer)}
-	x.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	limiter := &boundedReader{source: conn, remaining: maxHeadBytes}
+	x := &Exchange{conn: conn, limiter: limiter, reader: bufio.NewReaderSize(limiter, readBufferBytes)}
+	x.stopCancel = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	return x, nil
 }
 
-// Do sends the request and reads the head of its answer. After any error the
-// request may have been run.
+// Do sends the request and reads the head of the response. After any error, the
+// request may have run.
 func (x *Exchange) Do(r *Request) (*http.Response, error) {
-	if len(r.Body) > inlineBody {
-		// The answer may come before the body is read.
+	if len(r.Body) > maxInlineBody {
+		// The response may come before the server has read the whole body.
 		go func() { _, _ = x.conn.Write(r.encode()) }()
 	} else if _, err := x.conn.Write(r.encode()); err != nil {
 		return nil, err
 	}
 	req := &http.Request{Method: r.Method}
-	for range maxInterim {
+	for range maxInterimResponses {
 		resp, err := http.ReadResponse(x.reader, req)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode >= http.StatusOK {
-			x.bounds.unbounded = true
+			x.limiter.unbounded = true
 			return resp, nil
 		}
 	}
-	return nil, errInterim
+	return nil, errTooManyInterim
 }
 
-// SetReadDeadline bounds the wait for the next bytes; zero sets no bound.
+// SetReadDeadline sets the deadline of pending and future reads; the zero time sets
+// none.
 func (x *Exchange) SetReadDeadline(t time.Time) { _ = x.conn.SetReadDeadline(t) }
 
-// Close ends the exchange. A server that is still at work learns of it.
+// Close closes the connection, which tells a server that is still running the
+// request to stop.
 func (x *Exchange) Close() {
-	x.stop()
+	x.stopCancel()
 	_ = x.conn.Close()
 }
