--- a/lib/placement/avoided.go
+++ b/lib/placement/avoided.go
@@ -6,16 +6,18 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// maxAvoided bounds the ejected servers that an entry names to another one, and
-// maxPaused those that want a pause.
+// maxAvoided bounds the ejected servers that an entry excludes in a placement
+// request to another entry, maxPaused those that have asked for a pause.
 const (
 	maxAvoided = 12
 	maxPaused  = 8
 )
 
-// Avoided returns the servers of a service from which this entry keeps away, so
-// that another one that places its requests does as well: those that want a pause,
-// and ejected ones unless they are too many to be believed.
+// Avoided returns the servers of a service that this entry does not use, so that
+// another entry which places its requests does not use them either: those that have
+// asked for a pause, and the ejected ones. If more than Config.MaxEjectedShare of
+// the servers are ejected, the ejected ones are left out, as the fault is then
+// probably not theirs.
 func (p *Picker) Avoided(service string, now time.Time) []directory.Key {
 	var avoided, paused []directory.Key
 	listed := p.directory.ByService(service)
--- a/lib/placement/condition.go
+++ b/lib/placement/condition.go
@@ -6,16 +6,16 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// Condition tells whether a server gets requests.
+// Condition states whether a server gets requests, and if not, why.
 type Condition string
 
-// Conditions of a server.
+// Conditions of a server, as metrics name them.
 const (
 	Open     Condition = "open"
 	Closed   Condition = "closed"
 	Ejected  Condition = "ejected"
 	Draining Condition = "draining"
-	// Pausing servers want nothing from this entry for a while.
+	// Pausing servers have asked this entry to send no requests for a while.
 	Pausing Condition = "pausing"
 )
 
--- a/lib/placement/config.go
+++ b/lib/placement/config.go
@@ -6,34 +6,37 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// Config holds the parameters of a Picker. Zero fields take the defaults.
+// Config configures a Picker. Zero fields take defaults.
 type Config struct {
 	// Domain is the failure domain of the entry.
 	Domain string
-	// Regions gives the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[string]string
-	// DomainDelay and RegionDelay are the round trips to other domains and to
-	// other regions, with the price of the traffic expressed as a delay.
+	// DomainDelay and RegionDelay are added to the predicted time of servers in other
+	// failure domains and in other regions. They cover the round trip and, expressed as
+	// a delay, the cost of the traffic.
 	DomainDelay, RegionDelay time.Duration
-	// TargetShare is the share of the target within which the first answer must
-	// be predicted.
+	// TargetShare is the share of the latency target within which the first response
+	// must be predicted.
 	TargetShare float64
-	// EjectAfter is the number of failures in a row after which a server gets
-	// no requests for a while.
+	// EjectAfter is the number of consecutive failures after which a server is ejected:
+	// it gets no requests for a while.
 	EjectAfter int
-	// MinEject and MaxEject bound that while.
+	// MinEject and MaxEject bound the duration of an ejection.
 	MinEject, MaxEject time.Duration
-	// OnEject is told of each ejection; nil is told of none.
-	OnEject func(server *directory.Server, while time.Duration, because Result)
-	// MaxEjectedShare bounds the share of a service's servers that are ejected.
+	// OnEject is called at each ejection; nil is not called.
+	OnEject func(server *directory.Server, duration time.Duration, cause Result)
+	// MaxEjectedShare is the share of a service's servers above which ejections are
+	// taken for a common fault: the ejected servers are then used if no others are
+	// available.
 	MaxEjectedShare float64
 }
 
 const (
-	// defaultDomainDelay is twice the usual round trip of 2 ms, as bytes between
-	// domains cost something.
+	// defaultDomainDelay is twice the usual round trip of 2 ms, as traffic between
+	// failure domains has a cost.
 	defaultDomainDelay = 4 * time.Millisecond
-	// defaultRegionDelay is larger than the round trip of 4 ms, as links between
+	// defaultRegionDelay is longer than the usual round trip of 4 ms, as links between
 	// regions are narrow.
 	defaultRegionDelay = 15 * time.Millisecond
 	// defaultTargetShare leaves room for the error of the prediction.
@@ -42,30 +45,30 @@
 	defaultMinEject        = 500 * time.Millisecond
 	defaultMaxEject        = 4 * time.Second
 	defaultMaxEjectedShare = 0.5
-	// distantChoices is the number of servers of other regions that are compared
-	// for one request.
-	distantChoices = 2
-	// silentAfter is the time after which a server that has not begun to answer
-	// when its caller leaves counts as failed. It is twice a usual target.
-	silentAfter = time.Second
-	// expiryMargin is the time before a bound on weights that is left free besides
-	// twice the predicted wait. Requests waited 620 ms in a run in which they then
-	// began after the bound.
-	expiryMargin = 700 * time.Millisecond
-	// openingTime is the time after an engine has opened in which only entries of
-	// its region use it: the others learn of it at the same moment and know
-	// nothing of each other.
-	openingTime = 300 * time.Millisecond
-	// distantInterval is the least time between two requests of an entry to the
-	// same engine of another region. Reports of changes come at that interval.
-	distantInterval = 100 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the time after which refused callers
-	// may come back.
+	// remoteChoices is the number of servers of other regions that are compared for one
+	// request.
+	remoteChoices = 2
+	// noResponseThreshold is the time after which a server counts as failed if it has
+	// not begun to respond when the caller gives up. It is twice a usual latency
+	// target.
+	noResponseThreshold = time.Second
+	// versionMargin is the time that is kept free before a version deadline, in
+	// addition to twice the predicted wait. Requests have waited 620 ms on their
+	// servers and then begun after the deadline.
+	versionMargin = 700 * time.Millisecond
+	// localOnlyTime is the time after an engine starts to accept requests during which
+	// only entries of its region use it. The entries of other regions learn of it at
+	// the same moment and do not know of each other's requests.
+	localOnlyTime = 300 * time.Millisecond
+	// remoteInterval is the minimum time between two requests of an entry to the same
+	// engine of another region. Reports of load changes arrive at this interval.
+	remoteInterval = 100 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the retry delay of refused callers.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// absentRetryAfter is the time in which a restarted server usually takes
+	// unavailableRetryAfter is the time within which a restarted server usually accepts
 	// requests again.
-	absentRetryAfter = time.Second
+	unavailableRetryAfter = time.Second
 )
 
 func (c Config) applyDefaults() Config {
--- a/lib/placement/doc.go
+++ b/lib/placement/doc.go
@@ -1,9 +1,10 @@
-// Package placement chooses the backend server for a request by the predicted
-// time to its first answer, and refuses requests that no server can answer in
-// time. It answers two loads: a steady one, in which requests must spread over
-// servers of different speed and distance, and a burst beyond what the servers
-// can do, in which requests that would only queue are turned away at once so
-// that the others are answered in time.
+// Package placement chooses the backend server for a request by the predicted time
+// to its first response, and refuses requests that no server can respond to in time.
+// It is designed for two kinds of load: a steady load, which it spreads over servers
+// of different speed and distance, and a burst beyond the capacity of the servers,
+// during which it refuses requests that would only queue, so that the others are
+// served in time.
 //
-// A Picker is not safe for concurrent use. Time is passed in.
+// A Picker and a LeaseTable are not safe for concurrent use. The current time is
+// passed in by the caller.
 package placement
--- a/lib/placement/lease.go
+++ b/lib/placement/lease.go
@@ -6,32 +6,34 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// Lease is a request's place on a server. It ends with Picker.Done.
+// Lease is the placement of a request on a server. Picker.Done ends it.
 type Lease struct {
 	Server *directory.Server
-	// Predicted is the expected time to the first answer.
+	// Predicted is the predicted time to the first response.
 	Predicted time.Duration
-	// Occupancy is the estimated number of requests there before this one, and
-	// LoadAge the age of the report that it rests on; negative if there is none.
+	// Occupancy is the estimated number of requests on the server before this one.
+	// LoadAge is the age of the load report that the estimate is based on; negative if
+	// there is none.
 	Occupancy int
 	LoadAge   time.Duration
 
-	// Usage is what this entry has at the server with this request.
+	// Usage is the usage of the server by this entry, including this request.
 	Usage Usage
 
 	state *server
-	// holder is the entry that has the request; empty for this one.
-	holder  string
-	prompt  int
-	started time.Time
-	// answering tells that the first answer has arrived.
-	answering bool
-	done      bool
+	// entry is the entry that serves the request; empty if it is the entry of the
+	// Picker.
+	entry        string
+	promptTokens int
+	started      time.Time
+	// responding is set once the response has started.
+	responding bool
+	done       bool
 }
 
-// Usage is what one entry has at one server.
+// Usage is what one entry has placed on one server.
 type Usage struct {
-	// Running counts its requests, Reading those without a first answer, and
-	// ReadingTokens their prompt tokens.
+	// Running counts its requests, Prefilling those whose response has not started, and
+	// PrefillTokens the prompt tokens of the latter.
 	Running, Prefilling, PrefillTokens int
 }
--- a/lib/placement/granted_test.go
+++ b/lib/placement/lease_table_test.go
@@ -11,7 +11,7 @@
 	"github.com/auburnbend/auburnbend/lib/placement"
 )
 
-var _ = Describe("Leases of other entries", func() {
+var _ = Describe("LeaseTable", func() {
 	var (
 		now time.Time
 		p   *placement.Picker
@@ -41,8 +41,8 @@
 		g = placement.NewLeaseTable(p)
 	})
 
-	It("count as load of their servers until they end", func() {
-		// Guards against entries that choose the same slot in the same moment.
+	It("counts leases as load of their servers until they end", func() {
+		// Guards against entries that choose the same slot at the same moment.
 		first := grant(id("e1", 1, 1))
 		Expect(grant(id("e2", 1, 1)).Server.ID).NotTo(Equal(first.Server.ID))
 		Expect(grant(id("e2", 1, 2)).Occupancy).To(Equal(1))
@@ -50,20 +50,20 @@
 		Expect(grant(id("e3", 1, 1)).Server.ID).To(Equal(first.Server.ID))
 	})
 
-	It("end when the entry does not name them any more, or has restarted", func() {
-		// Guards against slots that stay taken because the notice of an end was lost.
+	It("ends leases that the entry does not list any more, or had before a restart", func() {
+		// Guards against slots that stay occupied because the notice of an end was lost.
 		grant(id("e1", 1, 1))
 		grant(id("e1", 1, 2))
 		grant(id("e2", 7, 1))
 		now = now.Add(time.Second)
 		grant(id("e1", 1, 3))
 		g.Reconcile("e1", 1, []uint64{2}, now)
-		Expect(g.Len()).To(Equal(3), "the one that was granted just now stays")
+		Expect(g.Len()).To(Equal(3), "the lease that was granted just now stays")
 		g.Reconcile("e2", 8, nil, now)
 		Expect(g.Len()).To(Equal(2))
 	})
 
-	It("end when the time of their requests is over", func() {
+	It("ends leases at the deadline of their requests", func() {
 		grant(id("e1", 1, 1))
 		now = now.Add(5 * time.Second)
 		g.Expire(now)
@@ -73,9 +73,9 @@
 		Expect(g.Len()).To(BeZero())
 	})
 
-	It("eject a server only when two entries fail there", func() {
-		// Guards against an entry with a broken link that takes sound servers from all
-		// others.
+	It("ejects a server only after failures of two entries", func() {
+		// Guards against an entry with a broken network that gets healthy servers ejected
+		// for all others.
 		fail := func(entry string, n uint64) {
 			for {
 				l := grant(id(entry, 1, n))
--- a/lib/placement/load.go
+++ b/lib/placement/load.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// Load is what a server reported of itself.
+// Load is a load report of a server.
 type Load struct {
-	// Running and Waiting count requests.
+	// Running and Queued count requests.
 	Running, Queued int
-	// PrefillTokens are the prompts without a first answer, of all entries.
+	// PrefillTokens are the prompt tokens of requests whose response has not started,
+	// of all entries.
 	PrefillTokens int
-	// Slowdown is how much slower than declared it works; zero means unknown.
+	// Slowdown is the ratio of the current to the declared processing time; zero means
+	// unknown.
 	Slowdown float64
-	// Age is the age of the counts when they were reported.
+	// Age is the age of the counts when the report arrived.
 	Age time.Duration
-	// Closed tells that the server takes no new requests now, as it loads
-	// weights or does not answer its agent.
+	// Closed is set if the server accepts no new requests because it is loading weights
+	// or does not respond to its agent.
 	Closed bool
 }
 
-// loadAge is the age at which a report no longer counts as current.
-const loadAge = 3 * time.Second
+// maxReportAge is the age up to which a report counts as current.
+const maxReportAge = 3 * time.Second
--- a/lib/placement/pause.go
+++ b/lib/placement/pause.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// maxResume bounds the time after a pause in which a server gets its load back;
-	// it is as long as the pause if that is shorter.
-	maxResume = 2 * time.Second
-	// pauseSpread is the part of the wait for the end of a pause over which callers
-	// are told to come back, so that they do not return together; minPauseSpread is
-	// the least.
-	pauseSpread    = 0.25
-	minPauseSpread = 200 * time.Millisecond
-	// maxLeftOut bounds the servers that a refusal names.
-	maxLeftOut = 6
+	// maxRamp bounds the time after a pause over which the load of a server is ramped
+	// up. The ramp is as long as the pause if that is shorter.
+	maxRamp = 2 * time.Second
+	// pauseJitter is the random part that is added to the retry delay of callers, as a
+	// share of the wait for the end of a pause, so that they do not all return at once.
+	// minPauseJitter is its minimum.
+	pauseJitter    = 0.25
+	minPauseJitter = 200 * time.Millisecond
+	// maxListedExcluded bounds the servers that a refusal lists.
+	maxListedExcluded = 6
 )
 
-// Pause takes note that a server wants nothing from this entry until a moment. Of
-// several pauses the one that ends last holds. It is no failure of the server. It
-// reports whether the pause is longer than what was known.
+// Pause records that a server asks this entry to send no requests until the given
+// time. Of several pauses, the one that ends last applies. A pause does not count as
+// a failure. It reports whether the pause is longer than the known one.
 func (p *Picker) Pause(key directory.Key, until, now time.Time) bool {
 	s := p.server(key)
 	if !until.After(s.pausedUntil) {
@@ -38,49 +38,50 @@
 	return true
 }
 
-// RefuseIfPaused refuses a request that only servers could run which want nothing from
-// this entry now. It returns nil if another one may run it, or none at all.
-func (p *Picker) RefuseIfPaused(d *Request, now time.Time) *Refusal {
-	refusal := p.pausing(d, now)
+// RefuseIfPaused refuses a request if all servers that could run it have asked this
+// entry for a pause. It returns nil if a server without a pause may run it, or if no
+// server has asked for one.
+func (p *Picker) RefuseIfPaused(req *Request, now time.Time) *Refusal {
+	refusal := p.pauseRefusal(req, now)
 	if refusal != nil {
-		refusal.ExcludedServers = p.leftOut(d.Service, now)
+		refusal.ExcludedServers = p.excludedServers(req.Service, now)
 	}
 	return refusal
 }
 
-// Throttled reports whether a server gets nothing from this entry now because of a pause
-// that it wants or has just had.
+// Throttled reports whether a server gets nothing from this entry now: it is paused,
+// or it has as many requests as the ramp after a pause allows.
 func (p *Picker) Throttled(key directory.Key, now time.Time) bool {
 	s := p.servers[key]
-	return s != nil && (s.paused(now) || s.resuming(now))
+	return s != nil && (s.paused(now) || s.atRampLimit(now))
 }
 
 func (s *server) paused(now time.Time) bool { return now.Before(s.pausedUntil) }
 
-// resuming reports whether the server has as many requests of this entry as it
-// may get a while after a pause: at first one, at last as many as it has slots.
-func (s *server) resuming(now time.Time) bool {
+// atRampLimit reports whether the server has as many requests of this entry as the
+// ramp after a pause allows. The limit rises from one request to the number of
+// slots.
+func (s *server) atRampLimit(now time.Time) bool {
 	if s.pausedUntil.IsZero() {
 		return false
 	}
-	ramp := min(s.pausedUntil.Sub(s.pausedAt), maxResume)
-	since := now.Sub(s.pausedUntil)
-	if since >= ramp {
+	ramp := min(s.pausedUntil.Sub(s.pausedAt), maxRamp)
+	elapsed := now.Sub(s.pausedUntil)
+	if elapsed >= ramp {
 		return false
 	}
-	return s.own.Running >= max(1, int(float64(s.slots())*float64(since)/float64(ramp)))
+	return s.usage.Running >= max(1, int(float64(s.slots())*float64(elapsed)/float64(ramp)))
 }
 
-// pausing refuses a request that could run only on servers which want nothing from
-// this entry now, those that have had it included. It returns nil if there are
-// others, or none that want a pause.
-func (p *Picker) pausing(d *Request, now time.Time) *Refusal {
+// pauseRefusal refuses a request if all servers that could run it, including those
+// that the request excludes, are paused. It returns nil otherwise.
+func (p *Picker) pauseRefusal(req *Request, now time.Time) *Refusal {
 	if !now.Before(p.pausesUntil) {
 		return nil
 	}
 	var earliest time.Time
-	for _, listing := range p.directory.ByService(d.Service) {
-		if listing.Draining || !holds(listing, d) {
+	for _, listing := range p.directory.ByService(req.Service) {
+		if listing.Draining || !hasWeights(listing, req) {
 			continue
 		}
 		s := p.state(listing)
@@ -89,7 +90,7 @@
 			if earliest.IsZero() || s.pausedUntil.Before(earliest) {
 				earliest = s.pausedUntil
 			}
-		case !d.excludes(listing.Key()):
+		case !req.excludes(listing.Key()):
 			return nil
 		}
 	}
@@ -97,16 +98,16 @@
 		return nil
 	}
 	wait := earliest.Sub(now)
-	spread := max(scale(wait, pauseSpread), minPauseSpread)
-	return &Refusal{Reason: Paused, RetryAfter: wait + time.Duration(p.rng.Int64N(int64(spread)))}
+	jitter := max(scale(wait, pauseJitter), minPauseJitter)
+	return &Refusal{Reason: Paused, RetryAfter: wait + time.Duration(p.rng.Int64N(int64(jitter)))}
 }
 
-// leftOut names servers of a service that get no requests because they leave or
-// want a pause.
-func (p *Picker) leftOut(service string, now time.Time) []string {
+// excludedServers lists servers of a service that get no requests because they are
+// draining or paused, for the caller of a refused request.
+func (p *Picker) excludedServers(service string, now time.Time) []string {
 	var out []string
 	for _, listing := range p.directory.ByService(service) {
-		if len(out) == maxLeftOut {
+		if len(out) == maxListedExcluded {
 			break
 		}
 		if listing.Draining {
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -12,12 +12,12 @@
 	"github.com/auburnbend/auburnbend/lib/placement"
 )
 
-var _ = Describe("Pauses that servers ask for", func() {
+var _ = Describe("Pauses", func() {
 	now := time.Unix(1000, 0)
 	var d *directory.Directory
 	var p *placement.Picker
-	listing := func(id string, born int64) *directory.Server {
-		return &directory.Server{ID: id, StartUnixMilli: born, Service: "desk", Address: id, Domain: "north", Slots: 4}
+	listing := func(id string, start int64) *directory.Server {
+		return &directory.Server{ID: id, StartUnixMilli: start, Service: "desk", Address: id, Domain: "north", Slots: 4}
 	}
 	key := func(id string) directory.Key { return directory.Key{ID: id, StartUnixMilli: 1} }
 	demand := placement.Request{Service: "desk", Domain: "north", LatencyTarget: time.Second}
@@ -29,7 +29,7 @@
 		p = placement.New(placement.Config{Domain: "north", Regions: map[string]string{"north": "n"}}, d, rand.New(rand.NewPCG(1, 1)))
 	}
 
-	It("keep requests away until the latest end, and are no failure", func() {
+	It("keep requests away until the latest end, and do not count as failures", func() {
 		setUp("a", "b")
 		p.Pause(key("a"), now.Add(2*time.Second), now)
 		Expect(p.Pause(key("a"), now.Add(time.Second), now)).To(BeFalse())
@@ -44,8 +44,9 @@
 		Expect(p.Avoided("desk", now)).To(ConsistOf(key("a")))
 	})
 
-	It("let requests be refused at once with the earliest end, when all servers want one", func() {
-		// Guards against callers that return before any server takes them, or all together.
+	It("lead to refusals with the earliest end as retry delay, when all servers are paused", func() {
+		// Guards against callers that retry before any server accepts requests, or all
+		// together.
 		setUp("a", "b")
 		p.Pause(key("a"), now.Add(3*time.Second), now)
 		Expect(p.RefuseIfPaused(&demand, now)).To(BeNil())
@@ -62,7 +63,7 @@
 		Expect(len(waits)).To(BeNumerically(">", 10))
 	})
 
-	It("concern one entry: those of others are placed there", func() {
+	It("do not apply to requests of other entries", func() {
 		setUp("a")
 		p.Pause(key("a"), now.Add(3*time.Second), now)
 		other := demand
@@ -71,8 +72,8 @@
 		Expect(refusal).To(BeNil())
 	})
 
-	It("end with a gradual return of load", func() {
-		// Guards against a wave of requests at the end of a pause.
+	It("end with a gradual increase of load", func() {
+		// Guards against a burst of requests at the end of a pause.
 		setUp("a", "b")
 		p.Pause(key("a"), now.Add(time.Second), now)
 		at := now.Add(1500 * time.Millisecond)
@@ -82,12 +83,12 @@
 			Expect(refusal).To(BeNil())
 			running[l.Server.ID]++
 		}
-		Expect(running["a"]).To(Equal(2), "half of its slots after half of the return")
+		Expect(running["a"]).To(Equal(2), "half of its slots after half of the ramp")
 		Expect(p.Throttled(key("a"), at)).To(BeTrue())
 		Expect(p.Throttled(key("a"), now.Add(2*time.Second))).To(BeFalse())
 	})
 
-	It("end with the start that asked", func() {
+	It("end with the incarnation that asked for them", func() {
 		setUp("a")
 		p.Pause(key("a"), now.Add(time.Hour), now)
 		d.Put(listing("a", 2))
@@ -95,19 +96,20 @@
 		Expect(refusal).To(BeNil())
 	})
 
-	It("hold for each server, whatever restarts, leaves or asks again", func() {
-		// An oracle keeps the end of each start's pause and the starts that leave.
+	It("apply to each server, whatever restarts, drains or asks again", func() {
+		// Compares with a model that keeps the end of each incarnation's pause and the
+		// draining incarnations.
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			setUp("a", "b", "c")
-			born := map[string]int64{"a": 1, "b": 1, "c": 1}
+			starts := map[string]int64{"a": 1, "b": 1, "c": 1}
 			ends := make(map[directory.Key]time.Time)
-			leaving := make(map[directory.Key]bool)
+			draining := make(map[directory.Key]bool)
 			at := now
 			for range rapid.IntRange(1, 120).Draw(t, "steps") {
-				// Clocks of paused processes stand still and go on.
+				// The clock of a suspended process stands still and then jumps.
 				at = at.Add(time.Duration(rapid.SampledFrom([]int{0, 1, 50, 700, 5000}).Draw(t, "ms")) * time.Millisecond)
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "server")
-				k := directory.Key{ID: id, StartUnixMilli: born[id]}
+				k := directory.Key{ID: id, StartUnixMilli: starts[id]}
 				switch rapid.IntRange(0, 5).Draw(t, "kind") {
 				case 0:
 					until := at.Add(time.Duration(rapid.IntRange(1, 4).Draw(t, "seconds")) * time.Second)
@@ -117,28 +119,28 @@
 					}
 				case 1:
 					d.MarkDraining(k, directory.SourceResponse, at)
-					leaving[k] = true
+					draining[k] = true
 				case 2:
-					born[id]++
-					d.Put(listing(id, born[id]))
+					starts[id]++
+					d.Put(listing(id, starts[id]))
 				case 3:
-					// A late row of the same start.
-					d.Put(listing(id, born[id]))
+					// A late row of the same incarnation.
+					d.Put(listing(id, starts[id]))
 				default:
 					l, refusal := p.Pick(demand, at)
-					open := false
-					for id, b := range born {
+					available := false
+					for id, b := range starts {
 						k := directory.Key{ID: id, StartUnixMilli: b}
-						open = open || !leaving[k] && !at.Before(ends[k])
+						available = available || !draining[k] && !at.Before(ends[k])
 					}
-					if (refusal == nil) != open {
-						t.Fatalf("refused %v while a server is open: %t", refusal, open)
+					if (refusal == nil) != available {
+						t.Fatalf("refusal %v; a server is available: %t", refusal, available)
 					}
 					if refusal != nil {
 						continue
 					}
-					if used := l.Server.Key(); leaving[used] || at.Before(ends[used]) {
-						t.Fatalf("%v is used at %v, it leaves: %t, pause until %v", used, at, leaving[used], ends[used])
+					if used := l.Server.Key(); draining[used] || at.Before(ends[used]) {
+						t.Fatalf("%v was used at %v; draining: %t, paused until %v", used, at, draining[used], ends[used])
 					}
 					p.Done(l, placement.Answered, at)
 				}
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -7,198 +7,201 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// Picker places requests on backend servers.
+// Picker places the requests of an entry on backend servers. It is not safe for
+// concurrent use.
 type Picker struct {
 	config    Config
 	directory *directory.Directory
 	servers   map[directory.Key]*server
 	rng       *rand.Rand
-	// pausesUntil is when the last pause ends that a server has asked for.
+	// pausesUntil is the end of the last pause that any server has asked for.
 	pausesUntil time.Time
 }
 
-// New returns a Picker over the servers of a directory, which it reads only.
+// New returns a Picker for the servers of a directory. The Picker drops expired
+// servers from the directory, and does not change it otherwise.
 func New(config Config, d *directory.Directory, rng *rand.Rand) *Picker {
 	return &Picker{config: config.applyDefaults(), directory: d, servers: make(map[directory.Key]*server), rng: rng}
 }
 
-// Pick places a request. It returns a lease, or the reason of a refusal.
-func (p *Picker) Pick(d Request, now time.Time) (*Lease, *Refusal) {
-	best, estimate, refusal := p.best(&d, now)
+// Pick places a request. It returns either a lease or a refusal.
+func (p *Picker) Pick(req Request, now time.Time) (*Lease, *Refusal) {
+	best, estimate, refusal := p.best(&req, now)
 	if refusal == nil {
-		refusal = p.tooLate(&d, best, estimate, now)
+		refusal = p.checkLatency(&req, best, estimate, now)
 	}
 	if refusal != nil {
-		refusal.ExcludedServers = p.leftOut(d.Service, now)
+		refusal.ExcludedServers = p.excludedServers(req.Service, now)
 		return nil, refusal
 	}
-	occupancy, age := best.occupancy(now), best.loadAge(now)
-	l := p.lease(best, &d, now)
-	l.Predicted = estimate.first + p.distance(d.Domain, best.seen.Domain)
+	occupancy, age := best.occupancy(now), best.reportAge(now)
+	l := p.newLease(best, &req, now)
+	l.Predicted = estimate.firstResponse + p.distancePenalty(req.Domain, best.listing.Domain)
 	l.Occupancy, l.LoadAge = occupancy, age
 	return l, nil
 }
 
-// Adopt returns the lease of a request that another entry has placed on a listed
+// Adopt returns a lease for a request that another entry has placed on a listed
 // server.
-func (p *Picker) Adopt(listing *directory.Server, d *Request, now time.Time) *Lease {
-	return p.lease(p.state(listing), d, now)
+func (p *Picker) Adopt(listing *directory.Server, req *Request, now time.Time) *Lease {
+	return p.newLease(p.state(listing), req, now)
 }
 
-func (p *Picker) lease(s *server, d *Request, now time.Time) *Lease {
-	s.change(1, 1, d.PromptTokens, now)
-	s.lastStart = now
-	return &Lease{Server: s.seen, Usage: s.own, state: s, holder: d.Entry, prompt: d.PromptTokens, started: now}
+func (p *Picker) newLease(s *server, req *Request, now time.Time) *Lease {
+	s.addUsage(1, 1, req.PromptTokens, now)
+	s.lastPlacedAt = now
+	return &Lease{Server: s.listing, Usage: s.usage, state: s, entry: req.Entry, promptTokens: req.PromptTokens, started: now}
 }
 
-// candidate is a server that may take a request.
+// candidate is a server that may get a request.
 type candidate struct {
 	*server
 	estimate
-	// score is the predicted time to the first answer, with the way there.
+	// score is the predicted time to the first response plus the distance penalty.
 	score time.Duration
 }
 
-// best returns the server with the earliest predicted first answer.
-func (p *Picker) best(d *Request, now time.Time) (*server, estimate, *Refusal) {
+// best returns the server with the lowest score, or a refusal.
+func (p *Picker) best(req *Request, now time.Time) (*server, estimate, *Refusal) {
 	p.directory.Expire(now)
-	usable, reason := p.usable(d)
-	open := p.open(usable, d, now)
-	if len(open) == 0 {
-		if d.Entry == "" {
-			if refusal := p.pausing(d, now); refusal != nil {
+	eligible, reason := p.eligible(req)
+	available := p.available(eligible, req, now)
+	if len(available) == 0 {
+		if req.Entry == "" {
+			if refusal := p.pauseRefusal(req, now); refusal != nil {
 				return nil, estimate{}, refusal
 			}
 		}
-		return nil, estimate{}, absent(d, reason)
+		return nil, estimate{}, unavailable(req, reason)
 	}
 	reason = Overloaded
 	var best *candidate
-	for _, s := range p.sample(open, now) {
-		e := s.predict(d, now)
-		if s.expires(d, e, now) {
+	for _, s := range p.candidates(available, now) {
+		e := s.predict(req, now)
+		if s.expires(req, e, now) {
 			reason = NoWeights
 			continue
 		}
-		c := &candidate{server: s, estimate: e, score: e.first + p.distance(d.Domain, s.seen.Domain)}
-		if best == nil || c.score < best.score || c.score == best.score && s.own.Running < best.own.Running {
+		c := &candidate{server: s, estimate: e, score: e.firstResponse + p.distancePenalty(req.Domain, s.listing.Domain)}
+		if best == nil || c.score < best.score || c.score == best.score && s.usage.Running < best.usage.Running {
 			best = c
 		}
 	}
 	if best == nil {
-		return nil, estimate{}, absent(d, reason)
+		return nil, estimate{}, unavailable(req, reason)
 	}
 	return best.server, best.estimate, nil
 }
 
-// expires reports whether a request may still wait on the server when its
-// weights must no longer serve.
-func (s *server) expires(d *Request, e estimate, now time.Time) bool {
-	if d.NextVersion == 0 || s.seen.Weights[d.Model].Version >= d.NextVersion {
+// expires reports whether the request might still wait on the server when the
+// server's weights must no longer serve.
+func (s *server) expires(req *Request, e estimate, now time.Time) bool {
+	if req.NextVersion == 0 || s.listing.Weights[req.Model].Version >= req.NextVersion {
 		return false
 	}
-	return now.Add(2*e.wait + expiryMargin).After(d.NextVersionAt)
+	return now.Add(2*e.wait + versionMargin).After(req.NextVersionAt)
 }
 
-// usable returns the servers that may run the request at all, and the reason if
-// there are none.
-func (p *Picker) usable(d *Request) ([]*server, Reason) {
+// eligible returns the servers that may run the request, or the reason why there are
+// none.
+func (p *Picker) eligible(req *Request) ([]*server, Reason) {
 	reason := NoServer
-	var usable []*server
-	for _, listing := range p.directory.ByService(d.Service) {
+	var eligible []*server
+	for _, listing := range p.directory.ByService(req.Service) {
 		switch {
-		case listing.Draining || d.excludes(listing.Key()):
-		case !holds(listing, d):
+		case listing.Draining || req.excludes(listing.Key()):
+		case !hasWeights(listing, req):
 			reason = NoWeights
 		default:
-			usable = append(usable, p.state(listing))
+			eligible = append(eligible, p.state(listing))
 		}
 	}
-	return usable, reason
+	return eligible, reason
 }
 
-// open leaves out the servers that take no requests now, and ejected ones
-// unless too many are ejected to be believed. A pause is between a server and one
-// entry: another entry names the servers that it must not use.
-func (p *Picker) open(usable []*server, d *Request, now time.Time) []*server {
-	own := d.Entry == ""
-	var open, resuming, ejected []*server
-	for _, s := range usable {
+// available drops the servers that accept no requests now, and the ejected ones. If
+// only ejected ones are left and they are more than MaxEjectedShare, it returns
+// those. A pause applies only between a server and one entry: for requests of other
+// entries, these list the servers to exclude.
+func (p *Picker) available(eligible []*server, req *Request, now time.Time) []*server {
+	own := req.Entry == ""
+	var available, ramping, ejected []*server
+	for _, s := range eligible {
 		switch {
 		case s.closed(now) || own && s.paused(now):
 		case s.ejected(now):
 			ejected = append(ejected, s)
-		case own && s.resuming(now):
-			resuming = append(resuming, s)
+		case own && s.atRampLimit(now):
+			ramping = append(ramping, s)
 		default:
-			open = append(open, s)
+			available = append(available, s)
 		}
 	}
-	if len(open) == 0 {
-		open = resuming
+	if len(available) == 0 {
+		available = ramping
 	}
-	if len(open) == 0 && float64(len(ejected)) > p.config.MaxEjectedShare*float64(len(usable)) {
+	if len(available) == 0 && float64(len(ejected)) > p.config.MaxEjectedShare*float64(len(eligible)) {
 		return ejected
 	}
-	return open
+	return available
 }
 
-// sample returns all servers of the own region and some of the others. What is
-// known of distant servers is older, and all entries would choose the same one.
-// Distant servers that report to this entry go first: of the others it knows only
-// what it has sent there.
-func (p *Picker) sample(open []*server, now time.Time) []*server {
-	var near, reported, silent []*server
-	for _, s := range open {
+// candidates returns all servers of the own region and a random choice of the
+// others. What is known of remote servers is older, and all entries would choose the
+// same one. Remote servers that report to this entry are preferred: of the others,
+// only its own requests are known.
+func (p *Picker) candidates(available []*server, now time.Time) []*server {
+	var local, reported, silent []*server
+	for _, s := range available {
 		switch {
-		case p.config.Regions[s.seen.Domain] == p.config.Regions[p.config.Domain]:
-			near = append(near, s)
-		case s.reserved(now):
-		case s.reports(now):
+		case p.config.Regions[s.listing.Domain] == p.config.Regions[p.config.Domain]:
+			local = append(local, s)
+		case s.localOnly(now):
+		case s.hasReport(now):
 			reported = append(reported, s)
 		default:
 			silent = append(silent, s)
 		}
 	}
-	far := reported
-	if len(far) == 0 {
-		far = silent
+	remote := reported
+	if len(remote) == 0 {
+		remote = silent
 	}
-	if len(far) > distantChoices {
-		p.rng.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-		far = far[:distantChoices]
+	if len(remote) > remoteChoices {
+		p.rng.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
+		remote = remote[:remoteChoices]
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
-// holds reports whether a server has the weights that the request needs.
-func holds(s *directory.Server, d *Request) bool {
-	if d.Engine == nil || d.Model == "" {
+// hasWeights reports whether a server has loaded the weights that the request needs.
+func hasWeights(s *directory.Server, req *Request) bool {
+	if req.Engine == nil || req.Model == "" {
 		return true
 	}
-	w, ok := s.Weights[d.Model]
-	if !ok || !w.Complete || w.Version < d.MinVersion {
+	w, ok := s.Weights[req.Model]
+	if !ok || !w.Complete || w.Version < req.MinVersion {
 		return false
 	}
-	return d.Version == 0 || w.Version == d.Version
+	return req.Version == 0 || w.Version == req.Version
 }
 
-// tooLate refuses a request whose first answer is predicted after its target.
-// The request's own prompt does not count, so that long prompts are refused no
-// more often than short ones.
-func (p *Picker) tooLate(d *Request, s *server, e estimate, now time.Time) *Refusal {
-	if d.LatencyTarget <= 0 || d.MayHaveRun {
+// checkLatency refuses a request whose first response is predicted to miss its
+// latency target. The prediction uses a usual prompt instead of the request's own,
+// so that long prompts are refused no more often than short ones.
+func (p *Picker) checkLatency(req *Request, s *server, e estimate, now time.Time) *Refusal {
+	if req.LatencyTarget <= 0 || req.MayHaveRun {
 		return nil
 	}
 	if 2*s.occupancy(now) < s.slots() {
-		// A wait at a server that is half empty cannot be long.
+		// On a server that is less than half full, the wait cannot be long.
 		return nil
 	}
-	usual := e.first - e.wait
-	if d.Engine != nil {
-		usual = prefillTime(d.Engine, d.Engine.UsualPrompt, 1) + passTime(d.Engine, s.slots())
+	usual := e.firstResponse - e.wait
+	if req.Engine != nil {
+		usual = prefillTime(req.Engine, req.Engine.UsualPrompt, 1) + passTime(req.Engine, s.slots())
 	}
-	limit := scale(d.LatencyTarget, p.config.TargetShare)
+	limit := scale(req.LatencyTarget, p.config.TargetShare)
 	predicted := e.wait + usual
 	if predicted <= limit {
 		return nil
@@ -207,9 +210,9 @@
 	return &Refusal{Reason: Overloaded, RetryAfter: after, Predicted: predicted}
 }
 
-// distance is the delay by which a server in another domain than the caller's is
-// less preferred.
-func (p *Picker) distance(from, to string) time.Duration {
+// distancePenalty is added to the predicted time of a server in another failure
+// domain than the entry's.
+func (p *Picker) distancePenalty(from, to string) time.Duration {
 	if from == "" {
 		from = p.config.Domain
 	}
@@ -223,17 +226,17 @@
 	}
 }
 
-// state returns what is known of a listed server.
+// state returns the state of a listed server and updates its listing.
 func (p *Picker) state(listing *directory.Server) *server {
 	s := p.server(listing.Key())
-	if s.seen != listing {
-		s.corrected()
+	if s.listing != listing {
+		s.clearMismatch()
 	}
-	s.seen = listing
+	s.listing = listing
 	return s
 }
 
-// server returns the state of one start of a server.
+// server returns the state of one incarnation of a server.
 func (p *Picker) server(key directory.Key) *server {
 	s := p.servers[key]
 	if s == nil {
--- a/lib/placement/picker_outcome.go
+++ b/lib/placement/picker_outcome.go
@@ -2,82 +2,83 @@
 
 import "time"
 
-// ResponseStarted takes note that the first answer of a request has arrived. It
-// returns what this entry has at the server.
+// ResponseStarted records that the response to a request has started. It returns
+// this entry's usage of the server.
 func (p *Picker) ResponseStarted(l *Lease, now time.Time) Usage {
 	s := l.state
-	if !l.answering && !l.done {
-		l.answering = true
-		s.change(0, -1, -l.prompt, now)
+	if !l.responding && !l.done {
+		l.responding = true
+		s.addUsage(0, -1, -l.promptTokens, now)
 	}
-	return s.own
+	return s.usage
 }
 
-// Done ends a lease. It returns what this entry has at the server.
+// Done ends a lease and records its result. It returns this entry's usage of the
+// server. Further calls have no effect.
 func (p *Picker) Done(l *Lease, result Result, now time.Time) Usage {
 	if l.done {
-		return l.state.own
+		return l.state.usage
 	}
-	answered := l.answering
+	answered := l.responding
 	p.ResponseStarted(l, now)
 	l.done = true
 	s := l.state
-	s.change(-1, 0, 0, now)
+	s.addUsage(-1, 0, 0, now)
 	switch result {
 	case Answered:
 		s.failures, s.ejections = 0, 0
-		s.smoothAnswer(now.Sub(l.started))
+		s.smoothResponseTime(now.Sub(l.started))
 	case Mismatched:
-		// News of the server are on their way, by its agent or its row.
+		// An update from the server's agent or its row will clear this.
 		s.mismatched = true
 		p.eject(s, Mismatched, now)
 	case Unreachable:
-		if l.holder == "" {
+		if l.entry == "" {
 			p.eject(s, Unreachable, now)
 			break
 		}
-		// The way from another entry may be at fault.
-		p.failed(s, l.holder, Unreachable, now)
+		// The fault may be in the network of the other entry.
+		p.recordFailure(s, l.entry, Unreachable, now)
 	case Failed:
-		p.failed(s, l.holder, Failed, now)
+		p.recordFailure(s, l.entry, Failed, now)
 	case Cancelled:
-		if !answered && now.Sub(l.started) >= silentAfter {
-			p.failed(s, l.holder, Cancelled, now)
+		if !answered && now.Sub(l.started) >= noResponseThreshold {
+			p.recordFailure(s, l.entry, Cancelled, now)
 		}
 	case Rejected:
 	}
-	return s.own
+	return s.usage
 }
 
-func (s *server) smoothAnswer(took time.Duration) {
-	if s.answerTime == 0 {
-		s.answerTime = took
+func (s *server) smoothResponseTime(took time.Duration) {
+	if s.responseTime == 0 {
+		s.responseTime = took
 		return
 	}
-	s.answerTime += (took - s.answerTime) / 8
+	s.responseTime += (took - s.responseTime) / 8
 }
 
-// failed counts a failure and ejects the server after several in a row. Those of
-// one other entry alone eject nothing: its own links may be at fault, and it keeps
-// away from the server by itself.
-func (p *Picker) failed(s *server, holder string, because Result, now time.Time) {
+// recordFailure counts a failure and ejects the server after EjectAfter consecutive
+// ones. Failures of one other entry alone do not eject it for all: that entry's own
+// network may be at fault, and it avoids the server by itself.
+func (p *Picker) recordFailure(s *server, entry string, cause Result, now time.Time) {
 	s.failures++
-	alone := holder != "" && (s.failures == 1 || s.failedFor == holder)
-	s.failedFor = holder
+	alone := entry != "" && (s.failures == 1 || s.lastFailedEntry == entry)
+	s.lastFailedEntry = entry
 	if s.failures >= p.config.EjectAfter && !alone {
-		p.eject(s, because, now)
+		p.eject(s, cause, now)
 	}
 }
 
-// eject keeps requests away for a while that doubles with each time.
-func (p *Picker) eject(s *server, because Result, now time.Time) {
+// eject ejects a server. The duration doubles with each consecutive ejection.
+func (p *Picker) eject(s *server, cause Result, now time.Time) {
 	if s.ejected(now) {
 		return
 	}
-	while := min(p.config.MinEject<<min(s.ejections, 10), p.config.MaxEject)
+	duration := min(p.config.MinEject<<min(s.ejections, 10), p.config.MaxEject)
 	s.ejections++
-	s.ejectedUntil = now.Add(while)
+	s.ejectedUntil = now.Add(duration)
 	if p.config.OnEject != nil {
-		p.config.OnEject(s.seen, while, because)
+		p.config.OnEject(s.listing, duration, cause)
 	}
 }
--- a/lib/placement/picker_news.go
+++ b/lib/placement/picker_reports.go
@@ -6,51 +6,53 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// MarkSuperseded takes note that a later start of a server has its address.
+// MarkSuperseded records that a later incarnation has taken the address of a server.
+// The server gets no further requests.
 func (p *Picker) MarkSuperseded(key directory.Key) { p.server(key).superseded = true }
 
-// Report takes an agent's report on a server.
+// Report records an agent's load report on a server.
 func (p *Picker) Report(key directory.Key, load Load, now time.Time) {
 	s := p.server(key)
 	if !load.Closed && (s.load.Closed || s.openedAt.IsZero()) {
 		s.openedAt = now
 	}
-	s.load, s.loadAt = load, now
-	s.foreign = max(0, load.Running+load.Queued-s.running.at(now.Add(-load.Age)))
-	s.foreignTokens = max(0, load.PrefillTokens-s.own.PrefillTokens)
+	s.load, s.reportedAt = load, now
+	s.otherRequests = max(0, load.Running+load.Queued-s.runningHistory.valueAt(now.Add(-load.Age)))
+	s.otherPrefillTokens = max(0, load.PrefillTokens-s.usage.PrefillTokens)
 }
 
-// UpdateCounts takes the counts that a server adds to its answers. They tell nothing of
-// its pace and of whether it takes requests.
+// UpdateCounts records the counts of requests that a server adds to its responses.
+// They do not include its slowdown, and whether it accepts requests.
 func (p *Picker) UpdateCounts(key directory.Key, running, waiting int, now time.Time) {
 	s := p.server(key)
 	s.load.Running, s.load.Queued = running, waiting
-	s.loadAt = now
-	s.foreign = max(0, running+waiting-s.own.Running)
+	s.reportedAt = now
+	s.otherRequests = max(0, running+waiting-s.usage.Running)
 }
 
-// HasLoadReports reports whether the load of at least half of a service's servers in
-// this region is known.
+// HasLoadReports reports whether there are current load reports of at least half of
+// a service's servers in this region.
 func (p *Picker) HasLoadReports(service string, now time.Time) bool {
-	near, known := 0, 0
+	local, known := 0, 0
 	for _, listing := range p.directory.ByService(service) {
 		if p.config.Regions[listing.Domain] != p.config.Regions[p.config.Domain] {
 			continue
 		}
-		near++
-		if s := p.servers[listing.Key()]; s != nil && s.reports(now) {
+		local++
+		if s := p.servers[listing.Key()]; s != nil && s.hasReport(now) {
 			known++
 		}
 	}
-	return 2*known >= near
+	return 2*known >= local
 }
 
-// Prune drops the state of servers that are no longer listed and idle.
+// Prune drops the state of servers that are no longer listed and have no open
+// requests of this entry.
 func (p *Picker) Prune() {
 	listed := make(map[directory.Key]bool, p.directory.Len())
 	p.directory.ForEach(func(s *directory.Server) { listed[s.Key()] = true })
 	for key, s := range p.servers {
-		if !listed[key] && s.own.Running == 0 {
+		if !listed[key] && s.usage.Running == 0 {
 			delete(p.servers, key)
 		}
 	}
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnbend/auburnbend/lib/serving"
 )
 
-// engine is a model engine as deployments declare it.
+// engine is a model engine with realistic parameters.
 var engine = &serving.Engine{
 	Slots: 16, KVTokens: 1180000, StepTime: 8870 * time.Microsecond, SequenceTime: 39 * time.Microsecond,
 	ContextTime: 23 * time.Microsecond, PrefillRate: 19100, PairTime: 1470 * time.Microsecond,
@@ -54,7 +54,7 @@
 		p = placement.New(placement.Config{Domain: "north", Regions: map[string]string{"north": "n", "south": "s"}}, dir, rand.New(rand.NewPCG(1, 1)))
 	})
 
-	It("spreads requests over servers of the own domain and spills over when they wait", func() {
+	It("spreads requests over the servers of its domain and uses others when those are busy", func() {
 		add("a", "north", nil)
 		add("b", "north", nil)
 		add("far", "south", nil)
@@ -70,8 +70,8 @@
 		Expect(counts["far"]).To(BeNumerically(">", 1))
 	})
 
-	It("sends nothing to servers that drain, load, hold other weights or were tried", func() {
-		// Guards against requests to leaving servers and against answers from weights
+	It("does not use servers that drain, load, have other weights or were tried", func() {
+		// Guards against requests to draining servers, and against responses from weights
 		// that must no longer serve.
 		add("draining", "north", func(s *directory.Server) { s.Draining = true })
 		add("part", "north", func(s *directory.Server) { s.Weights["m"] = directory.Weights{Version: 2} })
@@ -89,9 +89,9 @@
 		Expect(pick(d).Server.ID).To(Equal("old"))
 	})
 
-	It("sends nothing to weights that may expire while the request waits", func() {
-		// Guards against a request that begins on older weights after their bound:
-		// it had waited 620 ms on its server.
+	It("does not use weights that may become too old while the request waits", func() {
+		// Guards against a request that begins on older weights after their deadline: it
+		// had waited 620 ms on its server.
 		key := add("a", "north", nil)
 		d := demand()
 		d.NextVersion, d.NextVersionAt = 2, now.Add(750*time.Millisecond)
@@ -105,10 +105,10 @@
 		pick(d)
 	})
 
-	It("gives a server up whose address another start has, until news of it", func() {
-		// Guards against requests that all go to starts which ended in a loss of power:
-		// their rows and weights were still listed, they seemed idle, and 445 requests
-		// were refused after two of them.
+	It("does not use a mismatched server until its listing changes", func() {
+		// Guards against requests that all go to incarnations which ended in a power
+		// failure: their rows and weights were still listed, so that they seemed idle. 445
+		// requests were refused after two such failures.
 		key := add("old", "north", nil)
 		add("good", "north", nil)
 		p.Report(key, placement.Load{Running: 0}, now)
@@ -129,9 +129,9 @@
 		Expect(pick(demand()).Server.ID).To(Equal("good"))
 	})
 
-	It("lets callers come back as late as they accept while no weights may serve", func() {
-		// Guards against callers that return in the same outage and are refused again:
-		// on umurage-crest scale-1 0.028 of the worth of the day.
+	It("refuses with the longest accepted retry delay while no weights may serve", func() {
+		// Guards against callers that retry during the same outage and are refused again:
+		// this cost 0.028 of the worth of the day on umurage-crest scale-1.
 		add("old", "north", nil)
 		d := demand()
 		d.MinVersion = 2
@@ -143,9 +143,9 @@
 		Expect(refusal.RetryAfter).To(Equal(200 * time.Millisecond))
 	})
 
-	It("leaves the margin before a bound also where no wait is predicted", func() {
-		// Guards against a request that begins after the bound because the
-		// prediction was too low: 620 ms were seen where none were predicted.
+	It("keeps the margin before a version deadline even if no wait is predicted", func() {
+		// Guards against a request that begins after the deadline because the prediction
+		// was too low: waits of 620 ms were seen where none were predicted.
 		add("a", "north", nil)
 		d := demand()
 		d.NextVersion, d.NextVersionAt = 2, now.Add(690*time.Millisecond)
@@ -156,9 +156,9 @@
 		pick(d)
 	})
 
-	It("keeps a server closed when an answer tells its load", func() {
-		// Guards against requests to an engine that loads weights: its answers to
-		// earlier requests carry no word on that.
+	It("keeps a server closed when a response reports its load", func() {
+		// Guards against requests to an engine that is loading weights: its responses to
+		// earlier requests do not state this.
 		key := add("a", "north", nil)
 		p.Report(key, placement.Load{Closed: true}, now)
 		p.UpdateCounts(key, 1, 0, now)
@@ -166,9 +166,9 @@
 		Expect(refusal).NotTo(BeNil())
 	})
 
-	It("refuses at once what would be answered after its target, and says when to come back", func() {
-		// Guards against a burst in which every answer is late: the load is 60
-		// requests at one moment for two engines.
+	It("refuses requests that would miss their latency target, with a retry delay", func() {
+		// Guards against a burst during which every response is late: 60 requests arrive
+		// at the same moment for two engines.
 		add("a", "north", nil)
 		add("b", "north", nil)
 		placed, refused := 0, 0
@@ -181,8 +181,8 @@
 				continue
 			}
 			placed++
-			// A server that is half empty is not refused; at a busier one the target
-			// is kept.
+			// Servers that are less than half full accept any request; the busier ones meet
+			// the target.
 			if lease.Occupancy >= engine.Slots/2 {
 				Expect(lease.Predicted).To(BeNumerically("<", demand().LatencyTarget))
 			}
@@ -192,7 +192,7 @@
 	})
 
 	It("refuses long prompts no more often than short ones", func() {
-		// Guards against starving the largest requests of a class.
+		// Guards against starvation of the largest requests of a class.
 		key := add("a", "north", nil)
 		p.Report(key, placement.Load{Running: 15}, now)
 		long := demand()
@@ -201,7 +201,7 @@
 		Expect(refusedLong).To(BeNil())
 	})
 
-	It("places a stream that has begun whatever its target", func() {
+	It("places a stream that has begun regardless of its target", func() {
 		key := add("a", "north", nil)
 		p.Report(key, placement.Load{Running: 16, Queued: 30}, now)
 		_, refusal := p.Pick(demand(), now)
@@ -211,9 +211,9 @@
 		pick(d)
 	})
 
-	It("counts requests that are younger than a report", func() {
-		// Guards against a herd on an engine that has just become free: a report told
-		// of the load before the last requests, and they were forgotten with it.
+	It("counts requests that are newer than a report", func() {
+		// Guards against many requests to an engine that has just become free: the report
+		// described the load before the last requests, and replaced their count.
 		a := add("a", "north", nil)
 		b := add("b", "north", nil)
 		for range 6 {
@@ -225,9 +225,9 @@
 		Expect(pick(demand()).Occupancy).To(Equal(3))
 	})
 
-	It("prefers distant engines whose load it knows", func() {
-		// Guards against requests that wait at a full engine of another region which
-		// does not report to this entry: it seemed idle.
+	It("prefers remote engines whose load it knows", func() {
+		// Guards against requests that wait on a full engine of another region which does
+		// not report to this entry and so seems idle.
 		for i := range 20 {
 			add(fmt.Sprint("unknown", i), "south", nil)
 		}
@@ -241,7 +241,7 @@
 		}
 	})
 
-	It("counts what other regions have sent", func() {
+	It("counts requests of other entries", func() {
 		a := add("a", "north", nil)
 		pick(demand())
 		now = now.Add(time.Second)
@@ -250,8 +250,8 @@
 	})
 
 	It("leaves an engine that has just opened to the entries of its region", func() {
-		// Guards against all entries of a fleet that choose the only open engine in
-		// the 100 ms between two reports: requests waited 1.4 s there.
+		// Guards against all entries of a fleet choosing the only available engine in the
+		// 100 ms between two reports: requests waited 1.4 s there.
 		far := add("far", "south", nil)
 		p.Report(far, placement.Load{Closed: true}, now)
 		p.Report(far, placement.Load{}, now)
@@ -266,7 +266,7 @@
 		pick(demand())
 	})
 
-	It("prefers a server at its declared pace to a slow one", func() {
+	It("prefers a server at its declared speed to a slow one", func() {
 		a := add("a", "north", nil)
 		add("b", "north", nil)
 		p.Report(a, placement.Load{Slowdown: 3.5}, now)
@@ -275,8 +275,8 @@
 		}
 	})
 
-	It("ejects a server after failures in a row and tries it again later", func() {
-		// Guards against servers that fail requests while their health is good.
+	It("ejects a server after consecutive failures and uses it again later", func() {
+		// Guards against servers that fail requests while their health checks pass.
 		add("a", "north", nil)
 		add("b", "north", nil)
 		failed := ""
@@ -302,9 +302,9 @@
 		Expect(seen).To(HaveKey(failed))
 	})
 
-	It("ejects a server that does not answer until its callers leave", func() {
-		// Guards against a server that takes requests for ever and answers none: no
-		// error ever shows it.
+	It("ejects a server that does not respond until its callers disconnect", func() {
+		// Guards against a server that accepts requests and never responds, which causes
+		// no error.
 		silent := add("a", "north", nil)
 		other := add("b", "north", nil)
 		d := demand()
@@ -319,7 +319,7 @@
 	})
 
 	It("uses ejected servers when all are ejected", func() {
-		// Guards against a whole service that is refused because one cause made all
+		// Guards against refusing all requests of a service because one cause made all its
 		// servers fail.
 		for i := range 3 {
 			add(fmt.Sprint("s", i), "north", nil)
@@ -330,8 +330,8 @@
 		pick(demand())
 	})
 
-	It("leaves no usage behind when requests end", func() {
-		// Guards against servers that seem busy for ever.
+	It("leaves no usage when requests end", func() {
+		// Guards against servers that seem busy forever.
 		add("a", "north", nil)
 		for _, result := range []placement.Result{placement.Answered, placement.Cancelled, placement.Rejected, placement.Mismatched, placement.Unreachable, placement.Failed} {
 			lease := pick(demand())
--- a/lib/placement/refusal.go
+++ b/lib/placement/refusal.go
@@ -2,46 +2,44 @@
 
 import "time"
 
-// Reason tells why no server was chosen.
+// Reason states why no server was chosen.
 type Reason string
 
-// Reasons of a refusal.
+// Reasons for a refusal, as logs and metrics name them.
 const (
 	// NoServer means that no server of the service may run the request.
 	NoServer Reason = "no_server"
-	// NoWeights means that no server holds the wanted weights.
+	// NoWeights means that no server has loaded the required weights.
 	NoWeights Reason = "no_weights"
-	// Overloaded means that no server can answer in time.
+	// Overloaded means that no server can respond in time.
 	Overloaded Reason = "overloaded"
-	// Paused means that all servers which could run the request have asked for a
-	// pause.
+	// Paused means that all servers that could run the request have asked for a pause.
 	Paused Reason = "paused"
 )
 
-// Refusal tells why a request was not placed.
+// Refusal describes why a request was not placed.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when a place is expected.
+	// RetryAfter is the time after which a placement is expected to succeed.
 	RetryAfter time.Duration
-	// Predicted is the time to the first answer on the best server; zero if
-	// there is no server.
+	// Predicted is the predicted time to the first response on the best server; zero if
+	// there is none.
 	Predicted time.Duration
-	// ExcludedServers names servers that leave or want a pause; some of them if they are
-	// many.
+	// ExcludedServers lists servers that are draining or paused, at most a few of them.
 	ExcludedServers []string
 }
 
-// longestWait is the part of the time that a caller has left up to which it waits
-// as it is told.
-const longestWait = 3
+// retryAfterDivisor limits the retry delay to a fraction of the time that the
+// request has left: callers do not wait longer than that.
+const retryAfterDivisor = 3
 
-// absent refuses a request that no server may run now. New weights arrive seconds
-// later, so that callers come back as late as they accept: those who came earlier
-// were mostly refused again.
-func absent(d *Request, reason Reason) *Refusal {
-	after := absentRetryAfter
-	if reason == NoWeights && d.Remaining > 0 {
-		after = min(maxRetryAfter, d.Remaining/longestWait)
+// unavailable refuses a request that no server may run now. New weights arrive
+// within seconds, so that the retry delay is then the longest that callers accept:
+// those that retried earlier were mostly refused again.
+func unavailable(req *Request, reason Reason) *Refusal {
+	retryAfter := unavailableRetryAfter
+	if reason == NoWeights && req.Remaining > 0 {
+		retryAfter = min(maxRetryAfter, req.Remaining/retryAfterDivisor)
 	}
-	return &Refusal{Reason: reason, RetryAfter: after}
+	return &Refusal{Reason: reason, RetryAfter: retryAfter}
 }
--- /dev/null
+++ b/lib/placement/request.go
@@ -0,0 +1,51 @@
+package placement
+
+import (
+	"time"
+
+	"github.com/auburnbend/auburnbend/lib/directory"
+	"github.com/auburnbend/auburnbend/lib/serving"
+)
+
+// Request describes a request that needs a backend server.
+type Request struct {
+	Service string
+	// Domain is the failure domain of the entry that serves the request. Entry is the
+	// name of that entry; empty if it is the entry of the Picker.
+	Domain, Entry string
+	// Engine describes the service's model engines; nil for plain services.
+	Engine *serving.Engine
+	// Model is the model that must be loaded; empty for plain services.
+	Model string
+	// Version is the only version of the model that may run the request. Zero accepts
+	// any that is not older than MinVersion.
+	Version, MinVersion int
+	// NextVersion is a declared version. From NextVersionAt on, the request must not
+	// begin on an older one. Zero means that no such change is due.
+	NextVersion   int
+	NextVersionAt time.Time
+	// PromptTokens is the length of the prompt, OutputTokens the expected length of the
+	// output.
+	PromptTokens, OutputTokens int
+	// LatencyTarget is the maximum time to the first response; if no server is
+	// predicted to meet it, the service is overloaded. Zero sets none.
+	LatencyTarget time.Duration
+	// Remaining is the time from now until the response is no longer needed; zero sets
+	// no limit.
+	Remaining time.Duration
+	// Exclude lists servers that must not get the request.
+	Exclude []directory.Key
+	// MayHaveRun is set if the request may have begun on another server, so that a
+	// refusal could not guarantee that it has not run. It is then not refused for a
+	// missed latency target.
+	MayHaveRun bool
+}
+
+func (d *Request) excludes(k directory.Key) bool {
+	for _, e := range d.Exclude {
+		if e == k {
+			return true
+		}
+	}
+	return false
+}
--- a/lib/placement/result.go
+++ b/lib/placement/result.go
@@ -1,26 +1,27 @@
 package placement
 
-// Result is how one dispatch ended.
+// Result is how one attempt ended. Its values are encoded as numbers in placement
+// notices.
 type Result uint8
 
-// Results.
+// Results of an attempt.
 const (
-	// Answered means a complete answer, whatever its status.
+	// Answered means a complete response, whatever its status.
 	Answered Result = iota
-	// Cancelled means that the caller left or its time was over.
+	// Cancelled means that the caller disconnected or the deadline passed.
 	Cancelled
 	// Rejected means that the server did not run the request.
 	Rejected
-	// Mismatched means that another server answers at the address, or that the
-	// server holds other weights than it was believed to.
+	// Mismatched means that another server uses the address, or that the server has
+	// other weights than expected.
 	Mismatched
 	// Unreachable means that no connection could be opened.
 	Unreachable
-	// Failed means a broken, spoilt or missing answer, or a fault of the server.
+	// Failed means a truncated, invalid or missing response, or a server error.
 	Failed
 )
 
-// String returns the result as it stands in log lines.
+// String returns the result as logs name it.
 func (r Result) String() string {
 	switch r {
 	case Answered:
--- a/lib/placement/server.go
+++ b/lib/placement/server.go
@@ -6,109 +6,105 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// server is what a Picker knows of one start of a backend server.
+// server is the state of one incarnation of a backend server.
 type server struct {
-	seen *directory.Server
-	// own is what this entry has placed there, for itself and for others.
-	own Usage
-	// running is the course of own.Running.
-	running course
-	// load is the last report, and foreign the requests in it that others have
-	// placed.
-	load    Load
-	loadAt  time.Time
-	foreign int
-	// lastStart is when this entry sent its last request.
-	lastStart time.Time
-	// openedAt is when it began to take requests, as far as reports tell.
+	listing *directory.Server
+	// usage is what this entry has placed there, for itself and for others.
+	usage Usage
+	// runningHistory is the history of usage.Running.
+	runningHistory history
+	// load is the last report, reportedAt the time of its arrival, and otherRequests
+	// the requests in it that others have placed.
+	load          Load
+	reportedAt    time.Time
+	otherRequests int
+	// lastPlacedAt is when this entry last placed a request there.
+	lastPlacedAt time.Time
+	// openedAt is when the server began to accept requests, according to reports.
 	openedAt time.Time
-	// foreignTokens are prompt tokens that others have placed.
-	foreignTokens int
-	// answerTime is the smoothed time of an answer of a plain service.
-	answerTime time.Duration
-	// failures counts those in a row; ejections how often it was ejected for
-	// them.
+	// otherPrefillTokens are prompt tokens that others have placed and that are waiting
+	// or being processed.
+	otherPrefillTokens int
+	// responseTime is the smoothed response time of a plain service.
+	responseTime time.Duration
+	// failures counts consecutive failures, ejections consecutive ejections.
 	failures, ejections int
-	// failedFor is the holder of the last lease that failed.
-	failedFor    string
-	ejectedUntil time.Time
-	// mismatched tells that it is ejected because it was not what it was believed to
-	// be.
+	// lastFailedEntry is the entry of the last lease that failed.
+	lastFailedEntry string
+	ejectedUntil    time.Time
+	// mismatched is set if the server is ejected because it did not match its listing.
 	mismatched bool
-	// pausedUntil is until when it wants nothing from this entry, pausedAt when that
-	// began.
+	// pausedAt and pausedUntil are the start and end of the last pause.
 	pausedAt, pausedUntil time.Time
-	// superseded tells that a later start has its address.
+	// superseded is set if a later incarnation has the address.
 	superseded bool
 }
 
-// occupancy estimates the requests that run or wait there.
+// occupancy estimates the number of requests that run or wait there.
 func (s *server) occupancy(now time.Time) int {
-	if !s.reports(now) {
-		return s.own.Running
+	if !s.hasReport(now) {
+		return s.usage.Running
 	}
-	return s.own.Running + s.foreign
+	return s.usage.Running + s.otherRequests
 }
 
-// reports reports whether the last report counts as current.
-func (s *server) reports(now time.Time) bool {
-	return !s.loadAt.IsZero() && now.Sub(s.loadAt) <= loadAge
+// hasReport reports whether the last report is current.
+func (s *server) hasReport(now time.Time) bool {
+	return !s.reportedAt.IsZero() && now.Sub(s.reportedAt) <= maxReportAge
 }
 
-// change adds to the usage.
-func (s *server) change(running, reading, tokens int, now time.Time) {
-	s.own.Running += running
-	s.own.Prefilling += reading
-	s.own.PrefillTokens += tokens
+// addUsage adds to the usage of the server by this entry.
+func (s *server) addUsage(running, prefilling, prefillTokens int, now time.Time) {
+	s.usage.Running += running
+	s.usage.Prefilling += prefilling
+	s.usage.PrefillTokens += prefillTokens
 	if running != 0 {
-		s.running.set(s.own.Running, now)
+		s.runningHistory.set(s.usage.Running, now)
 	}
 }
 
-// pace is how much slower than declared the server works.
-func (s *server) pace(now time.Time) float64 {
-	if s.load.Slowdown <= 0 || now.Sub(s.loadAt) > loadAge {
+// slowdown is the ratio of the current to the declared processing time, at least 1.
+func (s *server) slowdown(now time.Time) float64 {
+	if s.load.Slowdown <= 0 || now.Sub(s.reportedAt) > maxReportAge {
 		return 1
 	}
 	return max(1, s.load.Slowdown)
 }
 
-// reserved reports whether entries of other regions leave the server alone for
-// now.
-func (s *server) reserved(now time.Time) bool {
-	if !s.reports(now) {
+// localOnly reports whether entries of other regions must not use the server now.
+func (s *server) localOnly(now time.Time) bool {
+	if !s.hasReport(now) {
 		return false
 	}
-	return now.Sub(s.openedAt) < openingTime || now.Sub(s.lastStart) < distantInterval
+	return now.Sub(s.openedAt) < localOnlyTime || now.Sub(s.lastPlacedAt) < remoteInterval
 }
 
-// closed reports whether the server takes no requests now.
+// closed reports whether the server accepts no requests now.
 func (s *server) closed(now time.Time) bool {
-	return s.superseded || s.load.Closed && now.Sub(s.loadAt) <= loadAge
+	return s.superseded || s.load.Closed && now.Sub(s.reportedAt) <= maxReportAge
 }
 
 func (s *server) ejected(now time.Time) bool { return now.Before(s.ejectedUntil) }
 
-// corrected takes note that what is known of the server has changed: requests that
-// met something else tell nothing any more.
-func (s *server) corrected() {
+// clearMismatch ends an ejection for a mismatch: the listing has been updated since.
+func (s *server) clearMismatch() {
 	if s.mismatched {
 		s.mismatched, s.ejections, s.ejectedUntil = false, 0, time.Time{}
 	}
 }
 
-// slots is the number of requests that run at the same time.
+// slots is the number of requests that the server runs concurrently.
 func (s *server) slots() int {
-	if s.seen == nil {
+	if s.listing == nil {
 		return 1
 	}
-	return max(1, s.seen.Slots)
+	return max(1, s.listing.Slots)
 }
 
-// loadAge is the age of the last report; negative if there is none.
-func (s *server) loadAge(now time.Time) time.Duration {
-	if s.loadAt.IsZero() {
+// reportAge is the age of the last report; negative if there is none.
+func (s *server) reportAge(now time.Time) time.Duration {
+	if s.reportedAt.IsZero() {
 		return -time.Millisecond
 	}
-	return now.Sub(s.loadAt)
+	return now.Sub(s.reportedAt)
 }
