--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// ExpiryGrace is how long a server whose row vanished while the store was away
-// stays in use after the store's return: rows of live servers are back within
-// about two seconds.
+// ExpiryGrace is how long a server whose row vanished while the store was
+// unavailable stays in use after the store has recovered. The rows of live servers
+// are back within about two seconds.
 const ExpiryGrace = 2 * time.Second
 
-// Directory is a view of the registered backend servers. It is not safe for
-// concurrent use.
+// Directory is the set of registered backend servers, as one instance knows it. It
+// is not safe for concurrent use.
 type Directory struct {
 	servers map[string]*Server
-	// lapsed holds servers without a row until the given time.
-	lapsed map[string]time.Time
-	// leaving are the starts that are believed to leave.
-	leaving map[Key]Evidence
-	// byService caches the servers of each service, byAddress the last start at
-	// each address; nil after a change.
+	// expiring holds servers without a row, and when they are dropped.
+	expiring map[string]time.Time
+	// draining holds the incarnations that are known to be draining.
+	draining map[Key]Evidence
+	// byService caches the servers of each service, byAddress the latest incarnation at
+	// each address. Both are nil after a change.
 	byService map[string][]*Server
 	byAddress map[string]*Server
 }
 
 // New returns an empty Directory.
 func New() *Directory {
-	return &Directory{servers: make(map[string]*Server), lapsed: make(map[string]time.Time), leaving: make(map[Key]Evidence)}
+	return &Directory{servers: make(map[string]*Server), expiring: make(map[string]time.Time), draining: make(map[Key]Evidence)}
 }
 
-// Replace takes a full list. After an outage of the store, servers whose rows may
-// have lapsed stay for the grace period.
+// Replace replaces the listed servers by a full list. recovered is set if an outage
+// of the store has just ended: servers whose rows may have expired during it stay
+// for ExpiryGrace.
 func (d *Directory) Replace(servers []*Server, recovered bool, now time.Time) {
 	listed := make(map[string]*Server, len(servers))
 	for _, s := range servers {
 		listed[s.ID] = s
 	}
-	sweep := d.sweepOf(func(old *Server) bool {
+	scan := d.scanOutage(func(old *Server) bool {
 		s := listed[old.ID]
 		return s != nil && s.Revision == old.Revision
 	})
 	for id, s := range d.servers {
 		if listed[id] == nil {
-			d.remove(id, recovered && sweep.took(s.Domain), now)
+			d.remove(id, recovered && scan.mayHaveExpired(s.Domain), now)
 		}
 	}
 	for _, s := range servers {
@@ -47,94 +48,96 @@
 	}
 }
 
-// Change is a change of one row.
+// Change is the change of one row.
 type Change struct {
 	ID string
-	// Server is what the row tells; nil if it is gone.
+	// Server is the server that the row describes; nil if the row is deleted or
+	// unreadable.
 	Server *Server
-	// Unreadable tells that the row is there and names no server to use.
+	// Unreadable is set if the row exists and does not describe a usable server.
 	Unreadable bool
 }
 
-// Apply takes changes in order, with the same care as Replace.
+// Apply applies changes in order. recovered is that of Replace.
 func (d *Directory) Apply(changes []Change, recovered bool, now time.Time) {
-	gone := make(map[string]bool)
+	deleted := make(map[string]bool)
 	for _, c := range changes {
 		if c.Server == nil {
-			gone[c.ID] = true
+			deleted[c.ID] = true
 		}
 	}
-	sweep := d.sweepOf(func(old *Server) bool { return !gone[old.ID] })
+	scan := d.scanOutage(func(old *Server) bool { return !deleted[old.ID] })
 	for _, c := range changes {
 		switch s := d.servers[c.ID]; {
 		case c.Server != nil:
 			d.Put(c.Server)
 		case s != nil:
-			d.remove(c.ID, recovered && !c.Unreadable && sweep.took(s.Domain), now)
+			d.remove(c.ID, recovered && !c.Unreadable && scan.mayHaveExpired(s.Domain), now)
 		}
 	}
 }
 
-// Put adds or updates a server. One that is believed to leave counts as draining.
+// Put adds or updates a server. It is listed as draining if its incarnation is known
+// to be.
 func (d *Directory) Put(s *Server) {
-	if _, leaves := d.leaving[s.Key()]; leaves && !s.Draining {
-		leaving := *s
-		leaving.Draining = true
-		s = &leaving
+	if _, known := d.draining[s.Key()]; known && !s.Draining {
+		draining := *s
+		draining.Draining = true
+		s = &draining
 	}
 	d.servers[s.ID] = s
-	delete(d.lapsed, s.ID)
-	d.changed()
+	delete(d.expiring, s.ID)
+	d.invalidate()
 }
 
-// Update changes what is known of a listed server from another source than its row.
-// A server whose row is gone is not brought back.
+// Update changes a listed server according to another source than its row. It does
+// not add a server, so that one whose row is gone stays unlisted.
 func (d *Directory) Update(s *Server) {
 	if d.servers[s.ID] == nil {
 		return
 	}
 	d.servers[s.ID] = s
-	d.changed()
+	d.invalidate()
 }
 
-// Remove takes note that a server's row is gone. recovered tells that the store was
-// away before.
+// Remove records that the row of a server is deleted. recovered is that of Replace.
 func (d *Directory) Remove(id string, recovered bool, now time.Time) {
 	d.Apply([]Change{{ID: id}}, recovered, now)
 }
 
-// remove drops a server, or keeps it for a while if its row may have lapsed.
-func (d *Directory) remove(id string, lapsed bool, now time.Time) {
+// remove drops a server, or keeps it for ExpiryGrace if its row may have expired
+// during an outage.
+func (d *Directory) remove(id string, mayHaveExpired bool, now time.Time) {
 	s := d.servers[id]
-	if !lapsed || s.Draining {
+	if !mayHaveExpired || s.Draining {
 		d.drop(id)
 		return
 	}
-	if _, known := d.lapsed[id]; !known {
-		d.lapsed[id] = now.Add(ExpiryGrace)
+	if _, known := d.expiring[id]; !known {
+		d.expiring[id] = now.Add(ExpiryGrace)
 	}
 }
 
 func (d *Directory) drop(id string) {
 	delete(d.servers, id)
-	delete(d.lapsed, id)
-	d.changed()
+	delete(d.expiring, id)
+	d.invalidate()
 }
 
-// changed drops what is derived from the servers.
-func (d *Directory) changed() { d.byService, d.byAddress = nil, nil }
+// invalidate drops the caches.
+func (d *Directory) invalidate() { d.byService, d.byAddress = nil, nil }
 
-// Expire drops the servers whose grace has ended.
+// Expire drops the servers whose grace period has ended.
 func (d *Directory) Expire(now time.Time) {
-	for id, until := range d.lapsed {
+	for id, until := range d.expiring {
 		if !now.Before(until) {
 			d.drop(id)
 		}
 	}
 }
 
-// ByService returns the servers of a service, draining ones too. The slice must
-// not be changed.
+// ByService returns the servers of a service, including draining ones. The slice
+// must not be modified.
 func (d *Directory) ByService(name string) []*Server {
 	if d.byService == nil {
 		d.byService = make(map[string][]*Server)
@@ -159,7 +162,7 @@
 	return d.byAddress[address]
 }
 
-// Get returns the listed start with the key, or nil.
+// Get returns the listed server with the key, or nil.
 func (d *Directory) Get(k Key) *Server {
 	if s := d.servers[k.ID]; s != nil && s.StartUnixMilli == k.StartUnixMilli {
 		return s
@@ -167,12 +170,12 @@
 	return nil
 }
 
-// ForEach calls f for each server.
+// ForEach calls f for each listed server, in no particular order.
 func (d *Directory) ForEach(f func(*Server)) {
 	for _, s := range d.servers {
 		f(s)
 	}
 }
 
-// Len returns the number of servers.
+// Len returns the number of listed servers.
 func (d *Directory) Len() int { return len(d.servers) }
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -28,16 +28,16 @@
 		d.Replace([]*directory.Server{server("a"), server("b")}, false, start)
 	})
 
-	It("drops a server whose row is gone", func() {
+	It("drops a server whose row is deleted", func() {
 		d.Remove("a", false, start)
 		Expect(ids()).To(ConsistOf("b"))
 		d.Replace([]*directory.Server{server("c")}, false, start)
 		Expect(ids()).To(ConsistOf("c"))
 	})
 
-	It("keeps a server whose row lapsed in an outage until its grace ends", func() {
-		// Guards against an empty directory right after an outage of the store, in
-		// which the rows of living servers lapse.
+	It("keeps a server whose row expired in an outage until the grace period ends", func() {
+		// Guards against an empty directory right after an outage of the store, during
+		// which the rows of live servers expire.
 		d.Replace(nil, true, start)
 		d.Expire(start.Add(directory.ExpiryGrace - time.Millisecond))
 		Expect(ids()).To(ConsistOf("a", "b"))
@@ -46,7 +46,7 @@
 		Expect(ids()).To(ConsistOf("a"))
 	})
 
-	It("does not extend the grace when the row stays away", func() {
+	It("does not extend the grace period if the row stays missing", func() {
 		both := []directory.Change{{ID: "a"}, {ID: "b"}}
 		d.Apply(both, true, start)
 		Expect(ids()).To(ConsistOf("a", "b"))
@@ -56,11 +56,11 @@
 		Expect(ids()).To(ConsistOf("b"))
 	})
 
-	It("gives no grace to a server that was leaving", func() {
-		// Guards against requests to a server that has left.
-		leaving := server("a")
-		leaving.Draining = true
-		d.Put(leaving)
+	It("gives no grace period to a draining server", func() {
+		// Guards against requests to a stopped server.
+		drainingServer := server("a")
+		drainingServer.Draining = true
+		d.Put(drainingServer)
 		d.Replace(nil, true, start)
 		Expect(ids()).To(ConsistOf("b"))
 	})
@@ -74,54 +74,56 @@
 			d.Replace([]*directory.Server{in("a", "north", 1), in("b", "north", 2), in("c", "south", 3), in("d", "south", 4), in("e", "west", 5)}, false, start)
 		})
 
-		It("drops the servers that left meanwhile", func() {
-			// Guards against requests to a server that left while the entry was cut off: its
-			// row was taken for a lapsed one, for two seconds after the entry's return.
+		It("drops the servers that stopped meanwhile", func() {
+			// Guards against requests to a server that stopped while the entry was cut off:
+			// its row was taken for an expired one for two seconds after the entry was
+			// reconnected.
 			d.Replace([]*directory.Server{in("b", "north", 2), in("c", "south", 3), in("d", "south", 4), in("e", "west", 5)}, true, start)
 			Expect(ids()).To(ConsistOf("b", "c", "d", "e"))
 			d.Apply([]directory.Change{{ID: "c"}}, true, start)
 			Expect(ids()).To(ConsistOf("b", "d", "e"))
 		})
 
-		It("drops one that was alone in its failure domain while others stand", func() {
+		It("drops one that was alone in its failure domain if the rows of other domains are unchanged", func() {
 			d.Apply([]directory.Change{{ID: "e"}}, true, start)
 			Expect(ids()).NotTo(ContainElement("e"))
 		})
 
-		It("keeps the servers of a failure domain whose rows all went or were written anew", func() {
-			// Guards against an empty service right after an outage that took one failure
-			// domain from the store.
+		It("keeps the servers of a failure domain whose rows were all deleted or rewritten", func() {
+			// Guards against an empty service right after an outage during which the store
+			// was unavailable for one failure domain.
 			d.Replace([]*directory.Server{in("b", "north", 9), in("c", "south", 3), in("d", "south", 4), in("e", "west", 5)}, true, start)
 			Expect(ids()).To(ConsistOf("a", "b", "c", "d", "e"))
 			d.Apply([]directory.Change{{ID: "c"}, {ID: "d"}}, true, start)
 			Expect(ids()).To(ConsistOf("a", "b", "c", "d", "e"))
 		})
 
-		It("never uses a server later than the bound after it left, whenever that was", func() {
-			// Sweeps the moment of the leaving over the end of the cut.
+		It("never uses a server longer than the bound after it stopped", func() {
+			// Tries stop times around the end of the cut.
 			const bound = 2 * time.Second
 			for offset := -300; offset <= 300; offset += 5 {
-				left := start.Add(time.Duration(offset) * time.Millisecond)
+				stopped := start.Add(time.Duration(offset) * time.Millisecond)
 				d = directory.New()
 				d.Replace([]*directory.Server{in("a", "north", 1), in("b", "north", 2)}, false, start.Add(-time.Minute))
-				// The entry hears of it with its return, or half a second after the change.
-				heard, recovered := start.Add(time.Second), true
-				if left.After(start) {
-					heard, recovered = left.Add(500*time.Millisecond), false
+				// The entry learns of it when it is reconnected, or half a second after the
+				// change.
+				learned, recovered := start.Add(time.Second), true
+				if stopped.After(start) {
+					learned, recovered = stopped.Add(500*time.Millisecond), false
 				}
-				d.Apply([]directory.Change{{ID: "a"}}, recovered, heard)
-				at := left.Add(bound)
-				if heard.After(at) {
-					at = heard
+				d.Apply([]directory.Change{{ID: "a"}}, recovered, learned)
+				at := stopped.Add(bound)
+				if learned.After(at) {
+					at = learned
 				}
 				d.Expire(at)
-				Expect(ids()).To(ConsistOf("b"), "left %d ms after the end of the cut", offset)
+				Expect(ids()).To(ConsistOf("b"), "stopped %d ms after the end of the cut", offset)
 			}
 		})
 	})
 
-	Describe("of a server that says that it leaves", func() {
-		leaves := func() bool {
+	Describe("with a server that announces its drain", func() {
+		draining := func() bool {
 			for _, s := range d.ByService("orders") {
 				if s.ID == "a" {
 					return s.Draining
@@ -130,28 +132,28 @@
 			return true
 		}
 
-		It("believes it whatever rows tell, until another start", func() {
-			// Guards against a late row, a table read through another entry and a listing
-			// that bring a leaving server back.
+		It("lists it as draining regardless of its row, until it restarts", func() {
+			// Guards against a draining server that is used again because of a late row, a
+			// table read through another entry, or a full list.
 			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.SourceResponse, start)).To(BeTrue())
 			Expect(d.MarkDraining(directory.Key{ID: "a"}, directory.SourcePeer, start)).To(BeFalse())
-			Expect(leaves()).To(BeTrue())
+			Expect(draining()).To(BeTrue())
 			d.Put(server("a"))
 			d.Replace([]*directory.Server{server("a"), server("b")}, true, start)
-			Expect(leaves()).To(BeTrue())
+			Expect(draining()).To(BeTrue())
 			d.Remove("a", false, start)
 			d.Put(server("a"))
-			Expect(leaves()).To(BeTrue())
+			Expect(draining()).To(BeTrue())
 			again := server("a")
 			again.StartUnixMilli = 7
 			d.Put(again)
-			Expect(leaves()).To(BeFalse())
+			Expect(draining()).To(BeFalse())
 			e, known := d.DrainEvidence(directory.Key{ID: "a"})
 			Expect(known).To(BeTrue())
 			Expect(e).To(Equal(directory.Evidence{Source: directory.SourceResponse, At: start}))
 		})
 
-		It("drops it at once if its row has lapsed", func() {
+		It("drops it at once if its row has expired", func() {
 			d.Replace(nil, true, start)
 			d.MarkDraining(directory.Key{ID: "a"}, directory.SourceResponse, start)
 			Expect(ids()).To(ConsistOf("b"))
@@ -166,7 +168,7 @@
 		})
 	})
 
-	It("finds the last server that started at an address", func() {
+	It("finds the server that started last at an address", func() {
 		later := server("c")
 		later.StartUnixMilli = 5
 		d.Put(later)
--- /dev/null
+++ b/lib/directory/draining.go
@@ -0,0 +1,85 @@
+package directory
+
+import "time"
+
+const (
+	// drainingRetention is how long a draining incarnation is remembered: its row may
+	// be read late, and a drain is never revoked.
+	drainingRetention = 10 * time.Minute
+	// maxDraining bounds the incarnations that are remembered, at about 100 bytes each.
+	maxDraining = 4096
+)
+
+// Evidence states how and when this instance learned that a server is draining.
+type Evidence struct {
+	Source string
+	At     time.Time
+}
+
+// Sources of Evidence, as logs name them.
+const (
+	SourceRow      = "row"
+	SourceResponse = "answer"
+	SourcePeer     = "peer"
+)
+
+// MarkDraining records that an incarnation of a server is draining. It gets no
+// further requests, regardless of what its row says. It reports whether this was
+// new.
+func (d *Directory) MarkDraining(k Key, source string, now time.Time) bool {
+	if _, known := d.draining[k]; known {
+		return false
+	}
+	if len(d.draining) >= maxDraining {
+		d.evictDraining(now)
+	}
+	d.draining[k] = Evidence{Source: source, At: now}
+	s := d.Get(k)
+	if s == nil || s.Draining {
+		return true
+	}
+	if _, expiring := d.expiring[k.ID]; expiring {
+		d.drop(k.ID)
+		return true
+	}
+	d.Put(s)
+	return true
+}
+
+// DrainEvidence returns how an incarnation became known to be draining. It reports
+// false if it is not.
+func (d *Directory) DrainEvidence(k Key) (Evidence, bool) {
+	e, known := d.draining[k]
+	return e, known
+}
+
+// DrainingSince returns at most limit incarnations that became known to be draining
+// at the given time or later.
+func (d *Directory) DrainingSince(moment time.Time, limit int) []Key {
+	var keys []Key
+	for k, e := range d.draining {
+		if !e.At.Before(moment) && len(keys) < limit {
+			keys = append(keys, k)
+		}
+	}
+	return keys
+}
+
+// evictDraining drops the incarnations that have been remembered for
+// drainingRetention. If that frees no space, it drops the oldest one.
+func (d *Directory) evictDraining(now time.Time) {
+	var oldest Key
+	var oldestAt time.Time
+	for k, e := range d.draining {
+		if now.Sub(e.At) > drainingRetention {
+			delete(d.draining, k)
+			continue
+		}
+		if oldestAt.IsZero() || e.At.Before(oldestAt) {
+			oldest, oldestAt = k, e.At
+		}
+	}
+	if len(d.draining) >= maxDraining {
+		delete(d.draining, oldest)
+	}
+}
--- a/lib/directory/server.go
+++ b/lib/directory/server.go
@@ -1,39 +1,41 @@
-// Package directory holds what an instance believes about the backend servers
-// of a deployment, from the rows that they register and how old these are.
+// Package directory holds what an instance knows about the backend servers of a
+// deployment, from the rows that they register in the store and from other sources.
 package directory
 
-// Server is one start of a backend server.
+// Server is one incarnation of a backend server: a process from its start to its
+// end.
 type Server struct {
-	// ID names this start; it may come back after a restart with another Born.
+	// ID identifies the incarnation together with StartUnixMilli. It may be reused
+	// after a restart.
 	ID      string
 	Service string
-	// Address is an IP address and port. It may later belong to another server.
+	// Address is the IP address and port. Another server may use it later.
 	Address string
 	// Domain is the failure domain.
 	Domain string
-	// Draining servers finish their work and take no more.
+	// Draining is set if the server finishes its requests and accepts no more.
 	Draining bool
-	// Slots is the number of requests that run at the same time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// StartUnixMilli is the Unix time of its start in milliseconds.
+	// StartUnixMilli is when the process started, as Unix time in milliseconds.
 	StartUnixMilli int64
-	// Revision is the store's version of its row.
+	// Revision is the revision of the row in the store.
 	Revision int64
-	// Weights are the loaded weights of an engine by model.
+	// Weights are the loaded weights of an engine, by model.
 	Weights map[string]Weights
 }
 
-// Weights tells which version of a model is loaded, and how much of it.
+// Weights states which version of a model is loaded.
 type Weights struct {
 	Version int
-	// Complete tells that all layers are loaded.
+	// Complete is set if all layers are loaded.
 	Complete bool
 }
 
-// Key identifies one start of a server.
+// Key returns the key of the incarnation.
 func (s *Server) Key() Key { return Key{ID: s.ID, StartUnixMilli: s.StartUnixMilli} }
 
-// Key identifies one start of a server.
+// Key identifies one incarnation of a server.
 type Key struct {
 	ID             string
 	StartUnixMilli int64
