--- a/lib/poison/attributor.go
+++ b/lib/poison/attributor.go
@@ -7,66 +7,68 @@
 )
 
 const (
-	// pendingWindow is how long an exchange without an answer waits for a sign that
-	// its server has ended: rows of crashed servers lapse after three of
-	// their heartbeats, which come every one or two seconds, and are then read.
+	// pendingWindow is how long an interrupted exchange waits for a sign that its
+	// server has ended. Rows of crashed servers expire after three of their heartbeats,
+	// which are sent every one or two seconds, and are then read.
 	pendingWindow = 8 * time.Second
-	// endMemory is how long the end of an instance is remembered.
-	endMemory = time.Minute
-	// expireInterval bounds the work for each of many exchanges.
+	// endRetention is how long the end of an instance is remembered.
+	endRetention = time.Minute
+	// expireInterval is the minimum time between two scans for expired exchanges by
+	// Interrupted, which bounds the work per exchange.
 	expireInterval = 100 * time.Millisecond
-	// maxPending and maxEnds bound what is remembered.
+	// maxPending bounds the exchanges, maxEnds the ends that are remembered.
 	maxPending = 4096
 	maxEnds    = 1024
 )
 
-// Attributor attributes the ends of instances to what they were running where
-// nothing on the instance reports crashes. An exchange without an answer shows
-// little: a link may have reset its connection. It counts once the instance has ended
-// as well.
+// Attributor attributes the ends of instances to the requests that they were
+// running, where nothing on the instance reports crashes. An interrupted exchange
+// alone is not sufficient evidence, as the network may have reset its connection. It
+// counts once the instance has ended as well.
 //
 // An Attributor is not safe for concurrent use.
 type Attributor struct {
-	// pending are the exchanges whose instance has given no sign, count their number.
-	pending map[model.InstanceID][]interrupted
+	// pending holds the interrupted exchanges of instances that are not known to have
+	// ended; count is their number.
+	pending map[model.InstanceID][]interruptedExchange
 	count   int
-	// expired is when the pending ones were looked through last.
-	expired time.Time
-	// ends is when instances are believed to have ended.
+	// lastExpiry is when expired exchanges were last dropped.
+	lastExpiry time.Time
+	// ends is when instances ended, as far as known.
 	ends map[model.InstanceID]time.Time
 }
 
-// interrupted is an exchange without an answer.
-type interrupted struct {
-	finger model.Fingerprint
-	at     time.Time
+// interruptedExchange is an exchange that ended without a response.
+type interruptedExchange struct {
+	fingerprint model.Fingerprint
+	at          time.Time
 }
 
-// NewAttributor returns an Attributor that knows nothing.
+// NewAttributor returns an empty Attributor.
 func NewAttributor() *Attributor {
-	return &Attributor{pending: make(map[model.InstanceID][]interrupted), ends: make(map[model.InstanceID]time.Time)}
+	return &Attributor{pending: make(map[model.InstanceID][]interruptedExchange), ends: make(map[model.InstanceID]time.Time)}
 }
 
-// Interrupted records an exchange that ended without an answer. ended reports
-// whether the instance is believed to have ended, so that the crash counts at once;
-// first reports whether it is the first exchange with the instance that waits for a
-// sign.
-func (a *Attributor) Interrupted(now time.Time, instance model.InstanceID, finger model.Fingerprint) (ended, first bool) {
+// Interrupted records an exchange that ended without a response. ended reports
+// whether the instance is known to have ended, so that the caller must record a
+// crash at once. first reports whether it is the first pending exchange of the
+// instance.
+func (a *Attributor) Interrupted(now time.Time, instance model.InstanceID, fingerprint model.Fingerprint) (ended, first bool) {
 	if at, known := a.ends[instance]; known && now.Sub(at) <= pendingWindow {
 		return true, false
 	}
-	if now.Sub(a.expired) >= expireInterval {
+	if now.Sub(a.lastExpiry) >= expireInterval {
 		a.expire(now)
 	}
 	if a.count >= maxPending {
 		return false, false
 	}
 	a.count++
-	a.pending[instance] = append(a.pending[instance], interrupted{finger, now})
+	a.pending[instance] = append(a.pending[instance], interruptedExchange{fingerprint, now})
 	return false, len(a.pending[instance]) == 1
 }
 
-// Pending returns the instances of exchanges that wait for a sign.
+// Pending returns the instances with pending exchanges.
 func (a *Attributor) Pending(now time.Time) []model.InstanceID {
 	if a.count == 0 {
 		return nil
@@ -79,30 +81,31 @@
 	return instances
 }
 
-// Ended records that an instance with exchanges that wait has ended, and returns what
-// it was running.
+// Ended records that an instance has ended, and returns the fingerprints of its
+// pending exchanges. It has no effect if there are none.
 func (a *Attributor) Ended(now time.Time, instance model.InstanceID) []model.Fingerprint {
 	if len(a.pending[instance]) == 0 {
 		return nil
 	}
 	a.expire(now)
 	a.RecordEnd(now, instance, now)
-	var fingers []model.Fingerprint
+	var fingerprints []model.Fingerprint
 	for _, x := range a.pending[instance] {
-		fingers = append(fingers, x.finger)
+		fingerprints = append(fingerprints, x.fingerprint)
 	}
 	a.drop(instance)
-	return fingers
+	return fingerprints
 }
 
-// RecordEnd takes the end of an instance that others have found.
+// RecordEnd records the end of an instance that others have found. An earlier record
+// of the same instance stays.
 func (a *Attributor) RecordEnd(now time.Time, instance model.InstanceID, at time.Time) {
 	if _, known := a.ends[instance]; known {
 		return
 	}
 	if len(a.ends) >= maxEnds {
 		for other, at := range a.ends {
-			if now.Sub(at) > endMemory {
+			if now.Sub(at) > endRetention {
 				delete(a.ends, other)
 			}
 		}
@@ -112,11 +115,11 @@
 	}
 }
 
-// EndCount returns the number of instances that are believed to have ended.
+// EndCount returns the number of instances that are known to have ended.
 func (a *Attributor) EndCount() int { return len(a.ends) }
 
-// MarkAlive takes a sign of life that an instance gave at a moment. It reports whether
-// the instance was believed to have ended before that.
+// MarkAlive records that an instance was alive at the given time. It reports whether
+// that refutes a recorded end.
 func (a *Attributor) MarkAlive(instance model.InstanceID, at time.Time) bool {
 	end, known := a.ends[instance]
 	if !known || !at.After(end) {
@@ -131,9 +134,9 @@
 	delete(a.pending, instance)
 }
 
-// expire drops the exchanges whose instance has given no sign in time.
+// expire drops the exchanges that have been pending for longer than pendingWindow.
 func (a *Attributor) expire(now time.Time) {
-	a.expired = now
+	a.lastExpiry = now
 	for instance, exchanges := range a.pending {
 		kept := exchanges[:0]
 		for _, x := range exchanges {
--- a/lib/poison/attributor_test.go
+++ b/lib/poison/attributor_test.go
@@ -14,75 +14,76 @@
 var _ = Describe("Attributor", func() {
 	now := time.Unix(1_800_000_000, 0)
 
-	It("attributes a connection that was cut once its server has ended", func() {
-		// Guards against crashes that nothing on the instance reports.
-		c := NewAttributor()
-		ended, first := c.Interrupted(now, "a", finger(1))
+	It("attributes an interrupted exchange once its server has ended", func() {
+		// Guards against missed crashes where nothing on the instance reports them.
+		a := NewAttributor()
+		ended, first := a.Interrupted(now, "a", fp(1))
 		Expect(ended).To(BeFalse())
 		Expect(first).To(BeTrue())
-		_, first = c.Interrupted(now, "a", finger(2))
+		_, first = a.Interrupted(now, "a", fp(2))
 		Expect(first).To(BeFalse())
-		Expect(c.Ended(now.Add(time.Second), "a")).To(ConsistOf(finger(1), finger(2)))
-		Expect(c.Ended(now.Add(time.Second), "a")).To(BeEmpty())
-		ended, _ = c.Interrupted(now.Add(time.Second), "a", finger(3))
+		Expect(a.Ended(now.Add(time.Second), "a")).To(ConsistOf(fp(1), fp(2)))
+		Expect(a.Ended(now.Add(time.Second), "a")).To(BeEmpty())
+		ended, _ = a.Interrupted(now.Add(time.Second), "a", fp(3))
 		Expect(ended).To(BeTrue(), "its connections end one after another")
 	})
 
-	It("attributes nothing to a server that goes on, or ends much later", func() {
-		// Guards against sound requests that are held responsible for links that reset.
-		c := NewAttributor()
-		c.Interrupted(now, "a", finger(1))
-		Expect(c.Ended(now, "b")).To(BeEmpty())
-		Expect(c.Pending(now)).To(ConsistOf(model.InstanceID("a")))
-		Expect(c.Ended(now.Add(pendingWindow+1), "a")).To(BeEmpty())
-		Expect(c.Pending(now.Add(pendingWindow + 1))).To(BeEmpty())
+	It("attributes nothing to a server that keeps running, or ends much later", func() {
+		// Guards against blaming innocent requests for connections that the network has
+		// reset.
+		a := NewAttributor()
+		a.Interrupted(now, "a", fp(1))
+		Expect(a.Ended(now, "b")).To(BeEmpty())
+		Expect(a.Pending(now)).To(ConsistOf(model.InstanceID("a")))
+		Expect(a.Ended(now.Add(pendingWindow+1), "a")).To(BeEmpty())
+		Expect(a.Pending(now.Add(pendingWindow + 1))).To(BeEmpty())
 	})
 
-	It("takes an end back when the server gives a later sign of life", func() {
-		c := NewAttributor()
-		c.Interrupted(now, "a", finger(1))
-		c.Ended(now, "a")
-		c.RecordEnd(now, "b", now)
-		Expect(c.MarkAlive("a", now)).To(BeFalse(), "as old as its end")
-		Expect(c.MarkAlive("a", now.Add(1))).To(BeTrue())
-		Expect(c.MarkAlive("a", now.Add(2))).To(BeFalse(), "once")
-		Expect(c.MarkAlive("b", now.Add(1))).To(BeTrue())
+	It("takes an end back if the server is seen alive later", func() {
+		a := NewAttributor()
+		a.Interrupted(now, "a", fp(1))
+		a.Ended(now, "a")
+		a.RecordEnd(now, "b", now)
+		Expect(a.MarkAlive("a", now)).To(BeFalse(), "not later than its end")
+		Expect(a.MarkAlive("a", now.Add(1))).To(BeTrue())
+		Expect(a.MarkAlive("a", now.Add(2))).To(BeFalse(), "only once")
+		Expect(a.MarkAlive("b", now.Add(1))).To(BeTrue())
 	})
 
-	It("returns each connection once, never one of a living server, and stays bounded", func() {
-		// Guards against memory that grows with what hostile callers send.
+	It("returns each exchange once, none of another server, and stays bounded", func() {
+		// Guards against memory that grows with what malicious callers send.
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			c := NewAttributor()
+			a := NewAttributor()
 			at := now
 			waiting := make(map[model.InstanceID]map[model.Fingerprint]time.Time)
 			for step := range rapid.IntRange(1, 200).Draw(t, "steps") {
 				at = at.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 				server := model.InstanceID(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "server")))
 				if rapid.IntRange(0, 3).Draw(t, "kind") > 0 {
-					if ended, _ := c.Interrupted(at, server, finger(step)); !ended {
+					if ended, _ := a.Interrupted(at, server, fp(step)); !ended {
 						if waiting[server] == nil {
 							waiting[server] = make(map[model.Fingerprint]time.Time)
 						}
-						waiting[server][finger(step)] = at
+						waiting[server][fp(step)] = at
 					}
 					continue
 				}
-				for _, f := range c.Ended(at, server) {
-					cutAt, ok := waiting[server][f]
-					if !ok || at.Sub(cutAt) > pendingWindow {
-						t.Fatalf("%v at %s was not cut within the window", f, server)
+				for _, f := range a.Ended(at, server) {
+					interruptedAt, ok := waiting[server][f]
+					if !ok || at.Sub(interruptedAt) > pendingWindow {
+						t.Fatalf("exchange %v on server %s was not interrupted within the window", f, server)
 					}
 				}
 				delete(waiting, server)
 			}
 		})
-		c := NewAttributor()
+		a := NewAttributor()
 		for i := range 3 * maxPending {
-			c.Interrupted(now, model.InstanceID(fmt.Sprint(i)), finger(i))
-			c.RecordEnd(now, model.InstanceID(fmt.Sprint(i)), now)
+			a.Interrupted(now, model.InstanceID(fmt.Sprint(i)), fp(i))
+			a.RecordEnd(now, model.InstanceID(fmt.Sprint(i)), now)
 		}
-		Expect(c.Pending(now)).To(HaveLen(maxPending))
-		Expect(c.EndCount()).To(Equal(maxEnds))
+		Expect(a.Pending(now)).To(HaveLen(maxPending))
+		Expect(a.EndCount()).To(Equal(maxEnds))
 	})
 })
 
@@ -96,26 +97,26 @@
 		return m
 	}
 	crashes := func(m *Monitor, f int) int {
-		n, _ := m.Crashes(now, finger(f))
+		n, _ := m.Crashes(now, fp(f))
 		return n
 	}
 
-	It("counts each start of a server once, whoever tells of it", func() {
+	It("counts each incarnation of a server once, whoever reports it", func() {
 		a, b := three(), three()
 		a.Merge(now, *b.TopSuspects(now, 3, 10))
 		Expect(crashes(a, 7)).To(Equal(3))
 		Expect(a.TopSuspects(now, 4, 10)).To(BeNil())
 	})
 
-	It("clears a content that was answered, and tells so", func() {
+	It("clears a content with a response, and announces this", func() {
 		a, b := three(), three()
-		b.Merge(now, *a.Answered(now, finger(7)))
+		b.Merge(now, *a.Answered(now, fp(7)))
 		Expect(crashes(a, 7)).To(BeZero())
 		Expect(crashes(b, 7)).To(BeZero())
 	})
 
-	It("takes back what was attributed to a server that survived", func() {
-		// Guards against sound requests that an entry holds responsible which is cut off.
+	It("clears the crash of a server that survived", func() {
+		// Guards against an entry that blames innocent requests because it is cut off.
 		a, b := three(), three()
 		b.Merge(now, *a.Survived(now, "b/1"))
 		Expect(crashes(a, 7)).To(Equal(2))
@@ -123,12 +124,12 @@
 		Expect(a.Survived(now, "b/1")).To(BeNil())
 	})
 
-	It("counts answers of a content that was a suspect once", func() {
-		// Guards against popular content that is quarantined in the second wave of crashes.
+	It("counts responses to a content that was a suspect once", func() {
+		// Guards against quarantine of popular content in a second wave of crashes.
 		m := New(Config{QuarantineCrashes: 3, MaxCredit: 4}, "", 0)
 		m.Crashed(now, "first", 0, report(0, 7))
 		for range 5 {
-			m.Answered(now, finger(7))
+			m.Answered(now, fp(7))
 		}
 		for i := range 4 {
 			m.Crashed(now, model.InstanceID(fmt.Sprint(i)), 0, report(0, 7))
@@ -136,10 +137,10 @@
 		Expect(crashes(m, 7)).To(BeZero())
 	})
 
-	It("lets earlier answers clear as many crashes, up to the credit", func() {
+	It("lets earlier responses clear as many crashes, up to the credit", func() {
 		m := New(Config{QuarantineCrashes: 3, MaxCredit: 4}, "", 0)
 		for range 10 {
-			m.Answered(now, finger(7))
+			m.Answered(now, fp(7))
 		}
 		for i := range 6 {
 			m.Crashed(now, model.InstanceID(fmt.Sprint(i)), 0, report(0, 7))
--- a/lib/poison/config.go
+++ b/lib/poison/config.go
@@ -3,49 +3,57 @@
 import "time"
 
 const (
-	// defaultTTL is the time after which a crash is forgotten.
+	// defaultTTL is the time after which a crash expires.
 	defaultTTL = 10 * time.Minute
-	// defaultSettle is twice the time that an update takes between live entries,
-	// with a large margin over the 2 ms between regions.
+	// defaultSettle is twice the time that an update takes between live entries, with a
+	// large margin over the 2 ms between regions.
 	defaultSettle = 500 * time.Millisecond
-	// defaultPause is the wait before a held request is asked about again.
-	defaultPause = 100 * time.Millisecond
-	// defaultRunTTL is the time for which another entry's announcement counts.
-	// Tick repeats announcements well within it.
+	// defaultRecheckDelay is the time after which the verdict on a held request is
+	// asked for again.
+	defaultRecheckDelay = 100 * time.Millisecond
+	// defaultRunTTL is the time for which the announcement of another entry is valid.
+	// Tick renews announcements well within it.
 	defaultRunTTL = 30 * time.Second
-	// defaultLostHold is the time for which a suspect whose attempt was lost
-	// still counts as running: the crash report may be on its way.
+	// defaultLostHold is the time for which a suspect counts as running after its
+	// attempt was lost, as the crash report may still arrive.
 	defaultLostHold = 5 * time.Second
-	// defaultMaxSuspects bounds the fingerprints that are remembered.
+	// defaultMaxSuspects bounds the suspects that are remembered.
 	defaultMaxSuspects = 4096
-	// defaultMaxProven bounds the answered fingerprints that are remembered, about
-	// 100 bytes each.
-	defaultMaxProven = 16 << 10
+	// defaultMaxKnownGood bounds the fingerprints with responses that are remembered,
+	// at about 100 bytes each.
+	defaultMaxKnownGood = 16 << 10
 
-	// defaultCredit lets an earlier answer clear one crash.
-	defaultCredit = 1
-	// defaultQuarantineCrashes is the number of different backend servers after
-	// whose crashes a fingerprint is quarantined.
+	// defaultMaxCredit lets earlier responses clear one crash.
+	defaultMaxCredit = 1
+	// defaultQuarantineCrashes is the number of different backend servers that must
+	// crash before a fingerprint is quarantined.
 	defaultQuarantineCrashes = 2
-	// maxIncidents bounds the crashes per fingerprint that are remembered.
+	// maxIncidents bounds the crashes that are remembered per fingerprint.
 	maxIncidents = 16
-	// maxRuns bounds the entries per fingerprint that are remembered.
+	// maxRuns bounds the entries whose runs are remembered per fingerprint.
 	maxRuns = 64
 )
 
 // Config holds the limits of a Monitor. Zero values take defaults.
 type Config struct {
-	TTL          time.Duration
-	Settle       time.Duration
+	// TTL is the time after which a crash expires.
+	TTL time.Duration
+	// Settle is how long an entry waits for updates of others before it runs a suspect.
+	Settle time.Duration
+	// RecheckDelay is the time after which a held request asks for a verdict again.
 	RecheckDelay time.Duration
-	RunTTL       time.Duration
-	LostHold     time.Duration
-	MaxSuspects  int
+	// RunTTL is the time for which the announcement of an entry is valid.
+	RunTTL time.Duration
+	// LostHold is the time for which a lost attempt of a suspect counts as running.
+	LostHold time.Duration
+	// MaxSuspects bounds the suspects that are remembered.
+	MaxSuspects int
+	// MaxKnownGood bounds the fingerprints with responses that are remembered.
 	MaxKnownGood int
-	// MaxCredit bounds the crashes that earlier answers to a fingerprint clear.
+	// MaxCredit bounds the crashes that earlier responses to a fingerprint clear.
 	MaxCredit int
-	// QuarantineCrashes is the number of different backend servers after whose
-	// crashes a fingerprint is quarantined.
+	// QuarantineCrashes is the number of different backend servers that must crash
+	// before a fingerprint is quarantined.
 	QuarantineCrashes int
 }
 
@@ -57,17 +65,17 @@
 	}
 	set(&c.TTL, defaultTTL)
 	set(&c.Settle, defaultSettle)
-	set(&c.RecheckDelay, defaultPause)
+	set(&c.RecheckDelay, defaultRecheckDelay)
 	set(&c.RunTTL, defaultRunTTL)
 	set(&c.LostHold, defaultLostHold)
 	if c.MaxSuspects <= 0 {
 		c.MaxSuspects = defaultMaxSuspects
 	}
 	if c.MaxKnownGood <= 0 {
-		c.MaxKnownGood = defaultMaxProven
+		c.MaxKnownGood = defaultMaxKnownGood
 	}
 	if c.MaxCredit <= 0 {
-		c.MaxCredit = defaultCredit
+		c.MaxCredit = defaultMaxCredit
 	}
 	if c.QuarantineCrashes <= 0 {
 		c.QuarantineCrashes = defaultQuarantineCrashes
--- a/lib/poison/decide.go
+++ b/lib/poison/decide.go
@@ -6,33 +6,33 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Verdict says whether a fingerprint may run on an instance now. For a suspect
-// it also announces this entry's intention to run it.
-func (m *Monitor) Verdict(now time.Time, finger model.Fingerprint, instance model.InstanceID) Verdict {
-	s, ok := m.suspects[finger]
+// Verdict decides whether a fingerprint may run on an instance now. For a suspect,
+// it also announces that this entry intends to run it.
+func (m *Monitor) Verdict(now time.Time, fingerprint model.Fingerprint, instance model.InstanceID) Verdict {
+	s, ok := m.suspects[fingerprint]
 	if !ok {
-		return m.unsuspected(now, finger)
+		return m.decideUnsuspected(now, fingerprint)
 	}
-	crashed, last := s.crashed(now, m.config.TTL)
-	settledCrash := s.known.Add(m.config.Settle)
+	crashed, last := s.crashedInstances(now, m.config.TTL)
+	settledCrash := s.lastNewCrash.Add(m.config.Settle)
 	switch {
 	case len(crashed) == 0:
-		return m.unsuspected(now, finger)
+		return m.decideUnsuspected(now, fingerprint)
 	case len(crashed) >= m.config.QuarantineCrashes && now.Before(settledCrash):
-		// A peer may have cleared one of the crashes and its update be on its way.
+		// A peer may have cleared one of the crashes; its update may still arrive.
 		return Verdict{Decision: Hold, Until: settledCrash}
 	case len(crashed) >= m.config.QuarantineCrashes:
 		return Verdict{Decision: Quarantined, Until: last.Add(m.config.TTL)}
-	case contains(crashed, instance) || m.otherSuspectOn(now, finger, instance):
+	case contains(crashed, instance) || m.otherSuspectOn(now, fingerprint, instance):
 		return Verdict{Decision: RunElsewhere}
-	case m.inFlight(now, finger, s):
+	case m.isRunning(now, fingerprint, s):
 		return Verdict{Decision: Hold, Until: now.Add(m.config.RecheckDelay)}
 	}
 	if s.intendsSince.IsZero() {
 		s.intendsSince = now
-		return Verdict{Decision: Hold, Until: now.Add(m.config.Settle), Update: m.announceOwn(now, finger)}
+		return Verdict{Decision: Hold, Until: now.Add(m.config.Settle), Update: m.ownUpdate(now, fingerprint)}
 	}
-	if settled := later(s.intendsSince, s.known).Add(m.config.Settle); now.Before(settled) {
+	if settled := later(s.intendsSince, s.lastNewCrash).Add(m.config.Settle); now.Before(settled) {
 		return Verdict{Decision: Hold, Until: settled}
 	}
 	for id, r := range s.runs {
@@ -43,29 +43,29 @@
 	return Verdict{Decision: RunAlone}
 }
 
-// unsuspected decides about a fingerprint without known crashes. One whose
-// attempt was just lost waits for the crash report that may be on its way.
-func (m *Monitor) unsuspected(now time.Time, finger model.Fingerprint) Verdict {
-	f, ok := m.flights[finger]
-	if !ok || !now.Before(f.lastLost.Add(m.config.Settle)) {
+// decideUnsuspected decides on a fingerprint without known crashes. If an attempt
+// was just lost, it holds the request, as the crash report may still arrive.
+func (m *Monitor) decideUnsuspected(now time.Time, fingerprint model.Fingerprint) Verdict {
+	a, ok := m.attempts[fingerprint]
+	if !ok || !now.Before(a.lastLost.Add(m.config.Settle)) {
 		return Verdict{Decision: Run}
 	}
-	return Verdict{Decision: Hold, Until: f.lastLost.Add(m.config.Settle)}
+	return Verdict{Decision: Hold, Until: a.lastLost.Add(m.config.Settle)}
 }
 
 // Quarantined reports whether the fingerprint must not run on any instance.
-func (m *Monitor) Quarantined(now time.Time, finger model.Fingerprint) bool {
-	s, ok := m.suspects[finger]
+func (m *Monitor) Quarantined(now time.Time, fingerprint model.Fingerprint) bool {
+	s, ok := m.suspects[fingerprint]
 	if !ok {
 		return false
 	}
-	crashed, _ := s.crashed(now, m.config.TTL)
-	return len(crashed) >= m.config.QuarantineCrashes && !now.Before(s.known.Add(m.config.Settle))
+	crashed, _ := s.crashedInstances(now, m.config.TTL)
+	return len(crashed) >= m.config.QuarantineCrashes && !now.Before(s.lastNewCrash.Add(m.config.Settle))
 }
 
-// inFlight reports whether this or another entry runs the suspect.
-func (m *Monitor) inFlight(now time.Time, finger model.Fingerprint, s *suspect) bool {
-	if f, ok := m.flights[finger]; ok && f.expire(now) {
+// isRunning reports whether this or another entry runs the suspect.
+func (m *Monitor) isRunning(now time.Time, fingerprint model.Fingerprint, s *suspect) bool {
+	if a, ok := m.attempts[fingerprint]; ok && a.expire(now) {
 		return true
 	}
 	for _, r := range s.runs {
@@ -77,15 +77,15 @@
 }
 
 // otherSuspectOn reports whether another suspect runs on the instance.
-func (m *Monitor) otherSuspectOn(now time.Time, finger model.Fingerprint, instance model.InstanceID) bool {
+func (m *Monitor) otherSuspectOn(now time.Time, fingerprint model.Fingerprint, instance model.InstanceID) bool {
 	for other, s := range m.suspects {
-		if other == finger {
+		if other == fingerprint {
 			continue
 		}
-		if crashed, _ := s.crashed(now, m.config.TTL); len(crashed) == 0 {
+		if crashed, _ := s.crashedInstances(now, m.config.TTL); len(crashed) == 0 {
 			continue
 		}
-		if f, ok := m.flights[other]; ok && f.expire(now) && contains(f.instances(), instance) {
+		if a, ok := m.attempts[other]; ok && a.expire(now) && contains(a.instances(), instance) {
 			return true
 		}
 		for _, r := range s.runs {
--- a/lib/poison/incident.go
+++ b/lib/poison/incident.go
@@ -13,8 +13,8 @@
 	incarnation uint64
 }
 
-// incident is what is known of a crash. Both fields only move one way: first
-// becomes earlier, cleared becomes true.
+// incident is the record of a crash. When updates are merged, first only becomes
+// earlier and cleared only becomes true.
 type incident struct {
 	first   time.Time
 	cleared bool
--- a/lib/poison/monitor.go
+++ b/lib/poison/monitor.go
@@ -9,134 +9,135 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Monitor is one entry's view of suspects. Times are of the entry's own clock.
+// Monitor is one entry's view of the suspects. All times are of the entry's own
+// clock. Methods that return an update return nil if there is none to send. A
+// Monitor is not safe for concurrent use.
 type Monitor struct {
-	config   Config
-	self     entryID
-	suspects map[model.Fingerprint]*suspect
-	flights  map[model.Fingerprint]*flight
-	proven   *proven
+	config    Config
+	self      entryID
+	suspects  map[model.Fingerprint]*suspect
+	attempts  map[model.Fingerprint]*attempts
+	knownGood *knownGood
 }
 
-// New returns the monitor of one generation of an entry.
+// New returns the Monitor of one generation of an entry.
 func New(config Config, instance model.InstanceID, generation model.Generation) *Monitor {
 	config = config.applyDefaults()
 	return &Monitor{
-		config:   config,
-		proven:   newProven(config.MaxKnownGood, config.MaxCredit),
-		self:     entryID{instance, generation},
-		suspects: make(map[model.Fingerprint]*suspect),
-		flights:  make(map[model.Fingerprint]*flight),
+		config:    config,
+		knownGood: newKnownGood(config.MaxKnownGood, config.MaxCredit),
+		self:      entryID{instance, generation},
+		suspects:  make(map[model.Fingerprint]*suspect),
+		attempts:  make(map[model.Fingerprint]*attempts),
 	}
 }
 
-// Started records a dispatch. It is called before the RequestStart is sent, and
-// only after Verdict allowed it. The update, when not nil, is sent to all peers
-// at once, as are those of all other methods.
-func (m *Monitor) Started(now time.Time, finger model.Fingerprint, instance model.InstanceID) *wire.SuspectUpdate {
-	f, ok := m.flights[finger]
+// Started records a dispatch. It must be called before the RequestStart is sent, and
+// only after Verdict allowed the dispatch. The update must be sent to all peers at
+// once, as must those of all other methods.
+func (m *Monitor) Started(now time.Time, fingerprint model.Fingerprint, instance model.InstanceID) *wire.SuspectUpdate {
+	a, ok := m.attempts[fingerprint]
 	if !ok {
-		f = newFlight()
-		m.flights[finger] = f
+		a = newAttempts()
+		m.attempts[fingerprint] = a
 	}
-	f.running[instance]++
-	return m.announceOwn(now, finger)
+	a.running[instance]++
+	return m.ownUpdate(now, fingerprint)
 }
 
-// Finished records the end of a dispatch. An answer of the backend server, even
-// an error, shows that it survived and clears the fingerprint.
-func (m *Monitor) Finished(now time.Time, finger model.Fingerprint, instance model.InstanceID, o outcome.Outcome) *wire.SuspectUpdate {
-	f, ok := m.flights[finger]
+// Finished records the end of a dispatch. A response of the backend server, even an
+// error, shows that it survived and clears the fingerprint.
+func (m *Monitor) Finished(now time.Time, fingerprint model.Fingerprint, instance model.InstanceID, o outcome.Outcome) *wire.SuspectUpdate {
+	a, ok := m.attempts[fingerprint]
 	if !ok {
 		return nil
 	}
-	f.finish(instance)
-	s := m.suspects[finger]
+	a.finish(instance)
+	s := m.suspects[fingerprint]
 	switch {
 	case o == outcome.Completed || o == outcome.Failed:
 		if s != nil && s.clear() {
 			s.intendsSince = time.Time{}
 		} else {
-			m.proven.add(now, finger)
+			m.knownGood.add(now, fingerprint)
 		}
 	case o == outcome.Unknown && !m.crashKnown(now, s, instance):
-		f.lose(instance, now, now.Add(m.config.LostHold))
+		a.markLost(instance, now, now.Add(m.config.LostHold))
 	}
-	update := m.announceOwn(now, finger)
-	m.dropFlight(now, finger)
+	update := m.ownUpdate(now, fingerprint)
+	m.dropIdleAttempts(now, fingerprint)
 	return update
 }
 
-// Answered records the whole answer of a backend server to a request whose
-// dispatches are not recorded. It shows that the server survived and clears the
-// fingerprint.
-func (m *Monitor) Answered(now time.Time, finger model.Fingerprint) *wire.SuspectUpdate {
-	if s := m.suspects[finger]; s == nil || !s.clear() {
-		m.proven.add(now, finger)
+// Answered records a whole response to a request whose dispatches are not recorded.
+// It shows that the backend server survived and clears the fingerprint.
+func (m *Monitor) Answered(now time.Time, fingerprint model.Fingerprint) *wire.SuspectUpdate {
+	if s := m.suspects[fingerprint]; s == nil || !s.clear() {
+		m.knownGood.add(now, fingerprint)
 		return nil
 	}
-	return m.updateOf(now, []model.Fingerprint{finger})
+	return m.updateFor(now, []model.Fingerprint{fingerprint})
 }
 
-// Survived takes back the crash of an instance that was seen alive after it.
+// Survived clears the crashes of an instance that was seen alive after them.
 func (m *Monitor) Survived(now time.Time, instance model.InstanceID) *wire.SuspectUpdate {
 	var changed []model.Fingerprint
-	for finger, s := range m.suspects {
+	for fingerprint, s := range m.suspects {
 		if s.clearInstance(instance) {
-			changed = append(changed, finger)
+			changed = append(changed, fingerprint)
 		}
 	}
-	return m.updateOf(now, changed)
+	return m.updateFor(now, changed)
 }
 
-// Withdraw says that this entry will not run a suspect for which Verdict
-// answered Hold: its request has gone.
-func (m *Monitor) Withdraw(now time.Time, finger model.Fingerprint) *wire.SuspectUpdate {
-	s, ok := m.suspects[finger]
+// Withdraw announces that this entry will not run a suspect that Verdict held,
+// because its request has ended.
+func (m *Monitor) Withdraw(now time.Time, fingerprint model.Fingerprint) *wire.SuspectUpdate {
+	s, ok := m.suspects[fingerprint]
 	if !ok || s.intendsSince.IsZero() {
 		return nil
 	}
 	s.intendsSince = time.Time{}
-	return m.announceOwn(now, finger)
+	return m.ownUpdate(now, fingerprint)
 }
 
-// crashKnown reports whether the crash of the instance was reported already, so
-// that a lost attempt on it needs no further hold.
+// crashKnown reports whether a crash of the instance has been reported, so that a
+// lost attempt on it need not be held.
 func (m *Monitor) crashKnown(now time.Time, s *suspect, instance model.InstanceID) bool {
 	if s == nil {
 		return false
 	}
-	crashed, _ := s.crashed(now, m.config.TTL)
+	crashed, _ := s.crashedInstances(now, m.config.TTL)
 	return contains(crashed, instance)
 }
 
-// Crashed records an agent's report about its backend server.
+// Crashed records an agent's report of a crash of its backend server.
 func (m *Monitor) Crashed(now time.Time, agent model.InstanceID, generation model.Generation, report wire.CrashReport) *wire.SuspectUpdate {
 	var changed []model.Fingerprint
 	id := incidentID{agent, generation, report.Incarnation}
-	for _, finger := range report.InFlight {
-		if f, ok := m.flights[finger]; ok {
-			delete(f.lost, agent)
+	for _, fingerprint := range report.InFlight {
+		if a, ok := m.attempts[fingerprint]; ok {
+			delete(a.lost, agent)
 		}
-		if m.addCrash(now, finger, id, now, false) {
-			changed = append(changed, finger)
+		if m.addCrash(now, fingerprint, id, now, false) {
+			changed = append(changed, fingerprint)
 		}
 	}
-	return m.updateOf(now, changed)
+	return m.updateFor(now, changed)
 }
 
-// addCrash records a crash and reports whether that was news. An earlier answer
-// to the same content clears it.
-func (m *Monitor) addCrash(now time.Time, finger model.Fingerprint, id incidentID, first time.Time, cleared bool) bool {
-	s := m.suspect(now, finger)
+// addCrash records a crash and reports whether it was new. It is cleared at once if
+// there is credit from earlier responses to the same content.
+func (m *Monitor) addCrash(now time.Time, fingerprint model.Fingerprint, id incidentID, first time.Time, cleared bool) bool {
+	s := m.suspect(now, fingerprint)
 	if _, known := s.incidents[id]; !known && !cleared {
-		cleared = m.proven.use(now, finger, m.config.TTL)
+		cleared = m.knownGood.spend(now, fingerprint, m.config.TTL)
 	}
-	return s.add(now, id, first, cleared)
+	return s.addIncident(now, id, first, cleared)
 }
 
-// Merge takes a peer's update. The result, when not nil, carries what was news
-// and this entry's own runs; it is sent to all peers.
+// Merge merges a peer's update. The result contains what was new and this entry's
+// own runs.
 func (m *Monitor) Merge(now time.Time, update wire.SuspectUpdate) *wire.SuspectUpdate {
 	var changed []model.Fingerprint
 	for _, in := range update.Suspects {
@@ -144,17 +145,17 @@
 			changed = append(changed, in.Finger)
 		}
 	}
-	return m.updateOf(now, changed)
+	return m.updateFor(now, changed)
 }
 
 func (m *Monitor) mergeSuspect(now time.Time, in wire.Suspect) (changed bool) {
-	for _, c := range in.Incidents {
-		first := now.Add(-time.Duration(c.AgeMillis) * time.Millisecond)
+	for _, incident := range in.Incidents {
+		first := now.Add(-time.Duration(incident.AgeMillis) * time.Millisecond)
 		if now.Sub(first) > m.config.TTL {
 			continue
 		}
-		id := incidentID{c.Instance, c.Generation, c.Incarnation}
-		changed = m.addCrash(now, in.Finger, id, first, c.Cleared) || changed
+		id := incidentID{incident.Instance, incident.Generation, incident.Incarnation}
+		changed = m.addCrash(now, in.Finger, id, first, incident.Cleared) || changed
 	}
 	s, ok := m.suspects[in.Finger]
 	if !ok {
@@ -173,72 +174,74 @@
 	return changed
 }
 
-// Tick drops what has expired and repeats this entry's announcements. It is
-// called every few seconds.
+// Tick drops expired state and renews this entry's announcements. It must be called
+// every few seconds.
 func (m *Monitor) Tick(now time.Time) *wire.SuspectUpdate {
-	for finger := range m.flights {
-		m.dropFlight(now, finger)
+	for fingerprint := range m.attempts {
+		m.dropIdleAttempts(now, fingerprint)
 	}
 	var own []model.Fingerprint
-	for finger, s := range m.suspects {
+	for fingerprint, s := range m.suspects {
 		if !s.intendsSince.IsZero() && now.Sub(s.intendsSince) > m.config.RunTTL {
-			s.intendsSince = time.Time{} // Its request has gone.
+			s.intendsSince = time.Time{} // Its request has ended.
 		}
 		if !s.expire(now, m.config) {
-			delete(m.suspects, finger)
+			delete(m.suspects, fingerprint)
 			continue
 		}
-		before := s.own.sequence
-		m.refreshOwn(now, finger, s)
-		if s.own.intends || len(s.own.running) > 0 {
-			s.own.sequence++
+		before := s.ownRun.sequence
+		m.refreshOwn(now, fingerprint, s)
+		if s.ownRun.intends || len(s.ownRun.running) > 0 {
+			s.ownRun.sequence++
 		}
-		if s.own.sequence != before {
-			own = append(own, finger)
+		if s.ownRun.sequence != before {
+			own = append(own, fingerprint)
 		}
 	}
-	return m.updateOf(now, own)
+	return m.updateFor(now, own)
 }
 
-// Snapshot returns all that is known, for a new peer, or nil.
+// Snapshot returns everything that is known, for a new peer, or nil.
 func (m *Monitor) Snapshot(now time.Time) *wire.SuspectUpdate {
 	all := make([]model.Fingerprint, 0, len(m.suspects))
-	for finger := range m.suspects {
-		all = append(all, finger)
+	for fingerprint := range m.suspects {
+		all = append(all, fingerprint)
 	}
-	return m.updateOf(now, all)
+	return m.updateFor(now, all)
 }
 
-// TopSuspects returns what is known of the fingerprints with at least so many crashes,
-// or nil if there are none. Of more than limit, it returns those that were heard of
-// last.
+// TopSuspects returns what is known of the fingerprints with at least the given
+// number of crashes, or nil if there are none. If there are more than limit, it
+// returns those with the most recent new crash.
 func (m *Monitor) TopSuspects(now time.Time, crashes, limit int) *wire.SuspectUpdate {
 	var likely []model.Fingerprint
-	for finger, s := range m.suspects {
-		if crashed, _ := s.crashed(now, m.config.TTL); len(crashed) >= crashes {
-			likely = append(likely, finger)
+	for fingerprint, s := range m.suspects {
+		if crashed, _ := s.crashedInstances(now, m.config.TTL); len(crashed) >= crashes {
+			likely = append(likely, fingerprint)
 		}
 	}
-	slices.SortFunc(likely, func(a, b model.Fingerprint) int { return m.suspects[b].known.Compare(m.suspects[a].known) })
-	return m.updateOf(now, likely[:min(len(likely), limit)])
+	slices.SortFunc(likely, func(a, b model.Fingerprint) int {
+		return m.suspects[b].lastNewCrash.Compare(m.suspects[a].lastNewCrash)
+	})
+	return m.updateFor(now, likely[:min(len(likely), limit)])
 }
 
-// Crashes returns the number of different instances that crashed while they ran
-// the fingerprint, and when the last of these crashes is forgotten.
-func (m *Monitor) Crashes(now time.Time, finger model.Fingerprint) (int, time.Time) {
-	s := m.suspects[finger]
+// Crashes returns the number of different instances that crashed while they ran the
+// fingerprint, and when the last of these crashes expires.
+func (m *Monitor) Crashes(now time.Time, fingerprint model.Fingerprint) (int, time.Time) {
+	s := m.suspects[fingerprint]
 	if s == nil {
 		return 0, time.Time{}
 	}
-	crashed, last := s.crashed(now, m.config.TTL)
+	crashed, last := s.crashedInstances(now, m.config.TTL)
 	return len(crashed), last.Add(m.config.TTL)
 }
 
-// SuspectCount returns the number of fingerprints that are remembered.
+// SuspectCount returns the number of fingerprints that are remembered as suspects.
 func (m *Monitor) SuspectCount() int { return len(m.suspects) }
 
-func (m *Monitor) dropFlight(now time.Time, finger model.Fingerprint) {
-	if f, ok := m.flights[finger]; ok && !f.expire(now) {
-		delete(m.flights, finger)
+func (m *Monitor) dropIdleAttempts(now time.Time, fingerprint model.Fingerprint) {
+	if a, ok := m.attempts[fingerprint]; ok && !a.expire(now) {
+		delete(m.attempts, fingerprint)
 	}
 }
--- a/lib/poison/monitor_test.go
+++ b/lib/poison/monitor_test.go
@@ -25,19 +25,19 @@
 	RunSpecs(t, "poison")
 }
 
-func finger(i int) model.Fingerprint {
+func fp(i int) model.Fingerprint {
 	return model.FingerprintOf("t", "s", []byte(fmt.Sprint(i)))
 }
 
 func report(incarnation uint64, fingers ...int) wire.CrashReport {
 	r := wire.CrashReport{Incarnation: incarnation}
 	for _, f := range fingers {
-		r.InFlight = append(r.InFlight, finger(f))
+		r.InFlight = append(r.InFlight, fp(f))
 	}
 	return r
 }
 
-// state is what two monitors must agree on after the same updates.
+// state is the state that two monitors must agree on after the same updates.
 func (m *Monitor) state() map[model.Fingerprint]string {
 	out := make(map[model.Fingerprint]string)
 	for f, s := range m.suspects {
@@ -58,8 +58,8 @@
 	now := time.Unix(1_800_000_000, 0)
 	settled := now.Add(defaultSettle)
 
-	// Guards against entries that come to different views because updates cross,
-	// are lost and sent again, or arrive twice.
+	// Guards against entries with different views after updates that cross, are lost
+	// and sent again, or arrive twice.
 	It("merges updates in any order and repeatedly", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var updates []wire.SuspectUpdate
@@ -77,11 +77,11 @@
 				case 0:
 					keep(m.Crashed(now, agent, 1, report(uint64(f), f, f+1)))
 				case 1:
-					keep(m.Started(now, finger(f), agent))
+					keep(m.Started(now, fp(f), agent))
 				case 2:
-					keep(m.Finished(now, finger(f), agent, outcome.Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))))
+					keep(m.Finished(now, fp(f), agent, outcome.Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))))
 				case 3:
-					keep(m.Verdict(now, finger(f), agent).Update)
+					keep(m.Verdict(now, fp(f), agent).Update)
 				case 4:
 					if len(updates) > 0 {
 						keep(m.Merge(now, rapid.SampledFrom(updates).Draw(t, "update")))
@@ -107,76 +107,76 @@
 		m.Crashed(now, "a", 1, report(1, 7))
 		m.Crashed(now, "a", 1, report(1, 7))
 		m.Crashed(now, "a", 1, report(2, 7))
-		Expect(m.Verdict(settled, finger(7), "b").Decision).To(Equal(Hold))
+		Expect(m.Verdict(settled, fp(7), "b").Decision).To(Equal(Hold))
 		m.Crashed(now, "b", 1, report(1, 7))
-		v := m.Verdict(settled, finger(7), "c")
+		v := m.Verdict(settled, fp(7), "c")
 		Expect(v.Decision).To(Equal(Quarantined))
-		Expect(m.Quarantined(settled, finger(7))).To(BeTrue())
-		Expect(m.Verdict(v.Until.Add(time.Second), finger(7), "c").Decision).To(Equal(Run))
+		Expect(m.Quarantined(settled, fp(7))).To(BeTrue())
+		Expect(m.Verdict(v.Until.Add(time.Second), fp(7), "c").Decision).To(Equal(Run))
 		m.Tick(v.Until.Add(time.Second))
 		Expect(m.SuspectCount()).To(BeZero())
 	})
 
-	It("runs a suspect alone, elsewhere, after its turn, and clears it by success", func() {
+	It("runs a suspect alone, on another server and in turn, and clears it on success", func() {
 		m := New(Config{}, "e1", 1)
 		m.Crashed(now, "a", 1, report(1, 7, 8))
-		Expect(m.Verdict(now, finger(7), "a").Decision).To(Equal(RunElsewhere))
-		first := m.Verdict(now, finger(7), "b")
+		Expect(m.Verdict(now, fp(7), "a").Decision).To(Equal(RunElsewhere))
+		first := m.Verdict(now, fp(7), "b")
 		Expect(first.Decision).To(Equal(Hold))
 		Expect(first.Update).NotTo(BeNil())
-		Expect(m.Verdict(settled, finger(7), "b").Decision).To(Equal(RunAlone))
-		m.Started(settled, finger(7), "b")
-		Expect(m.Verdict(settled, finger(8), "b").Decision).To(Equal(RunElsewhere))
-		m.Finished(settled, finger(7), "b", outcome.Completed)
-		Expect(m.Verdict(settled, finger(7), "a").Decision).To(Equal(Run))
+		Expect(m.Verdict(settled, fp(7), "b").Decision).To(Equal(RunAlone))
+		m.Started(settled, fp(7), "b")
+		Expect(m.Verdict(settled, fp(8), "b").Decision).To(Equal(RunElsewhere))
+		m.Finished(settled, fp(7), "b", outcome.Completed)
+		Expect(m.Verdict(settled, fp(7), "a").Decision).To(Equal(Run))
 		m.Crashed(settled, "c", 1, report(1, 7))
-		Expect(m.Verdict(settled, finger(7), "d").Decision).To(Equal(Hold), "a cleared crash must not count")
+		Expect(m.Verdict(settled, fp(7), "d").Decision).To(Equal(Hold), "a cleared crash must not count")
 	})
 
 	It("gives way to the entry with the lower name and to one that runs the suspect", func() {
 		a, b := New(Config{}, "e1", 1), New(Config{}, "e2", 2)
 		b.Merge(now, *a.Crashed(now, "x", 1, report(1, 7)))
-		a.Merge(now, *b.Verdict(now, finger(7), "y").Update)
-		b.Merge(now, *a.Verdict(now, finger(7), "y").Update)
-		Expect(b.Verdict(settled, finger(7), "y").Decision).To(Equal(Hold))
-		Expect(a.Verdict(settled, finger(7), "y").Decision).To(Equal(RunAlone))
-		b.Merge(settled, *a.Started(settled, finger(7), "y"))
-		b.Merge(settled, *a.Finished(settled, finger(7), "y", outcome.Unknown))
-		Expect(b.Verdict(settled, finger(7), "z").Decision).To(Equal(Hold), "the crash report may be on its way")
+		a.Merge(now, *b.Verdict(now, fp(7), "y").Update)
+		b.Merge(now, *a.Verdict(now, fp(7), "y").Update)
+		Expect(b.Verdict(settled, fp(7), "y").Decision).To(Equal(Hold))
+		Expect(a.Verdict(settled, fp(7), "y").Decision).To(Equal(RunAlone))
+		b.Merge(settled, *a.Started(settled, fp(7), "y"))
+		b.Merge(settled, *a.Finished(settled, fp(7), "y", outcome.Unknown))
+		Expect(b.Verdict(settled, fp(7), "z").Decision).To(Equal(Hold), "the crash report may still arrive")
 		b.Merge(settled, *a.Crashed(settled, "y", 1, report(1, 7)))
-		Expect(b.Verdict(settled.Add(defaultSettle), finger(7), "z").Decision).To(Equal(Quarantined))
+		Expect(b.Verdict(settled.Add(defaultSettle), fp(7), "z").Decision).To(Equal(Quarantined))
 	})
 
 	It("holds a fingerprint whose attempt was just lost", func() {
 		m := New(Config{}, "e1", 1)
-		m.Started(now, finger(7), "a")
-		m.Finished(now, finger(7), "a", outcome.Unknown)
-		Expect(m.Verdict(now, finger(7), "b").Decision).To(Equal(Hold))
-		Expect(m.Verdict(settled, finger(7), "b").Decision).To(Equal(Run))
+		m.Started(now, fp(7), "a")
+		m.Finished(now, fp(7), "a", outcome.Unknown)
+		Expect(m.Verdict(now, fp(7), "b").Decision).To(Equal(Hold))
+		Expect(m.Verdict(settled, fp(7), "b").Decision).To(Equal(Run))
 	})
 
-	// Guards popular content against two crashes that others caused, and the bound
-	// against content that crashes only at times.
-	It("lets an earlier answer clear one crash", func() {
+	// Guards against quarantine of popular content after two crashes with other causes,
+	// and against excusing content that crashes servers only at times.
+	It("lets an earlier response clear one crash", func() {
 		m := New(Config{MaxKnownGood: 2}, "e1", 1)
 		answer := func(f int) {
-			m.Started(now, finger(f), "x")
-			m.Finished(now, finger(f), "x", outcome.Completed)
+			m.Started(now, fp(f), "x")
+			m.Finished(now, fp(f), "x", outcome.Completed)
 		}
 		answer(7)
 		m.Crashed(now, "a", 1, report(1, 7))
-		Expect(m.Verdict(now, finger(7), "z").Decision).To(Equal(Run))
+		Expect(m.Verdict(now, fp(7), "z").Decision).To(Equal(Run))
 		m.Crashed(now, "b", 1, report(1, 7))
 		m.Crashed(now, "c", 1, report(1, 7))
-		Expect(m.Quarantined(settled, finger(7))).To(BeTrue())
+		Expect(m.Quarantined(settled, fp(7))).To(BeTrue())
 		for f := range 5 {
 			answer(100 + f)
 		}
-		Expect(m.proven.answers).To(HaveLen(2))
+		Expect(m.knownGood.credits).To(HaveLen(2))
 	})
 
 	// Guards against memory that grows with crash reports.
-	It("bounds what it remembers and keeps the quarantined", func() {
+	It("bounds the suspects and keeps the quarantined ones", func() {
 		m := New(Config{MaxSuspects: 10}, "e1", 1)
 		m.Crashed(now, "a", 1, report(1, 7))
 		m.Crashed(now, "b", 1, report(1, 7))
@@ -184,6 +184,6 @@
 			m.Crashed(now.Add(time.Duration(i)), "c", 1, report(uint64(i), 1000+i))
 		}
 		Expect(m.SuspectCount()).To(Equal(10))
-		Expect(m.Quarantined(settled, finger(7))).To(BeTrue())
+		Expect(m.Quarantined(settled, fp(7))).To(BeTrue())
 	})
 })
--- a/lib/poison/run.go
+++ b/lib/poison/run.go
@@ -6,13 +6,14 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// entryID is one generation of an entry.
+// entryID identifies one generation of an entry.
 type entryID struct {
 	instance   model.InstanceID
 	generation model.Generation
 }
 
-// before orders entries that intend to run the same suspect.
+// before reports whether e has precedence over other if both intend to run the same
+// suspect.
 func (e entryID) before(other entryID) bool {
 	if e.instance != other.instance {
 		return e.instance < other.instance
--- a/lib/poison/suspect.go
+++ b/lib/poison/suspect.go
@@ -11,26 +11,26 @@
 	incidents map[incidentID]*incident
 	runs      map[entryID]*run
 
-	// known is when this entry last heard of a new crash.
-	known time.Time
-	// intendsSince is when this entry announced that it intends a run; zero when
-	// it does not.
+	// lastNewCrash is when this entry last learned of a new crash.
+	lastNewCrash time.Time
+	// intendsSince is when this entry announced its intention to run the suspect; zero
+	// if it has none.
 	intendsSince time.Time
-	// own is this entry's last announcement.
-	own run
+	// ownRun is this entry's last announcement.
+	ownRun run
 }
 
 func newSuspect(now time.Time) *suspect {
 	return &suspect{
-		incidents: make(map[incidentID]*incident),
-		runs:      make(map[entryID]*run),
-		known:     now,
+		incidents:    make(map[incidentID]*incident),
+		runs:         make(map[entryID]*run),
+		lastNewCrash: now,
 	}
 }
 
-// crashed returns the different instances that crashed and when the last of
-// these crashes was reported.
-func (s *suspect) crashed(now time.Time, ttl time.Duration) (instances []model.InstanceID, last time.Time) {
+// crashedInstances returns the different instances that crashed, and when the last
+// of these crashes was reported.
+func (s *suspect) crashedInstances(now time.Time, ttl time.Duration) (instances []model.InstanceID, last time.Time) {
 	for id, in := range s.incidents {
 		if in.cleared || now.Sub(in.first) > ttl {
 			continue
@@ -45,15 +45,15 @@
 	return instances, last
 }
 
-// add records a crash and reports whether that was news.
-func (s *suspect) add(now time.Time, id incidentID, first time.Time, cleared bool) bool {
+// addIncident records a crash and reports whether it was new.
+func (s *suspect) addIncident(now time.Time, id incidentID, first time.Time, cleared bool) bool {
 	in, ok := s.incidents[id]
 	if !ok {
 		if len(s.incidents) >= maxIncidents {
 			return false
 		}
 		s.incidents[id] = &incident{first: first, cleared: cleared}
-		s.known = now
+		s.lastNewCrash = now
 		return true
 	}
 	changed := cleared && !in.cleared
@@ -64,7 +64,7 @@
 	return changed
 }
 
-// clear marks every known crash as not caused by this fingerprint.
+// clear marks all known crashes as not caused by this fingerprint.
 func (s *suspect) clear() (changed bool) {
 	for _, in := range s.incidents {
 		changed = changed || !in.cleared
@@ -73,8 +73,7 @@
 	return changed
 }
 
-// clearInstance marks the crashes of one instance as not caused by this
-// fingerprint.
+// clearInstance marks the crashes of one instance as not caused by this fingerprint.
 func (s *suspect) clearInstance(instance model.InstanceID) (changed bool) {
 	for id, in := range s.incidents {
 		if id.instance == instance {
@@ -85,7 +84,8 @@
 	return changed
 }
 
-// expire drops what is too old and reports whether anything is left.
+// expire drops expired crashes and announcements. It reports whether any crash is
+// left.
 func (s *suspect) expire(now time.Time, c Config) bool {
 	for id, in := range s.incidents {
 		if now.Sub(in.first) > c.TTL {
--- a/lib/poison/update.go
+++ b/lib/poison/update.go
@@ -8,9 +8,10 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// suspect returns the record of a fingerprint and makes room for a new one.
-func (m *Monitor) suspect(now time.Time, finger model.Fingerprint) *suspect {
-	s, ok := m.suspects[finger]
+// suspect returns the record of a fingerprint. It creates a missing one, and evicts
+// another if there is no space.
+func (m *Monitor) suspect(now time.Time, fingerprint model.Fingerprint) *suspect {
+	s, ok := m.suspects[fingerprint]
 	if ok {
 		return s
 	}
@@ -18,53 +19,53 @@
 		m.evict(now)
 	}
 	s = newSuspect(now)
-	m.suspects[finger] = s
+	m.suspects[fingerprint] = s
 	return s
 }
 
-// evict drops the record that matters least: one that is cleared, else one with
-// a single crash, else a quarantined one; the oldest of these.
+// evict drops the least important record: the one with the fewest crashes that are
+// not cleared, and the oldest of those.
 func (m *Monitor) evict(now time.Time) {
 	var victim model.Fingerprint
 	var oldest time.Time
 	fewest := -1
-	for finger, s := range m.suspects {
-		crashed, _ := s.crashed(now, m.config.TTL)
+	for fingerprint, s := range m.suspects {
+		crashed, _ := s.crashedInstances(now, m.config.TTL)
 		weight := len(crashed)
-		if fewest < 0 || weight < fewest || weight == fewest && s.known.Before(oldest) {
-			victim, oldest, fewest = finger, s.known, weight
+		if fewest < 0 || weight < fewest || weight == fewest && s.lastNewCrash.Before(oldest) {
+			victim, oldest, fewest = fingerprint, s.lastNewCrash, weight
 		}
 	}
 	delete(m.suspects, victim)
 }
 
-// announceOwn returns the state of this entry's runs of a suspect for the
-// peers, or nil when the fingerprint is no suspect.
-func (m *Monitor) announceOwn(now time.Time, finger model.Fingerprint) *wire.SuspectUpdate {
-	s, ok := m.suspects[finger]
+// ownUpdate returns the state of this entry's runs of a fingerprint for the peers,
+// or nil if it is no suspect.
+func (m *Monitor) ownUpdate(now time.Time, fingerprint model.Fingerprint) *wire.SuspectUpdate {
+	s, ok := m.suspects[fingerprint]
 	if !ok {
 		return nil
 	}
-	m.refreshOwn(now, finger, s)
-	return m.updateOf(now, []model.Fingerprint{finger})
+	m.refreshOwn(now, fingerprint, s)
+	return m.updateFor(now, []model.Fingerprint{fingerprint})
 }
 
-// updateOf returns what is known about some fingerprints, or nil for none.
-func (m *Monitor) updateOf(now time.Time, fingers []model.Fingerprint) *wire.SuspectUpdate {
-	if len(fingers) == 0 {
+// updateFor returns what is known of some fingerprints, or nil for none.
+func (m *Monitor) updateFor(now time.Time, fingerprints []model.Fingerprint) *wire.SuspectUpdate {
+	if len(fingerprints) == 0 {
 		return nil
 	}
-	update := &wire.SuspectUpdate{Suspects: make([]wire.Suspect, 0, len(fingers))}
-	for _, finger := range fingers {
-		if s, ok := m.suspects[finger]; ok {
-			update.Suspects = append(update.Suspects, m.encode(now, finger, s))
+	update := &wire.SuspectUpdate{Suspects: make([]wire.Suspect, 0, len(fingerprints))}
+	for _, fingerprint := range fingerprints {
+		if s, ok := m.suspects[fingerprint]; ok {
+			update.Suspects = append(update.Suspects, m.encode(now, fingerprint, s))
 		}
 	}
 	return update
 }
 
-func (m *Monitor) encode(now time.Time, finger model.Fingerprint, s *suspect) wire.Suspect {
-	out := wire.Suspect{Finger: finger}
+func (m *Monitor) encode(now time.Time, fingerprint model.Fingerprint, s *suspect) wire.Suspect {
+	out := wire.Suspect{Finger: fingerprint}
 	for id, in := range s.incidents {
 		out.Incidents = append(out.Incidents, wire.Incident{
 			Instance: id.instance, Generation: id.generation, Incarnation: id.incarnation,
@@ -77,28 +78,28 @@
 			Intends: r.intends, Running: slices.Clone(r.running),
 		})
 	}
-	m.refreshOwn(now, finger, s)
-	if s.own.sequence > 0 {
+	m.refreshOwn(now, fingerprint, s)
+	if s.ownRun.sequence > 0 {
 		out.Runs = append(out.Runs, wire.SuspectRun{
-			Entry: m.self.instance, Generation: m.self.generation, Sequence: s.own.sequence,
-			Intends: s.own.intends, Running: slices.Clone(s.own.running),
+			Entry: m.self.instance, Generation: m.self.generation, Sequence: s.ownRun.sequence,
+			Intends: s.ownRun.intends, Running: slices.Clone(s.ownRun.running),
 		})
 	}
 	return out
 }
 
-// refreshOwn brings this entry's announcement up to date. Its content never
-// changes under one sequence number, so that peers may merge it in any order. A
-// run that was in flight before the fingerprint became a suspect is announced
-// with the first update about it.
-func (m *Monitor) refreshOwn(now time.Time, finger model.Fingerprint, s *suspect) {
+// refreshOwn updates this entry's announcement. The content of an announcement never
+// changes without a new sequence number, so that peers may merge it in any order. A
+// run that was in flight before the fingerprint became a suspect is announced with
+// the first update about it.
+func (m *Monitor) refreshOwn(now time.Time, fingerprint model.Fingerprint, s *suspect) {
 	var running []model.InstanceID
-	if f, ok := m.flights[finger]; ok && f.expire(now) {
-		running = f.instances()
+	if a, ok := m.attempts[fingerprint]; ok && a.expire(now) {
+		running = a.instances()
 		slices.Sort(running)
 	}
 	intends := !s.intendsSince.IsZero()
-	if intends != s.own.intends || !slices.Equal(running, s.own.running) {
-		s.own = run{sequence: s.own.sequence + 1, intends: intends, running: running}
+	if intends != s.ownRun.intends || !slices.Equal(running, s.ownRun.running) {
+		s.ownRun = run{sequence: s.ownRun.sequence + 1, intends: intends, running: running}
 	}
 }
