--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -64,10 +64,10 @@
 		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true, Version: version(),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if path == "" {
-				path = os.Getenv(platform.SettingsVariable)
+				path = os.Getenv(platform.SettingsPathEnv)
 			}
 			if path == "" {
-				return fmt.Errorf("no settings file: give --settings or set %s", platform.SettingsVariable)
+				return fmt.Errorf("no settings file: give --settings or set %s", platform.SettingsPathEnv)
 			}
 			settings, err := platform.LoadSettings(path)
 			if err != nil {
@@ -80,7 +80,7 @@
 			return run(cmd.Context(), p, path, settings, metricsPort, logs)
 		},
 	}
-	cmd.Flags().StringVarP(&path, "settings", "s", "", "settings file; the default is the path in "+platform.SettingsVariable)
+	cmd.Flags().StringVarP(&path, "settings", "s", "", "settings file; the default is the path in "+platform.SettingsPathEnv)
 	cmd.Flags().BoolVar(&check, "check", false, "check the settings file and exit")
 	cmd.Flags().IntVar(&metricsPort, "metrics-port", 0, "port that serves metrics under /metrics; 0 serves none")
 	return cmd
