--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -65,7 +65,7 @@
 		f.log.Log(eventlog.SettingsRejected, "err", err)
 		return
 	}
-	changed := f.current.Changed(settings)
+	changed := f.current.ChangedFields(settings)
 	f.current = settings
 	f.log.Log(eventlog.SettingsRead, "changed", strings.Join(changed, ","))
 	if len(changed) > 0 {
