--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -157,7 +157,7 @@
 
 // Wanted implements platform.OperatorSink. Versions of models of other services
 // do not concern the engine.
-func (t *replicaTargets) Wanted(w platform.WantedVersion, _ bool) {
+func (t *replicaTargets) Wanted(w platform.TargetVersion, _ bool) {
 	t.mu.Lock()
 	known, newer := t.model == w.Model, w.Version > t.version
 	if known {
