--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func (o *gatewayOperator) Wanted(w platform.TargetVersion, fresh bool) {
+func (o *gatewayOperator) TargetVersion(w platform.TargetVersion, fresh bool) {
 	o.gateway.SetWantedVersion(w.Model, w.Version, fresh)
 	o.log.Log(eventlog.VersionDeclared, "model", w.Model, "version", w.Version, "fresh", fresh)
 }
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -155,9 +155,9 @@
 	t.log.Log(eventlog.LiveConfigApplied, "config", c.Version, "revision", c.Revision, "routes", len(c.Routes), "teams", len(c.Teams))
 }
 
-// Wanted implements platform.OperatorSink. Versions of models of other services
+// TargetVersion implements platform.OperatorSink. Versions of models of other services
 // do not concern the engine.
-func (t *replicaTargets) Wanted(w platform.TargetVersion, _ bool) {
+func (t *replicaTargets) TargetVersion(w platform.TargetVersion, _ bool) {
 	t.mu.Lock()
 	known, newer := t.model == w.Model, w.Version > t.version
 	if known {
