--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -33,7 +33,7 @@
 	o.log.Log(eventlog.VersionDeclared, "model", w.Model, "version", w.Version, "fresh", fresh)
 }
 
-func (o *gatewayOperator) Unreadable(row watch.Row, err error) { logUnreadable(o.log, row, err) }
+func (o *gatewayOperator) InvalidRow(row watch.Row, err error) { logUnreadable(o.log, row, err) }
 
 func (o *gatewayOperator) Lost(err error) {
 	o.storeLost.Store(true)
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *gatewayServers) Unreadable(row watch.Row, err error) { logUnreadable(s.log, row, err) }
+func (s *gatewayServers) InvalidRow(row watch.Row, err error) { logUnreadable(s.log, row, err) }
 
 func logUnreadable(log *eventlog.Logger, row watch.Row, err error) {
 	log.Log(eventlog.RowInvalid, "key", row.Key, "revision", row.Revision, "err", err)
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -173,8 +173,8 @@
 	t.replica.SetTarget(w.Model, w.Version)
 }
 
-// Unreadable implements platform.OperatorSink.
-func (t *replicaTargets) Unreadable(row watch.Row, err error) { logUnreadable(t.log, row, err) }
+// InvalidRow implements platform.OperatorSink.
+func (t *replicaTargets) InvalidRow(row watch.Row, err error) { logUnreadable(t.log, row, err) }
 
 // Lost implements platform.OperatorSink.
 func (t *replicaTargets) Lost(err error) { t.log.Log(eventlog.StoreLost, "err", err) }
