--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -35,7 +35,7 @@
 
 func (o *gatewayOperator) InvalidRow(row watch.Row, err error) { logUnreadable(o.log, row, err) }
 
-func (o *gatewayOperator) Lost(err error) {
+func (o *gatewayOperator) StoreLost(err error) {
 	o.storeLost.Store(true)
 	o.log.Log(eventlog.StoreLost, "err", err)
 }
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -176,8 +176,8 @@
 // InvalidRow implements platform.OperatorSink.
 func (t *replicaTargets) InvalidRow(row watch.Row, err error) { logUnreadable(t.log, row, err) }
 
-// Lost implements platform.OperatorSink.
-func (t *replicaTargets) Lost(err error) { t.log.Log(eventlog.StoreLost, "err", err) }
+// StoreLost implements platform.OperatorSink.
+func (t *replicaTargets) StoreLost(err error) { t.log.Log(eventlog.StoreLost, "err", err) }
 
 // Regained implements platform.OperatorSink.
 func (t *replicaTargets) Regained() { t.log.Log(eventlog.StoreRegained) }
