--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -40,7 +40,7 @@
 	o.log.Log(eventlog.StoreLost, "err", err)
 }
 
-func (o *gatewayOperator) Regained() {
+func (o *gatewayOperator) StoreRecovered() {
 	o.storeLost.Store(false)
 	o.log.Log(eventlog.StoreRegained)
 }
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -179,5 +179,5 @@
 // StoreLost implements platform.OperatorSink.
 func (t *replicaTargets) StoreLost(err error) { t.log.Log(eventlog.StoreLost, "err", err) }
 
-// Regained implements platform.OperatorSink.
-func (t *replicaTargets) Regained() { t.log.Log(eventlog.StoreRegained) }
+// StoreRecovered implements platform.OperatorSink.
+func (t *replicaTargets) StoreRecovered() { t.log.Log(eventlog.StoreRegained) }
