--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -161,7 +161,7 @@
 
 func (s *site) startBackend(c platformtest.BackendConfig, number int) {
 	c.Listen, c.Domain, c.Slots, c.WorkTime = c.Address, siteDomains[number%len(siteDomains)], siteSlots, 5*time.Millisecond
-	c.PoisonBody, c.PoisonPause, c.Store, c.Recorder = sitePoison, sitePause, s.store, s
+	c.PoisonBody, c.RestartDelay, c.Store, c.Recorder = sitePoison, sitePause, s.store, s
 	b, err := platformtest.NewBackend(c)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(b.Close)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -90,7 +90,7 @@
 			}
 		}
 		c.Listen, c.Address = address(w.slot, group, number, behindPort), address(w.slot, group, number, serverPort)
-		c.PoisonBody, c.PoisonPause = poisonBody, poisonPause
+		c.PoisonBody, c.RestartDelay = poisonBody, poisonPause
 		c.Domain, c.Store, c.Recorder = domains[number/2%len(domains)], w.store, w.ledger
 		link, err := w.link(c.Address, c.Listen)
 		if err != nil {
