--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -214,7 +214,7 @@
 	case AskPoison:
 		w.askPoison(ctx, s)
 	case RotPiece:
-		pick(w.backends[:engineCount], s.Target).Rot(s.Target % weights.Pieces)
+		pick(w.backends[:engineCount], s.Target).CorruptStagedPiece(s.Target % weights.Pieces)
 		w.ledger.note(func(l *ledger, now time.Duration) { l.rotten = append(l.rotten, now) })
 	case SpoilPieces:
 		w.origin.Spoil(0.2)
