--- a/internal/node/server_signals_test.go
+++ b/internal/node/server_signals_test.go
@@ -38,7 +38,7 @@
 		func(network int, prefix string, server int) {
 			s := newSite(network, 4, 4, 6)
 			s.store.Fail(http.StatusServiceUnavailable)
-			id := s.backends[server].Leave()
+			id := s.backends[server].SignalDraining()
 			Eventually(func() int {
 				spread(s, prefix)
 				return len(s.eventsOf(id, eventLeaving))
@@ -56,7 +56,7 @@
 	It("gets nothing from an entry that starts anew, nor after the placing entry has changed", func() {
 		// Guards against knowledge that ends with the process that has it.
 		s := newSite(53, 4, 4, 4)
-		id := s.backends[0].Leave()
+		id := s.backends[0].SignalDraining()
 		Eventually(func() int {
 			spread(s, "/draft/")
 			return len(s.eventsOf(id, eventLeaving))
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -268,7 +268,7 @@
 // leave makes a server tell that it leaves, in its answers only, and another one
 // start in its place.
 func (w *world) leave(ctx context.Context, b *platformtest.Backend) {
-	b.Leave()
+	b.SignalDraining()
 	wait(ctx, bounds.drain()+stopsLater)
 	b.Crash(0)
 	wait(ctx, stopsLater)
