--- a/internal/node/server_signals_test.go
+++ b/internal/node/server_signals_test.go
@@ -79,7 +79,7 @@
 		paused := s.backends[:3]
 		var ids []string
 		for _, b := range paused {
-			b.Pause(3*time.Second, 3)
+			b.RejectRequests(3*time.Second, 3)
 			ids = append(ids, fmt.Sprintf("engine-%d-1", len(ids)))
 		}
 		start := time.Now()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -209,7 +209,7 @@
 	case LeaveServer:
 		w.leave(ctx, pick(w.backends, s.Target))
 	case PauseServer:
-		pick(w.backends, s.Target).Pause(s.For, pauseSeconds)
+		pick(w.backends, s.Target).RejectRequests(s.For, pauseSeconds)
 		wait(ctx, s.For)
 	case AskPoison:
 		w.askPoison(ctx, s)
