--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -201,9 +201,9 @@
 		w.crash(ctx, pick(w.backends, s.Target), s.For)
 	case TroubleServer:
 		server := pick(w.backends, s.Target)
-		server.SetTrouble(platformtest.TroubleCopies + platformtest.Trouble(s.Target/len(w.backends))%(platformtest.Troubles-1))
+		server.SetFault(platformtest.TroubleCopies + platformtest.Trouble(s.Target/len(w.backends))%(platformtest.Troubles-1))
 		wait(ctx, s.For)
-		server.SetTrouble(platformtest.TroubleNone)
+		server.SetFault(platformtest.TroubleNone)
 	case DrainServer:
 		w.drain(ctx, pick(w.backends, s.Target))
 	case LeaveServer:
