--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -203,7 +203,7 @@
 		server := pick(w.backends, s.Target)
 		server.SetFault(platformtest.TroubleCopies + platformtest.Fault(s.Target/len(w.backends))%(platformtest.Troubles-1))
 		wait(ctx, s.For)
-		server.SetFault(platformtest.TroubleNone)
+		server.SetFault(platformtest.FaultNone)
 	case DrainServer:
 		w.drain(ctx, pick(w.backends, s.Target))
 	case LeaveServer:
