--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -201,7 +201,7 @@
 		w.crash(ctx, pick(w.backends, s.Target), s.For)
 	case TroubleServer:
 		server := pick(w.backends, s.Target)
-		server.SetFault(platformtest.FaultDuplicate + platformtest.Fault(s.Target/len(w.backends))%(platformtest.Troubles-1))
+		server.SetFault(platformtest.FaultDuplicate + platformtest.Fault(s.Target/len(w.backends))%(platformtest.FaultCount-1))
 		wait(ctx, s.For)
 		server.SetFault(platformtest.FaultNone)
 	case DrainServer:
