--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -63,8 +63,8 @@
 	ended    chan struct{}
 }
 
-// Ran implements platformtest.Recorder.
-func (s *site) Ran(r platformtest.Run) {
+// RunStarted implements platformtest.Recorder.
+func (s *site) RunStarted(r platformtest.Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, r)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -56,7 +56,7 @@
 func (f *fixture) rules(runs ...platformtest.Run) []string {
 	f.check.ledger.outcomes = append([]outcome{f.outcome}, f.others...)
 	for _, r := range runs {
-		f.check.ledger.Ran(r)
+		f.check.ledger.RunStarted(r)
 	}
 	broken := []string{}
 	for _, v := range f.check.run() {
@@ -132,7 +132,7 @@
 			for i := range 7 {
 				r := f.run
 				r.At = r.At.Add(time.Duration(i*i) * time.Second)
-				f.check.ledger.Ran(r)
+				f.check.ledger.RunStarted(r)
 			}
 		}, 0),
 		Entry("wrong pieces", "WHOLE", "/once/", func(f *fixture) { f.check.ledger.Loaded("x-1", 2, false) }, 0),
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -70,8 +70,8 @@
 
 func (l *ledger) now() time.Duration { return time.Since(l.started) }
 
-// Ran implements platformtest.Recorder.
-func (l *ledger) Ran(r platformtest.Run) {
+// RunStarted implements platformtest.Recorder.
+func (l *ledger) RunStarted(r platformtest.Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[r.Attempt] = append(l.runs[r.Attempt], r)
