--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -70,8 +70,8 @@
 	s.runs = append(s.runs, r)
 }
 
-// Arrived implements platformtest.Recorder.
-func (s *site) Arrived(server, attempt string) { s.note(server, attempt, eventArrived) }
+// RequestArrived implements platformtest.Recorder.
+func (s *site) RequestArrived(server, attempt string) { s.note(server, attempt, eventArrived) }
 
 // ToldLeaving implements platformtest.Recorder.
 func (s *site) ToldLeaving(server, attempt string) { s.note(server, attempt, eventLeaving) }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -94,8 +94,8 @@
 	eventPause
 )
 
-// Arrived implements platformtest.Recorder.
-func (l *ledger) Arrived(server, attempt string) {
+// RequestArrived implements platformtest.Recorder.
+func (l *ledger) RequestArrived(server, attempt string) {
 	l.record(serverEvent{kind: eventArrived, server: server, attempt: attempt})
 }
 
