--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -73,8 +73,8 @@
 // RequestArrived implements platformtest.Recorder.
 func (s *site) RequestArrived(server, attempt string) { s.note(server, attempt, eventArrived) }
 
-// ToldLeaving implements platformtest.Recorder.
-func (s *site) ToldLeaving(server, attempt string) { s.note(server, attempt, eventLeaving) }
+// DrainingSent implements platformtest.Recorder.
+func (s *site) DrainingSent(server, attempt string) { s.note(server, attempt, eventLeaving) }
 
 // ToldPause implements platformtest.Recorder.
 func (s *site) ToldPause(server, attempt string, _ time.Duration) {
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -99,8 +99,8 @@
 	l.record(serverEvent{kind: eventArrived, server: server, attempt: attempt})
 }
 
-// ToldLeaving implements platformtest.Recorder.
-func (l *ledger) ToldLeaving(server, attempt string) {
+// DrainingSent implements platformtest.Recorder.
+func (l *ledger) DrainingSent(server, attempt string) {
 	l.record(serverEvent{kind: eventLeaving, server: server, attempt: attempt})
 }
 
