--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -76,8 +76,8 @@
 // DrainingSent implements platformtest.Recorder.
 func (s *site) DrainingSent(server, attempt string) { s.note(server, attempt, eventLeaving) }
 
-// ToldPause implements platformtest.Recorder.
-func (s *site) ToldPause(server, attempt string, _ time.Duration) {
+// RetryAfterSent implements platformtest.Recorder.
+func (s *site) RetryAfterSent(server, attempt string, _ time.Duration) {
 	s.note(server, attempt, eventPause)
 }
 
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -104,8 +104,8 @@
 	l.record(serverEvent{kind: eventLeaving, server: server, attempt: attempt})
 }
 
-// ToldPause implements platformtest.Recorder.
-func (l *ledger) ToldPause(server, attempt string, pause time.Duration) {
+// RetryAfterSent implements platformtest.Recorder.
+func (l *ledger) RetryAfterSent(server, attempt string, pause time.Duration) {
 	l.record(serverEvent{kind: eventPause, server: server, attempt: attempt, pause: pause})
 }
 
