--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -81,8 +81,8 @@
 	s.note(server, attempt, eventPause)
 }
 
-// Loaded implements platformtest.Recorder.
-func (s *site) Loaded(string, int, bool) {}
+// LoadOrdered implements platformtest.Recorder.
+func (s *site) LoadOrdered(string, int, bool) {}
 
 // serverEvent is a request at a server, or what the server told about further ones.
 type serverEvent struct {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -135,7 +135,7 @@
 				f.check.ledger.RunStarted(r)
 			}
 		}, 0),
-		Entry("wrong pieces", "WHOLE", "/once/", func(f *fixture) { f.check.ledger.Loaded("x-1", 2, false) }, 0),
+		Entry("wrong pieces", "WHOLE", "/once/", func(f *fixture) { f.check.ledger.LoadOrdered("x-1", 2, false) }, 0),
 	)
 
 	It("excuse what faults have done", func() {
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -116,8 +116,8 @@
 	l.events = append(l.events, e)
 }
 
-// Loaded implements platformtest.Recorder.
-func (l *ledger) Loaded(server string, version int, whole bool) {
+// LoadOrdered implements platformtest.Recorder.
+func (l *ledger) LoadOrdered(server string, version int, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.loads = append(l.loads, load{server: server, version: version, whole: whole, at: l.now()})
