--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -133,7 +133,7 @@
 func (c *check) ran(o *outcome, r *platformtest.Run) {
 	at := r.At.Sub(c.ledger.started)
 	if r.Key || r.Team != team || r.Target != o.call.Path || r.Body != o.call.Body {
-		c.broken("UNASKED", at, "%s ran as %s for team %q, with its key: %t", r.Attempt, r.Target, r.Team, r.Key)
+		c.broken("UNASKED", at, "%s ran as %s for team %q, with its key: %t", r.AttemptID, r.Target, r.Team, r.Key)
 	}
 	if settled := calm(c.steps, max(0, o.sent-bounds.config()), at, stable); !settled {
 		return
@@ -141,14 +141,14 @@
 	if o.route.Prefix == movingPrefix {
 		newest := c.newest(c.ledger.configs, o.sent-bounds.config())
 		if newest > 1 && r.Service == movingService(newest-1) && c.newest(c.ledger.configs, at) == newest {
-			c.broken("CONFIG", at, "%s ran at %s, which configuration %d no longer allows", r.Attempt, r.Service, newest)
+			c.broken("CONFIG", at, "%s ran at %s, which configuration %d no longer allows", r.AttemptID, r.Service, newest)
 		}
 	}
 	if least := c.newest(c.ledger.weights, at-bounds.version()); r.Version > 0 && r.Version < least && calm(c.steps, max(0, at-bounds.version()), at, stable) {
-		c.broken("VERSION", at, "%s ran on version %d, declared was %d", r.Attempt, r.Version, least)
+		c.broken("VERSION", at, "%s ran on version %d, declared was %d", r.AttemptID, r.Version, least)
 	}
 	if left, leaves := c.ledger.left[r.Server]; leaves && at > left+bounds.drain() {
-		c.broken("DRAIN", at, "%s ran at %s, which had told %v before that it leaves", r.Attempt, r.Server, at-left)
+		c.broken("DRAIN", at, "%s ran at %s, which had told %v before that it leaves", r.AttemptID, r.Server, at-left)
 	}
 }
 
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -45,7 +45,7 @@
 			f.outcome.answer.Events = append(f.outcome.answer.Events, platformtest.Event{Number: i, Data: platformtest.EventData("a1", i)})
 		}
 	}
-	f.run = platformtest.Run{Attempt: "a1", Server: "x-1", Service: r.Service, Team: team, Target: prefix + "a1", Body: "b", Resumed: -1, At: l.started.Add(20 * time.Second)}
+	f.run = platformtest.Run{AttemptID: "a1", Server: "x-1", Service: r.Service, Team: team, Target: prefix + "a1", Body: "b", Resumed: -1, At: l.started.Add(20 * time.Second)}
 	if r.streams() {
 		f.run.Version = 1
 	}
@@ -103,7 +103,7 @@
 			f.outcome.err, f.outcome.ready = &net.OpError{Op: "dial", Err: errors.New("refused")}, true
 		}, 0),
 		Entry("late answer", "LATE", "/order/", func(f *fixture) { f.outcome.ended = f.outcome.sent + 3*time.Second }, 0),
-		Entry("unknown request", "UNASKED", "/order/", func(f *fixture) { f.run.Attempt = "a9" }, 0),
+		Entry("unknown request", "UNASKED", "/order/", func(f *fixture) { f.run.AttemptID = "a9" }, 0),
 		Entry("key passed on", "UNASKED", "/order/", func(f *fixture) { f.run.Key = true }, 0),
 		Entry("other team", "UNASKED", "/order/", func(f *fixture) { f.run.Team = "smiths" }, 0),
 		Entry("other path", "UNASKED", "/order/", func(f *fixture) { f.run.Target = "/order/other" }, 0),
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -74,7 +74,7 @@
 func (l *ledger) RunStarted(r platformtest.Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[r.Attempt] = append(l.runs[r.Attempt], r)
+	l.runs[r.AttemptID] = append(l.runs[r.AttemptID], r)
 }
 
 // serverEvent is a request that arrived at a server, or what the server told its sender.
