--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -132,8 +132,8 @@
 
 func (c *check) ran(o *outcome, r *platformtest.Run) {
 	at := r.At.Sub(c.ledger.started)
-	if r.Key || r.Team != team || r.Target != o.call.Path || r.Body != o.call.Body {
-		c.broken("UNASKED", at, "%s ran as %s for team %q, with its key: %t", r.AttemptID, r.Target, r.Team, r.Key)
+	if r.HasKey || r.Team != team || r.Target != o.call.Path || r.Body != o.call.Body {
+		c.broken("UNASKED", at, "%s ran as %s for team %q, with its key: %t", r.AttemptID, r.Target, r.Team, r.HasKey)
 	}
 	if settled := calm(c.steps, max(0, o.sent-bounds.config()), at, stable); !settled {
 		return
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -104,7 +104,7 @@
 		}, 0),
 		Entry("late answer", "LATE", "/order/", func(f *fixture) { f.outcome.ended = f.outcome.sent + 3*time.Second }, 0),
 		Entry("unknown request", "UNASKED", "/order/", func(f *fixture) { f.run.AttemptID = "a9" }, 0),
-		Entry("key passed on", "UNASKED", "/order/", func(f *fixture) { f.run.Key = true }, 0),
+		Entry("key passed on", "UNASKED", "/order/", func(f *fixture) { f.run.HasKey = true }, 0),
 		Entry("other team", "UNASKED", "/order/", func(f *fixture) { f.run.Team = "smiths" }, 0),
 		Entry("other path", "UNASKED", "/order/", func(f *fixture) { f.run.Target = "/order/other" }, 0),
 		Entry("older configuration", "CONFIG", movingPrefix, func(f *fixture) {
