--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -18,7 +18,7 @@
 	runs := s.ran(sitePoison)
 	late := 0
 	for i := range runs {
-		if i >= 3 && runs[i].At.Sub(runs[2].At) > siteStall {
+		if i >= 3 && runs[i].StartedAt.Sub(runs[2].StartedAt) > siteStall {
 			late++
 		}
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -50,7 +50,7 @@
 	}
 	for id, runs := range c.ledger.runs {
 		if !known[id] {
-			c.broken("UNASKED", runs[0].At.Sub(c.ledger.started), "nobody asked for %q", id)
+			c.broken("UNASKED", runs[0].StartedAt.Sub(c.ledger.started), "nobody asked for %q", id)
 		}
 	}
 	c.loaded()
@@ -131,7 +131,7 @@
 }
 
 func (c *check) ran(o *outcome, r *platformtest.Run) {
-	at := r.At.Sub(c.ledger.started)
+	at := r.StartedAt.Sub(c.ledger.started)
 	if r.HasKey || r.Team != team || r.Target != o.call.Path || r.Body != o.call.Body {
 		c.broken("UNASKED", at, "%s ran as %s for team %q, with its key: %t", r.AttemptID, r.Target, r.Team, r.HasKey)
 	}
--- a/internal/soak/check_signals.go
+++ b/internal/soak/check_signals.go
@@ -117,7 +117,7 @@
 	var moments []time.Duration
 	for _, r := range runs {
 		if r.Target == target {
-			moments = append(moments, r.At.Sub(c.ledger.started))
+			moments = append(moments, r.StartedAt.Sub(c.ledger.started))
 		}
 	}
 	slices.Sort(moments)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -45,7 +45,7 @@
 			f.outcome.answer.Events = append(f.outcome.answer.Events, platformtest.Event{Number: i, Data: platformtest.EventData("a1", i)})
 		}
 	}
-	f.run = platformtest.Run{AttemptID: "a1", Server: "x-1", Service: r.Service, Team: team, Target: prefix + "a1", Body: "b", LastEventID: -1, At: l.started.Add(20 * time.Second)}
+	f.run = platformtest.Run{AttemptID: "a1", Server: "x-1", Service: r.Service, Team: team, Target: prefix + "a1", Body: "b", LastEventID: -1, StartedAt: l.started.Add(20 * time.Second)}
 	if r.streams() {
 		f.run.Version = 1
 	}
@@ -131,7 +131,7 @@
 			f.run.Body = poisonBody
 			for i := range 7 {
 				r := f.run
-				r.At = r.At.Add(time.Duration(i*i) * time.Second)
+				r.StartedAt = r.StartedAt.Add(time.Duration(i*i) * time.Second)
 				f.check.ledger.RunStarted(r)
 			}
 		}, 0),
