--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -82,7 +82,7 @@
 		}
 		c.count++
 		call := platformtest.Call{
-			Host: host, Attempt: fmt.Sprintf("a%s-%d", c.name, c.count), Key: key, Limit: time.Duration(r.LimitMS) * time.Millisecond,
+			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), Key: key, Limit: time.Duration(r.LimitMS) * time.Millisecond,
 			Path: prefix + "poison", Resume: -1, Body: poisonBody,
 		}
 		if r.streams() {
@@ -119,10 +119,10 @@
 	r := c.drawRoute()
 	c.count++
 	call := platformtest.Call{
-		Host: host, Attempt: fmt.Sprintf("a%s-%d", c.name, c.count), Key: key, Limit: time.Duration(r.LimitMS) * time.Millisecond,
+		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), Key: key, Limit: time.Duration(r.LimitMS) * time.Millisecond,
 		Resume: -1, Body: fmt.Sprintf("body of %s-%d", c.name, c.count),
 	}
-	call.Path = r.Prefix + call.Attempt
+	call.Path = r.Prefix + call.AttemptID
 	if r.streams() {
 		call.Model, call.Prompt, call.Answer = model, 50+c.rng.IntN(200), 5*eventsPerStream
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -44,9 +44,9 @@
 	known := make(map[string]bool, len(c.ledger.outcomes))
 	for i := range c.ledger.outcomes {
 		o := &c.ledger.outcomes[i]
-		known[o.call.Attempt] = true
+		known[o.call.AttemptID] = true
 		c.answer(o)
-		c.runsOf(o, c.ledger.runs[o.call.Attempt])
+		c.runsOf(o, c.ledger.runs[o.call.AttemptID])
 	}
 	for id, runs := range c.ledger.runs {
 		if !known[id] {
@@ -65,13 +65,13 @@
 	settled := calm(c.steps, o.sent, o.ended, stable)
 	switch {
 	case o.unconnected() && o.ready && settled:
-		c.broken("UNREACHABLE", o.ended, "%s at entry %d, which was ready: %v", o.call.Attempt, o.entry, o.err)
+		c.broken("UNREACHABLE", o.ended, "%s at entry %d, which was ready: %v", o.call.AttemptID, o.entry, o.err)
 	case o.unconnected():
 		// An entry that is not ready may refuse connections: nothing was sent.
 	case o.err != nil && settled:
-		c.broken("LOST", o.ended, "%s at entry %d: %v", o.call.Attempt, o.entry, o.err)
+		c.broken("LOST", o.ended, "%s at entry %d: %v", o.call.AttemptID, o.entry, o.err)
 	case o.ended-o.sent > o.call.Limit+answerSlack && settled:
-		c.broken("LATE", o.ended, "%s had its answer after %v of %v", o.call.Attempt, o.ended-o.sent, o.call.Limit)
+		c.broken("LATE", o.ended, "%s had its answer after %v of %v", o.call.AttemptID, o.ended-o.sent, o.call.Limit)
 	}
 	if o.err != nil {
 		return
@@ -81,18 +81,18 @@
 	case http.StatusOK:
 		c.success(o)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		if runs := c.ledger.runs[o.call.Attempt]; len(runs) > 0 && !o.route.repeatable() {
-			c.broken("REFUSED", o.ended, "%s was answered %d and ran at %s", o.call.Attempt, a.Status, runs[0].Server)
+		if runs := c.ledger.runs[o.call.AttemptID]; len(runs) > 0 && !o.route.repeatable() {
+			c.broken("REFUSED", o.ended, "%s was answered %d and ran at %s", o.call.AttemptID, a.Status, runs[0].Server)
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		c.broken("DENIED", o.ended, "%s was answered %d", o.call.Attempt, a.Status)
+		c.broken("DENIED", o.ended, "%s was answered %d", o.call.AttemptID, a.Status)
 	}
 }
 
 func (c *check) success(o *outcome) {
 	a := &o.answer
-	id := o.call.Attempt
+	id := o.call.AttemptID
 	if !a.Signed || a.Attempt != id {
 		c.broken("MIXED", o.ended, "%s got a success for %q, signed %t", id, a.Attempt, a.Signed)
 	}
@@ -120,10 +120,10 @@
 // runsOf checks where a request ran.
 func (c *check) runsOf(o *outcome, runs []platformtest.Run) {
 	if len(runs) > 1 && !o.route.repeatable() {
-		c.broken("TWICE", o.ended, "%s ran at %s and %s", o.call.Attempt, runs[0].Server, runs[1].Server)
+		c.broken("TWICE", o.ended, "%s ran at %s and %s", o.call.AttemptID, runs[0].Server, runs[1].Server)
 	}
 	if len(runs) > o.route.MaxServers {
-		c.broken("BUDGET", o.ended, "%s ran %d times of %d", o.call.Attempt, len(runs), o.route.MaxServers)
+		c.broken("BUDGET", o.ended, "%s ran %d times of %d", o.call.AttemptID, len(runs), o.route.MaxServers)
 	}
 	for i := range runs {
 		c.ran(o, &runs[i])
--- a/internal/soak/check_signals.go
+++ b/internal/soak/check_signals.go
@@ -24,7 +24,7 @@
 	outcomes := make(map[string]*outcome, len(c.ledger.outcomes))
 	for i := range c.ledger.outcomes {
 		o := &c.ledger.outcomes[i]
-		outcomes[o.call.Attempt] = o
+		outcomes[o.call.AttemptID] = o
 	}
 	arrivals := make(map[string][]serverEvent)
 	for _, e := range c.ledger.events {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -36,7 +36,7 @@
 	f := &fixture{check: &check{ledger: l, busy: 10 * time.Second, end: time.Minute}}
 	f.outcome = outcome{
 		route: r, sent: 20 * time.Second, ended: 21 * time.Second,
-		call:   platformtest.Call{Attempt: "a1", Path: prefix + "a1", Body: "b", Limit: time.Duration(r.LimitMS) * time.Millisecond, Resume: -1},
+		call:   platformtest.Call{AttemptID: "a1", Path: prefix + "a1", Body: "b", Limit: time.Duration(r.LimitMS) * time.Millisecond, Resume: -1},
 		answer: platformtest.Answered{Status: 200, Signed: true, Attempt: "a1", Body: platformtest.Answer("a1"), Complete: true},
 	}
 	if r.streams() {
@@ -118,7 +118,7 @@
 		Entry("server that told so in an answer", "DRAIN", "/order/", func(f *fixture) {
 			f.check.ledger.events = []serverEvent{{kind: eventLeaving, server: "x-1", attempt: "a1", at: 15 * time.Second}, {kind: eventArrived, server: "x-1", attempt: "a2", at: 25 * time.Second}}
 			later := f.outcome
-			later.call.Attempt, later.sent = "a2", 25*time.Second
+			later.call.AttemptID, later.sent = "a2", 25*time.Second
 			f.others = []outcome{later}
 		}, 0),
 		Entry("server that wants a pause", "BUDGET", "/order/", func(f *fixture) {
