--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -247,7 +247,7 @@
 	attempts.Unlock()
 	call := platformtest.Call{Host: siteHost, Path: prefix + "x", AttemptID: id, APIKey: siteKey, Limit: 2 * time.Second, Resume: -1, Body: content}
 	if prefix == "/draft/" {
-		call.Model, call.PromptTokens, call.Answer = siteWeights.Model, 100, 15
+		call.Model, call.PromptTokens, call.MaxTokens = siteWeights.Model, 100, 15
 	}
 	req, err := call.Request(context.Background(), s.entries[entry].settings.CallerAddress)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -86,7 +86,7 @@
 			Path: prefix + "poison", Resume: -1, Body: poisonBody,
 		}
 		if r.streams() {
-			call.Model, call.PromptTokens, call.Answer = model, 100, 5*eventsPerStream
+			call.Model, call.PromptTokens, call.MaxTokens = model, 100, 5*eventsPerStream
 		}
 		c.send(call, r)
 	}
@@ -124,7 +124,7 @@
 	}
 	call.Path = r.Prefix + call.AttemptID
 	if r.streams() {
-		call.Model, call.PromptTokens, call.Answer = model, 50+c.rng.IntN(200), 5*eventsPerStream
+		call.Model, call.PromptTokens, call.MaxTokens = model, 50+c.rng.IntN(200), 5*eventsPerStream
 	}
 	if !c.goes() {
 		return awayPause
