--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -82,7 +82,7 @@
 		}
 		c.count++
 		call := platformtest.Call{
-			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Limit: time.Duration(r.LimitMS) * time.Millisecond,
+			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.LimitMS) * time.Millisecond,
 			Path: prefix + "poison", Resume: -1, Body: poisonBody,
 		}
 		if r.streams() {
@@ -119,7 +119,7 @@
 	r := c.drawRoute()
 	c.count++
 	call := platformtest.Call{
-		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Limit: time.Duration(r.LimitMS) * time.Millisecond,
+		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.LimitMS) * time.Millisecond,
 		Resume: -1, Body: fmt.Sprintf("body of %s-%d", c.name, c.count),
 	}
 	call.Path = r.Prefix + call.AttemptID
@@ -136,7 +136,7 @@
 // stay away.
 func (c *caller) send(call platformtest.Call, r *route) time.Duration {
 	o := outcome{call: call, route: *r, entry: c.entry, ready: c.unreadySince.IsZero(), sent: c.world.ledger.now()}
-	ctx, cancel := context.WithTimeout(context.Background(), call.Limit+gaveUpAfter)
+	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout+gaveUpAfter)
 	defer cancel()
 	req, err := call.Request(ctx, address(c.world.slot, groupEntry, c.entry, callersPort))
 	if err != nil {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -70,8 +70,8 @@
 		// An entry that is not ready may refuse connections: nothing was sent.
 	case o.err != nil && settled:
 		c.broken("LOST", o.ended, "%s at entry %d: %v", o.call.AttemptID, o.entry, o.err)
-	case o.ended-o.sent > o.call.Limit+answerSlack && settled:
-		c.broken("LATE", o.ended, "%s had its answer after %v of %v", o.call.AttemptID, o.ended-o.sent, o.call.Limit)
+	case o.ended-o.sent > o.call.Timeout+answerSlack && settled:
+		c.broken("LATE", o.ended, "%s had its answer after %v of %v", o.call.AttemptID, o.ended-o.sent, o.call.Timeout)
 	}
 	if o.err != nil {
 		return
@@ -185,7 +185,7 @@
 	perRoute := make(map[string]*count)
 	for i := range c.ledger.outcomes {
 		o := &c.ledger.outcomes[i]
-		if o.sent < c.busy+recoverTime || o.sent > c.end-o.call.Limit {
+		if o.sent < c.busy+recoverTime || o.sent > c.end-o.call.Timeout {
 			continue
 		}
 		n := perRoute[o.route.Prefix]
