--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -245,7 +245,7 @@
 	attempts.last++
 	id := fmt.Sprintf("try-%d", attempts.last)
 	attempts.Unlock()
-	call := platformtest.Call{Host: siteHost, Path: prefix + "x", AttemptID: id, APIKey: siteKey, Timeout: 2 * time.Second, Resume: -1, Body: content}
+	call := platformtest.Call{Host: siteHost, Path: prefix + "x", AttemptID: id, APIKey: siteKey, Timeout: 2 * time.Second, LastEventID: -1, Body: content}
 	if prefix == "/draft/" {
 		call.Model, call.PromptTokens, call.MaxTokens = siteWeights.Model, 100, 15
 	}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -83,7 +83,7 @@
 		c.count++
 		call := platformtest.Call{
 			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.LimitMS) * time.Millisecond,
-			Path: prefix + "poison", Resume: -1, Body: poisonBody,
+			Path: prefix + "poison", LastEventID: -1, Body: poisonBody,
 		}
 		if r.streams() {
 			call.Model, call.PromptTokens, call.MaxTokens = model, 100, 5*eventsPerStream
@@ -120,7 +120,7 @@
 	c.count++
 	call := platformtest.Call{
 		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.LimitMS) * time.Millisecond,
-		Resume: -1, Body: fmt.Sprintf("body of %s-%d", c.name, c.count),
+		LastEventID: -1, Body: fmt.Sprintf("body of %s-%d", c.name, c.count),
 	}
 	call.Path = r.Prefix + call.AttemptID
 	if r.streams() {
