--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -240,7 +240,7 @@
 }
 
 // ask sends a request with a body to an entry. Each has an id of its own.
-func (s *site) ask(entry int, prefix, content string) platformtest.Answered {
+func (s *site) ask(entry int, prefix, content string) platformtest.Response {
 	attempts.Lock()
 	attempts.last++
 	id := fmt.Sprintf("try-%d", attempts.last)
@@ -254,7 +254,7 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 4 * time.Second}
 	resp, err := client.Do(req)
 	if err != nil {
-		return platformtest.Answered{}
+		return platformtest.Response{}
 	}
 	return platformtest.ReadAnswer(resp)
 }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -20,7 +20,7 @@
 	sent, ended time.Duration
 	// err tells that the connection ended without an answer.
 	err    error
-	answer platformtest.Answered
+	answer platformtest.Response
 }
 
 // load is an order that an engine took.
