--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -93,8 +93,8 @@
 func (c *check) success(o *outcome) {
 	a := &o.answer
 	id := o.call.AttemptID
-	if !a.Signed || a.Attempt != id {
-		c.broken("MIXED", o.ended, "%s got a success for %q, signed %t", id, a.Attempt, a.Signed)
+	if !a.Signed || a.AttemptID != id {
+		c.broken("MIXED", o.ended, "%s got a success for %q, signed %t", id, a.AttemptID, a.Signed)
 	}
 	if !o.route.streams() {
 		if a.Complete && a.Body != platformtest.Answer(id) {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -37,7 +37,7 @@
 	f.outcome = outcome{
 		route: r, sent: 20 * time.Second, ended: 21 * time.Second,
 		call:   platformtest.Call{AttemptID: "a1", Path: prefix + "a1", Body: "b", Timeout: time.Duration(r.LimitMS) * time.Millisecond, LastEventID: -1},
-		answer: platformtest.Response{Status: 200, Signed: true, Attempt: "a1", Body: platformtest.Answer("a1"), Complete: true},
+		answer: platformtest.Response{Status: 200, Signed: true, AttemptID: "a1", Body: platformtest.Answer("a1"), Complete: true},
 	}
 	if r.streams() {
 		f.outcome.answer.Body = ""
