--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -256,7 +256,7 @@
 	if err != nil {
 		return platformtest.Response{}
 	}
-	return platformtest.ReadAnswer(resp)
+	return platformtest.ReadResponse(resp)
 }
 
 // ran returns the runs of requests with a body, in order.
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -146,7 +146,7 @@
 	req.GetBody = nil
 	resp, err := c.client.Do(req)
 	if err == nil {
-		o.answer = platformtest.ReadAnswer(resp)
+		o.answer = platformtest.ReadResponse(resp)
 	}
 	o.err, o.ended = err, c.world.ledger.now()
 	c.world.ledger.end(o)
