--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -104,8 +104,8 @@
 	}
 	first := o.call.LastEventID + 1
 	for i, e := range a.Events {
-		if e.Number != first+i || e.Data != platformtest.EventData(id, first+i) {
-			c.broken("ORDER", o.ended, "%s got event %d %q in place of %d", id, e.Number, e.Data, first+i)
+		if e.ID != first+i || e.Data != platformtest.EventData(id, first+i) {
+			c.broken("ORDER", o.ended, "%s got event %d %q in place of %d", id, e.ID, e.Data, first+i)
 			return
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -42,7 +42,7 @@
 	if r.streams() {
 		f.outcome.answer.Body = ""
 		for i := range eventsPerStream {
-			f.outcome.answer.Events = append(f.outcome.answer.Events, platformtest.Event{Number: i, Data: platformtest.EventData("a1", i)})
+			f.outcome.answer.Events = append(f.outcome.answer.Events, platformtest.Event{ID: i, Data: platformtest.EventData("a1", i)})
 		}
 	}
 	f.run = platformtest.Run{AttemptID: "a1", Server: "x-1", Service: r.Service, Team: team, Target: prefix + "a1", Body: "b", LastEventID: -1, StartedAt: l.started.Add(20 * time.Second)}
