--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -97,7 +97,7 @@
 		c.broken("MIXED", o.ended, "%s got a success for %q, signed %t", id, a.AttemptID, a.Signed)
 	}
 	if !o.route.streams() {
-		if a.Complete && a.Body != platformtest.Answer(id) {
+		if a.Complete && a.Body != platformtest.ResponseBody(id) {
 			c.broken("MIXED", o.ended, "%s got %q", id, a.Body)
 		}
 		return
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -37,7 +37,7 @@
 	f.outcome = outcome{
 		route: r, sent: 20 * time.Second, ended: 21 * time.Second,
 		call:   platformtest.Call{AttemptID: "a1", Path: prefix + "a1", Body: "b", Timeout: time.Duration(r.LimitMS) * time.Millisecond, LastEventID: -1},
-		answer: platformtest.Response{Status: 200, Signed: true, AttemptID: "a1", Body: platformtest.Answer("a1"), Complete: true},
+		answer: platformtest.Response{Status: 200, Signed: true, AttemptID: "a1", Body: platformtest.ResponseBody("a1"), Complete: true},
 	}
 	if r.streams() {
 		f.outcome.answer.Body = ""
@@ -92,7 +92,7 @@
 		Entry("refused and run", "REFUSED", "/order/", func(f *fixture) { f.outcome.answer.Status = 503 }, 0),
 		Entry("denied", "DENIED", "/order/", func(f *fixture) { f.outcome.answer.Status = 404 }, 0),
 		Entry("unsigned", "MIXED", "/order/", func(f *fixture) { f.outcome.answer.Signed = false }, 0),
-		Entry("other answer", "MIXED", "/status/", func(f *fixture) { f.outcome.answer.Body = platformtest.Answer("a2") }, 0),
+		Entry("other answer", "MIXED", "/status/", func(f *fixture) { f.outcome.answer.Body = platformtest.ResponseBody("a2") }, 0),
 		Entry("event missing", "ORDER", "/resumed/", func(f *fixture) {
 			f.outcome.answer.Events = append(f.outcome.answer.Events[:3:3], f.outcome.answer.Events[4:]...)
 		}, 0),
