--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -138,7 +138,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(origin.Close)
 	s.store.Declare(platformtest.LiveConfig{
-		Version: 1, Routes: siteRoutes, Engines: "engines", Slots: siteSlots, Weights: siteWeights,
+		Version: 1, Routes: siteRoutes, EngineService: "engines", Slots: siteSlots, Weights: siteWeights,
 		Origin: s.address(1, 0, 9000), OriginMbps: 100, Plain: []string{"desk"}, Team: "carvers", Key: siteKey,
 	})
 	for i := range engines {
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -109,7 +109,7 @@
 // declaration is a version of the configuration.
 func declaration(version int, origin string) platformtest.LiveConfig {
 	d := platformtest.LiveConfig{
-		Version: version, Engines: enginesService, Slots: engineSlots, Weights: weights, Origin: origin, OriginMbps: originMbps,
+		Version: version, EngineService: enginesService, Slots: engineSlots, Weights: weights, Origin: origin, OriginMbps: originMbps,
 		Plain: plainServices, Team: team, Key: key,
 	}
 	for _, r := range routes {
