--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -139,7 +139,7 @@
 	DeferCleanup(origin.Close)
 	s.store.Declare(platformtest.LiveConfig{
 		Version: 1, Routes: siteRoutes, EngineService: "engines", Slots: siteSlots, Weights: siteWeights,
-		Origin: s.address(1, 0, 9000), OriginMbps: 100, PlainServices: []string{"desk"}, Team: "carvers", Key: siteKey,
+		Origin: s.address(1, 0, 9000), OriginMbps: 100, PlainServices: []string{"desk"}, Team: "carvers", APIKey: siteKey,
 	})
 	for i := range engines {
 		s.startBackend(platformtest.BackendConfig{
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -110,7 +110,7 @@
 func declaration(version int, origin string) platformtest.LiveConfig {
 	d := platformtest.LiveConfig{
 		Version: version, EngineService: enginesService, Slots: engineSlots, Weights: weights, Origin: origin, OriginMbps: originMbps,
-		PlainServices: plainServices, Team: team, Key: key,
+		PlainServices: plainServices, Team: team, APIKey: key,
 	}
 	for _, r := range routes {
 		if r.Prefix == movingPrefix {
