--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -137,7 +137,7 @@
 	origin, err := platformtest.NewOrigin(s.address(1, 0, 9000), siteWeights, 1)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(origin.Close)
-	s.store.Declare(platformtest.LiveConfig{
+	s.store.PutLiveConfig(platformtest.LiveConfig{
 		Version: 1, Routes: siteRoutes, EngineService: "engines", Slots: siteSlots, Weights: siteWeights,
 		Origin: s.address(1, 0, 9000), OriginMbps: 100, PlainServices: []string{"desk"}, Team: "carvers", APIKey: siteKey,
 	})
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -62,7 +62,7 @@
 	if w.originLink, err = w.link(address(w.slot, groupOrigin, 0, serverPort), behind); err != nil {
 		return err
 	}
-	w.store.Declare(declaration(w.config, address(w.slot, groupOrigin, 0, serverPort)))
+	w.store.PutLiveConfig(declaration(w.config, address(w.slot, groupOrigin, 0, serverPort)))
 	w.ledger.configs = append(w.ledger.configs, declared{version: w.config})
 	return nil
 }
@@ -222,7 +222,7 @@
 		w.origin.Spoil(0)
 	case ChangeConfig:
 		w.config++
-		w.store.Declare(declaration(w.config, address(w.slot, groupOrigin, 0, serverPort)))
+		w.store.PutLiveConfig(declaration(w.config, address(w.slot, groupOrigin, 0, serverPort)))
 		w.ledger.note(func(l *ledger, now time.Duration) { l.configs = append(l.configs, declared{w.config, now}) })
 	case DeclareWeight:
 		w.version++
