--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -226,7 +226,7 @@
 		w.ledger.note(func(l *ledger, now time.Duration) { l.configs = append(l.configs, declared{w.config, now}) })
 	case DeclareWeight:
 		w.version++
-		w.store.Want(model, w.version)
+		w.store.PutTargetVersion(model, w.version)
 		w.ledger.note(func(l *ledger, now time.Duration) { l.weights = append(l.weights, declared{w.version, now}) })
 	}
 }
