--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -202,7 +202,7 @@
 		Expect(e.order("/a/")).To(Equal(200))
 		Expect(e.ready()).To(Equal(200))
 		e.configure(2, route("/b/"))
-		e.store.Forget()
+		e.store.DropHistory()
 		e.store.Fail(0)
 		Eventually(func() int { return e.order("/b/") }, soon).Should(Equal(200))
 		Expect(e.logs.String()).To(ContainSubstring("event=7005"))
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -196,7 +196,7 @@
 		wait(ctx, s.For)
 		w.store.Lag(false)
 	case StoreForgets:
-		w.store.Forget()
+		w.store.DropHistory()
 	case CrashServer:
 		w.crash(ctx, pick(w.backends, s.Target), s.For)
 	case TroubleServer:
