--- a/internal/node/server_signals_test.go
+++ b/internal/node/server_signals_test.go
@@ -37,7 +37,7 @@
 		// Guards against entries that go on sending to a server whose row they cannot read.
 		func(network int, prefix string, server int) {
 			s := newSite(network, 4, 4, 6)
-			s.store.Fail(http.StatusServiceUnavailable)
+			s.store.FailWith(http.StatusServiceUnavailable)
 			id := s.backends[server].SignalDraining()
 			Eventually(func() int {
 				spread(s, prefix)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -188,9 +188,9 @@
 	case OriginLink:
 		w.faultLink(ctx, w.originLink, s)
 	case StoreDown:
-		w.store.Fail(503)
+		w.store.FailWith(503)
 		wait(ctx, s.For)
-		w.store.Fail(0)
+		w.store.FailWith(0)
 	case StoreStale:
 		w.store.Lag(true)
 		wait(ctx, s.For)
