--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -192,9 +192,9 @@
 		wait(ctx, s.For)
 		w.store.FailWith(0)
 	case StoreStale:
-		w.store.Lag(true)
+		w.store.ServeStale(true)
 		wait(ctx, s.For)
-		w.store.Lag(false)
+		w.store.ServeStale(false)
 	case StoreForgets:
 		w.store.DropHistory()
 	case CrashServer:
