--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -35,9 +35,9 @@
 	siteRegions = map[string]string{"north": "n", "south": "s"}
 	siteDomains = []string{"north", "south"}
 	siteRoutes  = []platformtest.Route{
-		{Host: siteHost, Prefix: "/status/", Kind: "idempotent", Service: "desk", LimitMS: 3000, TargetMS: 500, MaxServers: 2},
-		{Host: siteHost, Prefix: "/order/", Kind: "non_idempotent", Service: "desk", LimitMS: 3000, TargetMS: 500, MaxServers: 2},
-		{Host: siteHost, Prefix: "/draft/", Kind: "streaming", Service: "engines", LimitMS: 3000, TargetMS: 500, MaxServers: 2, Resumable: true},
+		{Host: siteHost, Prefix: "/status/", Kind: "idempotent", Service: "desk", TimeoutMS: 3000, TargetMS: 500, MaxServers: 2},
+		{Host: siteHost, Prefix: "/order/", Kind: "non_idempotent", Service: "desk", TimeoutMS: 3000, TargetMS: 500, MaxServers: 2},
+		{Host: siteHost, Prefix: "/draft/", Kind: "streaming", Service: "engines", TimeoutMS: 3000, TargetMS: 500, MaxServers: 2, Resumable: true},
 	}
 )
 
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -82,7 +82,7 @@
 		}
 		c.count++
 		call := platformtest.Call{
-			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.LimitMS) * time.Millisecond,
+			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.TimeoutMS) * time.Millisecond,
 			Path: prefix + "poison", LastEventID: -1, Body: poisonBody,
 		}
 		if r.streams() {
@@ -119,7 +119,7 @@
 	r := c.drawRoute()
 	c.count++
 	call := platformtest.Call{
-		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.LimitMS) * time.Millisecond,
+		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.TimeoutMS) * time.Millisecond,
 		LastEventID: -1, Body: fmt.Sprintf("body of %s-%d", c.name, c.count),
 	}
 	call.Path = r.Prefix + call.AttemptID
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -36,7 +36,7 @@
 	f := &fixture{check: &check{ledger: l, busy: 10 * time.Second, end: time.Minute}}
 	f.outcome = outcome{
 		route: r, sent: 20 * time.Second, ended: 21 * time.Second,
-		call:   platformtest.Call{AttemptID: "a1", Path: prefix + "a1", Body: "b", Timeout: time.Duration(r.LimitMS) * time.Millisecond, LastEventID: -1},
+		call:   platformtest.Call{AttemptID: "a1", Path: prefix + "a1", Body: "b", Timeout: time.Duration(r.TimeoutMS) * time.Millisecond, LastEventID: -1},
 		answer: platformtest.Response{Status: 200, Signed: true, AttemptID: "a1", Body: platformtest.ResponseBody("a1"), Complete: true},
 	}
 	if r.streams() {
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -99,11 +99,11 @@
 }
 
 var routes = []route{
-	{platformtest.Route{Host: host, Prefix: "/resumed/", Kind: "streaming", Service: enginesService, LimitMS: 4000, TargetMS: 500, MaxServers: 2, Resumable: true}, 0.35},
-	{platformtest.Route{Host: host, Prefix: "/once/", Kind: "streaming", Service: enginesService, LimitMS: 4000, TargetMS: 500, MaxServers: 2}, 0.15},
-	{platformtest.Route{Host: host, Prefix: "/order/", Kind: "non_idempotent", Service: plainServices[0], LimitMS: 1500, TargetMS: 150, MaxServers: 2}, 0.2},
-	{platformtest.Route{Host: host, Prefix: "/status/", Kind: "idempotent", Service: plainServices[1], LimitMS: 1500, TargetMS: 150, MaxServers: 2}, 0.15},
-	{platformtest.Route{Host: host, Prefix: movingPrefix, Kind: "idempotent", LimitMS: 1500, TargetMS: 150, MaxServers: 2}, 0.15},
+	{platformtest.Route{Host: host, Prefix: "/resumed/", Kind: "streaming", Service: enginesService, TimeoutMS: 4000, TargetMS: 500, MaxServers: 2, Resumable: true}, 0.35},
+	{platformtest.Route{Host: host, Prefix: "/once/", Kind: "streaming", Service: enginesService, TimeoutMS: 4000, TargetMS: 500, MaxServers: 2}, 0.15},
+	{platformtest.Route{Host: host, Prefix: "/order/", Kind: "non_idempotent", Service: plainServices[0], TimeoutMS: 1500, TargetMS: 150, MaxServers: 2}, 0.2},
+	{platformtest.Route{Host: host, Prefix: "/status/", Kind: "idempotent", Service: plainServices[1], TimeoutMS: 1500, TargetMS: 150, MaxServers: 2}, 0.15},
+	{platformtest.Route{Host: host, Prefix: movingPrefix, Kind: "idempotent", TimeoutMS: 1500, TargetMS: 150, MaxServers: 2}, 0.15},
 }
 
 // declaration is a version of the configuration.
