--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -203,7 +203,7 @@
 }
 
 func (s *site) startEntry(i int) *siteEntry {
-	settings := s.settings(platformtest.Instance{Name: fmt.Sprintf("entry-%d", i), IP: s.ip(4, i), CallerPort: 8005, Ready: 8002}, i)
+	settings := s.settings(platformtest.Instance{Name: fmt.Sprintf("entry-%d", i), IP: s.ip(4, i), CallerPort: 8005, ReadyPort: 8002}, i)
 	stop, ended := s.run(RunGateway, settings)
 	return &siteEntry{settings: settings, stop: stop, ended: ended}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -111,7 +111,7 @@
 	for i := range entryCount {
 		instance := platformtest.Instance{
 			Name: fmt.Sprintf("entry-%d", i), IP: ip(w.slot, groupEntry, i), Domain: domains[i%len(domains)],
-			CallerPort: callersPort, Ready: readyPort,
+			CallerPort: callersPort, ReadyPort: readyPort,
 		}
 		p, err := w.startDaemon(dir, b.Gateway, instance)
 		if err != nil {
