--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -198,7 +198,7 @@
 
 func (s *site) startAgent(i int) {
 	s.run(RunReplica, s.settings(platformtest.Instance{
-		Name: fmt.Sprintf("agent-%d", i), IP: s.ip(2, i), Engine: s.address(2, i, 9000), EngineService: "engines",
+		Name: fmt.Sprintf("agent-%d", i), IP: s.ip(2, i), EngineAddress: s.address(2, i, 9000), EngineService: "engines",
 	}, i))
 }
 
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -122,7 +122,7 @@
 	for i := range engineCount {
 		instance := platformtest.Instance{
 			Name: fmt.Sprintf("agent-%d", i), IP: ip(w.slot, groupEngine, i), Domain: domains[i/2%len(domains)],
-			Engine: address(w.slot, groupEngine, i, serverPort), EngineService: enginesService,
+			EngineAddress: address(w.slot, groupEngine, i, serverPort), EngineService: enginesService,
 		}
 		p, err := w.startDaemon(dir, b.Replica, instance)
 		if err != nil {
