--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -170,7 +170,7 @@
 
 func (s *site) settings(i platformtest.Instance, number int) *platform.Settings {
 	i.Domain = siteDomains[number%len(siteDomains)]
-	i.Region, i.Regions, i.FirstPort, i.Store = siteRegions[i.Domain], siteRegions, 7700, s.store.Address()
+	i.Region, i.Regions, i.FirstPort, i.StoreAddress = siteRegions[i.Domain], siteRegions, 7700, s.store.Address()
 	i.Bounds = platformtest.Bounds{
 		DrainMS: 1000, StopMS: 4000, ConfigMS: 2000, StableMS: int(siteStall.Milliseconds()), VersionMS: 4000,
 		RetryRatio: 0.2, RetrySlack: 100, RetryWindowS: 10,
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -134,12 +134,12 @@
 }
 
 func (w *world) startDaemon(dir, binary string, i platformtest.Instance) (*process, error) {
-	i.Store = address(w.slot, groupStore, len(w.storeLinks), storePort)
+	i.StoreAddress = address(w.slot, groupStore, len(w.storeLinks), storePort)
 	i.Region, i.Regions, i.FirstPort, i.Bounds = regions[i.Domain], regions, peerPort, bounds.Bounds
 	if w.relayed {
 		i.Bounds.StableMS = relayedStableMS
 	}
-	link, err := w.link(i.Store, w.store.Address())
+	link, err := w.link(i.StoreAddress, w.store.Address())
 	if err != nil {
 		return nil, err
 	}
