--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -217,9 +217,9 @@
 		pick(w.backends[:engineCount], s.Target).CorruptStagedPiece(s.Target % weights.Pieces)
 		w.ledger.note(func(l *ledger, now time.Duration) { l.rotten = append(l.rotten, now) })
 	case SpoilPieces:
-		w.origin.Spoil(0.2)
+		w.origin.SetCorruptShare(0.2)
 		wait(ctx, s.For)
-		w.origin.Spoil(0)
+		w.origin.SetCorruptShare(0)
 	case ChangeConfig:
 		w.config++
 		w.store.PutLiveConfig(declaration(w.config, address(w.slot, groupOrigin, 0, serverPort)))
