--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -222,7 +222,7 @@
 		// Guards against answers that are cut by planned work.
 		e := startEntry()
 		release := make(chan struct{})
-		s := platformtest.NewServer("desk-1", func(s *platformtest.Server, conn net.Conn, r *platformtest.Received) {
+		s := platformtest.NewServer("desk-1", func(s *platformtest.Server, conn net.Conn, r *platformtest.Request) {
 			<-release
 			platformtest.Whole(200, "done")(s, conn, r)
 		})
@@ -246,7 +246,7 @@
 	DescribeTable("logs lines that lead from a failed request's id to its cause",
 		// Guards against an on-call engineer who has an id and finds no cause: the
 		// server, what ended the attempt, and why nothing else could be done.
-		func(kind string, answer func(*platformtest.Server, net.Conn, *platformtest.Received), expected ...string) {
+		func(kind string, answer func(*platformtest.Server, net.Conn, *platformtest.Request), expected ...string) {
 			e := startEntry()
 			s := platformtest.NewServer("desk-1", answer)
 			DeferCleanup(s.Close)
