--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -235,7 +235,7 @@
 			defer GinkgoRecover()
 			answered <- e.order("/a/")
 		}()
-		Eventually(s.Received, soon).Should(HaveLen(1))
+		Eventually(s.Requests, soon).Should(HaveLen(1))
 		e.stop()
 		Eventually(e.ready, soon).Should(Equal(503))
 		close(release)
