--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -161,7 +161,7 @@
 var _ = Describe("RunGateway", func() {
 	const soon = 5 * time.Second
 	desk := func() *platformtest.Server {
-		s := platformtest.NewServer("desk-1", platformtest.Whole(200, "done"))
+		s := platformtest.NewServer("desk-1", platformtest.RespondWith(200, "done"))
 		DeferCleanup(s.Close)
 		return s
 	}
@@ -224,7 +224,7 @@
 		release := make(chan struct{})
 		s := platformtest.NewServer("desk-1", func(s *platformtest.Server, conn net.Conn, r *platformtest.Request) {
 			<-release
-			platformtest.Whole(200, "done")(s, conn, r)
+			platformtest.RespondWith(200, "done")(s, conn, r)
 		})
 		DeferCleanup(s.Close)
 		e.register(s, "ready")
