--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -264,7 +264,7 @@
 		},
 		Entry("outcome unknown", "non_idempotent", platformtest.Reset,
 			`event=7201 .*request=id-7 outcome=unknown reason="no answer" status=502 .*server=desk-1 attempts=1 .*limit_ms=3000`),
-		Entry("cut in mid-stream", "streaming", platformtest.Events(0, 3, false),
+		Entry("cut in mid-stream", "streaming", platformtest.RespondEvents(0, 3, false),
 			`event=7201 .*request=id-7 outcome=broken reason="stream broken off" status=200 .*server=desk-1 attempts=1 .*events=4`),
 		Entry("refused by the server", "non_idempotent", platformtest.RespondNotExecuted,
 			`event=7202 .*request=id-7 server=desk-1 reason="rejected by the server"|outcome=refused reason="rejected by the server"`),
