--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -262,7 +262,7 @@
 				Expect(e.logs.String()).To(MatchRegexp(pattern))
 			}
 		},
-		Entry("outcome unknown", "non_idempotent", platformtest.Reset,
+		Entry("outcome unknown", "non_idempotent", platformtest.ResetConnection,
 			`event=7201 .*request=id-7 outcome=unknown reason="no answer" status=502 .*server=desk-1 attempts=1 .*limit_ms=3000`),
 		Entry("cut in mid-stream", "streaming", platformtest.RespondEvents(0, 3, false),
 			`event=7201 .*request=id-7 outcome=broken reason="stream broken off" status=200 .*server=desk-1 attempts=1 .*events=4`),
