--- a/lib/wire/codec.go
+++ b/lib/wire/codec.go
@@ -13,8 +13,8 @@
 	"github.com/auburnbend/auburnbend/lib/msgstream"
 )
 
-// MaxFrame bounds a frame in bytes: one chunk and its envelope.
-const MaxFrame = 4<<20 + 64<<10
+// MaxFrameBytes bounds a frame in bytes: one chunk and its envelope.
+const MaxFrameBytes = 4<<20 + 64<<10
 
 // headerSize is the length field and the type byte.
 const headerSize = 5
@@ -25,8 +25,8 @@
 	if err != nil {
 		return buf, merry.Wrap(err)
 	}
-	if len(body) > MaxFrame {
-		return buf, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("type %d has %d bytes, allowed are %d", m.Type(), len(body), MaxFrame))
+	if len(body) > MaxFrameBytes {
+		return buf, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("type %d has %d bytes, allowed are %d", m.Type(), len(body), MaxFrameBytes))
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(body)))
 	buf = append(buf, byte(m.Type()))
@@ -41,8 +41,8 @@
 		return nil, err
 	}
 	size := binary.BigEndian.Uint32(header[:4])
-	if size > MaxFrame {
-		return nil, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("type %d claims %d bytes, allowed are %d", header[4], size, MaxFrame))
+	if size > MaxFrameBytes {
+		return nil, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("type %d claims %d bytes, allowed are %d", header[4], size, MaxFrameBytes))
 	}
 	m := newMessage(Type(header[4]))
 	if m == nil {
--- a/lib/wire/codec_test.go
+++ b/lib/wire/codec_test.go
@@ -25,13 +25,13 @@
 			_, err := wire.Read(bufio.NewReader(bytes.NewReader(input)))
 			Expect(err).To(MatchError(want))
 		},
-		Entry("length over the limit", frame(wire.MaxFrame+1, byte(wire.TypeHello), nil), wire.ErrFrameTooLarge),
+		Entry("length over the limit", frame(wire.MaxFrameBytes+1, byte(wire.TypeHello), nil), wire.ErrFrameTooLarge),
 		Entry("unknown type", frame(0, 250, nil), wire.ErrUnknownType),
 		Entry("body that is not msgpack", frame(3, byte(wire.TypeHello), []byte{0xc1, 0xc1, 0xc1}), wire.ErrMalformed),
 	)
 
 	It("refuses to send a message over the limit", func() {
-		_, err := wire.Append(nil, &wire.ChunkData{Data: make([]byte, wire.MaxFrame)})
+		_, err := wire.Append(nil, &wire.ChunkData{Data: make([]byte, wire.MaxFrameBytes)})
 		Expect(err).To(MatchError(wire.ErrFrameTooLarge))
 	})
 
