--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -89,7 +89,7 @@
 	c.window.add(now, start.Attempt, false, outcome.ReasonNone)
 	c.records[start.Attempt] = &record{
 		attempt:    start.Attempt,
-		finger:     start.Finger,
+		finger:     start.Fingerprint,
 		repeatable: start.Repeatable,
 		suspect:    start.Suspect,
 		deadline:   now.Add(time.Duration(start.Remaining) * time.Millisecond),
@@ -108,7 +108,7 @@
 		return outcome.ReasonDraining, 0
 	case c.switching || !slices.Contains(c.live, start.Weights):
 		return outcome.ReasonWeightsMismatch, 0
-	case c.quarantine != nil && c.quarantine.Quarantined(now, start.Finger):
+	case c.quarantine != nil && c.quarantine.Quarantined(now, start.Fingerprint):
 		return outcome.ReasonQuarantined, 0
 	case start.Suspect && c.runsSuspect():
 		// Entries may pick the same instance for two suspects at the same time.
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -19,7 +19,7 @@
 )
 
 func startOf(id model.AttemptID) *wire.RequestStart {
-	return &wire.RequestStart{Attempt: id, Weights: v1, Remaining: 60_000, Finger: model.FingerprintOf("t", "s", []byte(id))}
+	return &wire.RequestStart{Attempt: id, Weights: v1, Remaining: 60_000, Fingerprint: model.FingerprintOf("t", "s", []byte(id))}
 }
 
 type quarantineAll struct{}
@@ -137,8 +137,8 @@
 		c.Admit(now, startOf("a"))
 		c.Admit(now, startOf("b"))
 		c.End(now, "a", outcome.Unknown, outcome.ReasonBackendCrashed, 0, "")
-		Expect(c.Crash(now, 3).InFlight).To(ConsistOf(startOf("a").Finger, startOf("b").Finger))
-		Expect(c.Crash(now, 4).InFlight).To(Equal([]model.Fingerprint{startOf("b").Finger}))
+		Expect(c.Crash(now, 3).InFlight).To(ConsistOf(startOf("a").Fingerprint, startOf("b").Fingerprint))
+		Expect(c.Crash(now, 4).InFlight).To(Equal([]model.Fingerprint{startOf("b").Fingerprint}))
 	})
 })
 
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -222,7 +222,7 @@
 		Class:          r.request.Class.Name,
 		Service:        r.request.Service.Name,
 		Weights:        r.slot.Weights,
-		Finger:         r.fingerprint,
+		Fingerprint:    r.fingerprint,
 		Suspect:        r.slot.Suspect,
 		Remaining:      r.machine.Remaining(now).Milliseconds(),
 		Hop:            hop,
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -193,7 +193,7 @@
 	}
 	var contents []model.Fingerprint
 	for _, s := range fresh.Suspects {
-		contents = append(contents, s.Finger)
+		contents = append(contents, s.Fingerprint)
 		for _, in := range s.Incidents {
 			if !in.Cleared {
 				g.suspects.attributor.RecordEnd(now, in.Instance, now.Add(-milliseconds(in.AgeMillis)))
--- a/lib/poison/monitor.go
+++ b/lib/poison/monitor.go
@@ -142,7 +142,7 @@
 	var changed []model.Fingerprint
 	for _, in := range update.Suspects {
 		if m.mergeSuspect(now, in) {
-			changed = append(changed, in.Finger)
+			changed = append(changed, in.Fingerprint)
 		}
 	}
 	return m.updateFor(now, changed)
@@ -155,9 +155,9 @@
 			continue
 		}
 		id := incidentID{incident.Instance, incident.Generation, incident.Incarnation}
-		changed = m.addCrash(now, in.Finger, id, first, incident.Cleared) || changed
+		changed = m.addCrash(now, in.Fingerprint, id, first, incident.Cleared) || changed
 	}
-	s, ok := m.suspects[in.Finger]
+	s, ok := m.suspects[in.Fingerprint]
 	if !ok {
 		return changed
 	}
--- a/lib/poison/update.go
+++ b/lib/poison/update.go
@@ -65,7 +65,7 @@
 }
 
 func (m *Monitor) encode(now time.Time, fingerprint model.Fingerprint, s *suspect) wire.Suspect {
-	out := wire.Suspect{Finger: fingerprint}
+	out := wire.Suspect{Fingerprint: fingerprint}
 	for id, in := range s.incidents {
 		out.Incidents = append(out.Incidents, wire.Incident{
 			Instance: id.instance, Generation: id.generation, Incarnation: id.incarnation,
--- a/peerlink/gossip_test.go
+++ b/peerlink/gossip_test.go
@@ -23,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		gossip := &peerlink.Gossip{Forward: rapid.Bool().Draw(t, "forward")}
 		for i := range rapid.IntRange(0, 40).Draw(t, "suspects") {
-			s := wire.Suspect{Finger: model.FingerprintOf("t", "s", []byte(fmt.Sprint(i)))}
+			s := wire.Suspect{Fingerprint: model.FingerprintOf("t", "s", []byte(fmt.Sprint(i)))}
 			for j := range rapid.IntRange(0, 16).Draw(t, "incidents") {
 				s.Incidents = append(s.Incidents, wire.Incident{Instance: model.InstanceID(fmt.Sprintf("i-%08d/%d", j, 1796383521361+j)), AgeMillis: 600_000})
 			}
