--- a/agent/engine_server.go
+++ b/agent/engine_server.go
@@ -64,7 +64,7 @@
 		Weights:         start.Weights,
 		Priority:        start.Priority,
 		Prefix:          engine.PrefixOf(start.Body),
-		RemainingMillis: start.Remaining,
+		RemainingMillis: start.RemainingMillis,
 		Body:            start.Body,
 	})
 	if err != nil {
--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -92,7 +92,7 @@
 		finger:     start.Fingerprint,
 		repeatable: start.Repeatable,
 		suspect:    start.Suspect,
-		deadline:   now.Add(time.Duration(start.Remaining) * time.Millisecond),
+		deadline:   now.Add(time.Duration(start.RemainingMillis) * time.Millisecond),
 		hash:       blake3.New(),
 		running:    true,
 	}
@@ -102,7 +102,7 @@
 
 func (c *Core) check(now time.Time, start *wire.RequestStart) (outcome.Reason, time.Duration) {
 	switch {
-	case start.Remaining <= 0:
+	case start.RemainingMillis <= 0:
 		return outcome.ReasonDeadline, 0
 	case c.draining:
 		return outcome.ReasonDraining, 0
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -19,7 +19,7 @@
 )
 
 func startOf(id model.AttemptID) *wire.RequestStart {
-	return &wire.RequestStart{Attempt: id, Weights: v1, Remaining: 60_000, Fingerprint: model.FingerprintOf("t", "s", []byte(id))}
+	return &wire.RequestStart{Attempt: id, Weights: v1, RemainingMillis: 60_000, Fingerprint: model.FingerprintOf("t", "s", []byte(id))}
 }
 
 type quarantineAll struct{}
@@ -45,7 +45,7 @@
 		other.Weights = v2
 		Expect(reason(c.Admit(now, other))).To(Equal(outcome.ReasonWeightsMismatch))
 		late := startOf("b")
-		late.Remaining = 0
+		late.RemainingMillis = 0
 		Expect(reason(c.Admit(now, late))).To(Equal(outcome.ReasonDeadline))
 		for _, id := range []model.AttemptID{"c", "d"} {
 			Expect(c.Admit(now, startOf(id)).Decision).To(Equal(Admit))
--- a/agent/plain_server.go
+++ b/agent/plain_server.go
@@ -28,7 +28,7 @@
 		Service:         start.Service,
 		IdempotencyKey:  start.IdempotencyKey,
 		ContentType:     start.ContentType,
-		RemainingMillis: start.Remaining,
+		RemainingMillis: start.RemainingMillis,
 		Body:            start.Body,
 	})
 	if err != nil {
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -216,21 +216,21 @@
 		return step
 	}
 	inbox, err := r.slot.Link.Start(&wire.RequestStart{
-		Request:        r.request.ID,
-		Attempt:        r.attempt,
-		Tenant:         r.request.Tenant.Name,
-		Class:          r.request.Class.Name,
-		Service:        r.request.Service.Name,
-		Weights:        r.slot.Weights,
-		Fingerprint:    r.fingerprint,
-		Suspect:        r.slot.Suspect,
-		Remaining:      r.machine.Remaining(now).Milliseconds(),
-		Hop:            hop,
-		Priority:       r.request.Class.Priority,
-		Repeatable:     r.request.Service.Repeatable,
-		ContentType:    r.request.ContentType,
-		IdempotencyKey: r.request.IdempotencyKey,
-		Body:           r.request.Body,
+		Request:         r.request.ID,
+		Attempt:         r.attempt,
+		Tenant:          r.request.Tenant.Name,
+		Class:           r.request.Class.Name,
+		Service:         r.request.Service.Name,
+		Weights:         r.slot.Weights,
+		Fingerprint:     r.fingerprint,
+		Suspect:         r.slot.Suspect,
+		RemainingMillis: r.machine.Remaining(now).Milliseconds(),
+		Hop:             hop,
+		Priority:        r.request.Class.Priority,
+		Repeatable:      r.request.Service.Repeatable,
+		ContentType:     r.request.ContentType,
+		IdempotencyKey:  r.request.IdempotencyKey,
+		Body:            r.request.Body,
 	})
 	if err != nil {
 		// Start returns an error only if nothing was sent.
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -127,7 +127,7 @@
 	}
 	e.w.connection(e, a).sendToAgent(&wire.RequestStart{
 		Attempt: id, Weights: weights, Repeatable: l.ask.kind.repeatable, Body: []byte(l.ask.body),
-		Remaining: l.machine.Remaining(e.w.now).Milliseconds(), Hop: l.machine.Hop(),
+		RemainingMillis: l.machine.Remaining(e.w.now).Milliseconds(), Hop: l.machine.Hop(),
 	})
 }
 
--- a/lib/wire/request_start.go
+++ b/lib/wire/request_start.go
@@ -6,16 +6,16 @@
 
 // RequestStart hands one attempt of a request to an agent.
 type RequestStart struct {
-	Request     model.RequestID   `msgpack:"r"`
-	Attempt     model.AttemptID   `msgpack:"a"`
-	Tenant      model.Tenant      `msgpack:"t"`
-	Class       model.Class       `msgpack:"c"`
-	Service     model.Service     `msgpack:"s"`
-	Weights     model.Weights     `msgpack:"w"`
-	Fingerprint model.Fingerprint `msgpack:"f"`
-	Remaining   int64             `msgpack:"d"` // milliseconds until the deadline
-	Hop         int               `msgpack:"h"`
-	Priority    int               `msgpack:"p"`
+	Request         model.RequestID   `msgpack:"r"`
+	Attempt         model.AttemptID   `msgpack:"a"`
+	Tenant          model.Tenant      `msgpack:"t"`
+	Class           model.Class       `msgpack:"c"`
+	Service         model.Service     `msgpack:"s"`
+	Weights         model.Weights     `msgpack:"w"`
+	Fingerprint     model.Fingerprint `msgpack:"f"`
+	RemainingMillis int64             `msgpack:"d"` // milliseconds until the deadline
+	Hop             int               `msgpack:"h"`
+	Priority        int               `msgpack:"p"`
 	// Repeatable allows the agent to start the request again on its backend
 	// server after a failure that may have run it.
 	Repeatable  bool   `msgpack:"e"`
