--- a/lib/wire/suspect_update.go
+++ b/lib/wire/suspect_update.go
@@ -6,8 +6,8 @@
 
 // Suspect counts the backend servers that died with a request in flight.
 type Suspect struct {
-	Fingerprint model.Fingerprint  `msgpack:"f"`
-	Crashes     []model.InstanceID `msgpack:"c"`
+	Fingerprint    model.Fingerprint  `msgpack:"f"`
+	CrashedServers []model.InstanceID `msgpack:"c"`
 	// Incidents are the same crashes one by one, so that updates merge in any
 	// order and a success clears exactly the crashes before it.
 	Incidents []Incident `msgpack:"i"`
