--- a/lib/poison/monitor.go
+++ b/lib/poison/monitor.go
@@ -168,7 +168,7 @@
 			continue
 		}
 		running := slices.Clone(r.Running)
-		s.runs[id] = &run{sequence: r.Sequence, intends: r.Intends, running: running, seen: now}
+		s.runs[id] = &run{sequence: r.Sequence, intends: r.Planned, running: running, seen: now}
 		changed = true
 	}
 	return changed
--- a/lib/poison/update.go
+++ b/lib/poison/update.go
@@ -75,14 +75,14 @@
 	for id, r := range s.runs {
 		out.Runs = append(out.Runs, wire.SuspectRun{
 			Entry: id.instance, Generation: id.generation, Sequence: r.sequence,
-			Intends: r.intends, Running: slices.Clone(r.running),
+			Planned: r.intends, Running: slices.Clone(r.running),
 		})
 	}
 	m.refreshOwn(now, fingerprint, s)
 	if s.ownRun.sequence > 0 {
 		out.Runs = append(out.Runs, wire.SuspectRun{
 			Entry: m.self.instance, Generation: m.self.generation, Sequence: s.ownRun.sequence,
-			Intends: s.ownRun.intends, Running: slices.Clone(s.ownRun.running),
+			Planned: s.ownRun.intends, Running: slices.Clone(s.ownRun.running),
 		})
 	}
 	return out
--- a/lib/wire/suspect_run.go
+++ b/lib/wire/suspect_run.go
@@ -10,6 +10,6 @@
 	Entry      model.InstanceID   `msgpack:"e"`
 	Generation model.Generation   `msgpack:"g"`
 	Sequence   uint64             `msgpack:"s"`
-	Intends    bool               `msgpack:"x"`
+	Planned    bool               `msgpack:"x"`
 	Running    []model.InstanceID `msgpack:"r"`
 }
