--- a/agent/transfer/ask.go
+++ b/agent/transfer/ask.go
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	if a, ok := m.(*wire.Announce); ok && a.Manifest == version {
-		return a.Have, nil
+		return a.ChunkBitmap, nil
 	}
 	return nil, errAbsent
 }
--- a/agent/transfer/seed.go
+++ b/agent/transfer/seed.go
@@ -67,7 +67,7 @@
 		case <-ticker.C:
 		}
 		if conn != nil {
-			_ = conn.TrySend(&wire.Announce{Manifest: t.digest, Sequence: 1, Have: s.cfg.Chunks.Have(t.parsed.manifest)})
+			_ = conn.TrySend(&wire.Announce{Manifest: t.digest, Sequence: 1, ChunkBitmap: s.cfg.Chunks.Have(t.parsed.manifest)})
 		}
 	}
 }
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -94,9 +94,9 @@
 	It("reassigns the chunk of an expired origin grant and accepts the late result", func() {
 		now := time.Unix(0, 0)
 		t := distribute.NewTracker(now, distribute.TrackerConfig{Manifest: manifest, OriginStreams: 1})
-		t.HandleAnnounce(now, agent("a"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
+		t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 1})
 		first := t.Schedule(now)[0].Assign.Assignments[0]
-		t.HandleAnnounce(now, agent("b"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 1})
+		t.HandleAnnounce(now, agent("b"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 1})
 		Expect(t.Schedule(now)).To(BeEmpty(), "the only origin stream is in use")
 
 		now = now.Add(6 * time.Second)
@@ -106,7 +106,7 @@
 
 		have := weights.NewBitmap(16)
 		have.Set(first.Chunk)
-		n := t.HandleAnnounce(now, agent("a"), &wire.Announce{Have: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
+		n := t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
 		Expect(n.OutdatedResults).To(BeNumerically(">=", 1))
 		Expect(n.FailedSources).To(BeEmpty(), "a failure of an expired grant is not counted against the source")
 	})
@@ -119,12 +119,12 @@
 		for i := range 16 {
 			full.Set(i)
 		}
-		t.HandleAnnounce(now, agent("bad"), &wire.Announce{Have: full})
-		t.HandleAnnounce(now, agent("good"), &wire.Announce{Have: full})
+		t.HandleAnnounce(now, agent("bad"), &wire.Announce{ChunkBitmap: full})
+		t.HandleAnnounce(now, agent("good"), &wire.Announce{ChunkBitmap: full})
 		var failed []wire.GrantFailure
 		fromBad := 0
 		for range 60 {
-			t.HandleAnnounce(now, agent("x"), &wire.Announce{Have: weights.NewBitmap(16), Slots: 2, Failed: failed})
+			t.HandleAnnounce(now, agent("x"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 2, Failed: failed})
 			failed, fromBad = nil, 0
 			for _, d := range t.Schedule(now) {
 				for _, a := range d.Assign.Assignments {
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -94,7 +94,7 @@
 	for _, f := range a.Failed {
 		t.grantFailed(now, p, f, &n)
 	}
-	t.updateBitmap(now, p, a.Have, &n)
+	t.updateBitmap(now, p, a.ChunkBitmap, &n)
 	// Slots counts beyond the assignments that the agent knew of when it sent
 	// the announcement; grants that crossed with it also count against the
 	// window.
--- a/lib/distribute/tracker_remote.go
+++ b/lib/distribute/tracker_remote.go
@@ -81,7 +81,7 @@
 		for i := range p.have {
 			covered[i] |= p.have[i]
 		}
-		s.Holders = append(s.Holders, wire.Holder{Address: p.address, Have: p.have.Clone()})
+		s.Holders = append(s.Holders, wire.Holder{Address: p.address, ChunkBitmap: p.have.Clone()})
 	}
 	return s
 }
@@ -118,7 +118,7 @@
 		if src == nil {
 			src = &source{address: h.Address}
 		}
-		src.have = h.Have
+		src.have = h.ChunkBitmap
 		holders = append(holders, src)
 	}
 	d.location, d.region, d.lastSeen, d.holders = s.Location, r, now, holders
--- a/lib/wire/announce.go
+++ b/lib/wire/announce.go
@@ -7,8 +7,8 @@
 // Announce tells a tracker what an agent holds of a manifest.
 type Announce struct {
 	Manifest model.Digest `msgpack:"m"`
-	// Have is a bitmap of verified chunks, least significant bit first.
-	Have []byte `msgpack:"h"`
+	// ChunkBitmap is a bitmap of verified chunks, least significant bit first.
+	ChunkBitmap []byte `msgpack:"h"`
 	// Failed lists grants that the agent gives up, with what went wrong.
 	Failed []GrantFailure `msgpack:"f"`
 	// Uploads is the number of chunks that the agent is sending now.
--- a/lib/wire/holder_summary.go
+++ b/lib/wire/holder_summary.go
@@ -15,8 +15,8 @@
 // Holder is one agent in a HolderSummary.
 type Holder struct {
 	Address string `msgpack:"a"`
-	// Have is a bitmap of verified chunks, least significant bit first.
-	Have []byte `msgpack:"h"`
+	// ChunkBitmap is a bitmap of verified chunks, least significant bit first.
+	ChunkBitmap []byte `msgpack:"h"`
 }
 
 // Type returns TypeHolderSummary.
