--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -106,7 +106,7 @@
 
 		have := weights.NewBitmap(16)
 		have.Set(first.Chunk)
-		n := t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: have, Failed: []wire.GrantFailure{{Grant: first.Grant}}})
+		n := t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: have, FailedGrants: []wire.GrantFailure{{Grant: first.Grant}}})
 		Expect(n.OutdatedResults).To(BeNumerically(">=", 1))
 		Expect(n.FailedSources).To(BeEmpty(), "a failure of an expired grant is not counted against the source")
 	})
@@ -124,7 +124,7 @@
 		var failed []wire.GrantFailure
 		fromBad := 0
 		for range 60 {
-			t.HandleAnnounce(now, agent("x"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 2, Failed: failed})
+			t.HandleAnnounce(now, agent("x"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 2, FailedGrants: failed})
 			failed, fromBad = nil, 0
 			for _, d := range t.Schedule(now) {
 				for _, a := range d.Assign.Assignments {
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -91,7 +91,7 @@
 	}
 	p.lastSeen = now
 	var n AnnounceReport
-	for _, f := range a.Failed {
+	for _, f := range a.FailedGrants {
 		t.grantFailed(now, p, f, &n)
 	}
 	t.updateBitmap(now, p, a.ChunkBitmap, &n)
--- a/lib/wire/announce.go
+++ b/lib/wire/announce.go
@@ -9,8 +9,8 @@
 	Manifest model.Digest `msgpack:"m"`
 	// ChunkBitmap is a bitmap of verified chunks, least significant bit first.
 	ChunkBitmap []byte `msgpack:"h"`
-	// Failed lists grants that the agent gives up, with what went wrong.
-	Failed []GrantFailure `msgpack:"f"`
+	// FailedGrants lists grants that the agent gives up, with what went wrong.
+	FailedGrants []GrantFailure `msgpack:"f"`
 	// Uploads is the number of chunks that the agent is sending now.
 	Uploads int `msgpack:"u"`
 	// Slots is the number of further chunks that the agent wants assigned.
