--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -35,7 +35,7 @@
 	case *wire.ManifestFetch:
 		return true, conn.Send(s.manifestReply(m.Manifest))
 	case *wire.Announce:
-		return true, conn.Send(&wire.Announce{Manifest: m.Manifest, ChunkBitmap: s.bitmap(m.Manifest), Uploads: len(s.uploadSlots)})
+		return true, conn.Send(&wire.Announce{Manifest: m.Manifest, ChunkBitmap: s.bitmap(m.Manifest), ActiveUploads: len(s.uploadSlots)})
 	default:
 		return false, nil
 	}
--- a/agent/transfer/step.go
+++ b/agent/transfer/step.go
@@ -29,7 +29,7 @@
 		r.service.queryPeer(address, r.target.digest, r.peerBitmaps)
 	}
 	if a.Announce != nil && r.conn != nil {
-		a.Announce.Uploads = len(r.service.uploadSlots)
+		a.Announce.ActiveUploads = len(r.service.uploadSlots)
 		_ = r.conn.TrySend(a.Announce) // the heartbeat repeats lost announcements
 	}
 	r.service.counters.chunks.Store(int64(len(r.target.parsed.manifest.Chunks)))
--- a/lib/wire/announce.go
+++ b/lib/wire/announce.go
@@ -11,8 +11,8 @@
 	ChunkBitmap []byte `msgpack:"h"`
 	// FailedGrants lists grants that the agent gives up, with what went wrong.
 	FailedGrants []GrantFailure `msgpack:"f"`
-	// Uploads is the number of chunks that the agent is sending now.
-	Uploads int `msgpack:"u"`
+	// ActiveUploads is the number of chunks that the agent is sending now.
+	ActiveUploads int `msgpack:"u"`
 	// Slots is the number of further chunks that the agent wants assigned.
 	Slots int `msgpack:"s"`
 	// Active is the number of assignments that the agent has not finished. The
