--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -121,7 +121,7 @@
 		Sequence:     d.sequence,
 	}
 	if d.missing > 0 {
-		a.Announce.Slots = max(d.cfg.Window+d.cfg.QueueDepth-unfinished, 0)
+		a.Announce.RequestedAssignments = max(d.cfg.Window+d.cfg.QueueDepth-unfinished, 0)
 	}
 	d.failedGrants, d.announceDue, d.lastAnnounce = nil, false, now
 }
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -94,9 +94,9 @@
 	It("reassigns the chunk of an expired origin grant and accepts the late result", func() {
 		now := time.Unix(0, 0)
 		t := distribute.NewTracker(now, distribute.TrackerConfig{Manifest: manifest, OriginStreams: 1})
-		t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 1})
+		t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), RequestedAssignments: 1})
 		first := t.Schedule(now)[0].Assign.Assignments[0]
-		t.HandleAnnounce(now, agent("b"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 1})
+		t.HandleAnnounce(now, agent("b"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), RequestedAssignments: 1})
 		Expect(t.Schedule(now)).To(BeEmpty(), "the only origin stream is in use")
 
 		now = now.Add(6 * time.Second)
@@ -124,7 +124,7 @@
 		var failed []wire.GrantFailure
 		fromBad := 0
 		for range 60 {
-			t.HandleAnnounce(now, agent("x"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), Slots: 2, FailedGrants: failed})
+			t.HandleAnnounce(now, agent("x"), &wire.Announce{ChunkBitmap: weights.NewBitmap(16), RequestedAssignments: 2, FailedGrants: failed})
 			failed, fromBad = nil, 0
 			for _, d := range t.Schedule(now) {
 				for _, a := range d.Assign.Assignments {
--- a/lib/wire/announce.go
+++ b/lib/wire/announce.go
@@ -13,8 +13,8 @@
 	FailedGrants []GrantFailure `msgpack:"f"`
 	// ActiveUploads is the number of chunks that the agent is sending now.
 	ActiveUploads int `msgpack:"u"`
-	// Slots is the number of further chunks that the agent wants assigned.
-	Slots int `msgpack:"s"`
+	// RequestedAssignments is the number of further chunks that the agent wants assigned.
+	RequestedAssignments int `msgpack:"s"`
 	// Active is the number of assignments that the agent has not finished. The
 	// tracker subtracts from Slots those that crossed with this message.
 	Active int `msgpack:"a"`
