--- a/lib/distribute/downloader_next.go
+++ b/lib/distribute/downloader_next.go
@@ -114,11 +114,11 @@
 		d.unansweredSince = now
 	}
 	a.Announce = &wire.Announce{
-		Manifest:     d.digest,
-		ChunkBitmap:  d.Have(),
-		FailedGrants: d.failedGrants,
-		Active:       unfinished,
-		Sequence:     d.sequence,
+		Manifest:          d.digest,
+		ChunkBitmap:       d.Have(),
+		FailedGrants:      d.failedGrants,
+		ActiveAssignments: unfinished,
+		Sequence:          d.sequence,
 	}
 	if d.missing > 0 {
 		a.Announce.RequestedAssignments = max(d.cfg.Window+d.cfg.QueueDepth-unfinished, 0)
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -98,7 +98,7 @@
 	// Slots counts beyond the assignments that the agent knew of when it sent
 	// the announcement; grants that crossed with it also count against the
 	// window.
-	p.window = a.RequestedAssignments + a.Active
+	p.window = a.RequestedAssignments + a.ActiveAssignments
 	return n
 }
 
--- a/lib/wire/announce.go
+++ b/lib/wire/announce.go
@@ -15,9 +15,9 @@
 	ActiveUploads int `msgpack:"u"`
 	// RequestedAssignments is the number of further chunks that the agent wants assigned.
 	RequestedAssignments int `msgpack:"s"`
-	// Active is the number of assignments that the agent has not finished. The
+	// ActiveAssignments is the number of assignments that the agent has not finished. The
 	// tracker subtracts from Slots those that crossed with this message.
-	Active int `msgpack:"a"`
+	ActiveAssignments int `msgpack:"a"`
 	// Sequence numbers the announcements on one connection from 1.
 	Sequence uint64 `msgpack:"q"`
 }
