--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -159,7 +159,7 @@
 	report := v.tracker.HandleAnnounce(now, c.identity, a)
 	s.logReport(c, report)
 	out := s.schedule(v)
-	reply := &wire.Assign{Manifest: a.Manifest, RetryMillis: v.tracker.RetryInterval().Milliseconds(), Sequence: c.sequence}
+	reply := &wire.Assign{Manifest: a.Manifest, ReannounceMillis: v.tracker.RetryInterval().Milliseconds(), Sequence: c.sequence}
 	i := slices.IndexFunc(out, func(o outgoing) bool { return o.to == c })
 	if i < 0 {
 		out = append(out, outgoing{c, reply})
--- a/lib/distribute/downloader.go
+++ b/lib/distribute/downloader.go
@@ -109,8 +109,8 @@
 	}
 	d.answeredSequence = a.Sequence
 	d.hasTracker = true
-	if a.RetryMillis > 0 {
-		d.retryInterval = time.Duration(a.RetryMillis) * time.Millisecond
+	if a.ReannounceMillis > 0 {
+		d.retryInterval = time.Duration(a.ReannounceMillis) * time.Millisecond
 	}
 	d.trackerless.addPeers(a.Peers, d.cfg.Self)
 	for _, assignment := range a.Assignments {
--- a/lib/distribute/sim_act_test.go
+++ b/lib/distribute/sim_act_test.go
@@ -39,7 +39,7 @@
 		tr := s.tracker(a.tracker, a.domain, a.target)
 		tr.HandleAnnounce(s.now, a.identity, next.Announce)
 		a.lastSequence = next.Announce.Sequence
-		s.deliver(a, &wire.Assign{Manifest: s.digests[a.target], RetryMillis: 250, Peers: tr.PeersFor(a.identity.Address)})
+		s.deliver(a, &wire.Assign{Manifest: s.digests[a.target], ReannounceMillis: 250, Peers: tr.PeersFor(a.identity.Address)})
 		s.schedule(a.domain, a.tracker, tr)
 	}
 	if next.Done {
--- a/lib/distribute/tracker_schedule.go
+++ b/lib/distribute/tracker_schedule.go
@@ -37,7 +37,7 @@
 			}
 			m, ok := messages[p]
 			if !ok {
-				m = &wire.Assign{Manifest: t.cfg.Digest, RetryMillis: t.cfg.RetryInterval.Milliseconds()}
+				m = &wire.Assign{Manifest: t.cfg.Digest, ReannounceMillis: t.cfg.RetryInterval.Milliseconds()}
 				messages[p] = m
 				out = append(out, AgentAssign{Address: p.address, Assign: m})
 			}
--- a/lib/wire/assign.go
+++ b/lib/wire/assign.go
@@ -18,8 +18,8 @@
 type Assign struct {
 	Manifest    model.Digest `msgpack:"m"`
 	Assignments []Assignment `msgpack:"a"`
-	// RetryMillis is the time after which to announce again at the latest.
-	RetryMillis int64 `msgpack:"r"`
+	// ReannounceMillis is the time after which to announce again at the latest.
+	ReannounceMillis int64 `msgpack:"r"`
 	// Peers are addresses of agents that hold chunks, for use without a tracker.
 	Peers []string `msgpack:"p"`
 	// Sequence is that of the last Announce on the connection. Assignments are
