--- a/agent/host.go
+++ b/agent/host.go
@@ -120,7 +120,7 @@
 // Permit implements backend.Host.
 func (h host) Permit(ctx context.Context, w model.Weights) (bool, time.Duration, error) {
 	permit, err := h.agent.transfer.RequestPermit(ctx, last(w))
-	return permit.Granted, time.Duration(permit.RetryMillis) * time.Millisecond, err
+	return permit.Granted, time.Duration(permit.RetryAfterMillis) * time.Millisecond, err
 }
 
 // Quiesce implements backend.Host.
--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -31,7 +31,7 @@
 	now := s.cfg.Clock.Now()
 	p, reason := permits.Request(now, c.identity.Instance, s.cfg.PoolState(c.pool))
 	if reason != rollout.ReasonNone {
-		return &wire.LoadPermit{Manifest: manifest, RetryMillis: permits.RetryInterval().Milliseconds(), Reason: string(reason)}
+		return &wire.LoadPermit{Manifest: manifest, RetryAfterMillis: permits.RetryInterval().Milliseconds(), Reason: string(reason)}
 	}
 	return &wire.LoadPermit{
 		Manifest: manifest, Granted: true, Number: p.Number, ExpiryMillis: p.Expires.Sub(now).Milliseconds(),
--- a/lib/wire/load_permit.go
+++ b/lib/wire/load_permit.go
@@ -6,9 +6,9 @@
 
 // LoadPermit answers a LoadPermitFetch.
 type LoadPermit struct {
-	Manifest    model.Digest `msgpack:"m"`
-	Granted     bool         `msgpack:"g"`
-	RetryMillis int64        `msgpack:"r"`
+	Manifest         model.Digest `msgpack:"m"`
+	Granted          bool         `msgpack:"g"`
+	RetryAfterMillis int64        `msgpack:"r"`
 	// Number and ExpiryMillis belong to a granted permit: its holder checks the
 	// expiry on its monotonic clock before it stops admitting requests.
 	Number       uint64 `msgpack:"n"`
