--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -34,7 +34,7 @@
 		return &wire.LoadPermit{Manifest: manifest, RetryAfterMillis: permits.RetryInterval().Milliseconds(), Reason: string(reason)}
 	}
 	return &wire.LoadPermit{
-		Manifest: manifest, Granted: true, Number: p.Number, ExpiryMillis: p.Expires.Sub(now).Milliseconds(),
+		Manifest: manifest, Granted: true, Number: p.Number, TTLMillis: p.Expires.Sub(now).Milliseconds(),
 	}
 }
 
--- a/lib/wire/load_permit.go
+++ b/lib/wire/load_permit.go
@@ -11,8 +11,8 @@
 	RetryAfterMillis int64        `msgpack:"r"`
 	// Number and ExpiryMillis belong to a granted permit: its holder checks the
 	// expiry on its monotonic clock before it stops admitting requests.
-	Number       uint64 `msgpack:"n"`
-	ExpiryMillis int64  `msgpack:"e"`
+	Number    uint64 `msgpack:"n"`
+	TTLMillis int64  `msgpack:"e"`
 	// Reason says why no permit was given.
 	Reason string `msgpack:"w"`
 }
