--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -150,7 +150,7 @@
 		return reply
 	}
 	r := s.runners[m.Attempt]
-	r.sender, r.cursor = c, m.Next
+	r.sender, r.cursor = c, m.NextSequence
 	r.epoch++
 	if _, connected := s.conns[c]; !connected {
 		s.detach(r)
@@ -162,7 +162,7 @@
 func (s *Shell) ack(m *wire.ResponseAck) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.core.Ack(m.Attempt, m.Next)
+	s.core.Ack(m.Attempt, m.NextSequence)
 	if r, ok := s.runners[m.Attempt]; ok {
 		signal(r.space)
 	}
--- a/agent/gate/shell_test.go
+++ b/agent/gate/shell_test.go
@@ -94,7 +94,7 @@
 		Expect(end.Digest).To(Equal(model.Sum([]byte("answer to x"))))
 		empty := s.Drain()
 		Consistently(empty, "20ms").ShouldNot(BeClosed())
-		s.Handle(a, &wire.ResponseAck{Attempt: "x", Next: 2})
+		s.Handle(a, &wire.ResponseAck{Attempt: "x", NextSequence: 2})
 		Eventually(empty).Should(BeClosed())
 		s.Handle(a, startOf("y"))
 		Expect(next(a)).To(HaveField("Reason", outcome.ReasonDraining))
@@ -117,7 +117,7 @@
 		Eventually(s.Running).Should(BeZero())
 		b := newEntry()
 		s.Connect(b)
-		s.Handle(b, &wire.Reattach{Attempt: "x", Next: 0})
+		s.Handle(b, &wire.Reattach{Attempt: "x", NextSequence: 0})
 		Expect(next(b)).To(HaveField("Data", []byte("first")))
 		Expect(next(b)).To(HaveField("Data", []byte("second")))
 		Expect(next(b)).To(HaveField("Outcome", outcome.Completed))
@@ -203,7 +203,7 @@
 					if end, ok := (<-e.messages).(*wire.RequestRefused); !ok || end == nil {
 						<-e.messages
 						admitted.Add(1)
-						s.Handle(e, &wire.ResponseAck{Attempt: start.Attempt, Next: 2})
+						s.Handle(e, &wire.ResponseAck{Attempt: start.Attempt, NextSequence: 2})
 					}
 				}
 			})
--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -34,7 +34,7 @@
 		return r.serverCrashed()
 	case link.Reconnected:
 		// The caller disconnected while the connection was down.
-		if r.slot.Link.Send(&wire.Reattach{Attempt: r.attempt, Next: r.machine.NextSequence()}) != nil {
+		if r.slot.Link.Send(&wire.Reattach{Attempt: r.attempt, NextSequence: r.machine.NextSequence()}) != nil {
 			return attempt.Step{}
 		}
 		return r.machine.Reattached(r.now(), r.attempt)
@@ -72,7 +72,7 @@
 		r.recordServerResult(m)
 		step := r.machine.End(r.now(), m)
 		if step.Action == attempt.ActionFinish || step.Action == attempt.ActionRecord {
-			_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, Next: m.Frames + 1})
+			_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, NextSequence: m.Frames + 1})
 		}
 		return step
 	default:
@@ -114,7 +114,7 @@
 	r.unackedFrames++
 	r.unackedBytes += size
 	if r.unackedFrames >= ackEvery || r.unackedBytes >= ackBytes {
-		_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, Next: r.machine.NextSequence()})
+		_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, NextSequence: r.machine.NextSequence()})
 		r.unackedFrames, r.unackedBytes = 0, 0
 	}
 }
@@ -155,7 +155,7 @@
 		case e.Kind == link.AgentReplaced:
 			return r.serverCrashed()
 		case e.Kind == link.Reconnected:
-			if r.slot.Link.Send(&wire.Reattach{Attempt: step.Attempt, Next: step.NextSequence}) != nil {
+			if r.slot.Link.Send(&wire.Reattach{Attempt: step.Attempt, NextSequence: step.NextSequence}) != nil {
 				continue
 			}
 			return r.machine.Reattached(r.now(), step.Attempt)
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -159,7 +159,7 @@
 		Expect(next(inbox).Kind).To(Equal(link.ConnectionLost))
 		Expect(next(inbox).Kind).To(Equal(link.Reconnected))
 		start.Frame(1, "of the lost connection")
-		Expect(l.Send(&wire.Reattach{Attempt: "a", Next: 1})).To(Succeed())
+		Expect(l.Send(&wire.Reattach{Attempt: "a", NextSequence: 1})).To(Succeed())
 		var again agenttest.Received
 		Eventually(agent.Others).Should(Receive(&again))
 		Expect(again.Conn.Send(&wire.ResponseFrame{Attempt: "a", Sequence: 1, Data: []byte("two")})).To(Succeed())
--- a/internal/requestsim/agent_test.go
+++ b/internal/requestsim/agent_test.go
@@ -74,10 +74,10 @@
 			return
 		}
 		s := a.find(m.Attempt)
-		s.link, s.cursor = l, m.Next
+		s.link, s.cursor = l, m.NextSequence
 		a.pump(s)
 	case *wire.ResponseAck:
-		a.core.Ack(m.Attempt, m.Next)
+		a.core.Ack(m.Attempt, m.NextSequence)
 	case *wire.RequestCancel:
 		if a.core.Cancel(a.w.now, m.Attempt) {
 			a.end(a.find(m.Attempt), outcome.Unknown, outcome.ReasonCanceled, 0)
--- a/internal/requestsim/claims_test.go
+++ b/internal/requestsim/claims_test.go
@@ -26,7 +26,7 @@
 // the answer to the agent.
 func (e *entry) settle(l *live, s attempt.Step) {
 	if l.agent != nil {
-		e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: l.machine.Attempt(), Next: l.machine.NextSequence() + 1})
+		e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: l.machine.Attempt(), NextSequence: l.machine.NextSequence() + 1})
 	}
 	if l.claimID == "" {
 		return
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -153,7 +153,7 @@
 	case e.w.chance("reattach fails", 6):
 		e.apply(l, l.machine.ReattachFailed(now, id), nil)
 	default:
-		e.w.connection(e, l.agent).sendToAgent(&wire.Reattach{Attempt: s.Attempt, Next: s.NextSequence})
+		e.w.connection(e, l.agent).sendToAgent(&wire.Reattach{Attempt: s.Attempt, NextSequence: s.NextSequence})
 		e.apply(l, l.machine.Reattached(now, id), nil)
 	}
 }
@@ -167,7 +167,7 @@
 	case *wire.ResponseFrame:
 		e.each(m.Attempt, func(l *live) {
 			e.apply(l, l.machine.Frame(e.w.now, m.Attempt, m.Sequence, m.Data), m.Data)
-			e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: m.Attempt, Next: l.machine.NextSequence()})
+			e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: m.Attempt, NextSequence: l.machine.NextSequence()})
 		})
 	case *wire.ResponseEnd:
 		e.each(m.Attempt, func(l *live) { e.apply(l, l.machine.End(e.w.now, m), nil) })
--- a/lib/wire/reattach.go
+++ b/lib/wire/reattach.go
@@ -6,8 +6,8 @@
 
 // Reattach asks for an answer from a sequence number on, over a new connection.
 type Reattach struct {
-	Attempt model.AttemptID `msgpack:"a"`
-	Next    uint64          `msgpack:"n"`
+	Attempt      model.AttemptID `msgpack:"a"`
+	NextSequence uint64          `msgpack:"n"`
 }
 
 // Type returns TypeReattach.
--- a/lib/wire/response_ack.go
+++ b/lib/wire/response_ack.go
@@ -6,8 +6,8 @@
 
 // ResponseAck lets the agent free its replay buffer up to Next.
 type ResponseAck struct {
-	Attempt model.AttemptID `msgpack:"a"`
-	Next    uint64          `msgpack:"n"`
+	Attempt      model.AttemptID `msgpack:"a"`
+	NextSequence uint64          `msgpack:"n"`
 }
 
 // Type returns TypeResponseAck.
