--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -58,15 +58,15 @@
 
 func (s *Service) serveChunk(conn *wire.Conn, m *wire.ChunkFetch) error {
 	if !s.cfg.Chunks.Has(m.Chunk) {
-		return conn.Send(&wire.ChunkRefused{Request: m.Request})
+		return conn.Send(&wire.ChunkRefused{RequestID: m.RequestID})
 	}
 	if !s.acquireUploadSlot() {
-		return conn.Send(&wire.ChunkRefused{Request: m.Request, Busy: true})
+		return conn.Send(&wire.ChunkRefused{RequestID: m.RequestID, Busy: true})
 	}
 	defer func() { <-s.uploadSlots }()
 	data, err := s.cfg.Chunks.Get(m.Chunk)
 	if err != nil {
-		return conn.Send(&wire.ChunkRefused{Request: m.Request})
+		return conn.Send(&wire.ChunkRefused{RequestID: m.RequestID})
 	}
 	if err := s.limits.waitUpload(s.ctx, len(data)); err != nil {
 		return err
@@ -77,7 +77,7 @@
 	started := time.Now()
 	timer := time.AfterFunc(s.sendTimes.timeout(), func() { _ = conn.Close() })
 	defer timer.Stop()
-	if err := conn.SendWritten(&wire.ChunkData{Request: m.Request, Data: data}); err != nil {
+	if err := conn.SendWritten(&wire.ChunkData{RequestID: m.RequestID, Data: data}); err != nil {
 		return err
 	}
 	s.sendTimes.add(time.Since(started))
--- a/agent/transfer/worker.go
+++ b/agent/transfer/worker.go
@@ -120,7 +120,7 @@
 	w.conn.Store(&connUsage{conn: conn, start: start})
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if err := conn.Send(&wire.ChunkFetch{Request: w.fetch.ID, Chunk: w.fetch.Chunk.Digest}); err != nil {
+	if err := conn.Send(&wire.ChunkFetch{RequestID: w.fetch.ID, Chunk: w.fetch.Chunk.Digest}); err != nil {
 		return nil, err
 	}
 	m, err := conn.Receive()
@@ -129,15 +129,15 @@
 	}
 	switch m := m.(type) {
 	case *wire.ChunkData:
-		if m.Request == w.fetch.ID {
+		if m.RequestID == w.fetch.ID {
 			w.service.counters.peer.Add(int64(len(m.Data)))
 			return m.Data, nil
 		}
 	case *wire.ChunkRefused:
-		if m.Request == w.fetch.ID && m.Busy {
+		if m.RequestID == w.fetch.ID && m.Busy {
 			return nil, errBusy
 		}
-		if m.Request == w.fetch.ID {
+		if m.RequestID == w.fetch.ID {
 			return nil, errAbsent
 		}
 	}
--- a/internal/measure/distribute/baselines.go
+++ b/internal/measure/distribute/baselines.go
@@ -120,7 +120,7 @@
 	defer conn.Close()
 	for i := first; i < len(fl.manifest.Chunks); {
 		c := fl.manifest.Chunks[i]
-		if err := conn.Send(&wire.ChunkFetch{Request: uint64(i), Chunk: c.Digest}); err != nil {
+		if err := conn.Send(&wire.ChunkFetch{RequestID: uint64(i), Chunk: c.Digest}); err != nil {
 			return err
 		}
 		m, err := conn.Receive()
--- a/lib/wire/chunk_data.go
+++ b/lib/wire/chunk_data.go
@@ -2,8 +2,8 @@
 
 // ChunkData answers a ChunkFetch.
 type ChunkData struct {
-	Request uint64 `msgpack:"q"`
-	Data    []byte `msgpack:"d"`
+	RequestID uint64 `msgpack:"q"`
+	Data      []byte `msgpack:"d"`
 }
 
 // Type returns TypeChunkData.
--- a/lib/wire/chunk_fetch.go
+++ b/lib/wire/chunk_fetch.go
@@ -6,8 +6,8 @@
 
 // ChunkFetch asks a peer for one chunk by digest.
 type ChunkFetch struct {
-	Request uint64       `msgpack:"q"`
-	Chunk   model.Digest `msgpack:"c"`
+	RequestID uint64       `msgpack:"q"`
+	Chunk     model.Digest `msgpack:"c"`
 }
 
 // Type returns TypeChunkFetch.
--- a/lib/wire/chunk_refused.go
+++ b/lib/wire/chunk_refused.go
@@ -2,7 +2,7 @@
 
 // ChunkRefused answers a ChunkFetch that the peer does not serve now.
 type ChunkRefused struct {
-	Request uint64 `msgpack:"q"`
+	RequestID uint64 `msgpack:"q"`
 	// Busy is true when the peer has the chunk but no free upload slot.
 	Busy bool `msgpack:"b"`
 }
