--- a/agent/agent.go
+++ b/agent/agent.go
@@ -241,5 +241,5 @@
 func (a *Agent) beat() wire.Heartbeat {
 	load := a.server.load()
 	load.Running = max(load.Running, a.gate.Running())
-	return wire.Heartbeat{Draining: a.gate.Draining(), Live: a.gate.Live(), Load: load, Role: a.roles.current()}
+	return wire.Heartbeat{Draining: a.gate.Draining(), LiveWeights: a.gate.Live(), Load: load, Role: a.roles.current()}
 }
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -157,12 +157,12 @@
 	if !ok || instance.Generation != peer.Identity.Generation {
 		return
 	}
-	if !slices.Equal(instance.Live, beat.Live) {
+	if !slices.Equal(instance.Live, beat.LiveWeights) {
 		// The picker drops the cache state of an instance whose live weights
 		// change.
 		f.queueCacheFetch(instance.Key())
 	}
-	instance.Live = beat.Live
+	instance.Live = beat.LiveWeights
 	instance.Role = routeRole(beat.Role)
 	instance.Draining = beat.Draining
 	f.agents[instance.ID] = instance
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -73,7 +73,7 @@
 		load := m.Heartbeat.Load
 		g.Running += load.Running
 		g.Queued += load.Queued
-		if len(m.Heartbeat.Live) > 0 && !m.Draining {
+		if len(m.Heartbeat.LiveWeights) > 0 && !m.Draining {
 			g.Live++
 			g.Capacity += load.Capacity
 		}
--- a/entry/status.go
+++ b/entry/status.go
@@ -83,7 +83,7 @@
 			Pool:     m.Pool,
 			State:    stateName(m),
 			Revision: m.Heartbeat.ConfigRevision,
-			Weights:  m.Heartbeat.Live,
+			Weights:  m.Heartbeat.LiveWeights,
 			Running:  m.Heartbeat.Load.Running,
 			Queued:   m.Heartbeat.Load.Queued,
 		}
--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -45,7 +45,7 @@
 		Others: make(chan Received, queue),
 		Conns:  make(chan *wire.Conn, queue),
 		hello:  wire.Hello{Role: wire.RoleAgent, Identity: identity, Pool: pool},
-		beat:   wire.Heartbeat{Live: live, Load: wire.Load{Capacity: 4}},
+		beat:   wire.Heartbeat{LiveWeights: live, Load: wire.Load{Capacity: 4}},
 		open:   make(map[net.Conn]*wire.Conn),
 	}
 	return a, a.Listen("127.0.0.1:0")
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -192,7 +192,7 @@
 func (s *Sim) heartbeatBytes(agent bool) int64 {
 	beat := &wire.Heartbeat{Sequence: 1 << 20, ConfigRevision: 1 << 20, ConfigAgeMillis: 1 << 10}
 	if agent {
-		beat.Live = make([]model.Weights, 1)
+		beat.LiveWeights = make([]model.Weights, 1)
 	}
 	return frameBytes(beat)
 }
--- a/lib/wire/heartbeat.go
+++ b/lib/wire/heartbeat.go
@@ -15,9 +15,9 @@
 	Draining        bool  `msgpack:"x"`
 	// Probe asks the receiver for a heartbeat at once.
 	Probe bool `msgpack:"p,omitempty"`
-	// Live holds the weights that the instance may serve; empty from entries.
-	Live []model.Weights `msgpack:"w"`
-	Load Load            `msgpack:"l"`
+	// LiveWeights holds the weights that the instance may serve; empty from entries.
+	LiveWeights []model.Weights `msgpack:"w"`
+	Load        Load            `msgpack:"l"`
 	// Role is the role of an agent's engine. The instance takes requests only
 	// while it is mixed.
 	Role model.Role `msgpack:"o,omitempty"`
