--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -77,7 +77,7 @@
 	started := time.Now()
 	timer := time.AfterFunc(s.sendTimes.timeout(), func() { _ = conn.Close() })
 	defer timer.Stop()
-	if err := conn.SendWritten(&wire.ChunkData{RequestID: m.RequestID, Data: data}); err != nil {
+	if err := conn.SendAndFlush(&wire.ChunkData{RequestID: m.RequestID, Data: data}); err != nil {
 		return err
 	}
 	s.sendTimes.add(time.Since(started))
--- a/lib/wire/conn.go
+++ b/lib/wire/conn.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// SendWritten queues a message and waits until it was handed to the operating
+// SendAndFlush queues a message and waits until it was handed to the operating
 // system, so that a sender of large frames keeps one of them in memory.
-func (c *Conn) SendWritten(m Message) error {
+func (c *Conn) SendAndFlush(m Message) error {
 	frame, err := c.encode(m)
 	if err != nil {
 		return err
