--- a/lib/heartbeat/sender.go
+++ b/lib/heartbeat/sender.go
@@ -66,7 +66,7 @@
 // of life too, so a connection that carries them needs none each second: at the
 // planned size 60 busy connections would spend more than an entry's 8 KB/s.
 func (s *Sender) interval() time.Duration {
-	if time.Since(s.Conn.LastActive()) < member.SendInterval(1) {
+	if time.Since(s.Conn.LastDataSent()) < member.SendInterval(1) {
 		return member.SendInterval(0)
 	}
 	return member.SendInterval(s.InFlight())
--- a/lib/wire/conn.go
+++ b/lib/wire/conn.go
@@ -124,9 +124,9 @@
 	return t == TypeHeartbeat || t == TypeCacheUpdate || t == TypeCacheFetch
 }
 
-// LastActive returns when a message other than a heartbeat or a cache hint was
+// LastDataSent returns when a message other than a heartbeat or a cache hint was
 // last queued.
-func (c *Conn) LastActive() time.Time { return time.Unix(0, c.active.Load()) }
+func (c *Conn) LastDataSent() time.Time { return time.Unix(0, c.active.Load()) }
 
 // Receive returns the next message.
 func (c *Conn) Receive() (Message, error) { return Read(c.reader) }
