--- a/agent/transfer/worker.go
+++ b/agent/transfer/worker.go
@@ -49,7 +49,7 @@
 // progress returns the number of bytes received so far.
 func (w *worker) progress() int64 {
 	if m := w.conn.Load(); m != nil {
-		_, received := m.conn.Bytes()
+		_, received := m.conn.ByteCounts()
 		return received - m.start
 	}
 	return w.received.Load()
@@ -116,7 +116,7 @@
 // requestChunk requests the chunk over a connection and returns its bytes, or
 // errAbsent or errBusy if the peer refuses.
 func (w *worker) requestChunk(ctx context.Context, conn *wire.Conn) ([]byte, error) {
-	_, start := conn.Bytes()
+	_, start := conn.ByteCounts()
 	w.conn.Store(&connUsage{conn: conn, start: start})
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -240,5 +240,5 @@
 	if l.conn == nil {
 		return 0, 0
 	}
-	return l.conn.Bytes()
+	return l.conn.ByteCounts()
 }
--- a/lib/wire/conn.go
+++ b/lib/wire/conn.go
@@ -148,8 +148,8 @@
 // Done is closed when the connection is closed by this side or its writer fails.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Bytes returns the bytes sent and received so far.
-func (c *Conn) Bytes() (sent, received int64) { return c.sent.Load(), c.read.Load() }
+// ByteCounts returns the bytes sent and received so far.
+func (c *Conn) ByteCounts() (sent, received int64) { return c.sent.Load(), c.read.Load() }
 
 // RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() net.Addr { return c.nc.RemoteAddr() }
