--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -162,7 +162,7 @@
 	a.mu.Lock()
 	a.open[nc] = conn
 	a.mu.Unlock()
-	beats := heartbeat.Sender{Conn: conn, Beat: a.heartbeat, InFlight: func() int { return 1 }}
+	beats := heartbeat.Sender{Conn: conn, Heartbeat: a.heartbeat, InFlight: func() int { return 1 }}
 	go beats.Run()
 	a.Conns <- conn
 	for {
--- a/lib/heartbeat/sender.go
+++ b/lib/heartbeat/sender.go
@@ -11,8 +11,8 @@
 // Sender sends heartbeats on a connection until it closes.
 type Sender struct {
 	Conn *wire.Conn
-	// Beat returns the heartbeat to send; Sequence is set by the sender.
-	Beat func() wire.Heartbeat
+	// Heartbeat returns the heartbeat to send; Sequence is set by the sender.
+	Heartbeat func() wire.Heartbeat
 	// InFlight returns the number of requests in flight on the connection. The
 	// interval is a second with requests and longer without.
 	InFlight func() int
@@ -31,7 +31,7 @@
 	var last time.Time
 	for {
 		if time.Since(last) >= s.interval() {
-			beat := s.Beat()
+			beat := s.Heartbeat()
 			beat.Sequence = sequence
 			sequence++
 			last = time.Now()
