--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -93,7 +93,7 @@
 	}
 	l.accept(peer)
 	defer l.handler.Disconnected(id, peer)
-	beats := heartbeat.Sender{Conn: conn, Heartbeat: l.cfg.Heartbeat, InFlight: l.InFlight, Look: l.becameBusy}
+	beats := heartbeat.Sender{Conn: conn, Heartbeat: l.cfg.Heartbeat, InFlight: l.InFlight, RequestStarted: l.becameBusy}
 	go beats.Run()
 	var heard time.Time
 	for {
--- a/lib/heartbeat/sender.go
+++ b/lib/heartbeat/sender.go
@@ -18,9 +18,9 @@
 	InFlight func() int
 	// Wake asks for a heartbeat out of turn; it may be nil.
 	Wake <-chan struct{}
-	// Look tells that a first request has started. Where it is nil, the sender
+	// RequestStarted tells that a first request has started. Where it is nil, the sender
 	// looks for requests by itself once in each busy interval.
-	Look <-chan struct{}
+	RequestStarted <-chan struct{}
 }
 
 // Run sends the first heartbeat at once and returns when the connection closes.
@@ -42,7 +42,7 @@
 		timer.Reset(s.nextLook(time.Since(last)))
 		select {
 		case <-timer.C:
-		case <-s.Look:
+		case <-s.RequestStarted:
 		case <-s.Wake:
 			last = time.Time{}
 		case <-s.Conn.Done():
@@ -56,7 +56,7 @@
 // it arrives.
 func (s *Sender) nextLook(sinceLast time.Duration) time.Duration {
 	idle := max(0, member.SendInterval(0)-sinceLast)
-	if s.Look != nil && s.InFlight() == 0 {
+	if s.RequestStarted != nil && s.InFlight() == 0 {
 		return idle
 	}
 	return min(member.SendInterval(1), idle)
--- a/lib/heartbeat/sender_test.go
+++ b/lib/heartbeat/sender_test.go
@@ -14,7 +14,7 @@
 func TestLooksMeetTheIdleInterval(t *testing.T) {
 	g := NewWithT(t)
 	for _, look := range []chan struct{}{nil, make(chan struct{})} {
-		s := Sender{InFlight: func() int { return 0 }, Look: look}
+		s := Sender{InFlight: func() int { return 0 }, RequestStarted: look}
 		var elapsed time.Duration
 		for elapsed < member.SendInterval(0) {
 			elapsed += s.nextLook(elapsed)
@@ -27,6 +27,6 @@
 // Guards against a busy connection whose heartbeats wait for the idle interval.
 func TestBusyIntervalIsKept(t *testing.T) {
 	g := NewWithT(t)
-	s := Sender{InFlight: func() int { return 1 }, Look: make(chan struct{})}
+	s := Sender{InFlight: func() int { return 1 }, RequestStarted: make(chan struct{})}
 	g.Expect(s.nextLook(0)).To(Equal(member.SendInterval(1)))
 }
