--- a/agent/session.go
+++ b/agent/session.go
@@ -56,7 +56,7 @@
 		a.follower.PeerLost(id)
 		a.gate.Disconnect(s.conn)
 	}()
-	beats := heartbeat.Sender{Conn: s.conn, Heartbeat: s.beat, InFlight: a.gate.Running, Wake: s.beats}
+	beats := heartbeat.Sender{Conn: s.conn, Heartbeat: s.beat, InFlight: a.gate.Running, SendNow: s.beats}
 	go beats.Run()
 	for {
 		if s.conn.SetReadDeadline(time.Now().Add(silence)) != nil {
--- a/entry/fleet/accept.go
+++ b/entry/fleet/accept.go
@@ -15,7 +15,7 @@
 	}
 	defer f.disconnected(id)
 	wake := make(chan struct{}, 1)
-	beats := heartbeat.Sender{Conn: conn, Heartbeat: f.heartbeat, InFlight: func() int { return 0 }, Wake: wake}
+	beats := heartbeat.Sender{Conn: conn, Heartbeat: f.heartbeat, InFlight: func() int { return 0 }, SendNow: wake}
 	go beats.Run()
 	for {
 		m, err := conn.Receive()
--- a/lib/heartbeat/sender.go
+++ b/lib/heartbeat/sender.go
@@ -16,8 +16,8 @@
 	// InFlight returns the number of requests in flight on the connection. The
 	// interval is a second with requests and longer without.
 	InFlight func() int
-	// Wake asks for a heartbeat out of turn; it may be nil.
-	Wake <-chan struct{}
+	// SendNow asks for a heartbeat out of turn; it may be nil.
+	SendNow <-chan struct{}
 	// RequestStarted tells that a first request has started. Where it is nil, the sender
 	// looks for requests by itself once in each busy interval.
 	RequestStarted <-chan struct{}
@@ -43,7 +43,7 @@
 		select {
 		case <-timer.C:
 		case <-s.RequestStarted:
-		case <-s.Wake:
+		case <-s.SendNow:
 			last = time.Time{}
 		case <-s.Conn.Done():
 			return
