--- a/agent/agent.go
+++ b/agent/agent.go
@@ -105,12 +105,12 @@
 	a.server = server
 	a.gate = gate.New(a.cfg.Gate, a.cfg.Clock, a.server, nil)
 	a.cache = client
-	if !a.cfg.Weights.Guard.Checked {
+	if !a.cfg.Backend.Guard.Checked {
 		a.cfg.Log.Log(eventlog.FencingIgnored)
 	}
-	a.cfg.Weights.Guard.Start = a.startNumber(client)
+	a.cfg.Backend.Guard.Start = a.startNumber(client)
 	a.weights = backend.NewRunner(backend.RunnerConfig{
-		Machine: a.cfg.Weights,
+		Machine: a.cfg.Backend,
 		Clock:   a.cfg.Clock,
 		Random:  rand.New(rand.NewSource(a.cfg.Rand.Int63())),
 		Engine:  client,
--- a/agent/config.go
+++ b/agent/config.go
@@ -66,8 +66,8 @@
 	// for an agent that sends none.
 	CacheInterval time.Duration
 
-	// Weights holds the settings of the machine of the instance's weights.
-	Weights backend.Config
+	// Backend holds the settings of the machine of the instance's weights.
+	Backend backend.Config
 }
 
 func (c Config) applyDefaults() Config {
--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -89,7 +89,7 @@
 	cfg.Kind = settings.BackendEngine
 	// Every third engine ignores fencing numbers, as some in use do.
 	ignores := p.Identity.Generation%3 == 0
-	cfg.Weights.Guard.Checked = !ignores
+	cfg.Backend.Guard.Checked = !ignores
 	if cfg.Staging, err = p.deployment.stagingOf(string(p.Identity.Instance)); err != nil {
 		return err
 	}
