--- a/agent/agent.go
+++ b/agent/agent.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	sink, err := weights.NewDirectoryStorage(a.cfg.Staging)
+	sink, err := weights.NewDirectoryStorage(a.cfg.StagingDir)
 	if err != nil {
 		return err
 	}
--- a/agent/config.go
+++ b/agent/config.go
@@ -51,8 +51,8 @@
 
 	// Origin and WeightStore are the sources of weights; WeightStore is optional.
 	Origin, WeightStore backing.WeightSource
-	// Staging is the directory from which the engine loads.
-	Staging      string
+	// StagingDir is the directory from which the engine loads.
+	StagingDir   string
 	StagingBytes int64
 	// LinkRate is the instance's link rate in bytes per second; 0 means
 	// unlimited.
--- a/agent/host.go
+++ b/agent/host.go
@@ -97,7 +97,7 @@
 	}
 	h.agent.fetching.done()
 	metrics.Transferred(declared.Name, h.agent.cfg.Clock.Now().Sub(started))
-	place := engine.Place{Directory: h.agent.cfg.Staging}
+	place := engine.Place{Directory: h.agent.cfg.StagingDir}
 	for _, c := range t.Manifest(manifest).Chunks {
 		place.Files = append(place.Files, weights.ChunkFile(c.Digest))
 	}
--- a/agent/program.go
+++ b/agent/program.go
@@ -81,7 +81,7 @@
 		Capacity:     s.Backend.Capacity,
 		Origin:       httpbacking.NewSource(httpbacking.Config{URL: s.Platform.Origin}),
 		Table:        httpbacking.NewTable(httpbacking.Config{URL: s.Platform.TableService}),
-		Staging:      s.Transfer.Staging,
+		StagingDir:   s.Transfer.Staging,
 		StagingBytes: int64(s.Transfer.StagingBytes),
 		LinkRate:     s.Transfer.LinkRate.BytesPerSecond(),
 		UploadSlots:  s.Transfer.UploadSlots,
--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -90,7 +90,7 @@
 	// Every third engine ignores fencing numbers, as some in use do.
 	ignores := p.Identity.Generation%3 == 0
 	cfg.Backend.Guard.Checked = !ignores
-	if cfg.Staging, err = p.deployment.stagingOf(string(p.Identity.Instance)); err != nil {
+	if cfg.StagingDir, err = p.deployment.stagingOf(string(p.Identity.Instance)); err != nil {
 		return err
 	}
 	p.Engine, err = engine.Start(engine.Config{
