--- a/agent/agent.go
+++ b/agent/agent.go
@@ -57,7 +57,7 @@
 	a.rank.Store(unknownRank)
 	a.follower = follow.New(follow.Config{Clock: cfg.Clock, Rand: cfg.Rand, Log: cfg.Log, Heartbeat: a.beat})
 	var err error
-	if cfg.Kind == settings.BackendPlain {
+	if cfg.BackendKind == settings.BackendPlain {
 		err = a.setUpPlain()
 	} else {
 		err = a.setUpEngine()
--- a/agent/config.go
+++ b/agent/config.go
@@ -39,9 +39,9 @@
 	// Policy says who may connect in which role; nil means plain text.
 	Policy *security.Policy
 
-	// Kind and BackendURL describe the backend server.
-	Kind       settings.BackendKind
-	BackendURL string
+	// BackendKind and BackendURL describe the backend server.
+	BackendKind settings.BackendKind
+	BackendURL  string
 	// Capacity is the number of requests that run at once.
 	Capacity int
 
--- a/agent/program.go
+++ b/agent/program.go
@@ -76,7 +76,7 @@
 		Metrics:      p.metrics,
 		Listener:     listener,
 		Policy:       policy,
-		Kind:         s.Backend.Kind,
+		BackendKind:  s.Backend.Kind,
 		BackendURL:   s.Backend.Address,
 		Capacity:     s.Backend.Capacity,
 		Origin:       httpbacking.NewSource(httpbacking.Config{URL: s.Platform.Origin}),
--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -79,14 +79,14 @@
 func (p *AgentProcess) startBackend(cfg *agent.Config) (err error) {
 	o := p.deployment.Options
 	if p.Pool == OrderPool {
-		cfg.Kind = settings.BackendPlain
+		cfg.BackendKind = settings.BackendPlain
 		if p.Service, err = service.Start(service.Config{}); err != nil {
 			return err
 		}
 		cfg.BackendURL = p.Service.URL()
 		return nil
 	}
-	cfg.Kind = settings.BackendEngine
+	cfg.BackendKind = settings.BackendEngine
 	// Every third engine ignores fencing numbers, as some in use do.
 	ignores := p.Identity.Generation%3 == 0
 	cfg.Backend.Guard.Checked = !ignores
--- a/internal/measure/capacity/agents.go
+++ b/internal/measure/capacity/agents.go
@@ -73,15 +73,15 @@
 		Address:    listener.Addr().String(),
 	}
 	a, err := agent.New(agent.Config{
-		Identity:   identity,
-		Pool:       "orders",
-		Clock:      clock.System{},
-		Rand:       rand.New(rand.NewSource(int64(index))),
-		Log:        eventlog.Discard(),
-		Listener:   listener,
-		Kind:       settings.BackendPlain,
-		BackendURL: "http://127.0.0.1:9",
-		Capacity:   1,
+		Identity:    identity,
+		Pool:        "orders",
+		Clock:       clock.System{},
+		Rand:        rand.New(rand.NewSource(int64(index))),
+		Log:         eventlog.Discard(),
+		Listener:    listener,
+		BackendKind: settings.BackendPlain,
+		BackendURL:  "http://127.0.0.1:9",
+		Capacity:    1,
 	})
 	if err != nil {
 		return nil, backing.Instance{}, err
