--- a/agent/agent.go
+++ b/agent/agent.go
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// Live returns the weights that requests are admitted for now.
-func (a *Agent) Live() []model.Weights { return a.gate.Live() }
+// LiveWeights returns the weights that requests are admitted for now.
+func (a *Agent) LiveWeights() []model.Weights { return a.gate.Live() }
 
 // tick drives what depends on time.
 func (a *Agent) tick(ctx context.Context) {
--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -105,7 +105,9 @@
 }
 
 // Serves reports whether the agent serves a version.
-func (p *AgentProcess) Serves(v Version) bool { return slices.Contains(p.Agent.Live(), v.Weights) }
+func (p *AgentProcess) Serves(v Version) bool {
+	return slices.Contains(p.Agent.LiveWeights(), v.Weights)
+}
 
 // Stopped reports whether the agent was told to stop or was killed.
 func (p *AgentProcess) Stopped() bool { return p.stopped.Load() }
