--- a/agent/backend/machine.go
+++ b/agent/backend/machine.go
@@ -48,8 +48,8 @@
 	actions []Action
 }
 
-// New returns a machine that wants nothing and knows nothing about the engine.
-func New(cfg Config, random *rand.Rand) *Machine {
+// NewMachine returns a machine that wants nothing and knows nothing about the engine.
+func NewMachine(cfg Config, random *rand.Rand) *Machine {
 	cfg.applyDefaults()
 	m := &Machine{cfg: cfg, random: random, guard: engine.NewGuard(cfg.Guard)}
 	m.phases = m.newPhases()
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -51,7 +51,7 @@
 	returned := make(chan struct{})
 	close(returned)
 	return &Runner{
-		cfg: cfg, machine: New(cfg.Machine, cfg.Random),
+		cfg: cfg, machine: NewMachine(cfg.Machine, cfg.Random),
 		events: make(chan func(*Machine, time.Time), eventQueue), done: make(chan struct{}),
 		cancelFetch: none, endQuiesce: none, fetchReturned: returned,
 	}
