--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -14,9 +14,9 @@
 // instance is about to load, or another order is outstanding.
 var ErrSwitching = merry.New("instance is switching its weights")
 
-// Want sets the version that should be live; the zero value wants none and
+// SetWanted sets the version that should be live; the zero value wants none and
 // leaves what is live in place.
-func (m *Machine) Want(now time.Time, w model.Weights) {
+func (m *Machine) SetWanted(now time.Time, w model.Weights) {
 	m.now = now
 	if w == m.wanted {
 		return
--- a/agent/backend/machine_test.go
+++ b/agent/backend/machine_test.go
@@ -46,7 +46,7 @@
 			"": w.check, "progress": progress, "progress more": progress, "progress once more": progress,
 			"want": func(t *rapid.T) {
 				rare(t, func() {
-					w.m.Want(w.now, version(rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "version")))
+					w.m.SetWanted(w.now, version(rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "version")))
 					w.drain()
 				})
 			},
@@ -107,14 +107,14 @@
 
 	BeforeEach(func() {
 		w = newWorld(GinkgoT())
-		w.m.Want(w.now, version("v1"))
+		w.m.SetWanted(w.now, version("v1"))
 		w.drain()
 		w.cooperate()
 		Expect(w.m.Phase()).To(Equal(wire.PhaseLive))
 	})
 
 	want := func(name string) {
-		w.m.Want(w.now, version(name))
+		w.m.SetWanted(w.now, version(name))
 		w.drain()
 	}
 	fetch := func(w *world) { w.fetched(nil) }
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -59,7 +59,7 @@
 
 // Want sets the version that should be live; zero wants none.
 func (r *Runner) Want(w model.Weights) {
-	r.post(func(m *Machine, now time.Time) { m.Want(now, w) })
+	r.post(func(m *Machine, now time.Time) { m.SetWanted(now, w) })
 }
 
 // Crashed reports that a request found the engine dead.
