--- a/agent/backend/machine_test.go
+++ b/agent/backend/machine_test.go
@@ -60,7 +60,7 @@
 			"late fetch": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "version")
 				if f := (backend.Fetched{Weights: version(name)}); f.Weights != w.m.Wanted() {
-					w.m.Fetched(w.now, f, nil)
+					w.m.HandleFetched(w.now, f, nil)
 					w.drain()
 				}
 			},
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -156,7 +156,7 @@
 			return // replaced; a newer fetch of the same version may run
 		}
 		f.Weights = w
-		r.post(func(m *Machine, now time.Time) { m.Fetched(now, f, err) })
+		r.post(func(m *Machine, now time.Time) { m.HandleFetched(now, f, err) })
 	})
 }
 
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -183,7 +183,7 @@
 	}
 	f := backend.Fetched{Weights: w.fetching, Base: engine.Place{Directory: w.fetching.String()}}
 	w.fetching = model.Weights{}
-	w.m.Fetched(w.now, f, err)
+	w.m.HandleFetched(w.now, f, err)
 	w.drain()
 }
 
