--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -49,9 +49,9 @@
 	m.advance()
 }
 
-// Permitted reports whether the instance may leave what it serves for w, and
+// HandlePermit reports whether the instance may leave what it serves for w, and
 // when to ask again if not.
-func (m *Machine) Permitted(now time.Time, w model.Weights, granted bool, retry time.Duration) {
+func (m *Machine) HandlePermit(now time.Time, w model.Weights, granted bool, retry time.Duration) {
 	m.now = now
 	if m.Phase() != wire.PhaseVerified || w != m.wanted || !m.permitting {
 		return
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -162,7 +162,7 @@
 
 func (r *Runner) permit(ctx context.Context, w model.Weights) {
 	granted, retry, err := r.cfg.Host.Permit(ctx, w)
-	r.post(func(m *Machine, now time.Time) { m.Permitted(now, w, granted && err == nil, retry) })
+	r.post(func(m *Machine, now time.Time) { m.HandlePermit(now, w, granted && err == nil, retry) })
 }
 
 // quiesce waits until no request runs, after an earlier quiesce has returned. A
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -190,7 +190,7 @@
 func (w *world) permitted(granted bool) {
 	if w.permitting {
 		w.permitting = false
-		w.m.Permitted(w.now, w.permit, granted, time.Second)
+		w.m.HandlePermit(w.now, w.permit, granted, time.Second)
 		w.drain()
 	}
 }
