--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -66,8 +66,8 @@
 	m.advance()
 }
 
-// Quiesced reports that no request runs and none is admitted.
-func (m *Machine) Quiesced(now time.Time) {
+// HandleQuiesced reports that no request runs and none is admitted.
+func (m *Machine) HandleQuiesced(now time.Time) {
 	m.now = now
 	if m.Phase() == wire.PhaseQuiescing {
 		m.quiesced = true
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -184,7 +184,7 @@
 		}
 		r.post(func(m *Machine, now time.Time) {
 			if ctx.Err() == nil {
-				m.Quiesced(now)
+				m.HandleQuiesced(now)
 			}
 		})
 	})
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -198,7 +198,7 @@
 func (w *world) quiesced() {
 	if w.quiescing {
 		w.idle, w.quiescing = true, false
-		w.m.Quiesced(w.now)
+		w.m.HandleQuiesced(w.now)
 		w.drain()
 	}
 }
