--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -75,9 +75,9 @@
 	m.advance()
 }
 
-// Crashed reports that a request found the engine dead. Nothing is live until
+// HandleCrash reports that a request found the engine dead. Nothing is live until
 // its state was read again.
-func (m *Machine) Crashed(now time.Time) {
+func (m *Machine) HandleCrash(now time.Time) {
 	m.now = now
 	m.candidate = candidate{}
 	m.lose()
--- a/agent/backend/machine_test.go
+++ b/agent/backend/machine_test.go
@@ -82,7 +82,7 @@
 			"crash":     func(t *rapid.T) { rare(t, w.crash) },
 			"notice": func(t *rapid.T) {
 				rare(t, func() {
-					w.m.Crashed(w.now)
+					w.m.HandleCrash(w.now)
 					w.drain()
 				})
 			},
@@ -164,7 +164,7 @@
 
 	It("serves nothing after a crash until the engine was read again", func() {
 		w.crash()
-		w.m.Crashed(w.now)
+		w.m.HandleCrash(w.now)
 		w.drain()
 		Expect(w.served).To(Equal(model.Weights{}))
 		w.cooperate()
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -63,7 +63,7 @@
 }
 
 // Crashed reports that a request found the engine dead.
-func (r *Runner) Crashed() { r.post((*Machine).Crashed) }
+func (r *Runner) Crashed() { r.post((*Machine).HandleCrash) }
 
 // Order gives an order other than a load; the result goes to Host.OrderDone.
 func (r *Runner) Order(o engine.Order) error {
