--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -85,8 +85,8 @@
 	m.advance()
 }
 
-// State reports a read of the engine's state.
-func (m *Machine) State(now time.Time, s engine.State, err error) {
+// HandleState reports a read of the engine's state.
+func (m *Machine) HandleState(now time.Time, s engine.State, err error) {
 	m.now = now
 	m.reading = false
 	m.nextRead = now.Add(m.cfg.Watch)
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -126,7 +126,7 @@
 		case ActionReadState:
 			r.tasks.Go(func() {
 				s, err := r.cfg.Engine.State(ctx)
-				r.post(func(m *Machine, now time.Time) { m.State(now, s, err) })
+				r.post(func(m *Machine, now time.Time) { m.HandleState(now, s, err) })
 			})
 		case ActionOrder:
 			r.tasks.Go(func() {
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -170,7 +170,7 @@
 	} else {
 		w.lastRead = s
 	}
-	w.m.State(w.now, s, err)
+	w.m.HandleState(w.now, s, err)
 	w.drain()
 	if err == nil && !w.served.IsZero() && w.served != s.Weights {
 		w.t.Fatalf("still serves %s, the engine reported %+v", w.served, s)
