--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -100,8 +100,8 @@
 	m.advance()
 }
 
-// Reply reports the result of an order.
-func (m *Machine) Reply(now time.Time, r engine.Reply, err error) {
+// HandleReply reports the result of an order.
+func (m *Machine) HandleReply(now time.Time, r engine.Reply, err error) {
 	m.now = now
 	m.guard.OnReply(now, r, err)
 	m.advance()
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -131,7 +131,7 @@
 		case ActionOrder:
 			r.tasks.Go(func() {
 				reply, err := r.cfg.Engine.Order(ctx, a.Order)
-				r.post(func(m *Machine, now time.Time) { m.Reply(now, reply, err) })
+				r.post(func(m *Machine, now time.Time) { m.HandleReply(now, reply, err) })
 			})
 		case ActionOrderDone:
 			r.cfg.Host.OrderDone(a.Result)
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -150,7 +150,7 @@
 		return
 	}
 	w.answer = false
-	w.m.Reply(w.now, engine.Reply{}, err)
+	w.m.HandleReply(w.now, engine.Reply{}, err)
 	w.drain()
 }
 
