--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -107,10 +107,10 @@
 	m.advance()
 }
 
-// Order gives an order other than a load, such as a change of role or a move of
+// SubmitOrder gives an order other than a load, such as a change of role or a move of
 // KV cache. Its result comes as ActionOrderDone. It is refused with
 // ErrSwitching while another order is outstanding or a load is near.
-func (m *Machine) Order(now time.Time, o engine.Order) error {
+func (m *Machine) SubmitOrder(now time.Time, o engine.Order) error {
 	m.now = now
 	phase := m.Phase()
 	if o.Kind == engine.OrderLoad || m.guard.Outstanding() || phase == wire.PhaseQuiescing || phase == wire.PhaseLoading {
--- a/agent/backend/machine_test.go
+++ b/agent/backend/machine_test.go
@@ -66,7 +66,7 @@
 			},
 			"role": func(t *rapid.T) {
 				rare(t, func() {
-					_ = w.m.Order(w.now, engine.Order{Kind: engine.OrderRole, Role: engine.RoleDecode})
+					_ = w.m.SubmitOrder(w.now, engine.Order{Kind: engine.OrderRole, Role: engine.RoleDecode})
 					w.drain()
 				})
 			},
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -68,7 +68,7 @@
 // Order gives an order other than a load; the result goes to Host.OrderDone.
 func (r *Runner) Order(o engine.Order) error {
 	refused := make(chan error, 1)
-	r.post(func(m *Machine, now time.Time) { refused <- m.Order(now, o) })
+	r.post(func(m *Machine, now time.Time) { refused <- m.SubmitOrder(now, o) })
 	select {
 	case err := <-refused:
 		return err
