--- a/agent/backend/machine.go
+++ b/agent/backend/machine.go
@@ -67,8 +67,8 @@
 // Live returns the weights that are served; zero when none are.
 func (m *Machine) Live() model.Weights { return m.live.weights }
 
-// Actions returns what to do, in order, and forgets it.
-func (m *Machine) Actions() []Action {
+// TakeActions returns what to do, in order, and forgets it.
+func (m *Machine) TakeActions() []Action {
 	out := m.actions
 	m.actions = nil
 	return out
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -110,7 +110,7 @@
 }
 
 func (r *Runner) carryOut(ctx context.Context) {
-	for _, a := range r.machine.Actions() {
+	for _, a := range r.machine.TakeActions() {
 		switch a.Kind {
 		case ActionFetch:
 			r.fetch(ctx, a.Weights)
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -55,7 +55,7 @@
 
 // drain carries out actions and checks what must hold for each.
 func (w *world) drain() {
-	for _, a := range w.m.Actions() {
+	for _, a := range w.m.TakeActions() {
 		switch a.Kind {
 		case backend.ActionFetch:
 			w.fetching = a.Weights
