--- a/agent/backend/machine.go
+++ b/agent/backend/machine.go
@@ -74,8 +74,8 @@
 	return out
 }
 
-// Wake returns when Tick is due at the latest.
-func (m *Machine) Wake() time.Time {
+// NextTick returns when Tick is due at the latest.
+func (m *Machine) NextTick() time.Time {
 	wake := m.now.Add(m.cfg.Watch)
 	earlier := func(t time.Time) {
 		if t.Before(wake) {
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -95,7 +95,7 @@
 		now := r.cfg.Clock.Now()
 		r.machine.Tick(now)
 		r.carryOut(ctx)
-		timer := time.NewTimer(max(r.machine.Wake().Sub(now), time.Millisecond))
+		timer := time.NewTimer(max(r.machine.NextTick().Sub(now), time.Millisecond))
 		select {
 		case event := <-r.events:
 			event(r.machine, r.cfg.Clock.Now())
