--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Want sets the version that should be live; zero wants none.
-func (r *Runner) Want(w model.Weights) {
+// SetWanted sets the version that should be live; zero wants none.
+func (r *Runner) SetWanted(w model.Weights) {
 	r.post(func(m *Machine, now time.Time) { m.SetWanted(now, w) })
 }
 
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -127,15 +127,15 @@
 	// and refuses everything.
 	It("admits requests again whenever a version changes back", func() {
 		r, h, server := running()
-		r.Want(version("v1"))
+		r.SetWanted(version("v1"))
 		Eventually(h.serves(version("v1"), server), 10*time.Second).Should(BeTrue())
 		h.mu.Lock()
 		h.hang = true
 		h.mu.Unlock()
 		for range 20 {
-			r.Want(version("v2"))
+			r.SetWanted(version("v2"))
 			Eventually(func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.calls > 0 }, 10*time.Second, time.Millisecond).Should(BeTrue())
-			r.Want(version("v1"))
+			r.SetWanted(version("v1"))
 			Eventually(h.serves(version("v1"), server), 10*time.Second, time.Millisecond).Should(BeTrue())
 			Consistently(h.serves(version("v1"), server), 5*time.Millisecond, time.Millisecond).Should(BeTrue())
 		}
@@ -147,11 +147,11 @@
 	DescribeTable("brings the wanted version live in the end", func(faults standin.Faults) {
 		r, h, server := running()
 		server.SetFaults(faults)
-		r.Want(version("v1"))
+		r.SetWanted(version("v1"))
 		Eventually(h.serves(version("v1"), server), 10*time.Second).Should(BeTrue())
 		server.SetFaults(faults)
-		r.Want(version("v2"))
-		r.Want(version("v3"))
+		r.SetWanted(version("v2"))
+		r.SetWanted(version("v3"))
 		Eventually(h.serves(version("v3"), server), 10*time.Second).Should(BeTrue())
 		server.Crash()
 		Eventually(h.serves(model.Weights{}, server), 10*time.Second).Should(BeTrue())
--- a/agent/host.go
+++ b/agent/host.go
@@ -63,7 +63,7 @@
 	if p.Replicas > 0 && (rank == unknownRank || rank >= int64(p.Replicas)) {
 		w = model.Weights{}
 	}
-	h.agent.weights.Want(w)
+	h.agent.weights.SetWanted(w)
 }
 
 // Fetch implements backend.Host.
