--- a/agent/agent.go
+++ b/agent/agent.go
@@ -155,7 +155,7 @@
 func (a *Agent) crashed(incarnation uint64) {
 	a.cfg.Log.Log(eventlog.BackendServerCrashed, "incarnation", incarnation)
 	a.gate.Crashed(incarnation)
-	a.weights.Crashed()
+	a.weights.HandleCrash()
 }
 
 // Start starts all tasks. It returns at once; Close ends them.
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -62,8 +62,8 @@
 	r.post(func(m *Machine, now time.Time) { m.SetWanted(now, w) })
 }
 
-// Crashed reports that a request found the engine dead.
-func (r *Runner) Crashed() { r.post((*Machine).HandleCrash) }
+// HandleCrash reports that a request found the engine dead.
+func (r *Runner) HandleCrash() { r.post((*Machine).HandleCrash) }
 
 // Order gives an order other than a load; the result goes to Host.OrderDone.
 func (r *Runner) Order(o engine.Order) error {
