--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -65,8 +65,8 @@
 // HandleCrash reports that a request found the engine dead.
 func (r *Runner) HandleCrash() { r.post((*Machine).HandleCrash) }
 
-// Order gives an order other than a load; the result goes to Host.OrderDone.
-func (r *Runner) Order(o engine.Order) error {
+// SubmitOrder gives an order other than a load; the result goes to Host.OrderDone.
+func (r *Runner) SubmitOrder(o engine.Order) error {
 	refused := make(chan error, 1)
 	r.post(func(m *Machine, now time.Time) { refused <- m.SubmitOrder(now, o) })
 	select {
--- a/agent/roles.go
+++ b/agent/roles.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		// A refusal means that another order is outstanding or a load is near.
-		if a.weights.Order(engine.Order{Kind: engine.OrderRole, Role: role}) == nil {
+		if a.weights.SubmitOrder(engine.Order{Kind: engine.OrderRole, Role: role}) == nil {
 			a.roles.orderedAt(now)
 		}
 	}
