--- a/agent/backend/enter.go
+++ b/agent/backend/enter.go
@@ -11,7 +11,7 @@
 )
 
 func (m *Machine) enterFetching() {
-	m.fetched, m.fetching = Fetched{Weights: m.wanted}, true
+	m.fetched, m.fetching = StagedWeights{Weights: m.wanted}, true
 	m.report(wire.PhaseFetching, nil)
 	m.act(Action{Kind: ActionFetch, Weights: m.wanted})
 }
--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -34,7 +34,7 @@
 
 // HandleFetched reports that a version is complete and verified, or why it is not. A
 // result of a version that is no longer wanted is ignored.
-func (m *Machine) HandleFetched(now time.Time, f Fetched, err error) {
+func (m *Machine) HandleFetched(now time.Time, f StagedWeights, err error) {
 	m.now = now
 	if m.Phase() != wire.PhaseFetching || f.Weights != m.wanted {
 		return
--- a/agent/backend/fetched.go
+++ b/agent/backend/fetched.go
@@ -5,8 +5,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Fetched is a version that is complete and verified in the staging area.
-type Fetched struct {
+// StagedWeights is a version that is complete and verified in the staging area.
+type StagedWeights struct {
 	Weights model.Weights
 	Base    engine.Place
 	Adapter engine.Place
--- a/agent/backend/host.go
+++ b/agent/backend/host.go
@@ -15,7 +15,7 @@
 type Host interface {
 	// Fetch brings and verifies a version and says where it is staged. It
 	// returns soon after ctx ends; calls do not overlap.
-	Fetch(ctx context.Context, w model.Weights) (Fetched, error)
+	Fetch(ctx context.Context, w model.Weights) (StagedWeights, error)
 	// Permit asks whether the instance may leave what it serves for w.
 	Permit(ctx context.Context, w model.Weights) (granted bool, retry time.Duration, err error)
 	// Quiesce refuses new requests and returns nil when none runs. Requests
--- a/agent/backend/machine.go
+++ b/agent/backend/machine.go
@@ -23,7 +23,7 @@
 	now    time.Time
 
 	wanted   model.Weights
-	fetched  Fetched
+	fetched  StagedWeights
 	fetching bool
 	// live is zero when the instance serves nothing.
 	live confirmed
--- a/agent/backend/machine_test.go
+++ b/agent/backend/machine_test.go
@@ -59,7 +59,7 @@
 			},
 			"late fetch": func(t *rapid.T) {
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "version")
-				if f := (backend.Fetched{Weights: version(name)}); f.Weights != w.m.Wanted() {
+				if f := (backend.StagedWeights{Weights: version(name)}); f.Weights != w.m.Wanted() {
 					w.m.HandleFetched(w.now, f, nil)
 					w.drain()
 				}
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -37,20 +37,20 @@
 	hang     bool
 }
 
-func (h *host) Fetch(_ context.Context, w model.Weights) (backend.Fetched, error) {
+func (h *host) Fetch(_ context.Context, w model.Weights) (backend.StagedWeights, error) {
 	dir := filepath.Join(h.dir, w.String())
 	digests := make([]model.Digest, 5)
 	for i := range digests {
 		data := fmt.Appendf(nil, "%s part %d", w, i)
 		digests[i] = model.Sum(data)
 		if err := errors.Join(os.MkdirAll(dir, 0o700), os.WriteFile(filepath.Join(dir, fmt.Sprint(i)), data, 0o600)); err != nil {
-			return backend.Fetched{}, err
+			return backend.StagedWeights{}, err
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.content[w] = standin.ContentDigest(digests...)
-	return backend.Fetched{Base: engine.Place{Directory: dir}}, nil
+	return backend.StagedWeights{Base: engine.Place{Directory: dir}}, nil
 }
 
 func (*host) Permit(context.Context, model.Weights) (bool, time.Duration, error) { return true, 0, nil }
--- a/agent/host.go
+++ b/agent/host.go
@@ -67,9 +67,9 @@
 }
 
 // Fetch implements backend.Host.
-func (h host) Fetch(ctx context.Context, w model.Weights) (backend.Fetched, error) {
+func (h host) Fetch(ctx context.Context, w model.Weights) (backend.StagedWeights, error) {
 	t := h.agent.transfer
-	fetched := backend.Fetched{Weights: w}
+	fetched := backend.StagedWeights{Weights: w}
 	var err error
 	if fetched.Base, err = h.fetch(ctx, w.Base); err != nil || w.Adapter.IsZero() {
 		return fetched, err
