--- a/agent/backend/host.go
+++ b/agent/backend/host.go
@@ -16,8 +16,8 @@
 	// Fetch brings and verifies a version and says where it is staged. It
 	// returns soon after ctx ends; calls do not overlap.
 	Fetch(ctx context.Context, w model.Weights) (StagedWeights, error)
-	// Permit asks whether the instance may leave what it serves for w.
-	Permit(ctx context.Context, w model.Weights) (granted bool, retry time.Duration, err error)
+	// RequestPermit asks whether the instance may leave what it serves for w.
+	RequestPermit(ctx context.Context, w model.Weights) (granted bool, retry time.Duration, err error)
 	// Quiesce refuses new requests and returns nil when none runs. Requests
 	// stay refused until Serve. It returns soon after ctx ends; calls do not
 	// overlap with each other or with Serve.
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -161,7 +161,7 @@
 }
 
 func (r *Runner) permit(ctx context.Context, w model.Weights) {
-	granted, retry, err := r.cfg.Host.Permit(ctx, w)
+	granted, retry, err := r.cfg.Host.RequestPermit(ctx, w)
 	r.post(func(m *Machine, now time.Time) { m.HandlePermit(now, w, granted && err == nil, retry) })
 }
 
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -53,8 +53,10 @@
 	return backend.StagedWeights{Base: engine.Place{Directory: dir}}, nil
 }
 
-func (*host) Permit(context.Context, model.Weights) (bool, time.Duration, error) { return true, 0, nil }
-func (*host) OrderDone(engine.Result)                                            {}
+func (*host) RequestPermit(context.Context, model.Weights) (bool, time.Duration, error) {
+	return true, 0, nil
+}
+func (*host) OrderDone(engine.Result) {}
 
 // Quiesce refuses requests also when it is called with an ended context, as the
 // gate does.
--- a/agent/host.go
+++ b/agent/host.go
@@ -117,8 +117,8 @@
 	return config.Model{}, false
 }
 
-// Permit implements backend.Host.
-func (h host) Permit(ctx context.Context, w model.Weights) (bool, time.Duration, error) {
+// RequestPermit implements backend.Host.
+func (h host) RequestPermit(ctx context.Context, w model.Weights) (bool, time.Duration, error) {
 	permit, err := h.agent.transfer.RequestPermit(ctx, last(w))
 	return permit.Granted, time.Duration(permit.RetryAfterMillis) * time.Millisecond, err
 }
