--- a/agent/backend/host.go
+++ b/agent/backend/host.go
@@ -25,8 +25,8 @@
 	// Serve admits requests for w, or for none when w is zero. It ends a
 	// quiesce.
 	Serve(w model.Weights)
-	// Report tells the phase of a version; err says why it failed.
-	Report(w model.Weights, phase wire.Phase, err error)
+	// ReportPhase tells the phase of a version; err says why it failed.
+	ReportPhase(w model.Weights, phase wire.Phase, err error)
 	// OrderDone tells the result of an order that Order gave.
 	OrderDone(r engine.Result)
 }
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -136,7 +136,7 @@
 		case ActionOrderDone:
 			r.cfg.Host.OrderDone(a.Result)
 		case ActionReport:
-			r.cfg.Host.Report(a.Weights, a.Phase, a.Err)
+			r.cfg.Host.ReportPhase(a.Weights, a.Phase, a.Err)
 		}
 	}
 }
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -83,7 +83,7 @@
 	h.overlaps += h.calls
 }
 
-func (h *host) Report(_ model.Weights, phase wire.Phase, _ error) {
+func (h *host) ReportPhase(_ model.Weights, phase wire.Phase, _ error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if phase == wire.PhaseFailed {
--- a/agent/host.go
+++ b/agent/host.go
@@ -135,8 +135,8 @@
 	h.agent.gate.Serve([]model.Weights{w})
 }
 
-// Report implements backend.Host.
-func (h host) Report(w model.Weights, phase wire.Phase, err error) {
+// ReportPhase implements backend.Host.
+func (h host) ReportPhase(w model.Weights, phase wire.Phase, err error) {
 	log := h.agent.cfg.Log
 	switch {
 	case err != nil:
