--- a/agent/backend/advance.go
+++ b/agent/backend/advance.go
@@ -37,7 +37,7 @@
 }
 
 func (m *Machine) order() {
-	m.guardWake = m.now.Add(m.cfg.Watch)
+	m.guardWake = m.now.Add(m.cfg.StatePollInterval)
 	switch step := m.guard.Next(m.now); step.Kind {
 	case engine.StepReadState:
 		if !m.reading {
--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -24,11 +24,11 @@
 
 // Config holds the settings of a Machine.
 type Config struct {
-	Guard       engine.GuardConfig
-	Watch       time.Duration
-	Retry       time.Duration
-	MaxRetry    time.Duration
-	PermitRetry time.Duration
+	Guard             engine.GuardConfig
+	StatePollInterval time.Duration
+	Retry             time.Duration
+	MaxRetry          time.Duration
+	PermitRetry       time.Duration
 	// Adopt is how long the engine must report the same weights before an
 	// agent that did not load them counts them as live. An order of an earlier
 	// agent may still be unread within that time.
@@ -38,7 +38,7 @@
 }
 
 func (c *Config) applyDefaults() {
-	defaultTo(&c.Watch, defaultWatch)
+	defaultTo(&c.StatePollInterval, defaultWatch)
 	defaultTo(&c.Retry, defaultRetry)
 	defaultTo(&c.MaxRetry, defaultMaxRetry)
 	defaultTo(&c.PermitRetry, defaultPermitRetry)
--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -89,7 +89,7 @@
 func (m *Machine) HandleState(now time.Time, s engine.State, err error) {
 	m.now = now
 	m.reading = false
-	m.nextRead = now.Add(m.cfg.Watch)
+	m.nextRead = now.Add(m.cfg.StatePollInterval)
 	outstanding := m.guard.Outstanding()
 	m.guard.OnState(now, s, err)
 	if outstanding {
--- a/agent/backend/machine.go
+++ b/agent/backend/machine.go
@@ -76,7 +76,7 @@
 
 // NextTick returns when Tick is due at the latest.
 func (m *Machine) NextTick() time.Time {
-	wake := m.now.Add(m.cfg.Watch)
+	wake := m.now.Add(m.cfg.StatePollInterval)
 	earlier := func(t time.Time) {
 		if t.Before(wake) {
 			wake = t
