--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -26,7 +26,7 @@
 type Config struct {
 	Guard             engine.GuardConfig
 	StatePollInterval time.Duration
-	Retry             time.Duration
+	MinBackoff        time.Duration
 	MaxRetry          time.Duration
 	PermitRetry       time.Duration
 	// Adopt is how long the engine must report the same weights before an
@@ -39,7 +39,7 @@
 
 func (c *Config) applyDefaults() {
 	defaultTo(&c.StatePollInterval, defaultWatch)
-	defaultTo(&c.Retry, defaultRetry)
+	defaultTo(&c.MinBackoff, defaultRetry)
 	defaultTo(&c.MaxRetry, defaultMaxRetry)
 	defaultTo(&c.PermitRetry, defaultPermitRetry)
 	defaultTo(&c.Guard.Settle, 3*time.Second)
