--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -27,7 +27,7 @@
 	Guard             engine.GuardConfig
 	StatePollInterval time.Duration
 	MinBackoff        time.Duration
-	MaxRetry          time.Duration
+	MaxBackoff        time.Duration
 	PermitRetry       time.Duration
 	// Adopt is how long the engine must report the same weights before an
 	// agent that did not load them counts them as live. An order of an earlier
@@ -40,7 +40,7 @@
 func (c *Config) applyDefaults() {
 	defaultTo(&c.StatePollInterval, defaultWatch)
 	defaultTo(&c.MinBackoff, defaultRetry)
-	defaultTo(&c.MaxRetry, defaultMaxRetry)
+	defaultTo(&c.MaxBackoff, defaultMaxRetry)
 	defaultTo(&c.PermitRetry, defaultPermitRetry)
 	defaultTo(&c.Guard.Settle, 3*time.Second)
 	defaultTo(&c.Adopt, c.Guard.Settle)
--- a/agent/backend/enter.go
+++ b/agent/backend/enter.go
@@ -66,7 +66,7 @@
 // and is spread over its second half, so that instances that failed together
 // do not return together.
 func (m *Machine) enterFailed() {
-	wait := min(m.cfg.MinBackoff<<min(m.failures, 16), m.cfg.MaxRetry)
+	wait := min(m.cfg.MinBackoff<<min(m.failures, 16), m.cfg.MaxBackoff)
 	wait = wait/2 + time.Duration(m.random.Int63n(int64(wait/2)+1))
 	m.failures++
 	m.retryAt = m.now.Add(wait)
