--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -24,11 +24,11 @@
 
 // Config holds the settings of a Machine.
 type Config struct {
-	Guard             engine.GuardConfig
-	StatePollInterval time.Duration
-	MinBackoff        time.Duration
-	MaxBackoff        time.Duration
-	PermitRetry       time.Duration
+	Guard               engine.GuardConfig
+	StatePollInterval   time.Duration
+	MinBackoff          time.Duration
+	MaxBackoff          time.Duration
+	PermitRetryInterval time.Duration
 	// Adopt is how long the engine must report the same weights before an
 	// agent that did not load them counts them as live. An order of an earlier
 	// agent may still be unread within that time.
@@ -41,7 +41,7 @@
 	defaultTo(&c.StatePollInterval, defaultWatch)
 	defaultTo(&c.MinBackoff, defaultRetry)
 	defaultTo(&c.MaxBackoff, defaultMaxRetry)
-	defaultTo(&c.PermitRetry, defaultPermitRetry)
+	defaultTo(&c.PermitRetryInterval, defaultPermitRetry)
 	defaultTo(&c.Guard.Settle, 3*time.Second)
 	defaultTo(&c.Adopt, c.Guard.Settle)
 	if c.Missed <= 0 {
--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -60,7 +60,7 @@
 	if granted {
 		m.fire(triggerPermitted)
 	} else {
-		defaultTo(&retry, m.cfg.PermitRetry)
+		defaultTo(&retry, m.cfg.PermitRetryInterval)
 		m.permitAt = now.Add(retry)
 	}
 	m.advance()
