--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -29,10 +29,10 @@
 	MinBackoff          time.Duration
 	MaxBackoff          time.Duration
 	PermitRetryInterval time.Duration
-	// Adopt is how long the engine must report the same weights before an
+	// AdoptAfter is how long the engine must report the same weights before an
 	// agent that did not load them counts them as live. An order of an earlier
 	// agent may still be unread within that time.
-	Adopt time.Duration
+	AdoptAfter time.Duration
 	// Missed is the number of failed state reads in a row that end live.
 	Missed int
 }
@@ -43,7 +43,7 @@
 	defaultTo(&c.MaxBackoff, defaultMaxRetry)
 	defaultTo(&c.PermitRetryInterval, defaultPermitRetry)
 	defaultTo(&c.Guard.Settle, 3*time.Second)
-	defaultTo(&c.Adopt, c.Guard.Settle)
+	defaultTo(&c.AdoptAfter, c.Guard.Settle)
 	if c.Missed <= 0 {
 		c.Missed = defaultMissed
 	}
--- a/agent/backend/observe.go
+++ b/agent/backend/observe.go
@@ -34,7 +34,7 @@
 	if m.candidate.confirmed != c {
 		m.candidate = candidate{confirmed: c, since: m.now}
 	}
-	if c == m.previous || m.now.Sub(m.candidate.since) >= m.cfg.Adopt {
+	if c == m.previous || m.now.Sub(m.candidate.since) >= m.cfg.AdoptAfter {
 		m.adopt(c)
 	}
 }
