--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -33,8 +33,8 @@
 	// agent that did not load them counts them as live. An order of an earlier
 	// agent may still be unread within that time.
 	AdoptAfter time.Duration
-	// Missed is the number of failed state reads in a row that end live.
-	Missed int
+	// MaxFailedReads is the number of failed state reads in a row that end live.
+	MaxFailedReads int
 }
 
 func (c *Config) applyDefaults() {
@@ -44,8 +44,8 @@
 	defaultTo(&c.PermitRetryInterval, defaultPermitRetry)
 	defaultTo(&c.Guard.Settle, 3*time.Second)
 	defaultTo(&c.AdoptAfter, c.Guard.Settle)
-	if c.Missed <= 0 {
-		c.Missed = defaultMissed
+	if c.MaxFailedReads <= 0 {
+		c.MaxFailedReads = defaultMissed
 	}
 }
 
--- a/agent/backend/observe.go
+++ b/agent/backend/observe.go
@@ -13,7 +13,7 @@
 		m.missed++
 		// An engine that refuses connections is down; one that is late may be
 		// busy with requests.
-		if errors.Is(err, engine.ErrNotStarted) || m.missed >= m.cfg.Missed {
+		if errors.Is(err, engine.ErrNotStarted) || m.missed >= m.cfg.MaxFailedReads {
 			m.candidate = candidate{}
 			m.lose()
 		}
