--- a/agent/backend/start_counter.go
+++ b/agent/backend/start_counter.go
@@ -19,9 +19,9 @@
 	counterAttempts = 8
 )
 
-// ErrCounter means that no start number could be taken. The agent then starts
+// ErrNoEpoch means that no start number could be taken. The agent then starts
 // with GuardConfig.Start = 0 and takes the number after the engine's.
-var ErrCounter = merry.New("no start number")
+var ErrNoEpoch = merry.New("no start number")
 
 // NextStart takes the next start number of an instance, for
 // engine.GuardConfig.Start. No two calls return the same number: a number whose
@@ -39,9 +39,9 @@
 			number = max(binary.BigEndian.Uint64(row.Value), floor) + 1
 			w.Condition, w.Version = backing.IfVersion, row.Version
 		case err == nil:
-			return 0, merry.Wrap(ErrCounter, merry.AppendMessagef("row has %d bytes, want 8", len(row.Value)))
+			return 0, merry.Wrap(ErrNoEpoch, merry.AppendMessagef("row has %d bytes, want 8", len(row.Value)))
 		case !errors.Is(err, backing.ErrNotFound):
-			return 0, merry.Wrap(ErrCounter, merry.WithCause(err))
+			return 0, merry.Wrap(ErrNoEpoch, merry.WithCause(err))
 		}
 		w.Value = binary.BigEndian.AppendUint64(nil, number)
 		err = table.Commit(ctx, backing.Transaction{Writes: []backing.Write{w}})
@@ -54,5 +54,5 @@
 			break
 		}
 	}
-	return 0, merry.Wrap(ErrCounter, merry.WithCause(last))
+	return 0, merry.Wrap(ErrNoEpoch, merry.WithCause(last))
 }
--- a/agent/backend/start_counter_test.go
+++ b/agent/backend/start_counter_test.go
@@ -43,7 +43,7 @@
 		service := table.New()
 		service.Faults.Set(fault.Faults{Down: true})
 		_, err := backend.NextStart(ctx, service, "huye-1", 6)
-		Expect(errors.Is(err, backend.ErrCounter)).To(BeTrue())
+		Expect(errors.Is(err, backend.ErrNoEpoch)).To(BeTrue())
 		service.Faults.Set(fault.Faults{})
 		Expect(backend.NextStart(ctx, service, "huye-1", 6)).To(Equal(uint64(7)))
 		Expect(backend.NextStart(ctx, service, "huye-1", 0)).To(Equal(uint64(8)))
