--- a/agent/agent.go
+++ b/agent/agent.go
@@ -136,7 +136,7 @@
 	if state, err := client.State(ctx); err == nil {
 		floor = state.Accepted.Start
 	}
-	number, err := backend.NextStart(ctx, a.cfg.Table, a.cfg.Identity.Instance, floor)
+	number, err := backend.NextEpoch(ctx, a.cfg.Table, a.cfg.Identity.Instance, floor)
 	if err != nil {
 		a.cfg.Log.Log(eventlog.StoreUnavailable, "err", err)
 		return 0
--- a/agent/backend/start_counter.go
+++ b/agent/backend/start_counter.go
@@ -23,12 +23,12 @@
 // with GuardConfig.Start = 0 and takes the number after the engine's.
 var ErrNoEpoch = merry.New("no start number")
 
-// NextStart takes the next start number of an instance, for
+// NextEpoch takes the next start number of an instance, for
 // engine.GuardConfig.Start. No two calls return the same number: a number whose
 // write has an unknown outcome is left unused. The number is above floor, the
 // start of the last order that the engine accepted: an agent that started while
 // the store was down may have used numbers that the counter does not know.
-func NextStart(ctx context.Context, table backing.TableService, instance model.InstanceID, floor uint64) (uint64, error) {
+func NextEpoch(ctx context.Context, table backing.TableService, instance model.InstanceID, floor uint64) (uint64, error) {
 	var last error
 	for range counterAttempts {
 		w := backing.Write{Table: fencingTable, Key: string(instance), Condition: backing.IfAbsent}
--- a/agent/backend/start_counter_test.go
+++ b/agent/backend/start_counter_test.go
@@ -26,7 +26,7 @@
 		for range 4 {
 			all.Go(func() {
 				for range 5 {
-					if n, err := backend.NextStart(ctx, service, "huye-1", 0); err == nil {
+					if n, err := backend.NextEpoch(ctx, service, "huye-1", 0); err == nil {
 						mu.Lock()
 						taken[n]++
 						mu.Unlock()
@@ -42,10 +42,10 @@
 	It("stays above what the engine accepted while the store was down", func() {
 		service := table.New()
 		service.Faults.Set(fault.Faults{Down: true})
-		_, err := backend.NextStart(ctx, service, "huye-1", 6)
+		_, err := backend.NextEpoch(ctx, service, "huye-1", 6)
 		Expect(errors.Is(err, backend.ErrNoEpoch)).To(BeTrue())
 		service.Faults.Set(fault.Faults{})
-		Expect(backend.NextStart(ctx, service, "huye-1", 6)).To(Equal(uint64(7)))
-		Expect(backend.NextStart(ctx, service, "huye-1", 0)).To(Equal(uint64(8)))
+		Expect(backend.NextEpoch(ctx, service, "huye-1", 6)).To(Equal(uint64(7)))
+		Expect(backend.NextEpoch(ctx, service, "huye-1", 0)).To(Equal(uint64(8)))
 	})
 })
