--- a/agent/agent.go
+++ b/agent/agent.go
@@ -28,7 +28,7 @@
 type Agent struct {
 	cfg      Config
 	follower *follow.Follower
-	gate     *gate.Shell
+	gate     *gate.Gate
 	server   backendServer
 	// transfer and weights are nil for plain services.
 	transfer *transfer.Service
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -10,7 +10,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-func (s *Shell) start(c Sender, m *wire.RequestStart) wire.Message {
+func (s *Gate) start(c Sender, m *wire.RequestStart) wire.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.core.Admit(s.clock.Now(), m)
@@ -33,7 +33,7 @@
 
 // run holds the attempt on the backend server. The attempt counts as running
 // until Run has returned, even when it was cancelled long before.
-func (s *Shell) run(ctx context.Context, r *runner, start wire.RequestStart) {
+func (s *Gate) run(ctx context.Context, r *runner, start wire.RequestStart) {
 	defer r.cancel()
 	status, contentType, err := s.backend.Run(ctx, start, func(data []byte) error { return s.emit(ctx, r, data) })
 	s.mu.Lock()
@@ -67,7 +67,7 @@
 }
 
 // emit adds data to the answer and waits while the entry does not keep up.
-func (s *Shell) emit(ctx context.Context, r *runner, data []byte) error {
+func (s *Gate) emit(ctx context.Context, r *runner, data []byte) error {
 	for piece := range slices.Chunk(data, maxFrameData) {
 		piece = slices.Clone(piece)
 		for !s.tryEmit(r, piece) {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (s *Shell) tryEmit(r *runner, piece []byte) bool {
+func (s *Gate) tryEmit(r *runner, piece []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.core.Emit(s.clock.Now(), r.attempt, piece) {
@@ -93,7 +93,7 @@
 
 // write sends the answer from the cursor on until the record is gone. It is the
 // only sender of the attempt's frames, so they leave in order.
-func (s *Shell) write(r *runner) {
+func (s *Gate) write(r *runner) {
 	for {
 		m, sender, epoch, gone := s.nextMessage(r)
 		switch {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (s *Shell) nextMessage(r *runner) (m wire.Message, sender Sender, epoch uint64, gone bool) {
+func (s *Gate) nextMessage(r *runner) (m wire.Message, sender Sender, epoch uint64, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runners[r.attempt] != r {
@@ -120,7 +120,7 @@
 	return s.core.Frame(r.attempt, r.cursor), r.sender, r.epoch, false
 }
 
-func (s *Shell) sent(r *runner, epoch uint64, m wire.Message, err error) {
+func (s *Gate) sent(r *runner, epoch uint64, m wire.Message, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.epoch != epoch {
@@ -137,13 +137,13 @@
 }
 
 // detach records that nobody takes the answer; s.mu is held.
-func (s *Shell) detach(r *runner) {
+func (s *Gate) detach(r *runner) {
 	r.sender = nil
 	r.epoch++
 	s.core.Detach(s.clock.Now(), r.attempt)
 }
 
-func (s *Shell) reattach(c Sender, m *wire.Reattach) wire.Message {
+func (s *Gate) reattach(c Sender, m *wire.Reattach) wire.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if reply := s.core.Reattach(s.clock.Now(), m); reply != nil {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func (s *Shell) ack(m *wire.ResponseAck) {
+func (s *Gate) ack(m *wire.ResponseAck) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Ack(m.Attempt, m.NextSequence)
@@ -169,7 +169,7 @@
 	s.sweep()
 }
 
-func (s *Shell) cancel(m *wire.RequestCancel) {
+func (s *Gate) cancel(m *wire.RequestCancel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.core.Cancel(s.clock.Now(), m.Attempt) {
@@ -182,7 +182,7 @@
 
 // sweep ends the writers of attempts whose record is gone, and reports an empty
 // gate; s.mu is held.
-func (s *Shell) sweep() {
+func (s *Gate) sweep() {
 	for id, r := range s.runners {
 		if !s.core.Known(id) {
 			delete(s.runners, id)
--- a/agent/gate/shell.go
+++ b/agent/gate/shell.go
@@ -11,9 +11,9 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Shell runs a Core: it owns the goroutines of the attempts and the order in
+// Gate runs a Core: it owns the goroutines of the attempts and the order in
 // which answers are sent. No message is sent while its mutex is held.
-type Shell struct {
+type Gate struct {
 	clock   clock.Clock
 	backend Backend
 	changed func()
@@ -31,8 +31,8 @@
 }
 
 // New returns a shell that serves no weights yet.
-func New(config Config, clk clock.Clock, backend Backend, quarantine Quarantine) *Shell {
-	return &Shell{
+func New(config Config, clk clock.Clock, backend Backend, quarantine Quarantine) *Gate {
+	return &Gate{
 		clock:   clk,
 		changed: config.applyDefaults().Changed,
 		refused: config.applyDefaults().Refused,
@@ -46,7 +46,7 @@
 
 // Connect adds an entry's connection, before its first message is handled.
 // Crash reports go to all connections.
-func (s *Shell) Connect(c Sender) {
+func (s *Gate) Connect(c Sender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
@@ -54,7 +54,7 @@
 
 // Disconnect removes a dead connection. Attempts that it answered wait for a
 // Reattach.
-func (s *Shell) Disconnect(c Sender) {
+func (s *Gate) Disconnect(c Sender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
@@ -67,7 +67,7 @@
 
 // Handle takes a message of an entry and reports whether it is one of the
 // gate's. It sends answers to it over c and may block while c does.
-func (s *Shell) Handle(c Sender, m wire.Message) bool {
+func (s *Gate) Handle(c Sender, m wire.Message) bool {
 	var reply wire.Message
 	switch m := m.(type) {
 	case *wire.RequestStart:
@@ -93,7 +93,7 @@
 
 // Tick cancels attempts that nobody waits for and forgets old answers. It is
 // called about once a second.
-func (s *Shell) Tick() {
+func (s *Gate) Tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range s.core.Expire(s.clock.Now()) {
@@ -108,14 +108,14 @@
 }
 
 // Live returns the weights that requests are admitted for now.
-func (s *Shell) Live() []model.Weights {
+func (s *Gate) Live() []model.Weights {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Live()
 }
 
 // Running returns the number of attempts on the backend server.
-func (s *Shell) Running() int {
+func (s *Gate) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Running()
@@ -123,7 +123,7 @@
 
 // Drain refuses new requests. The returned channel is closed when no attempt
 // runs and every answer is confirmed or given up.
-func (s *Shell) Drain() <-chan struct{} {
+func (s *Gate) Drain() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.core.Drain()
@@ -132,7 +132,7 @@
 }
 
 // Draining reports whether Drain was called.
-func (s *Shell) Draining() bool {
+func (s *Gate) Draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Draining()
@@ -146,7 +146,7 @@
 
 // Crashed tells all entries what was in flight when the backend server died.
 // Incarnation numbers its starts.
-func (s *Shell) Crashed(incarnation uint64) {
+func (s *Gate) Crashed(incarnation uint64) {
 	s.mu.Lock()
 	report := s.core.Crash(s.clock.Now(), incarnation)
 	conns := make([]Sender, 0, len(s.conns))
@@ -170,7 +170,7 @@
 // Quiesce refuses new requests and returns nil when none runs, so that no
 // request runs on weights that are being replaced. Requests stay refused until
 // Serve, also when ctx ends first. One quiesce is under way at a time.
-func (s *Shell) Quiesce(ctx context.Context) error {
+func (s *Gate) Quiesce(ctx context.Context) error {
 	s.mu.Lock()
 	if s.idle != nil {
 		s.mu.Unlock()
@@ -197,7 +197,7 @@
 }
 
 // Serve sets the weights that requests are admitted for and ends a quiesce.
-func (s *Shell) Serve(live []model.Weights) {
+func (s *Gate) Serve(live []model.Weights) {
 	s.mu.Lock()
 	s.core.SetLive(live)
 	s.core.ResumeAdmitting()
@@ -206,7 +206,7 @@
 }
 
 // notifyIdle wakes the quiesce that waits for the last attempt; s.mu is held.
-func (s *Shell) notifyIdle() {
+func (s *Gate) notifyIdle() {
 	if s.idle != nil && s.core.Running() == 0 {
 		close(s.idle)
 		s.idle = nil
--- a/agent/gate/shell_test.go
+++ b/agent/gate/shell_test.go
@@ -66,7 +66,7 @@
 		clk     *clock.Fake
 		backend *scripted
 		load    *loader
-		s       *Shell
+		s       *Gate
 		a       *entry
 	)
 	BeforeEach(func() {
