--- a/agent/agent.go
+++ b/agent/agent.go
@@ -154,7 +154,7 @@
 // crashed is called when the engine died while it ran requests.
 func (a *Agent) crashed(incarnation uint64) {
 	a.cfg.Log.Log(eventlog.BackendServerCrashed, "incarnation", incarnation)
-	a.gate.Crashed(incarnation)
+	a.gate.ReportCrash(incarnation)
 	a.weights.HandleCrash()
 }
 
--- a/agent/gate/shell.go
+++ b/agent/gate/shell.go
@@ -144,9 +144,9 @@
 // up the agent.
 const reportWait = 100 * time.Millisecond
 
-// Crashed tells all entries what was in flight when the backend server died.
+// ReportCrash tells all entries what was in flight when the backend server died.
 // Incarnation numbers its starts.
-func (s *Gate) Crashed(incarnation uint64) {
+func (s *Gate) ReportCrash(incarnation uint64) {
 	s.mu.Lock()
 	report := s.core.Crash(s.clock.Now(), incarnation)
 	conns := make([]Sender, 0, len(s.conns))
--- a/agent/gate/shell_test.go
+++ b/agent/gate/shell_test.go
@@ -173,7 +173,7 @@
 		defer close(silent.closed)
 		s.Connect(silent)
 		s.Connect(b)
-		s.Crashed(1)
+		s.ReportCrash(1)
 		Expect(next(a)).To(BeAssignableToTypeOf(&wire.CrashReport{}))
 		Expect(next(b)).To(BeAssignableToTypeOf(&wire.CrashReport{}))
 	})
