--- a/agent/gate/attach.go
+++ b/agent/gate/attach.go
@@ -76,8 +76,8 @@
 	return cancel
 }
 
-// Crash returns the report about a backend server that died.
-func (c *Core) Crash(now time.Time, incarnation uint64) *wire.CrashReport {
+// CrashReport returns the report about a backend server that died.
+func (c *Core) CrashReport(now time.Time, incarnation uint64) *wire.CrashReport {
 	report := &wire.CrashReport{Incarnation: incarnation}
 	known := make(map[model.Fingerprint]struct{})
 	add := func(f model.Fingerprint) {
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -137,8 +137,8 @@
 		c.Admit(now, startOf("a"))
 		c.Admit(now, startOf("b"))
 		c.End(now, "a", outcome.Unknown, outcome.ReasonBackendCrashed, 0, "")
-		Expect(c.Crash(now, 3).InFlight).To(ConsistOf(startOf("a").Fingerprint, startOf("b").Fingerprint))
-		Expect(c.Crash(now, 4).InFlight).To(Equal([]model.Fingerprint{startOf("b").Fingerprint}))
+		Expect(c.CrashReport(now, 3).InFlight).To(ConsistOf(startOf("a").Fingerprint, startOf("b").Fingerprint))
+		Expect(c.CrashReport(now, 4).InFlight).To(Equal([]model.Fingerprint{startOf("b").Fingerprint}))
 	})
 })
 
--- a/agent/gate/shell.go
+++ b/agent/gate/shell.go
@@ -148,7 +148,7 @@
 // Incarnation numbers its starts.
 func (s *Gate) ReportCrash(incarnation uint64) {
 	s.mu.Lock()
-	report := s.core.Crash(s.clock.Now(), incarnation)
+	report := s.core.CrashReport(s.clock.Now(), incarnation)
 	conns := make([]Sender, 0, len(s.conns))
 	for c := range s.conns {
 		conns = append(conns, c)
--- a/internal/requestsim/agent_test.go
+++ b/internal/requestsim/agent_test.go
@@ -125,7 +125,7 @@
 	for _, s := range a.serving {
 		a.end(s, outcome.Unknown, outcome.ReasonBackendCrashed, 0)
 	}
-	a.core.Crash(a.w.now, 1)
+	a.core.CrashReport(a.w.now, 1)
 }
 
 // tick does what the shell does once a second.
