--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -135,9 +135,9 @@
 	}}
 }
 
-// Emit takes a piece of the answer. It returns false while the replay buffer is
+// AppendFrame takes a piece of the answer. It returns false while the replay buffer is
 // full; data is kept and must not change afterwards.
-func (c *Core) Emit(now time.Time, attempt model.AttemptID, data []byte) bool {
+func (c *Core) AppendFrame(now time.Time, attempt model.AttemptID, data []byte) bool {
 	r, ok := c.records[attempt]
 	if !ok || !r.running || r.truncated {
 		return true
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -96,10 +96,10 @@
 
 	It("holds frames back until they are confirmed and replays the rest", func() {
 		c.Admit(now, startOf("a"))
-		Expect(c.Emit(now, "a", []byte("12345678"))).To(BeTrue())
-		Expect(c.Emit(now, "a", []byte("abc"))).To(BeFalse())
+		Expect(c.AppendFrame(now, "a", []byte("12345678"))).To(BeTrue())
+		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeFalse())
 		c.Ack("a", 1)
-		Expect(c.Emit(now, "a", []byte("abc"))).To(BeTrue())
+		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeTrue())
 		Expect(c.Frame("a", 0)).To(HaveField("Outcome", outcome.Unknown), "the frame is gone")
 		Expect(c.Frame("a", 1)).To(HaveField("Data", []byte("abc")))
 		c.End(now, "a", outcome.Completed, "", 200, "text/plain")
@@ -115,11 +115,11 @@
 		c.Admit(now, startOf("b"))
 		c.Detach(now, "a")
 		c.Detach(now, "b")
-		c.Emit(now, "b", []byte("1234567890"))
+		c.AppendFrame(now, "b", []byte("1234567890"))
 		Expect(c.Expire(now.Add(9 * time.Second))).To(BeEmpty())
-		Expect(c.Emit(now.Add(9*time.Second), "b", []byte("x"))).To(BeFalse())
+		Expect(c.AppendFrame(now.Add(9*time.Second), "b", []byte("x"))).To(BeFalse())
 		Expect(c.Expire(now.Add(10 * time.Second))).To(Equal([]model.AttemptID{"a"}))
-		Expect(c.Emit(now.Add(10*time.Second), "b", []byte("x"))).To(BeTrue())
+		Expect(c.AppendFrame(now.Add(10*time.Second), "b", []byte("x"))).To(BeTrue())
 		c.End(now, "b", outcome.Completed, "", 200, "")
 		Expect(c.Frame("b", 1)).To(HaveField("Outcome", outcome.Unknown), "the answer is truncated")
 	})
@@ -157,7 +157,7 @@
 			b.Fatal("not admitted")
 		}
 		for seq := range uint64(100) {
-			c.Emit(now, id, piece)
+			c.AppendFrame(now, id, piece)
 			_ = c.Frame(id, seq)
 			c.Ack(id, seq+1)
 		}
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -84,7 +84,7 @@
 func (s *Gate) tryEmit(r *runner, piece []byte) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.core.Emit(s.clock.Now(), r.attempt, piece) {
+	if !s.core.AppendFrame(s.clock.Now(), r.attempt, piece) {
 		return false
 	}
 	signal(r.wake)
--- a/internal/requestsim/agent_test.go
+++ b/internal/requestsim/agent_test.go
@@ -105,7 +105,7 @@
 		return
 	}
 	piece := rest[:min(size, len(rest))]
-	if a.core.Emit(a.w.now, s.run.attempt, piece) {
+	if a.core.AppendFrame(a.w.now, s.run.attempt, piece) {
 		s.run.emitted += len(piece)
 		a.pump(s)
 	}
