--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -168,10 +168,10 @@
 	r.finish(now, o, reason, status, contentType)
 }
 
-// Frame returns the message of the answer at a sequence number: a frame, the
+// MessageAt returns the message of the answer at a sequence number: a frame, the
 // end when sequence is the number of frames, or nil when there is none yet. A
 // sequence number whose frame is gone gets an end that says so.
-func (c *Core) Frame(attempt model.AttemptID, sequence uint64) wire.Message {
+func (c *Core) MessageAt(attempt model.AttemptID, sequence uint64) wire.Message {
 	r, ok := c.records[attempt]
 	if !ok {
 		return nil
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -100,10 +100,10 @@
 		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeFalse())
 		c.Ack("a", 1)
 		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeTrue())
-		Expect(c.Frame("a", 0)).To(HaveField("Outcome", outcome.Unknown), "the frame is gone")
-		Expect(c.Frame("a", 1)).To(HaveField("Data", []byte("abc")))
+		Expect(c.MessageAt("a", 0)).To(HaveField("Outcome", outcome.Unknown), "the frame is gone")
+		Expect(c.MessageAt("a", 1)).To(HaveField("Data", []byte("abc")))
 		c.End(now, "a", outcome.Completed, "", 200, "text/plain")
-		Expect(c.Frame("a", 2)).To(HaveField("Digest", model.Sum([]byte("12345678abc"))))
+		Expect(c.MessageAt("a", 2)).To(HaveField("Digest", model.Sum([]byte("12345678abc"))))
 	})
 
 	// Guards against a non-repeatable call that waits for ever, or is cancelled,
@@ -121,7 +121,7 @@
 		Expect(c.Expire(now.Add(10 * time.Second))).To(Equal([]model.AttemptID{"a"}))
 		Expect(c.AppendFrame(now.Add(10*time.Second), "b", []byte("x"))).To(BeTrue())
 		c.End(now, "b", outcome.Completed, "", 200, "")
-		Expect(c.Frame("b", 1)).To(HaveField("Outcome", outcome.Unknown), "the answer is truncated")
+		Expect(c.MessageAt("b", 1)).To(HaveField("Outcome", outcome.Unknown), "the answer is truncated")
 	})
 
 	It("runs one suspect at a time", func() {
@@ -158,7 +158,7 @@
 		}
 		for seq := range uint64(100) {
 			c.AppendFrame(now, id, piece)
-			_ = c.Frame(id, seq)
+			_ = c.MessageAt(id, seq)
 			c.Ack(id, seq+1)
 		}
 		c.End(now, id, outcome.Completed, "", 200, "")
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -117,7 +117,7 @@
 	if r.sender == nil || r.cursor > s.core.Frames(r.attempt) {
 		return nil, nil, 0, false
 	}
-	return s.core.Frame(r.attempt, r.cursor), r.sender, r.epoch, false
+	return s.core.MessageAt(r.attempt, r.cursor), r.sender, r.epoch, false
 }
 
 func (s *Gate) sent(r *runner, epoch uint64, m wire.Message, err error) {
--- a/internal/requestsim/agent_test.go
+++ b/internal/requestsim/agent_test.go
@@ -88,7 +88,7 @@
 // pump sends what the core has for an attempt.
 func (a *agent) pump(s *served) {
 	for s.link != nil && s.cursor <= a.core.Frames(s.run.attempt) {
-		m := a.core.Frame(s.run.attempt, s.cursor)
+		m := a.core.MessageAt(s.run.attempt, s.cursor)
 		if m == nil {
 			return
 		}
