--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// Frames returns the number of frames of an attempt so far.
-func (c *Core) Frames(attempt model.AttemptID) uint64 {
+// FrameCount returns the number of frames of an attempt so far.
+func (c *Core) FrameCount(attempt model.AttemptID) uint64 {
 	if r, ok := c.records[attempt]; ok {
 		return r.replay.next()
 	}
@@ -210,7 +210,7 @@
 }
 
 // Emitted reports whether the attempt has any answer.
-func (c *Core) Emitted(attempt model.AttemptID) bool { return c.Frames(attempt) > 0 }
+func (c *Core) Emitted(attempt model.AttemptID) bool { return c.FrameCount(attempt) > 0 }
 
 // Known reports whether the attempt's answer is still kept.
 func (c *Core) Known(attempt model.AttemptID) bool {
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -114,7 +114,7 @@
 	if s.runners[r.attempt] != r {
 		return nil, nil, 0, true
 	}
-	if r.sender == nil || r.cursor > s.core.Frames(r.attempt) {
+	if r.sender == nil || r.cursor > s.core.FrameCount(r.attempt) {
 		return nil, nil, 0, false
 	}
 	return s.core.MessageAt(r.attempt, r.cursor), r.sender, r.epoch, false
@@ -132,7 +132,7 @@
 	}
 	r.cursor++
 	if _, end := m.(*wire.ResponseEnd); end {
-		r.cursor = s.core.Frames(r.attempt) + 1
+		r.cursor = s.core.FrameCount(r.attempt) + 1
 	}
 }
 
--- a/internal/requestsim/agent_test.go
+++ b/internal/requestsim/agent_test.go
@@ -87,7 +87,7 @@
 
 // pump sends what the core has for an attempt.
 func (a *agent) pump(s *served) {
-	for s.link != nil && s.cursor <= a.core.Frames(s.run.attempt) {
+	for s.link != nil && s.cursor <= a.core.FrameCount(s.run.attempt) {
 		m := a.core.MessageAt(s.run.attempt, s.cursor)
 		if m == nil {
 			return
