--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -209,8 +209,8 @@
 	return 0
 }
 
-// Emitted reports whether the attempt has any answer.
-func (c *Core) Emitted(attempt model.AttemptID) bool { return c.FrameCount(attempt) > 0 }
+// HasFrames reports whether the attempt has any answer.
+func (c *Core) HasFrames(attempt model.AttemptID) bool { return c.FrameCount(attempt) > 0 }
 
 // Known reports whether the attempt's answer is still kept.
 func (c *Core) Known(attempt model.AttemptID) bool {
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -39,7 +39,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, reason := judge(status, err)
-	if o == outcome.NotRun && s.core.Emitted(r.attempt) {
+	if o == outcome.NotRun && s.core.HasFrames(r.attempt) {
 		o, reason = outcome.Unknown, outcome.ReasonIncomplete
 	}
 	s.core.End(s.clock.Now(), r.attempt, o, reason, status, contentType)
