--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -212,8 +212,8 @@
 // HasFrames reports whether the attempt has any answer.
 func (c *Core) HasFrames(attempt model.AttemptID) bool { return c.FrameCount(attempt) > 0 }
 
-// Known reports whether the attempt's answer is still kept.
-func (c *Core) Known(attempt model.AttemptID) bool {
+// HasRecord reports whether the attempt's answer is still kept.
+func (c *Core) HasRecord(attempt model.AttemptID) bool {
 	_, ok := c.records[attempt]
 	return ok
 }
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -69,7 +69,7 @@
 		Expect(c.Admit(now, startOf("b")).Decision).To(Equal(Ignore))
 		c.End(now, "b", outcome.Completed, "", 200, "")
 		c.Ack("b", 1)
-		Expect(c.Known("b")).To(BeFalse())
+		Expect(c.HasRecord("b")).To(BeFalse())
 		Expect(c.Admit(now, startOf("b")).Decision).To(Equal(Ignore))
 		Expect(c.Reattach(now, &wire.Reattach{Attempt: "b"})).To(BeAssignableToTypeOf(&wire.ResponseEnd{}))
 	})
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -184,7 +184,7 @@
 // gate; s.mu is held.
 func (s *Gate) sweep() {
 	for id, r := range s.runners {
-		if !s.core.Known(id) {
+		if !s.core.HasRecord(id) {
 			delete(s.runners, id)
 			signal(r.wake)
 		}
