--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -33,13 +33,13 @@
 
 // Config holds the limits of a gate. Zero values take defaults.
 type Config struct {
-	Capacity    int
-	ReplayBytes int
-	Window      time.Duration
-	WindowSize  int
-	Reattach    time.Duration
-	Retain      time.Duration
-	RetryAfter  time.Duration
+	Capacity        int
+	ReplayBytes     int
+	DuplicateWindow time.Duration
+	WindowSize      int
+	Reattach        time.Duration
+	Retain          time.Duration
+	RetryAfter      time.Duration
 	// Changed is called without locks after what the gate admits has changed, so
 	// that entries can be told before their next heartbeat. It may be nil.
 	Changed func()
@@ -67,7 +67,7 @@
 	ints(&c.Capacity, defaultCapacity)
 	ints(&c.ReplayBytes, defaultReplayBytes)
 	ints(&c.WindowSize, defaultWindowSize)
-	times(&c.Window, defaultWindow)
+	times(&c.DuplicateWindow, defaultWindow)
 	times(&c.Reattach, defaultReattach)
 	times(&c.Retain, defaultRetain)
 	times(&c.RetryAfter, defaultRetryAfter)
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -145,7 +145,7 @@
 // BenchmarkAttempt is one admitted attempt with 100 frames of 20 bytes, each
 // confirmed.
 func BenchmarkAttempt(b *testing.B) {
-	c := NewCore(Config{Window: time.Second}, nil)
+	c := NewCore(Config{DuplicateWindow: time.Second}, nil)
 	c.SetLive([]model.Weights{v1})
 	now := time.Now()
 	piece := make([]byte, 20)
