--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -36,7 +36,7 @@
 	Capacity        int
 	ReplayBytes     int
 	DuplicateWindow time.Duration
-	WindowSize      int
+	MaxWindowIDs    int
 	Reattach        time.Duration
 	Retain          time.Duration
 	RetryAfter      time.Duration
@@ -66,7 +66,7 @@
 	}
 	ints(&c.Capacity, defaultCapacity)
 	ints(&c.ReplayBytes, defaultReplayBytes)
-	ints(&c.WindowSize, defaultWindowSize)
+	ints(&c.MaxWindowIDs, defaultWindowSize)
 	times(&c.DuplicateWindow, defaultWindow)
 	times(&c.Reattach, defaultReattach)
 	times(&c.Retain, defaultRetain)
--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -39,7 +39,7 @@
 		config:     config,
 		quarantine: quarantine,
 		records:    make(map[model.AttemptID]*record),
-		window:     newWindow(config.DuplicateWindow, config.WindowSize),
+		window:     newWindow(config.DuplicateWindow, config.MaxWindowIDs),
 	}
 }
 
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -30,7 +30,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	var c *Core
 	BeforeEach(func() {
-		c = NewCore(Config{Capacity: 2, ReplayBytes: 10, WindowSize: 64}, nil)
+		c = NewCore(Config{Capacity: 2, ReplayBytes: 10, MaxWindowIDs: 64}, nil)
 		c.SetLive([]model.Weights{v1})
 	})
 	reason := func(a Admission) outcome.Reason {
