--- a/agent/gate/attach.go
+++ b/agent/gate/attach.go
@@ -69,7 +69,7 @@
 				delete(c.records, id)
 			}
 		case !r.repeatable:
-		case !now.Before(r.deadline), r.detached && now.Sub(r.detachedAt) >= c.config.Reattach:
+		case !now.Before(r.deadline), r.detached && now.Sub(r.detachedAt) >= c.config.ReattachTimeout:
 			cancel = append(cancel, id)
 		}
 	}
--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -37,7 +37,7 @@
 	ReplayBytes     int
 	DuplicateWindow time.Duration
 	MaxWindowIDs    int
-	Reattach        time.Duration
+	ReattachTimeout time.Duration
 	Retain          time.Duration
 	RetryAfter      time.Duration
 	// Changed is called without locks after what the gate admits has changed, so
@@ -68,7 +68,7 @@
 	ints(&c.ReplayBytes, defaultReplayBytes)
 	ints(&c.MaxWindowIDs, defaultWindowSize)
 	times(&c.DuplicateWindow, defaultWindow)
-	times(&c.Reattach, defaultReattach)
+	times(&c.ReattachTimeout, defaultReattach)
 	times(&c.Retain, defaultRetain)
 	times(&c.RetryAfter, defaultRetryAfter)
 	return c
--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -143,7 +143,7 @@
 		return true
 	}
 	if r.replay.bytes > 0 && r.replay.bytes+len(data) > c.config.ReplayBytes {
-		if !r.detached || now.Sub(r.detachedAt) < c.config.Reattach {
+		if !r.detached || now.Sub(r.detachedAt) < c.config.ReattachTimeout {
 			return false
 		}
 		// Nobody takes the answer. The call must still reach its end.
