--- a/agent/gate/attach.go
+++ b/agent/gate/attach.go
@@ -65,7 +65,7 @@
 	for id, r := range c.records {
 		switch {
 		case !r.running:
-			if now.Sub(r.endedAt) > c.config.Retain {
+			if now.Sub(r.endedAt) > c.config.AnswerRetention {
 				delete(c.records, id)
 			}
 		case !r.repeatable:
--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -38,7 +38,7 @@
 	DuplicateWindow time.Duration
 	MaxWindowIDs    int
 	ReattachTimeout time.Duration
-	Retain          time.Duration
+	AnswerRetention time.Duration
 	RetryAfter      time.Duration
 	// Changed is called without locks after what the gate admits has changed, so
 	// that entries can be told before their next heartbeat. It may be nil.
@@ -69,7 +69,7 @@
 	ints(&c.MaxWindowIDs, defaultWindowSize)
 	times(&c.DuplicateWindow, defaultWindow)
 	times(&c.ReattachTimeout, defaultReattach)
-	times(&c.Retain, defaultRetain)
+	times(&c.AnswerRetention, defaultRetain)
 	times(&c.RetryAfter, defaultRetryAfter)
 	return c
 }
