--- a/agent/agent.go
+++ b/agent/agent.go
@@ -52,7 +52,7 @@
 // New returns an agent that Start starts.
 func New(cfg Config) (*Agent, error) {
 	a := &Agent{cfg: cfg.applyDefaults(), sessions: newSessions()}
-	a.cfg.Gate.Changed = a.sessions.beat
+	a.cfg.Gate.OnChange = a.sessions.beat
 	a.cfg.Gate.Refused = a.refused
 	a.rank.Store(unknownRank)
 	a.follower = follow.New(follow.Config{Clock: cfg.Clock, Rand: cfg.Rand, Log: cfg.Log, Heartbeat: a.beat})
--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -40,9 +40,9 @@
 	ReattachTimeout time.Duration
 	AnswerRetention time.Duration
 	RetryAfter      time.Duration
-	// Changed is called without locks after what the gate admits has changed, so
+	// OnChange is called without locks after what the gate admits has changed, so
 	// that entries can be told before their next heartbeat. It may be nil.
-	Changed func()
+	OnChange func()
 	// Refused is called without locks for each refusal. It may be nil.
 	Refused func(outcome.Reason)
 }
@@ -61,8 +61,8 @@
 	if c.Refused == nil {
 		c.Refused = func(outcome.Reason) {}
 	}
-	if c.Changed == nil {
-		c.Changed = func() {}
+	if c.OnChange == nil {
+		c.OnChange = func() {}
 	}
 	ints(&c.Capacity, defaultCapacity)
 	ints(&c.ReplayBytes, defaultReplayBytes)
--- a/agent/gate/shell.go
+++ b/agent/gate/shell.go
@@ -34,7 +34,7 @@
 func New(config Config, clk clock.Clock, backend Backend, quarantine Quarantine) *Gate {
 	return &Gate{
 		clock:   clk,
-		changed: config.applyDefaults().Changed,
+		changed: config.applyDefaults().OnChange,
 		refused: config.applyDefaults().Refused,
 		backend: backend,
 		core:    NewCore(config, quarantine),
