--- a/agent/agent.go
+++ b/agent/agent.go
@@ -53,7 +53,7 @@
 func New(cfg Config) (*Agent, error) {
 	a := &Agent{cfg: cfg.applyDefaults(), sessions: newSessions()}
 	a.cfg.Gate.OnChange = a.sessions.beat
-	a.cfg.Gate.Refused = a.refused
+	a.cfg.Gate.OnRefusal = a.refused
 	a.rank.Store(unknownRank)
 	a.follower = follow.New(follow.Config{Clock: cfg.Clock, Rand: cfg.Rand, Log: cfg.Log, Heartbeat: a.beat})
 	var err error
--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -43,8 +43,8 @@
 	// OnChange is called without locks after what the gate admits has changed, so
 	// that entries can be told before their next heartbeat. It may be nil.
 	OnChange func()
-	// Refused is called without locks for each refusal. It may be nil.
-	Refused func(outcome.Reason)
+	// OnRefusal is called without locks for each refusal. It may be nil.
+	OnRefusal func(outcome.Reason)
 }
 
 func (c Config) applyDefaults() Config {
@@ -58,8 +58,8 @@
 			*v = fallback
 		}
 	}
-	if c.Refused == nil {
-		c.Refused = func(outcome.Reason) {}
+	if c.OnRefusal == nil {
+		c.OnRefusal = func(outcome.Reason) {}
 	}
 	if c.OnChange == nil {
 		c.OnChange = func() {}
--- a/agent/gate/shell.go
+++ b/agent/gate/shell.go
@@ -35,7 +35,7 @@
 	return &Gate{
 		clock:   clk,
 		changed: config.applyDefaults().OnChange,
-		refused: config.applyDefaults().Refused,
+		refused: config.applyDefaults().OnRefusal,
 		backend: backend,
 		core:    NewCore(config, quarantine),
 		runners: make(map[model.AttemptID]*runner),
