--- a/agent/cache.go
+++ b/agent/cache.go
@@ -28,7 +28,7 @@
 		}
 		a.readCache(ctx, feed)
 		// The update comes first, so that a snapshot includes it.
-		update := feed.Update()
+		update := feed.NextUpdate()
 		a.sessions.sendCache(update, feed.Snapshot())
 	}
 }
--- a/agent/cachefeed/feed.go
+++ b/agent/cachefeed/feed.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// Update returns the next update, or nil when nothing has changed. Removed
+// NextUpdate returns the next update, or nil when nothing has changed. Removed
 // blocks come first: a wrong hint sends requests to a busy instance for nothing,
 // a missing one costs a prefill.
-func (f *Feed) Update() *wire.CacheUpdate {
+func (f *Feed) NextUpdate() *wire.CacheUpdate {
 	u := &wire.CacheUpdate{}
 	room := wire.MaxCacheChanges
 	for _, b := range f.told {
--- a/agent/cachefeed/feed_test.go
+++ b/agent/cachefeed/feed_test.go
@@ -37,11 +37,11 @@
 		f := &cachefeed.Feed{}
 		Expect(f.Accept(engine.CacheBatch{Incarnation: 1})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: 7, Weights: current, Prefixes: []engine.Prefix{1, 2}})
-		Expect(f.Update().Stored).To(ConsistOf(engine.Prefix(1).Under(current), engine.Prefix(2).Under(current)))
+		Expect(f.NextUpdate().Stored).To(ConsistOf(engine.Prefix(1).Under(current), engine.Prefix(2).Under(current)))
 		Expect(f.Accept(engine.CacheBatch{Incarnation: 2})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 2, Weights: current})
-		Expect(f.Update().Removed).To(HaveLen(2))
-		Expect(f.Update()).To(BeNil())
+		Expect(f.NextUpdate().Removed).To(HaveLen(2))
+		Expect(f.NextUpdate()).To(BeNil())
 	})
 
 	// Guards against a stale hint of the entry that sent the request itself.
@@ -51,7 +51,7 @@
 		f.Accept(engine.CacheBatch{Incarnation: 1, Events: []engine.CacheEvent{
 			stored(1, 9), {Sequence: 2, Change: engine.CacheEvicted, Prefix: 9, Weights: current},
 		}})
-		Expect(f.Update().Removed).To(ConsistOf(engine.Prefix(9).Under(current)))
+		Expect(f.NextUpdate().Removed).To(ConsistOf(engine.Prefix(9).Under(current)))
 	})
 
 	// Guards against control traffic over what an entry of 60 connections may
@@ -67,7 +67,7 @@
 			if sequence%50 != 0 {
 				continue
 			}
-			if u := f.Update(); u != nil {
+			if u := f.NextUpdate(); u != nil {
 				u.Sequence = math.MaxUint64
 				frame, err := wire.Append(nil, u)
 				Expect(err).NotTo(HaveOccurred())
@@ -79,7 +79,7 @@
 			all = append(all, engine.Prefix(rng.Uint64()))
 		}
 		f.Reset(engine.CacheSnapshot{Incarnation: 1, Weights: current, Prefixes: all})
-		for f.Update() != nil {
+		for f.NextUpdate() != nil {
 		}
 		Expect(f.Snapshot().Stored).To(HaveLen(wire.MaxCacheSnapshot))
 		snapshot, err := wire.Append(nil, f.Snapshot())
@@ -129,12 +129,12 @@
 						f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: sequence, Weights: current, Prefixes: have(cached)})
 					}
 				}
-				if u := f.Update(); u != nil && rapid.IntRange(0, 9).Draw(t, "network") > 0 {
+				if u := f.NextUpdate(); u != nil && rapid.IntRange(0, 9).Draw(t, "network") > 0 {
 					deliver(u)
 				}
 			}
 			f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: sequence, Weights: current, Prefixes: have(cached)})
-			for u := f.Update(); u != nil; u = f.Update() {
+			for u := f.NextUpdate(); u != nil; u = f.NextUpdate() {
 				deliver(u)
 			}
 			deliver(f.Snapshot())
