--- a/agent/agent.go
+++ b/agent/agent.go
@@ -77,7 +77,7 @@
 }
 
 func (a *Agent) setUpEngine() error {
-	client, err := engine.New(engine.Config{Address: a.cfg.BackendURL})
+	client, err := engine.NewClient(engine.Config{Address: a.cfg.BackendURL})
 	if err != nil {
 		return err
 	}
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -103,7 +103,7 @@
 func running() (*backend.Runner, *host, *standin.Server) {
 	server, err := standin.Start(standin.Config{Scale: 0.01, IgnoreFencing: true})
 	Expect(err).NotTo(HaveOccurred())
-	client, err := engine.New(engine.Config{Address: server.URL()})
+	client, err := engine.NewClient(engine.Config{Address: server.URL()})
 	Expect(err).NotTo(HaveOccurred())
 	h := &host{dir: GinkgoT().TempDir(), content: make(map[model.Weights]model.Digest)}
 	r := backend.NewRunner(backend.RunnerConfig{
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -61,7 +61,7 @@
 	// warm makes an engine cache a prefix without the entry knowing.
 	warm := func(kind string, prefix int) {
 		agents := d.ModelAgents()
-		c, err := engine.New(engine.Config{Address: agents[prefix%len(agents)].Engine.URL()})
+		c, err := engine.NewClient(engine.Config{Address: agents[prefix%len(agents)].Engine.URL()})
 		Expect(err).NotTo(HaveOccurred())
 		b := body(kind, prefix, 0)
 		s, err := c.Generate(ctx, engine.Request{
--- a/lib/engine/bench_test.go
+++ b/lib/engine/bench_test.go
@@ -19,7 +19,7 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	client, err := engine.New(engine.Config{Address: server.URL()})
+	client, err := engine.NewClient(engine.Config{Address: server.URL()})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -15,8 +15,8 @@
 	http *transport
 }
 
-// New returns a client. It does not connect.
-func New(cfg Config) (*Client, error) {
+// NewClient returns a client. It does not connect.
+func NewClient(cfg Config) (*Client, error) {
 	cfg.applyDefaults()
 	t, err := newTransport(cfg)
 	if err != nil {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -37,7 +37,7 @@
 	s, err := engine.Start(cfg)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(s.Close)
-	c, err := api.New(api.Config{Address: s.URL()})
+	c, err := api.NewClient(api.Config{Address: s.URL()})
 	Expect(err).NotTo(HaveOccurred())
 	return s, c
 }
