--- a/agent/agent.go
+++ b/agent/agent.go
@@ -66,7 +66,7 @@
 }
 
 func (a *Agent) setUpPlain() error {
-	client, err := engine.NewPlain(engine.Config{Address: a.cfg.BackendURL})
+	client, err := engine.NewPlainClient(engine.Config{Address: a.cfg.BackendURL})
 	if err != nil {
 		return err
 	}
--- a/agent/plain_server_test.go
+++ b/agent/plain_server_test.go
@@ -18,7 +18,7 @@
 		server, err := service.Start(cfg)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
-		client, err := engine.NewPlain(engine.Config{Address: server.URL()})
+		client, err := engine.NewPlainClient(engine.Config{Address: server.URL()})
 		Expect(err).NotTo(HaveOccurred())
 		now := clock.NewFake(time.Unix(1_800_000_000, 0))
 		p := newPlainServer(client, Config{Clock: now, Capacity: 9})
@@ -40,7 +40,7 @@
 	It("is what the service reports, and ages when the reports end", func() {
 		const lag = 50 * time.Millisecond
 		p, now, server := observed(service.Config{Capacity: 4, LoadLag: lag, Delay: time.Minute})
-		other, err := engine.NewPlain(engine.Config{Address: server.URL()})
+		other, err := engine.NewPlainClient(engine.Config{Address: server.URL()})
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
--- a/lib/engine/bench_test.go
+++ b/lib/engine/bench_test.go
@@ -49,7 +49,7 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	client, err := engine.NewPlain(engine.Config{Address: server.URL()})
+	client, err := engine.NewPlainClient(engine.Config{Address: server.URL()})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/lib/engine/plain_client.go
+++ b/lib/engine/plain_client.go
@@ -42,8 +42,8 @@
 	http *transport
 }
 
-// NewPlain returns a client. It does not connect.
-func NewPlain(cfg Config) (*PlainClient, error) {
+// NewPlainClient returns a client. It does not connect.
+func NewPlainClient(cfg Config) (*PlainClient, error) {
 	cfg.applyDefaults()
 	t, err := newTransport(cfg)
 	if err != nil {
--- a/lib/engine/plain_client_test.go
+++ b/lib/engine/plain_client_test.go
@@ -23,7 +23,7 @@
 		server, err = service.Start(service.Config{})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
-		client, err = engine.NewPlain(engine.Config{Address: server.URL()})
+		client, err = engine.NewPlainClient(engine.Config{Address: server.URL()})
 		Expect(err).NotTo(HaveOccurred())
 	})
 
@@ -88,7 +88,7 @@
 		lagging, err := service.Start(service.Config{Capacity: 4, LoadLag: lag, Delay: time.Second})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(lagging.Close)
-		client, err := engine.NewPlain(engine.Config{Address: lagging.URL()})
+		client, err := engine.NewPlainClient(engine.Config{Address: lagging.URL()})
 		Expect(err).NotTo(HaveOccurred())
 		done := make(chan struct{})
 		go func() {
