--- a/lib/engine/plain_client.go
+++ b/lib/engine/plain_client.go
@@ -29,8 +29,8 @@
 	Body            []byte
 }
 
-// PlainAnswer is the whole answer of a plain service.
-type PlainAnswer struct {
+// PlainResponse is the whole answer of a plain service.
+type PlainResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -67,7 +67,7 @@
 // of 429 or 503 with a Retry-After header is a refusal before the request ran;
 // without the header it is an answer, because a service may also use these
 // statuses after it ran something.
-func (c *PlainClient) Call(ctx context.Context, req PlainRequest) (PlainAnswer, error) {
+func (c *PlainClient) Call(ctx context.Context, req PlainRequest) (PlainResponse, error) {
 	x := newExchange(consts.MethodPost, c.cfg.Address+"/"+url.PathEscape(string(req.Service)))
 	x.req.SetBodyRaw(req.Body)
 	x.req.SetConnectionClose()
@@ -80,18 +80,18 @@
 		x.req.Header.Set(HeaderRemaining, strconv.FormatInt(req.RemainingMillis, 10))
 	}
 	if err := c.http.do(ctx, x, c.cfg.RequestTimeout); err != nil {
-		return PlainAnswer{}, err
+		return PlainResponse{}, err
 	}
 	defer x.close()
 	status := x.resp.StatusCode()
 	if status == consts.StatusTooManyRequests || status == consts.StatusServiceUnavailable {
 		if len(x.resp.Header.Peek(headerRetryAfter)) > 0 {
-			return PlainAnswer{}, notStarted(x.refused(ctx))
+			return PlainResponse{}, notStarted(x.refused(ctx))
 		}
 	}
 	body, err := x.body(ctx, c.cfg.MaxAnswer)
 	if err != nil {
-		return PlainAnswer{}, mayHaveRun(err)
+		return PlainResponse{}, mayHaveRun(err)
 	}
-	return PlainAnswer{Status: status, ContentType: string(x.resp.Header.ContentType()), Body: body}, nil
+	return PlainResponse{Status: status, ContentType: string(x.resp.Header.ContentType()), Body: body}, nil
 }
