--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -29,7 +29,7 @@
 // it on. NotStarted tells whether an error proves that it did not run.
 func (c *Client) Generate(ctx context.Context, req Request) (*Stream, error) {
 	req.Resume, req.Offset = false, 0
-	s := newStream(req, c.cfg.Stall)
+	s := newStream(req, c.cfg.StallTimeout)
 	return s, c.open(ctx, s, req)
 }
 
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -43,7 +43,7 @@
 	server, err := standin.Start(cfg)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(server.Close)
-	client, err := engine.NewClient(engine.Config{Address: server.URL(), Stall: 5 * time.Second})
+	client, err := engine.NewClient(engine.Config{Address: server.URL(), StallTimeout: 5 * time.Second})
 	Expect(err).NotTo(HaveOccurred())
 	guard := engine.NewGuard(engine.GuardConfig{Poll: time.Millisecond, Settle: 20 * time.Millisecond})
 	place, content := stage(name, 4)
@@ -114,7 +114,7 @@
 	// A stream that stops in the middle must never look like a whole answer.
 	It("reports a stalled stream as incomplete", func() {
 		server, _, _, _ := loaded(standin.Config{}, "v1")
-		client, err := engine.NewClient(engine.Config{Address: server.URL(), Stall: 50 * time.Millisecond})
+		client, err := engine.NewClient(engine.Config{Address: server.URL(), StallTimeout: 50 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
 		s, err := client.Generate(ctx, request("v1", "r1", `{"max_tokens":5000}`))
 		Expect(err).NotTo(HaveOccurred())
--- a/lib/engine/config.go
+++ b/lib/engine/config.go
@@ -32,8 +32,8 @@
 	ReadTimeout    time.Duration
 	OrderTimeout   time.Duration
 	RequestTimeout time.Duration
-	// Stall is the longest pause inside a stream before it counts as lost.
-	Stall time.Duration
+	// StallTimeout is the longest pause inside a stream before it counts as lost.
+	StallTimeout time.Duration
 	// MaxAnswer bounds an answer in bytes.
 	MaxAnswer int64
 }
@@ -43,7 +43,7 @@
 	defaultTo(&c.ReadTimeout, defaultReadTimeout)
 	defaultTo(&c.OrderTimeout, defaultOrderTimeout)
 	defaultTo(&c.RequestTimeout, defaultRequestTimeout)
-	defaultTo(&c.Stall, defaultStall)
+	defaultTo(&c.StallTimeout, defaultStall)
 	if c.MaxAnswer <= 0 {
 		c.MaxAnswer = defaultMaxAnswer
 	}
