--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -136,7 +136,7 @@
 		return Reply{}, mayHaveRun(refused)
 	}
 	var r Reply
-	data, err := x.body(ctx, c.cfg.MaxAnswer)
+	data, err := x.body(ctx, c.cfg.MaxResponseBytes)
 	if err != nil {
 		return Reply{}, mayHaveRun(err)
 	}
--- a/lib/engine/config.go
+++ b/lib/engine/config.go
@@ -34,8 +34,8 @@
 	RequestTimeout time.Duration
 	// StallTimeout is the longest pause inside a stream before it counts as lost.
 	StallTimeout time.Duration
-	// MaxAnswer bounds an answer in bytes.
-	MaxAnswer int64
+	// MaxResponseBytes bounds an answer in bytes.
+	MaxResponseBytes int64
 }
 
 func (c *Config) applyDefaults() {
@@ -44,8 +44,8 @@
 	defaultTo(&c.OrderTimeout, defaultOrderTimeout)
 	defaultTo(&c.RequestTimeout, defaultRequestTimeout)
 	defaultTo(&c.StallTimeout, defaultStall)
-	if c.MaxAnswer <= 0 {
-		c.MaxAnswer = defaultMaxAnswer
+	if c.MaxResponseBytes <= 0 {
+		c.MaxResponseBytes = defaultMaxAnswer
 	}
 }
 
--- a/lib/engine/plain_client.go
+++ b/lib/engine/plain_client.go
@@ -89,7 +89,7 @@
 			return PlainResponse{}, notStarted(x.refused(ctx))
 		}
 	}
-	body, err := x.body(ctx, c.cfg.MaxAnswer)
+	body, err := x.body(ctx, c.cfg.MaxResponseBytes)
 	if err != nil {
 		return PlainResponse{}, mayHaveRun(err)
 	}
