--- a/agent/backend/fetched.go
+++ b/agent/backend/fetched.go
@@ -8,6 +8,6 @@
 // StagedWeights is a version that is complete and verified in the staging area.
 type StagedWeights struct {
 	Weights model.Weights
-	Base    engine.Place
-	Adapter engine.Place
+	Base    engine.StagedFiles
+	Adapter engine.StagedFiles
 }
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -50,7 +50,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.content[w] = standin.ContentDigest(digests...)
-	return backend.StagedWeights{Base: engine.Place{Directory: dir}}, nil
+	return backend.StagedWeights{Base: engine.StagedFiles{Directory: dir}}, nil
 }
 
 func (*host) RequestPermit(context.Context, model.Weights) (bool, time.Duration, error) {
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -181,7 +181,7 @@
 	if w.fetching.IsZero() {
 		return
 	}
-	f := backend.StagedWeights{Weights: w.fetching, Base: engine.Place{Directory: w.fetching.String()}}
+	f := backend.StagedWeights{Weights: w.fetching, Base: engine.StagedFiles{Directory: w.fetching.String()}}
 	w.fetching = model.Weights{}
 	w.m.HandleFetched(w.now, f, err)
 	w.drain()
--- a/agent/host.go
+++ b/agent/host.go
@@ -80,24 +80,24 @@
 }
 
 // fetch brings one set of weights, verifies it and names its files in order.
-func (h host) fetch(ctx context.Context, manifest model.Digest) (engine.Place, error) {
+func (h host) fetch(ctx context.Context, manifest model.Digest) (engine.StagedFiles, error) {
 	t := h.agent.transfer
 	declared, ok := h.declared(manifest)
 	if !ok {
-		return engine.Place{}, merry.Wrap(errNotDeclared, merry.AppendMessage(manifest.Short()))
+		return engine.StagedFiles{}, merry.Wrap(errNotDeclared, merry.AppendMessage(manifest.Short()))
 	}
 	metrics, before := h.agent.cfg.Metrics, t.Progress()
 	defer func() { countBytes(metrics, declared.Name, before, t.Progress()) }()
 	started := h.agent.fetching.since(manifest, h.agent.cfg.Clock.Now())
 	if err := t.Fetch(ctx, manifest, declared.ManifestObject); err != nil {
-		return engine.Place{}, err
+		return engine.StagedFiles{}, err
 	}
 	if err := t.Verify(manifest); err != nil {
-		return engine.Place{}, err
+		return engine.StagedFiles{}, err
 	}
 	h.agent.fetching.done()
 	metrics.Transferred(declared.Name, h.agent.cfg.Clock.Now().Sub(started))
-	place := engine.Place{Directory: h.agent.cfg.StagingDir}
+	place := engine.StagedFiles{Directory: h.agent.cfg.StagingDir}
 	for _, c := range t.Manifest(manifest).Chunks {
 		place.Files = append(place.Files, weights.ChunkFile(c.Digest))
 	}
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -22,7 +22,7 @@
 
 // stage writes files of a version and returns where they are and the digest
 // that answers must carry.
-func stage(name string, files int) (engine.Place, model.Digest) {
+func stage(name string, files int) (engine.StagedFiles, model.Digest) {
 	dir := GinkgoT().TempDir()
 	digests := make([]model.Digest, files)
 	for i := range files {
@@ -30,7 +30,7 @@
 		digests[i] = model.Sum(data)
 		Expect(os.WriteFile(filepath.Join(dir, fmt.Sprintf("%04d", i)), data, 0o600)).To(Succeed())
 	}
-	return engine.Place{Directory: dir}, standin.ContentDigest(digests...)
+	return engine.StagedFiles{Directory: dir}, standin.ContentDigest(digests...)
 }
 
 func weightsOf(name string) model.Weights { return model.Weights{Base: model.Sum([]byte(name))} }
--- a/lib/engine/order.go
+++ b/lib/engine/order.go
@@ -16,9 +16,9 @@
 	OrderImportKV OrderKind = "import_kv"
 )
 
-// Place names staged files: the given ones of a directory in order, or all of
+// StagedFiles names staged files: the given ones of a directory in order, or all of
 // them in lexical order when none is given.
-type Place struct {
+type StagedFiles struct {
 	Directory string   `json:"directory"`
 	Files     []string `json:"files,omitempty"`
 }
@@ -40,9 +40,9 @@
 	// Weights are what to load, or those that a KV cache belongs to.
 	Weights model.Weights `json:"weights"`
 	// Base and Adapter say where the files of Weights are staged.
-	Base    Place `json:"base"`
-	Adapter Place `json:"adapter"`
-	Role    Role  `json:"role,omitempty"`
+	Base    StagedFiles `json:"base"`
+	Adapter StagedFiles `json:"adapter"`
+	Role    Role        `json:"role,omitempty"`
 	// Stream names the stream whose KV cache is exported.
 	Stream string `json:"stream,omitempty"`
 	// KV is imported.
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -131,7 +131,7 @@
 // files lists the paths of an order, base before adapter.
 func files(o api.Order) ([]string, error) {
 	var paths []string
-	for _, p := range []api.Place{o.Base, o.Adapter} {
+	for _, p := range []api.StagedFiles{o.Base, o.Adapter} {
 		names := p.Files
 		if len(names) == 0 && p.Directory != "" {
 			entries, err := os.ReadDir(p.Directory)
