--- a/lib/engine/frame.go
+++ b/lib/engine/frame.go
@@ -10,8 +10,8 @@
 	EventError = "error"
 )
 
-// Start opens an answer.
-type Start struct {
+// StreamStart opens an answer.
+type StreamStart struct {
 	Request model.RequestID `json:"request"`
 	Stream  string          `json:"stream"`
 	Weights model.Weights   `json:"weights"`
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -57,7 +57,7 @@
 }
 
 func (s *Stream) checkStart() error {
-	var start Start
+	var start StreamStart
 	name, data, err := s.event()
 	if err != nil {
 		return err
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -38,13 +38,13 @@
 }
 
 // enter queues a new request or finds the stream of a resumed one.
-func (s *Server) enter(req api.Request) (st *stream, start api.Start, status int, reason string) {
+func (s *Server) enter(req api.Request) (st *stream, start api.StreamStart, status int, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.cfg.IgnoreWeights && req.Weights != s.weights {
 		return nil, start, consts.StatusConflict, api.RefusalWeights
 	}
-	start = api.Start{Request: req.ID, Stream: req.Stream, Weights: s.weights}
+	start = api.StreamStart{Request: req.ID, Stream: req.Stream, Weights: s.weights}
 	st, ok := s.streams[req.Stream]
 	if req.Resume {
 		if !ok || req.Offset > uint64(len(st.frames)) {
