--- a/lib/engine/frame.go
+++ b/lib/engine/frame.go
@@ -23,8 +23,8 @@
 	Data   []byte `json:"data"`
 }
 
-// End closes an answer.
-type End struct {
+// StreamEnd closes an answer.
+type StreamEnd struct {
 	// Frames counts the frames from offset 0 on.
 	Frames uint64 `json:"frames"`
 	// Digest is over the data of all frames.
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -25,7 +25,7 @@
 	stop   func() bool
 	next   uint64
 	hash   *blake3.Hasher
-	end    *End
+	end    *StreamEnd
 }
 
 func newStream(req Request, stall time.Duration) *Stream {
@@ -36,9 +36,9 @@
 func (s *Stream) Offset() uint64 { return s.next }
 
 // End returns the end of a complete answer, after Next returned io.EOF.
-func (s *Stream) End() (End, bool) {
+func (s *Stream) End() (StreamEnd, bool) {
 	if s.end == nil {
-		return End{}, false
+		return StreamEnd{}, false
 	}
 	return *s.end, true
 }
@@ -137,7 +137,7 @@
 }
 
 func (s *Stream) finish(data []byte) error {
-	var end End
+	var end StreamEnd
 	if err := json.Unmarshal(data, &end); err != nil {
 		return mayHaveRun(because(ErrIncomplete, err))
 	}
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -20,7 +20,7 @@
 	running  bool
 	total    int
 	frames   [][]byte
-	end      *api.End
+	end      *api.StreamEnd
 	abort    *api.Abort
 	ended    time.Time
 	changed  chan struct{} // closed and replaced at each change
@@ -49,7 +49,7 @@
 		for _, f := range s.frames {
 			_, _ = hash.Write(f)
 		}
-		end := &api.End{Frames: uint64(len(s.frames)), Weights: weights}
+		end := &api.StreamEnd{Frames: uint64(len(s.frames)), Weights: weights}
 		copy(end.Digest[:], hash.Sum(nil))
 		s.end, s.ended = end, now
 	}
