--- a/lib/engine/frame.go
+++ b/lib/engine/frame.go
@@ -32,8 +32,8 @@
 	Weights model.Weights `json:"weights"`
 }
 
-// Abort ends an answer that does not become complete.
-type Abort struct {
+// StreamError ends an answer that does not become complete.
+type StreamError struct {
 	Reason string `json:"reason"`
 	// Started is false when the engine proves that it ran nothing.
 	Started bool `json:"started"`
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -156,7 +156,7 @@
 // aborted reports an error event. It proves that nothing ran only when the
 // engine says so and no frame was received.
 func (s *Stream) aborted(data []byte) error {
-	var a Abort
+	var a StreamError
 	if err := json.Unmarshal(data, &a); err != nil {
 		return mayHaveRun(because(ErrIncomplete, err))
 	}
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -21,7 +21,7 @@
 	total    int
 	frames   [][]byte
 	end      *api.StreamEnd
-	abort    *api.Abort
+	abort    *api.StreamError
 	ended    time.Time
 	changed  chan struct{} // closed and replaced at each change
 }
@@ -60,6 +60,6 @@
 	if s.over() {
 		return
 	}
-	s.abort, s.ended = &api.Abort{Reason: reason, Started: s.running}, now
+	s.abort, s.ended = &api.StreamError{Reason: reason, Started: s.running}, now
 	s.notify()
 }
