--- a/lib/engine/errors.go
+++ b/lib/engine/errors.go
@@ -21,8 +21,8 @@
 	// ErrWeightsMismatch means that the backend server has other weights than
 	// the request, stream or cache names.
 	ErrWeightsMismatch = merry.New("weights mismatch")
-	// ErrCrossed means that the answer belongs to another request.
-	ErrCrossed = merry.New("answer of another request")
+	// ErrWrongRequest means that the answer belongs to another request.
+	ErrWrongRequest = merry.New("answer of another request")
 	// ErrUnavailable means that a read of state or load was not answered.
 	ErrUnavailable = merry.New("backend server unavailable")
 	// ErrNoLoad means that a plain service reports no load.
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -69,7 +69,7 @@
 		return mayHaveRun(merry.Errorf("first event is %q", name))
 	}
 	if start.Stream != s.request.Stream || start.Request != s.request.ID {
-		return mayHaveRun(merry.Wrap(ErrCrossed, merry.AppendMessagef("got stream %s, want %s", start.Stream, s.request.Stream)))
+		return mayHaveRun(merry.Wrap(ErrWrongRequest, merry.AppendMessagef("got stream %s, want %s", start.Stream, s.request.Stream)))
 	}
 	return s.checkWeights(start.Weights)
 }
