--- a/agent/load_reader.go
+++ b/agent/load_reader.go
@@ -54,7 +54,7 @@
 	switch {
 	case err == nil:
 		l.report, l.reportedAt = report, l.clock.Now()
-	case errors.Is(err, engine.ErrNoLoad):
+	case errors.Is(err, engine.ErrNoLoadReport):
 		l.report, l.reportedAt = engine.LoadReport{}, time.Time{}
 	}
 }
--- a/lib/engine/errors.go
+++ b/lib/engine/errors.go
@@ -25,8 +25,8 @@
 	ErrWrongRequest = merry.New("answer of another request")
 	// ErrUnavailable means that a read of state or load was not answered.
 	ErrUnavailable = merry.New("backend server unavailable")
-	// ErrNoLoad means that a plain service reports no load.
-	ErrNoLoad = merry.New("service reports no load")
+	// ErrNoLoadReport means that a plain service reports no load.
+	ErrNoLoadReport = merry.New("service reports no load")
 	// ErrTooLarge means that an answer is longer than this process accepts.
 	ErrTooLarge = merry.New("answer too large")
 )
--- a/lib/engine/plain_client.go
+++ b/lib/engine/plain_client.go
@@ -58,7 +58,7 @@
 	var r LoadReport
 	err := c.http.read(ctx, c.cfg.Address+"/v1/load", c.cfg.ReadTimeout, &r)
 	if err != nil && merry.HTTPCode(err) == consts.StatusNotFound {
-		return LoadReport{}, merry.Wrap(ErrNoLoad, merry.WithCause(err))
+		return LoadReport{}, merry.Wrap(ErrNoLoadReport, merry.WithCause(err))
 	}
 	return r, err
 }
--- a/lib/engine/plain_client_test.go
+++ b/lib/engine/plain_client_test.go
@@ -76,11 +76,11 @@
 
 	It("tells a service without load reports from one that does not answer", func() {
 		_, err := client.Load(ctx)
-		Expect(errors.Is(err, engine.ErrNoLoad)).To(BeTrue())
+		Expect(errors.Is(err, engine.ErrNoLoadReport)).To(BeTrue())
 		Expect(server.Close()).To(Succeed())
 		_, err = client.Load(ctx)
 		Expect(errors.Is(err, engine.ErrUnavailable)).To(BeTrue())
-		Expect(errors.Is(err, engine.ErrNoLoad)).To(BeFalse())
+		Expect(errors.Is(err, engine.ErrNoLoadReport)).To(BeFalse())
 	})
 
 	It("reads the load as it was the lag ago", func() {
