--- a/lib/engine/errors.go
+++ b/lib/engine/errors.go
@@ -76,8 +76,8 @@
 	return merry.Wrap(verdict, merry.AppendMessage(cause.Error()), merry.WithCause(cause))
 }
 
-// Refusal returns the explicit refusal inside err, if there is one.
-func Refusal(err error) (*RefusedError, bool) {
+// AsRefused returns the explicit refusal inside err, if there is one.
+func AsRefused(err error) (*RefusedError, bool) {
 	var r *RefusedError
 	ok := errors.As(err, &r)
 	return r, ok
--- a/lib/engine/guard.go
+++ b/lib/engine/guard.go
@@ -159,7 +159,7 @@
 	case err == nil:
 		g.reply, g.phase, g.wake = r, phaseAfter, now
 	case NotStarted(err):
-		if refused, ok := Refusal(err); ok && refused.Reason == RefusalFenced {
+		if refused, ok := AsRefused(err); ok && refused.Reason == RefusalFenced {
 			err = because(ErrSuperseded, err)
 		}
 		g.done(State{}, err)
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -79,7 +79,7 @@
 	It("refuses an old number at an engine that checks it", func() {
 		_, client, _, _ := loaded(standin.Config{}, "v1")
 		_, err := client.Order(context.Background(), engine.Order{Kind: engine.OrderRole, Role: engine.RoleDecode})
-		refused, ok := engine.Refusal(err)
+		refused, ok := engine.AsRefused(err)
 		Expect(ok).To(BeTrue())
 		Expect(refused.Reason).To(Equal(engine.RefusalFenced))
 	})
