--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -23,7 +23,7 @@
 	Machine Config
 	Clock   clock.Clock
 	Random  *rand.Rand
-	Engine  engine.Orders
+	Engine  engine.OrderClient
 	Host    Host
 }
 
--- a/lib/engine/guard_run.go
+++ b/lib/engine/guard_run.go
@@ -7,8 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/clock"
 )
 
-// Orders is the part of Client that orders need.
-type Orders interface {
+// OrderClient is the part of Client that orders need.
+type OrderClient interface {
 	State(ctx context.Context) (State, error)
 	Order(ctx context.Context, o Order) (Reply, error)
 }
@@ -16,7 +16,7 @@
 // Run carries out one order from submission to its result. When ctx ends
 // before that, an order that was not sent is withdrawn. One that was sent stays
 // outstanding in the guard; the next Run resolves it before it submits its own.
-func Run(ctx context.Context, c clock.Clock, api Orders, g *Guard, order Order) (Result, error) {
+func Run(ctx context.Context, c clock.Clock, api OrderClient, g *Guard, order Order) (Result, error) {
 	if g.Outstanding() {
 		if _, err := Resolve(ctx, c, api, g); err != nil {
 			return Result{}, err
@@ -29,7 +29,7 @@
 }
 
 // Resolve carries on with the outstanding order until its result is known.
-func Resolve(ctx context.Context, c clock.Clock, api Orders, g *Guard) (Result, error) {
+func Resolve(ctx context.Context, c clock.Clock, api OrderClient, g *Guard) (Result, error) {
 	for {
 		switch step := g.Next(c.Now()); step.Kind {
 		case StepReadState:
