--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -53,7 +53,7 @@
 }
 
 func order(client *engine.Client, guard *engine.Guard, o engine.Order) engine.Result {
-	result, err := engine.Run(context.Background(), clock.System{}, client, guard, o)
+	result, err := engine.RunOrder(context.Background(), clock.System{}, client, guard, o)
 	Expect(err).NotTo(HaveOccurred())
 	return result
 }
--- a/lib/engine/guard_run.go
+++ b/lib/engine/guard_run.go
@@ -13,10 +13,10 @@
 	Order(ctx context.Context, o Order) (Reply, error)
 }
 
-// Run carries out one order from submission to its result. When ctx ends
+// RunOrder carries out one order from submission to its result. When ctx ends
 // before that, an order that was not sent is withdrawn. One that was sent stays
 // outstanding in the guard; the next Run resolves it before it submits its own.
-func Run(ctx context.Context, c clock.Clock, api OrderClient, g *Guard, order Order) (Result, error) {
+func RunOrder(ctx context.Context, c clock.Clock, api OrderClient, g *Guard, order Order) (Result, error) {
 	if g.Outstanding() {
 		if _, err := Resolve(ctx, c, api, g); err != nil {
 			return Result{}, err
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -51,13 +51,13 @@
 		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}
 		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, err := engine.Run(canceled, clock.System{}, client, guard, load)
+		_, err := engine.RunOrder(canceled, clock.System{}, client, guard, load)
 		Expect(err).To(MatchError(context.Canceled))
 		Expect(guard.Outstanding()).To(BeFalse())
 
 		short, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 		defer cancel()
-		_, err = engine.Run(short, clock.System{}, client, guard, load)
+		_, err = engine.RunOrder(short, clock.System{}, client, guard, load)
 		Expect(err).To(MatchError(context.DeadlineExceeded))
 		Expect(guard.Outstanding()).To(BeTrue())
 		result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v3"), Base: other})
