--- a/lib/engine/guard_run.go
+++ b/lib/engine/guard_run.go
@@ -18,18 +18,18 @@
 // outstanding in the guard; the next Run resolves it before it submits its own.
 func RunOrder(ctx context.Context, c clock.Clock, api OrderClient, g *Guard, order Order) (Result, error) {
 	if g.Outstanding() {
-		if _, err := Resolve(ctx, c, api, g); err != nil {
+		if _, err := ResolveOrder(ctx, c, api, g); err != nil {
 			return Result{}, err
 		}
 	}
 	if err := g.Submit(order); err != nil {
 		return Result{}, err
 	}
-	return Resolve(ctx, c, api, g)
+	return ResolveOrder(ctx, c, api, g)
 }
 
-// Resolve carries on with the outstanding order until its result is known.
-func Resolve(ctx context.Context, c clock.Clock, api OrderClient, g *Guard) (Result, error) {
+// ResolveOrder carries on with the outstanding order until its result is known.
+func ResolveOrder(ctx context.Context, c clock.Clock, api OrderClient, g *Guard) (Result, error) {
 	for {
 		switch step := g.Next(c.Now()); step.Kind {
 		case StepReadState:
