--- a/agent/agent.go
+++ b/agent/agent.go
@@ -108,7 +108,7 @@
 	if !a.cfg.Backend.Guard.Checked {
 		a.cfg.Log.Log(eventlog.FencingIgnored)
 	}
-	a.cfg.Backend.Guard.Start = a.startNumber(client)
+	a.cfg.Backend.Guard.Epoch = a.startNumber(client)
 	a.weights = backend.NewRunner(backend.RunnerConfig{
 		Machine: a.cfg.Backend,
 		Clock:   a.cfg.Clock,
@@ -134,7 +134,7 @@
 	defer cancel()
 	var floor uint64
 	if state, err := client.State(ctx); err == nil {
-		floor = state.Accepted.Start
+		floor = state.Accepted.Epoch
 	}
 	number, err := backend.NextEpoch(ctx, a.cfg.Table, a.cfg.Identity.Instance, floor)
 	if err != nil {
--- a/agent/backend/machine_test.go
+++ b/agent/backend/machine_test.go
@@ -21,10 +21,10 @@
 func TestMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
-		earlier := &engine.Order{Kind: engine.OrderLoad, Fence: engine.Fence{Start: 4, Sequence: 3}, Weights: version("new")}
+		earlier := &engine.Order{Kind: engine.OrderLoad, Fence: engine.Fence{Epoch: 4, Sequence: 3}, Weights: version("new")}
 		switch rapid.IntRange(0, 3).Draw(t, "start") {
 		case 1: // an engine that outlived its agent
-			w.state.Weights, w.state.Accepted = version("old"), engine.Fence{Start: 4, Sequence: 2}
+			w.state.Weights, w.state.Accepted = version("old"), engine.Fence{Epoch: 4, Sequence: 2}
 		case 2: // an order of the earlier agent still runs
 			w.inFlight = earlier
 			w.deliver()
@@ -172,7 +172,7 @@
 	})
 
 	It("notices weights that another order brought", func() {
-		w.inFlight = &engine.Order{Kind: engine.OrderLoad, Fence: engine.Fence{Start: 1}, Weights: version("stray")}
+		w.inFlight = &engine.Order{Kind: engine.OrderLoad, Fence: engine.Fence{Epoch: 1}, Weights: version("stray")}
 		w.running, w.inFlight = w.inFlight, nil
 		w.state.Accepted = w.running.Fence
 		w.finish(true)
--- a/agent/backend/observe.go
+++ b/agent/backend/observe.go
@@ -63,6 +63,6 @@
 
 // superseded reports whether another agent generation commands the engine.
 func (m *Machine) superseded(s engine.State) bool {
-	start := m.guard.Fence().Start
-	return start != 0 && s.Accepted.Start > start
+	start := m.guard.Fence().Epoch
+	return start != 0 && s.Accepted.Epoch > start
 }
--- a/lib/engine/guard.go
+++ b/lib/engine/guard.go
@@ -44,7 +44,7 @@
 // NewGuard returns a guard without an outstanding order.
 func NewGuard(cfg GuardConfig) *Guard {
 	cfg.applyDefaults()
-	return &Guard{cfg: cfg, fence: Fence{Start: cfg.Start}}
+	return &Guard{cfg: cfg, fence: Fence{Epoch: cfg.Epoch}}
 }
 
 // Outstanding reports whether an order has not ended yet.
@@ -115,10 +115,10 @@
 }
 
 func (g *Guard) stateBefore(now time.Time, s State) {
-	if g.cfg.Start == 0 && g.fence.Sequence == 0 {
+	if g.cfg.Epoch == 0 && g.fence.Sequence == 0 {
 		// Taken again at each read until the first order is sent: an order of
 		// an earlier agent may arrive between two reads.
-		g.fence.Start = s.Accepted.Start + 1
+		g.fence.Epoch = s.Accepted.Epoch + 1
 	}
 	switch {
 	case g.fence.Before(s.Accepted):
--- a/lib/engine/guard_config.go
+++ b/lib/engine/guard_config.go
@@ -13,9 +13,9 @@
 
 // GuardConfig holds the settings of a Guard.
 type GuardConfig struct {
-	// Start is the agent generation's start counter. 0 takes the number after
+	// Epoch is the agent generation's start counter. 0 takes the number after
 	// the one that the engine reports at the first read of state.
-	Start uint64
+	Epoch uint64
 	// Checked says that the engine refuses old numbers. Without it the first
 	// order waits until the settle time has passed since the first read of
 	// state: an order of an earlier agent may still be unread.
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -71,7 +71,7 @@
 		_, client, old, _ := loaded(standin.Config{IgnoreFencing: true}, "v1")
 		place, _ := stage("v2", 4)
 		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}
-		next := engine.NewGuard(engine.GuardConfig{Start: old.Fence().Start + 1})
+		next := engine.NewGuard(engine.GuardConfig{Epoch: old.Fence().Epoch + 1})
 		Expect(order(client, next, load).Err).NotTo(HaveOccurred())
 		Expect(errors.Is(order(client, old, load).Err, engine.ErrSuperseded)).To(BeTrue())
 	})
@@ -126,7 +126,7 @@
 		var lostAt time.Time
 		m := &guardModel{state: engine.State{Incarnation: 1}}
 		if rapid.Bool().Draw(t, "order of an earlier agent") {
-			m.inFlight, m.sent, lostAt = &engine.Order{Fence: engine.Fence{Start: 7, Sequence: 3}, Weights: weightsOf("old")}, 1, now
+			m.inFlight, m.sent, lostAt = &engine.Order{Fence: engine.Fence{Epoch: 7, Sequence: 3}, Weights: weightsOf("old")}, 1, now
 			if rapid.Bool().Draw(t, "read already") {
 				m.deliver()
 			}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -29,7 +29,7 @@
 		digests[i] = model.Sum(data)
 		Expect(os.WriteFile(filepath.Join(dir, fmt.Sprintf("%03d", i)), data, 0o600)).To(Succeed())
 	}
-	o := api.Order{Kind: api.OrderLoad, Weights: weightsOf(name), Base: api.StagedFiles{Directory: dir}, Fence: api.Fence{Start: 1, Sequence: sequence}}
+	o := api.Order{Kind: api.OrderLoad, Weights: weightsOf(name), Base: api.StagedFiles{Directory: dir}, Fence: api.Fence{Epoch: 1, Sequence: sequence}}
 	return o, engine.ContentDigest(digests...)
 }
 
