--- a/agent/agent.go
+++ b/agent/agent.go
@@ -105,7 +105,7 @@
 	a.server = server
 	a.gate = gate.New(a.cfg.Gate, a.cfg.Clock, a.server, nil)
 	a.cache = client
-	if !a.cfg.Backend.Guard.Checked {
+	if !a.cfg.Backend.Guard.EnforcesFencing {
 		a.cfg.Log.Log(eventlog.FencingIgnored)
 	}
 	a.cfg.Backend.Guard.Epoch = a.startNumber(client)
--- a/agent/program.go
+++ b/agent/program.go
@@ -86,7 +86,7 @@
 		LinkRate:     s.Transfer.LinkRate.BytesPerSecond(),
 		UploadSlots:  s.Transfer.UploadSlots,
 	}
-	cfg.Backend.Guard.Checked = s.Backend.Fencing == settings.FencingChecked
+	cfg.Backend.Guard.EnforcesFencing = s.Backend.Fencing == settings.FencingChecked
 	if s.Platform.WeightStore != "" {
 		cfg.WeightStore = httpbacking.NewSource(httpbacking.Config{URL: s.Platform.WeightStore})
 	}
--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -89,7 +89,7 @@
 	cfg.BackendKind = settings.BackendEngine
 	// Every third engine ignores fencing numbers, as some in use do.
 	ignores := p.Identity.Generation%3 == 0
-	cfg.Backend.Guard.Checked = !ignores
+	cfg.Backend.Guard.EnforcesFencing = !ignores
 	if cfg.StagingDir, err = p.deployment.stagingOf(string(p.Identity.Instance)); err != nil {
 		return err
 	}
--- a/lib/engine/guard.go
+++ b/lib/engine/guard.go
@@ -126,7 +126,7 @@
 	case s.Busy:
 		// An order of an earlier agent generation still runs.
 		g.wake = now.Add(g.cfg.Poll)
-	case !g.cfg.Checked && now.Before(g.seen.Add(g.cfg.Settle)):
+	case !g.cfg.EnforcesFencing && now.Before(g.seen.Add(g.cfg.Settle)):
 		g.wake = g.seen.Add(g.cfg.Settle)
 	case !g.order.fits(s):
 		g.done(s, merry.Wrap(ErrWeightsMismatch, merry.AppendMessagef("engine has %s", s.Weights)))
--- a/lib/engine/guard_config.go
+++ b/lib/engine/guard_config.go
@@ -16,12 +16,12 @@
 	// Epoch is the agent generation's start counter. 0 takes the number after
 	// the one that the engine reports at the first read of state.
 	Epoch uint64
-	// Checked says that the engine refuses old numbers. Without it the first
+	// EnforcesFencing says that the engine refuses old numbers. Without it the first
 	// order waits until the settle time has passed since the first read of
 	// state: an order of an earlier agent may still be unread.
-	Checked bool
-	Poll    time.Duration
-	Settle  time.Duration
+	EnforcesFencing bool
+	Poll            time.Duration
+	Settle          time.Duration
 }
 
 func (c *GuardConfig) applyDefaults() {
--- a/lib/engine/kv_test.go
+++ b/lib/engine/kv_test.go
@@ -38,7 +38,7 @@
 	// the order, which only the state after it shows.
 	DescribeTable("fail when the engine has other weights afterwards", func(kind engine.OrderKind) {
 		now := time.Unix(1000, 0)
-		guard := engine.NewGuard(engine.GuardConfig{Epoch: 1, Checked: true})
+		guard := engine.NewGuard(engine.GuardConfig{Epoch: 1, EnforcesFencing: true})
 		Expect(guard.Submit(engine.Order{Kind: kind, Weights: weightsOf("v1"), Stream: "r1", KV: cache(weightsOf("v1"))})).To(Succeed())
 		Expect(guard.Next(now).Kind).To(Equal(engine.StepReadState))
 		guard.OnState(now, engine.State{Incarnation: 1, Weights: weightsOf("v1")}, nil)
