--- a/lib/engine/guard.go
+++ b/lib/engine/guard.go
@@ -98,7 +98,7 @@
 // welcome; the first one starts the wait for orders of an earlier agent.
 func (g *Guard) OnState(now time.Time, s State, err error) {
 	if err != nil {
-		g.wake = now.Add(g.cfg.Poll)
+		g.wake = now.Add(g.cfg.PollInterval)
 		return
 	}
 	if g.seen.IsZero() {
@@ -125,7 +125,7 @@
 		g.done(s, merry.Wrap(ErrSuperseded, merry.AppendMessagef("engine accepted %s, this agent is at %s", s.Accepted, g.fence)))
 	case s.Busy:
 		// An order of an earlier agent generation still runs.
-		g.wake = now.Add(g.cfg.Poll)
+		g.wake = now.Add(g.cfg.PollInterval)
 	case !g.cfg.EnforcesFencing && now.Before(g.seen.Add(g.cfg.Settle)):
 		g.wake = g.seen.Add(g.cfg.Settle)
 	case !g.order.fits(s):
@@ -174,7 +174,7 @@
 func (g *Guard) stateAfter(now time.Time, s State) {
 	switch {
 	case s.Accepted == g.fence && s.Busy:
-		g.wake = now.Add(g.cfg.Poll)
+		g.wake = now.Add(g.cfg.PollInterval)
 	case s.Accepted == g.fence:
 		g.done(s, g.check(s))
 	case g.fence.Before(s.Accepted):
@@ -193,7 +193,7 @@
 // longer arrive.
 func (g *Guard) stateResolve(now time.Time, s State) {
 	if s.Accepted != g.fence && now.Before(g.lostAt.Add(g.cfg.Settle)) {
-		g.wake = now.Add(g.cfg.Poll)
+		g.wake = now.Add(g.cfg.PollInterval)
 		return
 	}
 	g.stateAfter(now, s)
--- a/lib/engine/guard_config.go
+++ b/lib/engine/guard_config.go
@@ -20,11 +20,11 @@
 	// order waits until the settle time has passed since the first read of
 	// state: an order of an earlier agent may still be unread.
 	EnforcesFencing bool
-	Poll            time.Duration
+	PollInterval    time.Duration
 	Settle          time.Duration
 }
 
 func (c *GuardConfig) applyDefaults() {
-	defaultTo(&c.Poll, defaultPoll)
+	defaultTo(&c.PollInterval, defaultPoll)
 	defaultTo(&c.Settle, defaultSettle)
 }
