--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -42,8 +42,8 @@
 	defaultTo(&c.MinBackoff, defaultRetry)
 	defaultTo(&c.MaxBackoff, defaultMaxRetry)
 	defaultTo(&c.PermitRetryInterval, defaultPermitRetry)
-	defaultTo(&c.Guard.Settle, 3*time.Second)
-	defaultTo(&c.AdoptAfter, c.Guard.Settle)
+	defaultTo(&c.Guard.SettleTime, 3*time.Second)
+	defaultTo(&c.AdoptAfter, c.Guard.SettleTime)
 	if c.MaxFailedReads <= 0 {
 		c.MaxFailedReads = defaultMissed
 	}
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -108,7 +108,7 @@
 	h := &host{dir: GinkgoT().TempDir(), content: make(map[model.Weights]model.Digest)}
 	r := backend.NewRunner(backend.RunnerConfig{
 		Machine: backend.Config{
-			Guard:             engine.GuardConfig{PollInterval: time.Millisecond, Settle: 30 * time.Millisecond},
+			Guard:             engine.GuardConfig{PollInterval: time.Millisecond, SettleTime: 30 * time.Millisecond},
 			StatePollInterval: 5 * time.Millisecond, MinBackoff: 10 * time.Millisecond,
 		},
 		Clock: clock.System{}, Random: rand.New(rand.NewSource(1)), Engine: client, Host: h,
--- a/agent/backend/world_test.go
+++ b/agent/backend/world_test.go
@@ -49,7 +49,7 @@
 func newWorld(t interface{ Fatalf(string, ...any) }) *world {
 	return &world{
 		t: t, now: time.Unix(1_700_000_000, 0), loads: true, state: engine.State{Incarnation: 1},
-		m: backend.NewMachine(backend.Config{Guard: engine.GuardConfig{Settle: settle}}, rand.New(rand.NewSource(1))),
+		m: backend.NewMachine(backend.Config{Guard: engine.GuardConfig{SettleTime: settle}}, rand.New(rand.NewSource(1))),
 	}
 }
 
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -45,7 +45,7 @@
 	DeferCleanup(server.Close)
 	client, err := engine.NewClient(engine.Config{Address: server.URL(), StallTimeout: 5 * time.Second})
 	Expect(err).NotTo(HaveOccurred())
-	guard := engine.NewGuard(engine.GuardConfig{PollInterval: time.Millisecond, Settle: 20 * time.Millisecond})
+	guard := engine.NewGuard(engine.GuardConfig{PollInterval: time.Millisecond, SettleTime: 20 * time.Millisecond})
 	place, content := stage(name, 4)
 	result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf(name), Base: place})
 	Expect(result.Err).NotTo(HaveOccurred())
--- a/lib/engine/guard.go
+++ b/lib/engine/guard.go
@@ -126,8 +126,8 @@
 	case s.Busy:
 		// An order of an earlier agent generation still runs.
 		g.wake = now.Add(g.cfg.PollInterval)
-	case !g.cfg.EnforcesFencing && now.Before(g.seen.Add(g.cfg.Settle)):
-		g.wake = g.seen.Add(g.cfg.Settle)
+	case !g.cfg.EnforcesFencing && now.Before(g.seen.Add(g.cfg.SettleTime)):
+		g.wake = g.seen.Add(g.cfg.SettleTime)
 	case !g.order.fits(s):
 		g.done(s, merry.Wrap(ErrWeightsMismatch, merry.AppendMessagef("engine has %s", s.Weights)))
 	default:
@@ -192,7 +192,7 @@
 // stateResolve waits until an order whose reply was lost shows up, or can no
 // longer arrive.
 func (g *Guard) stateResolve(now time.Time, s State) {
-	if s.Accepted != g.fence && now.Before(g.lostAt.Add(g.cfg.Settle)) {
+	if s.Accepted != g.fence && now.Before(g.lostAt.Add(g.cfg.SettleTime)) {
 		g.wake = now.Add(g.cfg.PollInterval)
 		return
 	}
--- a/lib/engine/guard_config.go
+++ b/lib/engine/guard_config.go
@@ -21,10 +21,10 @@
 	// state: an order of an earlier agent may still be unread.
 	EnforcesFencing bool
 	PollInterval    time.Duration
-	Settle          time.Duration
+	SettleTime      time.Duration
 }
 
 func (c *GuardConfig) applyDefaults() {
 	defaultTo(&c.PollInterval, defaultPoll)
-	defaultTo(&c.Settle, defaultSettle)
+	defaultTo(&c.SettleTime, defaultSettle)
 }
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -122,7 +122,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const settle = 3 * time.Second
 		now := time.Unix(1_700_000_000, 0)
-		g := engine.NewGuard(engine.GuardConfig{Settle: settle})
+		g := engine.NewGuard(engine.GuardConfig{SettleTime: settle})
 		var lostAt time.Time
 		m := &guardModel{state: engine.State{Incarnation: 1}}
 		if rapid.Bool().Draw(t, "order of an earlier agent") {
