--- a/agent/cache.go
+++ b/agent/cache.go
@@ -11,7 +11,7 @@
 // cacheReader reads what an engine says about its prefix cache; *engine.Client
 // is one.
 type cacheReader interface {
-	CacheEvents(ctx context.Context, after uint64) (engine.CacheBatch, error)
+	CacheEvents(ctx context.Context, after uint64) (engine.CacheEventBatch, error)
 	Cache(ctx context.Context) (engine.CacheSnapshot, error)
 }
 
--- a/agent/cachefeed/feed.go
+++ b/agent/cachefeed/feed.go
@@ -30,7 +30,7 @@
 
 // Accept takes a batch of events. When it returns true the caller reads a
 // snapshot of the engine's cache and hands it to Reset.
-func (f *Feed) Accept(batch engine.CacheBatch) (resync bool) {
+func (f *Feed) Accept(batch engine.CacheEventBatch) (resync bool) {
 	events, resync := f.cursor.Accept(batch)
 	for _, e := range events {
 		switch e.Change {
--- a/agent/cachefeed/feed_test.go
+++ b/agent/cachefeed/feed_test.go
@@ -35,10 +35,10 @@
 	// Guards against blocks that stay known after an engine lost them.
 	It("removes what an engine lost in a restart", func() {
 		f := &cachefeed.Feed{}
-		Expect(f.Accept(engine.CacheBatch{Incarnation: 1})).To(BeTrue())
+		Expect(f.Accept(engine.CacheEventBatch{Incarnation: 1})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: 7, Weights: current, Prefixes: []engine.Prefix{1, 2}})
 		Expect(f.NextUpdate().Stored).To(ConsistOf(engine.Prefix(1).Under(current), engine.Prefix(2).Under(current)))
-		Expect(f.Accept(engine.CacheBatch{Incarnation: 2})).To(BeTrue())
+		Expect(f.Accept(engine.CacheEventBatch{Incarnation: 2})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 2, Weights: current})
 		Expect(f.NextUpdate().Removed).To(HaveLen(2))
 		Expect(f.NextUpdate()).To(BeNil())
@@ -48,7 +48,7 @@
 	It("removes a block that came and went between two updates", func() {
 		f := &cachefeed.Feed{}
 		f.Reset(engine.CacheSnapshot{Incarnation: 1})
-		f.Accept(engine.CacheBatch{Incarnation: 1, Events: []engine.CacheEvent{
+		f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{
 			stored(1, 9), {Sequence: 2, Change: engine.CacheEvicted, Prefix: 9, Weights: current},
 		}})
 		Expect(f.NextUpdate().Removed).To(ConsistOf(engine.Prefix(9).Under(current)))
@@ -63,7 +63,7 @@
 		rng := rand.New(rand.NewSource(1))
 		largest := 0
 		for sequence := range uint64(5000) {
-			f.Accept(engine.CacheBatch{Incarnation: 1, Events: []engine.CacheEvent{stored(sequence+1, engine.Prefix(rng.Uint64()))}})
+			f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{stored(sequence+1, engine.Prefix(rng.Uint64()))}})
 			if sequence%50 != 0 {
 				continue
 			}
@@ -125,7 +125,7 @@
 				}
 				cached[p] = !cached[p]
 				if rapid.IntRange(0, 9).Draw(t, "engine") > 0 {
-					if f.Accept(engine.CacheBatch{Incarnation: 1, Events: []engine.CacheEvent{e}}) {
+					if f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{e}}) {
 						f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: sequence, Weights: current, Prefixes: have(cached)})
 					}
 				}
--- a/lib/engine/cache.go
+++ b/lib/engine/cache.go
@@ -23,8 +23,8 @@
 	Weights  model.Weights `json:"weights"`
 }
 
-// CacheBatch answers a read of events.
-type CacheBatch struct {
+// CacheEventBatch answers a read of events.
+type CacheEventBatch struct {
 	Incarnation uint64       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
 }
@@ -50,7 +50,7 @@
 // Accept returns the events of a batch that continue the last ones, and whether
 // events are missing before or between them, or the engine restarted. The
 // caller then reads a snapshot and passes it to Reset.
-func (c *CacheCursor) Accept(batch CacheBatch) (events []CacheEvent, resync bool) {
+func (c *CacheCursor) Accept(batch CacheEventBatch) (events []CacheEvent, resync bool) {
 	if batch.Incarnation != c.incarnation {
 		return nil, true
 	}
--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -103,8 +103,8 @@
 }
 
 // CacheEvents reads the cache events after a sequence number.
-func (c *Client) CacheEvents(ctx context.Context, after uint64) (CacheBatch, error) {
-	var b CacheBatch
+func (c *Client) CacheEvents(ctx context.Context, after uint64) (CacheEventBatch, error) {
+	var b CacheEventBatch
 	err := c.http.read(ctx, c.cfg.Address+"/v1/cache-events?after="+strconv.FormatUint(after, 10), c.cfg.ReadTimeout, &b)
 	return b, err
 }
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -76,7 +76,7 @@
 		return
 	}
 	s.mu.Lock()
-	batch := api.CacheBatch{Incarnation: s.incarnation, Events: s.cache.after(after, time.Now())}
+	batch := api.CacheEventBatch{Incarnation: s.incarnation, Events: s.cache.after(after, time.Now())}
 	s.mu.Unlock()
 	writeJSON(c, batch)
 }
