--- a/agent/cachefeed/feed_test.go
+++ b/agent/cachefeed/feed_test.go
@@ -19,7 +19,7 @@
 	other   = model.Weights{Base: model.Sum([]byte("other"))}
 )
 
-func stored(sequence uint64, p engine.Prefix) engine.CacheEvent {
+func stored(sequence uint64, p engine.PrefixHash) engine.CacheEvent {
 	return engine.CacheEvent{Sequence: sequence, Change: engine.CacheStored, Prefix: p, Weights: current}
 }
 
@@ -36,8 +36,8 @@
 	It("removes what an engine lost in a restart", func() {
 		f := &cachefeed.Feed{}
 		Expect(f.Accept(engine.CacheEventBatch{Incarnation: 1})).To(BeTrue())
-		f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: 7, Weights: current, Prefixes: []engine.Prefix{1, 2}})
-		Expect(f.NextUpdate().Stored).To(ConsistOf(engine.Prefix(1).Under(current), engine.Prefix(2).Under(current)))
+		f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: 7, Weights: current, Prefixes: []engine.PrefixHash{1, 2}})
+		Expect(f.NextUpdate().Stored).To(ConsistOf(engine.PrefixHash(1).Under(current), engine.PrefixHash(2).Under(current)))
 		Expect(f.Accept(engine.CacheEventBatch{Incarnation: 2})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 2, Weights: current})
 		Expect(f.NextUpdate().Removed).To(HaveLen(2))
@@ -51,7 +51,7 @@
 		f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{
 			stored(1, 9), {Sequence: 2, Change: engine.CacheEvicted, Prefix: 9, Weights: current},
 		}})
-		Expect(f.NextUpdate().Removed).To(ConsistOf(engine.Prefix(9).Under(current)))
+		Expect(f.NextUpdate().Removed).To(ConsistOf(engine.PrefixHash(9).Under(current)))
 	})
 
 	// Guards against control traffic over what an entry of 60 connections may
@@ -63,7 +63,7 @@
 		rng := rand.New(rand.NewSource(1))
 		largest := 0
 		for sequence := range uint64(5000) {
-			f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{stored(sequence+1, engine.Prefix(rng.Uint64()))}})
+			f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{stored(sequence+1, engine.PrefixHash(rng.Uint64()))}})
 			if sequence%50 != 0 {
 				continue
 			}
@@ -74,9 +74,9 @@
 				largest = max(largest, len(frame))
 			}
 		}
-		var all []engine.Prefix
+		var all []engine.PrefixHash
 		for range 4 * wire.MaxCacheSnapshot {
-			all = append(all, engine.Prefix(rng.Uint64()))
+			all = append(all, engine.PrefixHash(rng.Uint64()))
 		}
 		f.Reset(engine.CacheSnapshot{Incarnation: 1, Weights: current, Prefixes: all})
 		for f.NextUpdate() != nil {
@@ -94,7 +94,7 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := &cachefeed.Feed{}
 			f.Reset(engine.CacheSnapshot{Incarnation: 1})
-			cached := map[engine.Prefix]bool{}
+			cached := map[engine.PrefixHash]bool{}
 			known := map[model.Block]bool{}
 			var seen, sequence uint64
 			gap := false
@@ -117,7 +117,7 @@
 				}
 			}
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
-				p := engine.Prefix(rapid.Uint64Range(1, 30).Draw(t, "prefix"))
+				p := engine.PrefixHash(rapid.Uint64Range(1, 30).Draw(t, "prefix"))
 				sequence++
 				e := stored(sequence, p)
 				if cached[p] {
@@ -147,8 +147,8 @@
 	})
 })
 
-func have(cached map[engine.Prefix]bool) []engine.Prefix {
-	var prefixes []engine.Prefix
+func have(cached map[engine.PrefixHash]bool) []engine.PrefixHash {
+	var prefixes []engine.PrefixHash
 	for p, ok := range cached {
 		if ok {
 			prefixes = append(prefixes, p)
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -41,7 +41,7 @@
 	Fingerprint model.Fingerprint
 	// Prefix is the hash of the beginning of the prompt. Zero disables cache
 	// affinity.
-	Prefix engine.Prefix
+	Prefix engine.PrefixHash
 	// Avoid lists the instances of earlier attempts, which are not chosen again.
 	Avoid []model.InstanceID
 	// OfferedAt is when the first placement of the request was attempted.
--- a/lib/engine/cache.go
+++ b/lib/engine/cache.go
@@ -19,7 +19,7 @@
 type CacheEvent struct {
 	Sequence uint64        `json:"sequence"`
 	Change   CacheChange   `json:"change"`
-	Prefix   Prefix        `json:"prefix"`
+	Prefix   PrefixHash    `json:"prefix"`
 	Weights  model.Weights `json:"weights"`
 }
 
@@ -34,7 +34,7 @@
 	Incarnation uint64        `json:"incarnation"`
 	Sequence    uint64        `json:"sequence"`
 	Weights     model.Weights `json:"weights"`
-	Prefixes    []Prefix      `json:"prefixes"`
+	Prefixes    []PrefixHash  `json:"prefixes"`
 }
 
 // CacheCursor follows the events of one engine and finds gaps. It is not safe
--- a/lib/engine/prefix.go
+++ b/lib/engine/prefix.go
@@ -14,18 +14,18 @@
 // are shorter.
 const PrefixBytes = 256
 
-// Prefix identifies the text of a prompt prefix; a collision costs a cache miss
+// PrefixHash identifies the text of a prompt prefix; a collision costs a cache miss
 // and nothing else.
-type Prefix uint64
+type PrefixHash uint64
 
 // PrefixOf returns the prefix of a request's body.
-func PrefixOf(body []byte) Prefix {
-	return Prefix(xxhash.Sum64(body[:min(len(body), PrefixBytes)]))
+func PrefixOf(body []byte) PrefixHash {
+	return PrefixHash(xxhash.Sum64(body[:min(len(body), PrefixBytes)]))
 }
 
 // Under returns the block of the prefix under weights. Equal text under other
 // weights gives another block: its cached state is of no use.
-func (p Prefix) Under(w model.Weights) model.Block {
+func (p PrefixHash) Under(w model.Weights) model.Block {
 	b := make([]byte, 0, 2*model.DigestSize+8)
 	b = append(b, w.Base[:]...)
 	b = append(b, w.Adapter[:]...)
@@ -33,4 +33,4 @@
 }
 
 // String returns the prefix in hexadecimal.
-func (p Prefix) String() string { return strconv.FormatUint(uint64(p), 16) }
+func (p PrefixHash) String() string { return strconv.FormatUint(uint64(p), 16) }
--- a/lib/engine/request.go
+++ b/lib/engine/request.go
@@ -11,8 +11,8 @@
 	Weights model.Weights `json:"weights"`
 	// Priority orders requests in the engine's queue; a higher number is
 	// served first.
-	Priority int    `json:"priority"`
-	Prefix   Prefix `json:"prefix"`
+	Priority int        `json:"priority"`
+	Prefix   PrefixHash `json:"prefix"`
 	// RemainingMillis is the time until the deadline in milliseconds; the
 	// engine refuses a request that it cannot start before. 0 means none.
 	RemainingMillis int64  `json:"remaining_ms,omitempty"`
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -18,7 +18,7 @@
 	delay    time.Duration
 	loss     float64
 	random   *rand.Rand
-	prefixes []api.Prefix // least recently used first
+	prefixes []api.PrefixHash // least recently used first
 	sequence uint64
 	hits     int
 	misses   int
@@ -32,7 +32,7 @@
 }
 
 // use reports whether a prefix is cached and marks it as used.
-func (c *cache) use(p api.Prefix) bool {
+func (c *cache) use(p api.PrefixHash) bool {
 	i := slices.Index(c.prefixes, p)
 	if i < 0 {
 		c.misses++
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (c *cache) store(p api.Prefix, w model.Weights, now time.Time) {
+func (c *cache) store(p api.PrefixHash, w model.Weights, now time.Time) {
 	if len(c.prefixes) >= c.limit {
 		c.publish(api.CacheEvicted, c.prefixes[0], w, now)
 		c.prefixes = c.prefixes[1:]
@@ -58,7 +58,7 @@
 }
 
 // publish numbers an event; a lost one leaves a gap in the numbers.
-func (c *cache) publish(change api.CacheChange, p api.Prefix, w model.Weights, now time.Time) {
+func (c *cache) publish(change api.CacheChange, p api.PrefixHash, w model.Weights, now time.Time) {
 	c.sequence++
 	if c.random.Float64() < c.loss {
 		return
