--- a/agent/cachefeed/feed_test.go
+++ b/agent/cachefeed/feed_test.go
@@ -26,7 +26,7 @@
 var _ = Describe("A feed of cache events", func() {
 	// Guards against hints of one version that draw requests of another.
 	It("names equal text under other weights differently", func() {
-		p := engine.PrefixOf([]byte("system prompt"))
+		p := engine.HashPrefix([]byte("system prompt"))
 		Expect(p.Under(current)).NotTo(Equal(p.Under(other)))
 		adapted := model.Weights{Base: current.Base, Adapter: other.Base}
 		Expect(p.Under(current)).NotTo(Equal(p.Under(adapted)))
--- a/agent/engine_server.go
+++ b/agent/engine_server.go
@@ -63,7 +63,7 @@
 		Stream:          string(start.Attempt),
 		Weights:         start.Weights,
 		Priority:        start.Priority,
-		Prefix:          engine.PrefixOf(start.Body),
+		Prefix:          engine.HashPrefix(start.Body),
 		RemainingMillis: start.RemainingMillis,
 		Body:            start.Body,
 	})
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -153,7 +153,7 @@
 		requirements.Weights = []model.Weights{step.Weights}
 	}
 	if r.request.Service.Kind == config.KindModel {
-		requirements.Prefix = engine.PrefixOf(r.request.Body)
+		requirements.Prefix = engine.HashPrefix(r.request.Body)
 	}
 	queued := r.now()
 	// Request IDs are chosen by callers and may repeat; the queue needs unique
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 	// and against an entry that never requests the missing events.
 	It("fetches the cache after a gap and routes by it", func() {
 		Eventually(b.Others).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
-		prefix := engine.PrefixOf([]byte("system prompt"))
+		prefix := engine.HashPrefix([]byte("system prompt"))
 		block := prefix.Under(loaded)
 		b.Broadcast(&wire.CacheUpdate{Snapshot: true, Sequence: 4})
 		b.Broadcast(&wire.CacheUpdate{Sequence: 6, Stored: []model.Block{block}})
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -66,7 +66,7 @@
 		b := body(kind, prefix, 0)
 		s, err := c.Generate(ctx, engine.Request{
 			ID: model.RequestID(fmt.Sprint("warm-", kind, prefix)), Stream: fmt.Sprint("warm-", kind, prefix),
-			Weights: d.Versions[0].Weights, Prefix: engine.PrefixOf(b), Body: b,
+			Weights: d.Versions[0].Weights, Prefix: engine.HashPrefix(b), Body: b,
 		})
 		Expect(err).NotTo(HaveOccurred())
 		defer s.Close()
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -59,7 +59,7 @@
 }
 
 func request(name, id, body string) engine.Request {
-	return engine.Request{ID: model.RequestID(id), Stream: id, Weights: weightsOf(name), Prefix: engine.PrefixOf([]byte(body)), Body: []byte(body)}
+	return engine.Request{ID: model.RequestID(id), Stream: id, Weights: weightsOf(name), Prefix: engine.HashPrefix([]byte(body)), Body: []byte(body)}
 }
 
 // receive reads up to limit frames.
--- a/lib/engine/prefix.go
+++ b/lib/engine/prefix.go
@@ -18,8 +18,8 @@
 // and nothing else.
 type PrefixHash uint64
 
-// PrefixOf returns the prefix of a request's body.
-func PrefixOf(body []byte) PrefixHash {
+// HashPrefix returns the prefix of a request's body.
+func HashPrefix(body []byte) PrefixHash {
 	return PrefixHash(xxhash.Sum64(body[:min(len(body), PrefixBytes)]))
 }
 
