--- a/agent/cachefeed/feed.go
+++ b/agent/cachefeed/feed.go
@@ -35,9 +35,9 @@
 	for _, e := range events {
 		switch e.Change {
 		case engine.CacheStored:
-			f.store(e.Prefix.Under(e.Weights))
+			f.store(e.Prefix.Block(e.Weights))
 		case engine.CacheEvicted:
-			f.evict(e.Prefix.Under(e.Weights))
+			f.evict(e.Prefix.Block(e.Weights))
 		case engine.CacheCleared:
 			f.cached = nil
 		}
@@ -50,7 +50,7 @@
 	f.cursor.Reset(s)
 	f.cached = nil
 	for _, p := range s.Prefixes {
-		f.store(p.Under(s.Weights))
+		f.store(p.Block(s.Weights))
 	}
 }
 
--- a/agent/cachefeed/feed_test.go
+++ b/agent/cachefeed/feed_test.go
@@ -27,9 +27,9 @@
 	// Guards against hints of one version that draw requests of another.
 	It("names equal text under other weights differently", func() {
 		p := engine.HashPrefix([]byte("system prompt"))
-		Expect(p.Under(current)).NotTo(Equal(p.Under(other)))
+		Expect(p.Block(current)).NotTo(Equal(p.Block(other)))
 		adapted := model.Weights{Base: current.Base, Adapter: other.Base}
-		Expect(p.Under(current)).NotTo(Equal(p.Under(adapted)))
+		Expect(p.Block(current)).NotTo(Equal(p.Block(adapted)))
 	})
 
 	// Guards against blocks that stay known after an engine lost them.
@@ -37,7 +37,7 @@
 		f := &cachefeed.Feed{}
 		Expect(f.Accept(engine.CacheEventBatch{Incarnation: 1})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: 7, Weights: current, Prefixes: []engine.PrefixHash{1, 2}})
-		Expect(f.NextUpdate().Stored).To(ConsistOf(engine.PrefixHash(1).Under(current), engine.PrefixHash(2).Under(current)))
+		Expect(f.NextUpdate().Stored).To(ConsistOf(engine.PrefixHash(1).Block(current), engine.PrefixHash(2).Block(current)))
 		Expect(f.Accept(engine.CacheEventBatch{Incarnation: 2})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 2, Weights: current})
 		Expect(f.NextUpdate().Removed).To(HaveLen(2))
@@ -51,7 +51,7 @@
 		f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{
 			stored(1, 9), {Sequence: 2, Change: engine.CacheEvicted, Prefix: 9, Weights: current},
 		}})
-		Expect(f.NextUpdate().Removed).To(ConsistOf(engine.PrefixHash(9).Under(current)))
+		Expect(f.NextUpdate().Removed).To(ConsistOf(engine.PrefixHash(9).Block(current)))
 	})
 
 	// Guards against control traffic over what an entry of 60 connections may
@@ -139,8 +139,8 @@
 			}
 			deliver(f.Snapshot())
 			for p := range cached {
-				if known[p.Under(current)] != cached[p] {
-					t.Fatalf("prefix %s: known %v, cached %v", p, known[p.Under(current)], cached[p])
+				if known[p.Block(current)] != cached[p] {
+					t.Fatalf("prefix %s: known %v, cached %v", p, known[p.Block(current)], cached[p])
 				}
 			}
 		})
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -52,7 +52,7 @@
 	It("fetches the cache after a gap and routes by it", func() {
 		Eventually(b.Others).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
 		prefix := engine.HashPrefix([]byte("system prompt"))
-		block := prefix.Under(loaded)
+		block := prefix.Block(loaded)
 		b.Broadcast(&wire.CacheUpdate{Snapshot: true, Sequence: 4})
 		b.Broadcast(&wire.CacheUpdate{Sequence: 6, Stored: []model.Block{block}})
 		Eventually(b.Others).WithTimeout(settle).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -107,7 +107,7 @@
 func (f *Fleet) PrefixCached(body []byte, weights model.Weights) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.picker.HasCached(uint64(engine.HashPrefix(body).Under(weights)))
+	return f.picker.HasCached(uint64(engine.HashPrefix(body).Block(weights)))
 }
 
 // UsableAgents returns the number of agents that may get new work.
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -119,7 +119,7 @@
 func (f *Fleet) routeRequest(now time.Time, need *Requirements, avoid *[]model.InstanceID, weights model.Weights) *route.Request {
 	request := &route.Request{Pool: need.Pool, Weights: weights, OfferedAt: need.OfferedAt}
 	if need.Prefix != 0 {
-		request.Prefix = []uint64{uint64(need.Prefix.Under(weights))}
+		request.Prefix = []uint64{uint64(need.Prefix.Block(weights))}
 		request.AffinityBlocks = 1
 	}
 	request.Allowed = func(key route.Key) bool {
--- a/lib/engine/prefix.go
+++ b/lib/engine/prefix.go
@@ -23,9 +23,9 @@
 	return PrefixHash(xxhash.Sum64(body[:min(len(body), PrefixBytes)]))
 }
 
-// Under returns the block of the prefix under weights. Equal text under other
+// Block returns the block of the prefix under weights. Equal text under other
 // weights gives another block: its cached state is of no use.
-func (p PrefixHash) Under(w model.Weights) model.Block {
+func (p PrefixHash) Block(w model.Weights) model.Block {
 	b := make([]byte, 0, 2*model.DigestSize+8)
 	b = append(b, w.Base[:]...)
 	b = append(b, w.Adapter[:]...)
