--- a/lib/telemetry/invalid.go
+++ b/lib/telemetry/invalid.go
@@ -1,11 +1,11 @@
 package telemetry
 
-// Invalid says which kind of input was malformed. The set is closed.
-type Invalid uint8
+// InputKind says which kind of input was malformed. The set is closed.
+type InputKind uint8
 
 // Kinds of malformed input.
 const (
-	InvalidHeader Invalid = iota
+	InvalidHeader InputKind = iota
 	InvalidBody
 	InvalidFrame
 	InvalidManifest
@@ -17,7 +17,7 @@
 var invalidNames = [invalidKinds]string{"header", "body", "frame", "manifest", "chunk", "config"}
 
 // String returns the label value.
-func (i Invalid) String() string {
+func (i InputKind) String() string {
 	if i < invalidKinds {
 		return invalidNames[i]
 	}
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -131,7 +131,7 @@
 }
 
 // InvalidInput counts one malformed input.
-func (m *Metrics) InvalidInput(kind Invalid) {
+func (m *Metrics) InvalidInput(kind InputKind) {
 	if kind < invalidKinds {
 		m.invalid.Add(context.Background(), 1, m.invalidOptions[kind]...)
 	}
