--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -33,7 +33,7 @@
 }
 
 func (t telemetryMetrics) CountInvalid(reason outcome.Reason) {
-	kind := telemetry.InvalidHeader
+	kind := telemetry.InputHeader
 	if reason == outcome.ReasonTooLarge {
 		kind = telemetry.InvalidBody
 	}
--- a/lib/telemetry/invalid.go
+++ b/lib/telemetry/invalid.go
@@ -5,7 +5,7 @@
 
 // Kinds of malformed input.
 const (
-	InvalidHeader InputKind = iota
+	InputHeader InputKind = iota
 	InvalidBody
 	InvalidFrame
 	InvalidManifest
