--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -35,7 +35,7 @@
 func (t telemetryMetrics) CountInvalid(reason outcome.Reason) {
 	kind := telemetry.InputHeader
 	if reason == outcome.ReasonTooLarge {
-		kind = telemetry.InvalidBody
+		kind = telemetry.InputBody
 	}
 	t.metrics.InvalidInput(kind)
 }
--- a/lib/telemetry/invalid.go
+++ b/lib/telemetry/invalid.go
@@ -6,7 +6,7 @@
 // Kinds of malformed input.
 const (
 	InputHeader InputKind = iota
-	InvalidBody
+	InputBody
 	InvalidFrame
 	InvalidManifest
 	InvalidChunk
