--- a/lib/telemetry/invalid.go
+++ b/lib/telemetry/invalid.go
@@ -7,7 +7,7 @@
 const (
 	InputHeader InputKind = iota
 	InputBody
-	InvalidFrame
+	InputFrame
 	InvalidManifest
 	InvalidChunk
 	InvalidConfig
