--- a/lib/telemetry/invalid.go
+++ b/lib/telemetry/invalid.go
@@ -8,7 +8,7 @@
 	InputHeader InputKind = iota
 	InputBody
 	InputFrame
-	InvalidManifest
+	InputManifest
 	InvalidChunk
 	InvalidConfig
 	invalidKinds
