--- a/lib/telemetry/invalid.go
+++ b/lib/telemetry/invalid.go
@@ -9,7 +9,7 @@
 	InputBody
 	InputFrame
 	InputManifest
-	InvalidChunk
+	InputChunk
 	InvalidConfig
 	invalidKinds
 )
