--- a/lib/telemetry/invalid.go
+++ b/lib/telemetry/invalid.go
@@ -10,7 +10,7 @@
 	InputFrame
 	InputManifest
 	InputChunk
-	InvalidConfig
+	InputConfig
 	invalidKinds
 )
 
