--- a/agent/host.go
+++ b/agent/host.go
@@ -27,7 +27,7 @@
 // configured takes a configuration that has come in force.
 func (h host) configured(view *config.View) {
 	a := h.agent
-	a.cfg.Metrics.Declare(view.Config)
+	a.cfg.Metrics.DeclareLabels(view.Config)
 	if most := view.Config.Deployment.TransferShare; most > 0 {
 		a.transfer.SetMaxLinkShare(most)
 	}
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -11,8 +11,8 @@
 // Metrics takes the measurements of transfers; *telemetry.Metrics is one.
 // Implementations are safe for concurrent use and do not block.
 type Metrics interface {
-	// Declare takes the configuration in force, whose names get labels.
-	Declare(c *config.Config)
+	// DeclareLabels takes the configuration in force, whose names get labels.
+	DeclareLabels(c *config.Config)
 	// Transferred takes the time from the request for a version to all of its
 	// chunks verified.
 	Transferred(model string, d time.Duration)
@@ -22,7 +22,7 @@
 // noMetrics drops all measurements.
 type noMetrics struct{}
 
-func (noMetrics) Declare(*config.Config)                        {}
+func (noMetrics) DeclareLabels(*config.Config)                  {}
 func (noMetrics) Transferred(string, time.Duration)             {}
 func (noMetrics) TransferBytes(string, telemetry.Source, int64) {}
 
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -85,7 +85,7 @@
 		List:        d.List,
 		BalancerLag: balancerLag,
 	})
-	e.Watch(func(v *config.View) { metrics.Declare(v.Config) })
+	e.Watch(func(v *config.View) { metrics.DeclareLabels(v.Config) })
 	e.Start()
 	p := &EntryProcess{
 		Entry: e, URL: "http://" + callers.Addr().String(), Metrics: metrics,
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -89,9 +89,9 @@
 	return errors.Join(errs[:]...)
 }
 
-// Declare gives labels to the names of a configuration. It is called for each
+// DeclareLabels gives labels to the names of a configuration. It is called for each
 // configuration that comes into force.
-func (m *Metrics) Declare(c *config.Config) {
+func (m *Metrics) DeclareLabels(c *config.Config) {
 	tenants, classes, models := []string{}, []string{}, []string{}
 	for _, t := range c.Tenants {
 		tenants = append(tenants, string(t.Name))
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -32,7 +32,7 @@
 	It("shows what was recorded in the text format", func() {
 		m, err := telemetry.New(telemetry.Config{})
 		Expect(err).NotTo(HaveOccurred())
-		m.Declare(declared())
+		m.DeclareLabels(declared())
 		r := m.Request("hauliers", "interactive")
 		r.Queue(3 * time.Millisecond)
 		r.FirstToken(900 * time.Millisecond)
@@ -72,8 +72,8 @@
 	It("counts undeclared names under other", func() {
 		m, err := telemetry.New(telemetry.Config{MaxNames: 1})
 		Expect(err).NotTo(HaveOccurred())
-		m.Declare(declared())
-		m.Declare(&config.Config{Tenants: []config.Tenant{{Name: "one-too-many"}}})
+		m.DeclareLabels(declared())
+		m.DeclareLabels(&config.Config{Tenants: []config.Tenant{{Name: "one-too-many"}}})
 		for i := range 1000 {
 			m.Request(model.Tenant(fmt.Sprint("t", i)), "x").Queue(time.Millisecond)
 		}
@@ -97,7 +97,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	m.Declare(declared())
+	m.DeclareLabels(declared())
 	r := m.Request("hauliers", "interactive")
 	b.Run("between tokens", func(b *testing.B) {
 		b.ReportAllocs()
