--- a/agent/host.go
+++ b/agent/host.go
@@ -96,7 +96,7 @@
 		return engine.StagedFiles{}, err
 	}
 	h.agent.fetching.done()
-	metrics.Transferred(declared.Name, h.agent.cfg.Clock.Now().Sub(started))
+	metrics.RecordTransfer(declared.Name, h.agent.cfg.Clock.Now().Sub(started))
 	place := engine.StagedFiles{Directory: h.agent.cfg.StagingDir}
 	for _, c := range t.Manifest(manifest).Chunks {
 		place.Files = append(place.Files, weights.ChunkFile(c.Digest))
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -13,9 +13,9 @@
 type Metrics interface {
 	// DeclareLabels takes the configuration in force, whose names get labels.
 	DeclareLabels(c *config.Config)
-	// Transferred takes the time from the request for a version to all of its
+	// RecordTransfer takes the time from the request for a version to all of its
 	// chunks verified.
-	Transferred(model string, d time.Duration)
+	RecordTransfer(model string, d time.Duration)
 	TransferBytes(model string, source telemetry.Source, n int64)
 }
 
@@ -23,7 +23,7 @@
 type noMetrics struct{}
 
 func (noMetrics) DeclareLabels(*config.Config)                  {}
-func (noMetrics) Transferred(string, time.Duration)             {}
+func (noMetrics) RecordTransfer(string, time.Duration)          {}
 func (noMetrics) TransferBytes(string, telemetry.Source, int64) {}
 
 // countBytes records what a fetch received, whether it succeeded or not: bytes
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -119,8 +119,8 @@
 	return stored.(*RequestMetrics) //nolint:forcetypeassert // one type is stored
 }
 
-// Transferred records a version whose chunks are all verified.
-func (m *Metrics) Transferred(modelName string, d time.Duration) {
+// RecordTransfer records a version whose chunks are all verified.
+func (m *Metrics) RecordTransfer(modelName string, d time.Duration) {
 	m.transfer.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("model", m.models.label(modelName))))
 }
 
