--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -16,15 +16,15 @@
 	// RecordTransfer takes the time from the request for a version to all of its
 	// chunks verified.
 	RecordTransfer(model string, d time.Duration)
-	TransferBytes(model string, source telemetry.Source, n int64)
+	AddTransferBytes(model string, source telemetry.Source, n int64)
 }
 
 // noMetrics drops all measurements.
 type noMetrics struct{}
 
-func (noMetrics) DeclareLabels(*config.Config)                  {}
-func (noMetrics) RecordTransfer(string, time.Duration)          {}
-func (noMetrics) TransferBytes(string, telemetry.Source, int64) {}
+func (noMetrics) DeclareLabels(*config.Config)                     {}
+func (noMetrics) RecordTransfer(string, time.Duration)             {}
+func (noMetrics) AddTransferBytes(string, telemetry.Source, int64) {}
 
 // countBytes records what a fetch received, whether it succeeded or not: bytes
 // of corrupt chunks were paid for too.
@@ -35,7 +35,7 @@
 		telemetry.SourcePeer:        after.PeerBytes - before.PeerBytes,
 	} {
 		if n > 0 {
-			m.TransferBytes(model, source, n)
+			m.AddTransferBytes(model, source, n)
 		}
 	}
 }
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -124,8 +124,8 @@
 	m.transfer.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("model", m.models.label(modelName))))
 }
 
-// TransferBytes counts received bytes of weights.
-func (m *Metrics) TransferBytes(modelName string, source Source, n int64) {
+// AddTransferBytes counts received bytes of weights.
+func (m *Metrics) AddTransferBytes(modelName string, source Source, n int64) {
 	m.transferBytes.Add(context.Background(), n, metric.WithAttributes(
 		attribute.String("model", m.models.label(modelName)), attribute.String("source", source.String())))
 }
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -42,7 +42,7 @@
 		r.Outcome(outcome.NotRun, outcome.ReasonDeadline)
 		r.Outcome(outcome.NotRun, "invented by a peer")
 		m.RecordTransfer("drafter", 80*time.Second)
-		m.TransferBytes("drafter", telemetry.SourcePeer, 4096)
+		m.AddTransferBytes("drafter", telemetry.SourcePeer, 4096)
 		m.InvalidInput(telemetry.InputFrame)
 		e, err := m.Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
