--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -37,5 +37,5 @@
 	if reason == outcome.ReasonTooLarge {
 		kind = telemetry.InputBody
 	}
-	t.metrics.InvalidInput(kind)
+	t.metrics.CountInvalidInput(kind)
 }
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -130,8 +130,8 @@
 		attribute.String("model", m.models.label(modelName)), attribute.String("source", source.String())))
 }
 
-// InvalidInput counts one malformed input.
-func (m *Metrics) InvalidInput(kind InputKind) {
+// CountInvalidInput counts one malformed input.
+func (m *Metrics) CountInvalidInput(kind InputKind) {
 	if kind < invalidKinds {
 		m.invalid.Add(context.Background(), 1, m.invalidOptions[kind]...)
 	}
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -43,7 +43,7 @@
 		r.Outcome(outcome.NotRun, "invented by a peer")
 		m.RecordTransfer("drafter", 80*time.Second)
 		m.AddTransferBytes("drafter", telemetry.SourcePeer, 4096)
-		m.InvalidInput(telemetry.InputFrame)
+		m.CountInvalidInput(telemetry.InputFrame)
 		e, err := m.Listen("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		resp, err := http.Get("http://" + e.Address() + "/metrics")
