--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -15,19 +15,19 @@
 func TelemetryMetrics(m *telemetry.Metrics) Metrics { return telemetryMetrics{m} }
 
 func (t telemetryMetrics) ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration) {
-	t.metrics.Request(tenant, class).Queue(d)
+	t.metrics.ForRequest(tenant, class).Queue(d)
 }
 
 func (t telemetryMetrics) ObserveFirstToken(tenant model.Tenant, class model.Class, d time.Duration) {
-	t.metrics.Request(tenant, class).FirstToken(d)
+	t.metrics.ForRequest(tenant, class).FirstToken(d)
 }
 
 func (t telemetryMetrics) ObserveBetweenTokens(tenant model.Tenant, class model.Class, d time.Duration) {
-	t.metrics.Request(tenant, class).BetweenTokens(d)
+	t.metrics.ForRequest(tenant, class).BetweenTokens(d)
 }
 
 func (t telemetryMetrics) ObserveTotal(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason) {
-	r := t.metrics.Request(tenant, class)
+	r := t.metrics.ForRequest(tenant, class)
 	r.Total(d)
 	r.Outcome(o, reason)
 }
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -107,8 +107,8 @@
 	m.models.declare(models)
 }
 
-// Request returns the recorder for a tenant and class.
-func (m *Metrics) Request(tenant model.Tenant, class model.Class) *RequestMetrics {
+// ForRequest returns the recorder for a tenant and class.
+func (m *Metrics) ForRequest(tenant model.Tenant, class model.Class) *RequestMetrics {
 	key := requestKey{model.Tenant(m.tenants.label(string(tenant))), model.Class(m.classes.label(string(class)))}
 	if r, ok := m.requests.Load(key); ok {
 		return r.(*RequestMetrics) //nolint:forcetypeassert // one type is stored
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -33,7 +33,7 @@
 		m, err := telemetry.New(telemetry.Config{})
 		Expect(err).NotTo(HaveOccurred())
 		m.DeclareLabels(declared())
-		r := m.Request("hauliers", "interactive")
+		r := m.ForRequest("hauliers", "interactive")
 		r.Queue(3 * time.Millisecond)
 		r.FirstToken(900 * time.Millisecond)
 		r.BetweenTokens(40 * time.Millisecond)
@@ -75,9 +75,9 @@
 		m.DeclareLabels(declared())
 		m.DeclareLabels(&config.Config{Tenants: []config.Tenant{{Name: "one-too-many"}}})
 		for i := range 1000 {
-			m.Request(model.Tenant(fmt.Sprint("t", i)), "x").Queue(time.Millisecond)
+			m.ForRequest(model.Tenant(fmt.Sprint("t", i)), "x").Queue(time.Millisecond)
 		}
-		m.Request("one-too-many", "x").Queue(time.Millisecond)
+		m.ForRequest("one-too-many", "x").Queue(time.Millisecond)
 		rec := &recorder{}
 		m.Handler().ServeHTTP(rec, &http.Request{Method: http.MethodGet})
 		Expect(strings.Count(rec.String(), "auburnbend_request_queue_time_seconds_count")).To(Equal(1))
@@ -98,7 +98,7 @@
 		b.Fatal(err)
 	}
 	m.DeclareLabels(declared())
-	r := m.Request("hauliers", "interactive")
+	r := m.ForRequest("hauliers", "interactive")
 	b.Run("between tokens", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -114,7 +114,7 @@
 	b.Run("lookup", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m.Request("hauliers", "interactive")
+			m.ForRequest("hauliers", "interactive")
 		}
 	})
 }
