--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -15,7 +15,7 @@
 func TelemetryMetrics(m *telemetry.Metrics) Metrics { return telemetryMetrics{m} }
 
 func (t telemetryMetrics) ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration) {
-	t.metrics.ForRequest(tenant, class).Queue(d)
+	t.metrics.ForRequest(tenant, class).RecordQueueTime(d)
 }
 
 func (t telemetryMetrics) ObserveFirstToken(tenant model.Tenant, class model.Class, d time.Duration) {
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -34,7 +34,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		m.DeclareLabels(declared())
 		r := m.ForRequest("hauliers", "interactive")
-		r.Queue(3 * time.Millisecond)
+		r.RecordQueueTime(3 * time.Millisecond)
 		r.FirstToken(900 * time.Millisecond)
 		r.BetweenTokens(40 * time.Millisecond)
 		r.Total(2 * time.Second)
@@ -75,9 +75,9 @@
 		m.DeclareLabels(declared())
 		m.DeclareLabels(&config.Config{Tenants: []config.Tenant{{Name: "one-too-many"}}})
 		for i := range 1000 {
-			m.ForRequest(model.Tenant(fmt.Sprint("t", i)), "x").Queue(time.Millisecond)
+			m.ForRequest(model.Tenant(fmt.Sprint("t", i)), "x").RecordQueueTime(time.Millisecond)
 		}
-		m.ForRequest("one-too-many", "x").Queue(time.Millisecond)
+		m.ForRequest("one-too-many", "x").RecordQueueTime(time.Millisecond)
 		rec := &recorder{}
 		m.Handler().ServeHTTP(rec, &http.Request{Method: http.MethodGet})
 		Expect(strings.Count(rec.String(), "auburnbend_request_queue_time_seconds_count")).To(Equal(1))
--- a/lib/telemetry/request_metrics.go
+++ b/lib/telemetry/request_metrics.go
@@ -18,8 +18,8 @@
 	options []metric.RecordOption
 }
 
-// Queue records the time that a request waited before it was dispatched.
-func (r *RequestMetrics) Queue(d time.Duration) { r.record(r.m.queue, d) }
+// RecordQueueTime records the time that a request waited before it was dispatched.
+func (r *RequestMetrics) RecordQueueTime(d time.Duration) { r.record(r.m.queue, d) }
 
 // FirstToken records the time from arrival to the first token.
 func (r *RequestMetrics) FirstToken(d time.Duration) { r.record(r.m.firstToken, d) }
