--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -19,7 +19,7 @@
 }
 
 func (t telemetryMetrics) ObserveFirstToken(tenant model.Tenant, class model.Class, d time.Duration) {
-	t.metrics.ForRequest(tenant, class).FirstToken(d)
+	t.metrics.ForRequest(tenant, class).RecordFirstToken(d)
 }
 
 func (t telemetryMetrics) ObserveBetweenTokens(tenant model.Tenant, class model.Class, d time.Duration) {
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -35,7 +35,7 @@
 		m.DeclareLabels(declared())
 		r := m.ForRequest("hauliers", "interactive")
 		r.RecordQueueTime(3 * time.Millisecond)
-		r.FirstToken(900 * time.Millisecond)
+		r.RecordFirstToken(900 * time.Millisecond)
 		r.BetweenTokens(40 * time.Millisecond)
 		r.Total(2 * time.Second)
 		r.Outcome(outcome.Completed, outcome.ReasonNone)
--- a/lib/telemetry/request_metrics.go
+++ b/lib/telemetry/request_metrics.go
@@ -21,8 +21,8 @@
 // RecordQueueTime records the time that a request waited before it was dispatched.
 func (r *RequestMetrics) RecordQueueTime(d time.Duration) { r.record(r.m.queue, d) }
 
-// FirstToken records the time from arrival to the first token.
-func (r *RequestMetrics) FirstToken(d time.Duration) { r.record(r.m.firstToken, d) }
+// RecordFirstToken records the time from arrival to the first token.
+func (r *RequestMetrics) RecordFirstToken(d time.Duration) { r.record(r.m.firstToken, d) }
 
 // BetweenTokens records the time between two tokens.
 func (r *RequestMetrics) BetweenTokens(d time.Duration) { r.record(r.m.betweenTokens, d) }
