--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -23,7 +23,7 @@
 }
 
 func (t telemetryMetrics) ObserveBetweenTokens(tenant model.Tenant, class model.Class, d time.Duration) {
-	t.metrics.ForRequest(tenant, class).BetweenTokens(d)
+	t.metrics.ForRequest(tenant, class).RecordBetweenTokens(d)
 }
 
 func (t telemetryMetrics) ObserveTotal(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason) {
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -36,7 +36,7 @@
 		r := m.ForRequest("hauliers", "interactive")
 		r.RecordQueueTime(3 * time.Millisecond)
 		r.RecordFirstToken(900 * time.Millisecond)
-		r.BetweenTokens(40 * time.Millisecond)
+		r.RecordBetweenTokens(40 * time.Millisecond)
 		r.Total(2 * time.Second)
 		r.Outcome(outcome.Completed, outcome.ReasonNone)
 		r.Outcome(outcome.NotRun, outcome.ReasonDeadline)
@@ -102,7 +102,7 @@
 	b.Run("between tokens", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			r.BetweenTokens(40 * time.Millisecond)
+			r.RecordBetweenTokens(40 * time.Millisecond)
 		}
 	})
 	b.Run("outcome", func(b *testing.B) {
--- a/lib/telemetry/request_metrics.go
+++ b/lib/telemetry/request_metrics.go
@@ -24,8 +24,8 @@
 // RecordFirstToken records the time from arrival to the first token.
 func (r *RequestMetrics) RecordFirstToken(d time.Duration) { r.record(r.m.firstToken, d) }
 
-// BetweenTokens records the time between two tokens.
-func (r *RequestMetrics) BetweenTokens(d time.Duration) { r.record(r.m.betweenTokens, d) }
+// RecordBetweenTokens records the time between two tokens.
+func (r *RequestMetrics) RecordBetweenTokens(d time.Duration) { r.record(r.m.betweenTokens, d) }
 
 // Total records the time from arrival to the end of the answer.
 func (r *RequestMetrics) Total(d time.Duration) { r.record(r.m.total, d) }
