--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -28,7 +28,7 @@
 
 func (t telemetryMetrics) ObserveTotal(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason) {
 	r := t.metrics.ForRequest(tenant, class)
-	r.Total(d)
+	r.RecordTotalTime(d)
 	r.Outcome(o, reason)
 }
 
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -37,7 +37,7 @@
 		r.RecordQueueTime(3 * time.Millisecond)
 		r.RecordFirstToken(900 * time.Millisecond)
 		r.RecordBetweenTokens(40 * time.Millisecond)
-		r.Total(2 * time.Second)
+		r.RecordTotalTime(2 * time.Second)
 		r.Outcome(outcome.Completed, outcome.ReasonNone)
 		r.Outcome(outcome.NotRun, outcome.ReasonDeadline)
 		r.Outcome(outcome.NotRun, "invented by a peer")
--- a/lib/telemetry/request_metrics.go
+++ b/lib/telemetry/request_metrics.go
@@ -27,8 +27,8 @@
 // RecordBetweenTokens records the time between two tokens.
 func (r *RequestMetrics) RecordBetweenTokens(d time.Duration) { r.record(r.m.betweenTokens, d) }
 
-// Total records the time from arrival to the end of the answer.
-func (r *RequestMetrics) Total(d time.Duration) { r.record(r.m.total, d) }
+// RecordTotalTime records the time from arrival to the end of the answer.
+func (r *RequestMetrics) RecordTotalTime(d time.Duration) { r.record(r.m.total, d) }
 
 func (r *RequestMetrics) record(h metric.Float64Histogram, d time.Duration) {
 	h.Record(context.Background(), d.Seconds(), r.options...)
