--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -29,7 +29,7 @@
 func (t telemetryMetrics) ObserveTotal(tenant model.Tenant, class model.Class, d time.Duration, o outcome.Outcome, reason outcome.Reason) {
 	r := t.metrics.ForRequest(tenant, class)
 	r.RecordTotalTime(d)
-	r.Outcome(o, reason)
+	r.CountOutcome(o, reason)
 }
 
 func (t telemetryMetrics) CountInvalid(reason outcome.Reason) {
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -38,9 +38,9 @@
 		r.RecordFirstToken(900 * time.Millisecond)
 		r.RecordBetweenTokens(40 * time.Millisecond)
 		r.RecordTotalTime(2 * time.Second)
-		r.Outcome(outcome.Completed, outcome.ReasonNone)
-		r.Outcome(outcome.NotRun, outcome.ReasonDeadline)
-		r.Outcome(outcome.NotRun, "invented by a peer")
+		r.CountOutcome(outcome.Completed, outcome.ReasonNone)
+		r.CountOutcome(outcome.NotRun, outcome.ReasonDeadline)
+		r.CountOutcome(outcome.NotRun, "invented by a peer")
 		m.RecordTransfer("drafter", 80*time.Second)
 		m.AddTransferBytes("drafter", telemetry.SourcePeer, 4096)
 		m.CountInvalidInput(telemetry.InputFrame)
@@ -108,7 +108,7 @@
 	b.Run("outcome", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			r.Outcome(outcome.NotRun, outcome.ReasonDeadline)
+			r.CountOutcome(outcome.NotRun, outcome.ReasonDeadline)
 		}
 	})
 	b.Run("lookup", func(b *testing.B) {
--- a/lib/telemetry/request_metrics.go
+++ b/lib/telemetry/request_metrics.go
@@ -34,8 +34,8 @@
 	h.Record(context.Background(), d.Seconds(), r.options...)
 }
 
-// Outcome counts one request that ended.
-func (r *RequestMetrics) Outcome(o outcome.Outcome, reason outcome.Reason) {
+// CountOutcome counts one request that ended.
+func (r *RequestMetrics) CountOutcome(o outcome.Outcome, reason outcome.Reason) {
 	key := outcomeKey{request: r, outcome: o, reason: r.m.reason(reason)}
 	if options, ok := r.m.outcomes.Load(key); ok {
 		r.m.ended.Add(context.Background(), 1, options.([]metric.AddOption)...) //nolint:forcetypeassert // one type is stored
