--- a/agent/program.go
+++ b/agent/program.go
@@ -26,8 +26,8 @@
 			_, err := security.New(s.Transport)
 			return err
 		},
-		Common: func(s *settings.Agent) daemon.Common {
-			return daemon.Common{Log: s.Log, Drain: s.Drain, Identity: s.Instance}
+		Common: func(s *settings.Agent) daemon.CommonSettings {
+			return daemon.CommonSettings{Log: s.Log, Drain: s.Drain, Identity: s.Instance}
 		},
 		Start: start,
 	}
--- a/entry/program.go
+++ b/entry/program.go
@@ -27,8 +27,8 @@
 			_, err := security.New(s.Transport)
 			return err
 		},
-		Common: func(s *settings.Entry) daemon.Common {
-			return daemon.Common{Log: s.Log, Drain: s.Drain, Identity: s.Instance}
+		Common: func(s *settings.Entry) daemon.CommonSettings {
+			return daemon.CommonSettings{Log: s.Log, Drain: s.Drain, Identity: s.Instance}
 		},
 		Start: start,
 	}
--- a/lib/daemon/command.go
+++ b/lib/daemon/command.go
@@ -81,7 +81,7 @@
 }
 
 // run starts the process, waits for a signal or a failure, and drains.
-func run[S any](p Program[S], s S, common Common, log *eventlog.Logger, signals <-chan os.Signal) int {
+func run[S any](p Program[S], s S, common CommonSettings, log *eventlog.Logger, signals <-chan os.Signal) int {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	process, err := p.Start(ctx, s, log)
@@ -99,7 +99,7 @@
 	return code
 }
 
-func wait(process Process, common Common, log *eventlog.Logger, signals <-chan os.Signal) int {
+func wait(process Process, common CommonSettings, log *eventlog.Logger, signals <-chan os.Signal) int {
 	select {
 	case err := <-process.Failed():
 		log.Log(eventlog.ProcessFailed, "error", err)
--- a/lib/daemon/daemon_test.go
+++ b/lib/daemon/daemon_test.go
@@ -54,8 +54,8 @@
 				}
 				return path, nil
 			},
-			Common: func(string) daemon.Common {
-				return daemon.Common{Drain: settings.Drain{Timeout: timeout}, Identity: settings.Instance{ID: "i1"}}
+			Common: func(string) daemon.CommonSettings {
+				return daemon.CommonSettings{Drain: settings.Drain{Timeout: timeout}, Identity: settings.Instance{ID: "i1"}}
 			},
 			Start: func(_ context.Context, s string, _ *eventlog.Logger) (daemon.Process, error) {
 				if s == "busy.ini" {
--- a/lib/daemon/program.go
+++ b/lib/daemon/program.go
@@ -8,8 +8,8 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// Common is the part of the settings that this package needs.
-type Common struct {
+// CommonSettings is the part of the settings that this package needs.
+type CommonSettings struct {
 	Log   settings.Log
 	Drain settings.Drain
 	// Identity is added to each log line.
@@ -32,7 +32,7 @@
 	// may be nil.
 	Check func(S) error
 	// Common picks the common settings.
-	Common func(S) Common
+	Common func(S) CommonSettings
 	// Start starts the daemon. It returns once all listeners are open.
 	Start func(ctx context.Context, s S, log *eventlog.Logger) (Process, error)
 }
