--- a/lib/daemon/command.go
+++ b/lib/daemon/command.go
@@ -28,7 +28,7 @@
 // Execute runs the program and returns its exit code. Log lines and faults go
 // to stderr.
 func Execute[S any](p Program[S], args []string, signals <-chan os.Signal, stdout, stderr io.Writer) int {
-	code := ExitStopped
+	code := ExitOK
 	cmd := command(p, signals, stderr, &code)
 	cmd.SetArgs(args)
 	cmd.SetOut(stdout)
@@ -91,7 +91,7 @@
 	}
 	log.Log(eventlog.ProcessStarted, "version", p.version())
 	code := wait(process, common, log, signals)
-	if err := process.Close(); err != nil && code == ExitStopped {
+	if err := process.Close(); err != nil && code == ExitOK {
 		log.Log(eventlog.ProcessStopped, "error", err)
 		return ExitFailed
 	}
@@ -117,7 +117,7 @@
 			log.Log(eventlog.DrainUnfinished, "error", err)
 			return ExitUnfinished
 		}
-		return ExitStopped
+		return ExitOK
 	case s := <-signals:
 		log.Log(eventlog.DrainUnfinished, "signal", s)
 		return ExitUnfinished
--- a/lib/daemon/daemon_test.go
+++ b/lib/daemon/daemon_test.go
@@ -71,7 +71,7 @@
 	It("drains at a signal and ends with 0", func() {
 		signals <- syscall.SIGTERM
 		p.drained <- nil
-		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitStopped))
+		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitOK))
 		Expect(p.closed).To(BeTrue())
 		Expect(errs.String()).To(ContainSubstring("instance=i1 event=1002"))
 	})
@@ -101,14 +101,14 @@
 		Expect(execute(args...)).To(Equal(code))
 		Expect(out.String() + errs.String()).To(ContainSubstring(output))
 	},
-		Entry("check of valid settings", daemon.ExitStopped, "settings are valid", "--check", "--config", "x.ini"),
+		Entry("check of valid settings", daemon.ExitOK, "settings are valid", "--check", "--config", "x.ini"),
 		Entry("check of invalid settings", daemon.ExitUsage, "bad.ini:3: [log] level: unknown", "--check", "--config", "bad.ini"),
 		Entry("invalid settings", daemon.ExitUsage, "bad.ini:3", "--config", "bad.ini"),
 		Entry("no settings", daemon.ExitUsage, "required flag(s) \"config\" not set"),
 		Entry("unknown flag", daemon.ExitUsage, "unknown flag", "--colour"),
 		Entry("unexpected argument", daemon.ExitUsage, "unknown command", "x.ini"),
-		Entry("version", daemon.ExitStopped, "auburnbend-x v1.2.3", "--version"),
-		Entry("help", daemon.ExitStopped, "auburnbend-x --config x.ini", "--help"),
-		Entry("completion", daemon.ExitStopped, "bash completion", "completion", "bash"),
+		Entry("version", daemon.ExitOK, "auburnbend-x v1.2.3", "--version"),
+		Entry("help", daemon.ExitOK, "auburnbend-x --config x.ini", "--help"),
+		Entry("completion", daemon.ExitOK, "bash completion", "completion", "bash"),
 	)
 })
--- a/lib/daemon/exit.go
+++ b/lib/daemon/exit.go
@@ -3,8 +3,8 @@
 // Exit codes of a daemon. Service managers tell a fault that a restart may
 // cure (1) from one that it does not (2).
 const (
-	// ExitStopped means that the process ended as asked, with no work left.
-	ExitStopped = 0
+	// ExitOK means that the process ended as asked, with no work left.
+	ExitOK = 0
 	// ExitFailed means that the process could not start or go on.
 	ExitFailed = 1
 	// ExitUsage means that the command line or the settings are invalid.
