--- a/lib/daemon/command.go
+++ b/lib/daemon/command.go
@@ -115,14 +115,14 @@
 	case err := <-drained:
 		if err != nil {
 			log.Log(eventlog.DrainUnfinished, "error", err)
-			return ExitUnfinished
+			return ExitDrainIncomplete
 		}
 		return ExitOK
 	case s := <-signals:
 		log.Log(eventlog.DrainUnfinished, "signal", s)
-		return ExitUnfinished
+		return ExitDrainIncomplete
 	case <-ctx.Done():
 		log.Log(eventlog.DrainUnfinished, "error", ctx.Err())
-		return ExitUnfinished
+		return ExitDrainIncomplete
 	}
 }
--- a/lib/daemon/daemon_test.go
+++ b/lib/daemon/daemon_test.go
@@ -79,14 +79,14 @@
 	It("ends at a second signal", func() {
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGINT
-		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitUnfinished))
+		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitDrainIncomplete))
 		Expect(p.closed).To(BeTrue())
 	})
 
 	It("ends at the drain timeout", func() {
 		timeout = time.Millisecond
 		signals <- syscall.SIGTERM
-		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitUnfinished))
+		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitDrainIncomplete))
 		Expect(errs.String()).To(ContainSubstring("event=1007"))
 	})
 
--- a/lib/daemon/exit.go
+++ b/lib/daemon/exit.go
@@ -9,7 +9,7 @@
 	ExitFailed = 1
 	// ExitUsage means that the command line or the settings are invalid.
 	ExitUsage = 2
-	// ExitUnfinished means that work was cut off by the drain timeout or by a
+	// ExitDrainIncomplete means that work was cut off by the drain timeout or by a
 	// second signal.
-	ExitUnfinished = 3
+	ExitDrainIncomplete = 3
 )
