--- a/entry/entry.go
+++ b/entry/entry.go
@@ -179,7 +179,7 @@
 	}
 	options := operatorrpc.Options()
 	if e.cfg.Policy != nil && !e.cfg.Policy.Plaintext() {
-		options = append(options, grpc.Creds(credentials.NewTLS(e.cfg.Policy.Server(security.RoleOperator))))
+		options = append(options, grpc.Creds(credentials.NewTLS(e.cfg.Policy.ServerTLSConfig(security.RoleOperator))))
 	}
 	e.operators = grpc.NewServer(options...)
 	operatorrpc.New(operatorrpc.Config{Clock: e.cfg.Clock, Log: e.cfg.Log}, e.store, status{e}, status{e}).Register(e.operators)
--- a/lib/security/dial.go
+++ b/lib/security/dial.go
@@ -32,7 +32,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
-	conn := tls.Server(nc, p.Server(roles...))
+	conn := tls.Server(nc, p.ServerTLSConfig(roles...))
 	if err := conn.HandshakeContext(ctx); err != nil {
 		_ = nc.Close()
 		return nil, nil, merry.Wrap(err)
--- a/lib/security/policy.go
+++ b/lib/security/policy.go
@@ -56,9 +56,9 @@
 // Plaintext reports whether the settings name plain text.
 func (p *Policy) Plaintext() bool { return p.plaintext }
 
-// Server returns the TLS settings of a listener that only the given roles may
+// ServerTLSConfig returns the TLS settings of a listener that only the given roles may
 // connect to; nil for plain text.
-func (p *Policy) Server(roles ...Role) *tls.Config {
+func (p *Policy) ServerTLSConfig(roles ...Role) *tls.Config {
 	if p.plaintext {
 		return nil
 	}
--- a/lib/security/policy_test.go
+++ b/lib/security/policy_test.go
@@ -100,7 +100,7 @@
 		plain, err := security.New(settings.Transport{Kind: settings.TransportPlaintext})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(plain.Plaintext()).To(BeTrue())
-		Expect(plain.Server(security.RoleEntry)).To(BeNil())
+		Expect(plain.ServerTLSConfig(security.RoleEntry)).To(BeNil())
 		server := policy(authority, "entry.x")
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
