--- a/lib/security/dial.go
+++ b/lib/security/dial.go
@@ -20,7 +20,7 @@
 	if p.plaintext {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	}
-	return (&tls.Dialer{Config: p.Client(roles...)}).DialContext(ctx, "tcp", address)
+	return (&tls.Dialer{Config: p.ClientTLSConfig(roles...)}).DialContext(ctx, "tcp", address)
 }
 
 // Accept completes the TLS handshake, where configured, on a connection that
--- a/lib/security/policy.go
+++ b/lib/security/policy.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// Client returns the TLS settings to connect to a peer that acts in one of the
+// ClientTLSConfig returns the TLS settings to connect to a peer that acts in one of the
 // given roles; nil for plain text.
-func (p *Policy) Client(roles ...Role) *tls.Config {
+func (p *Policy) ClientTLSConfig(roles ...Role) *tls.Config {
 	if p.plaintext {
 		return nil
 	}
