--- a/lib/listen/server.go
+++ b/lib/listen/server.go
@@ -88,7 +88,7 @@
 	if s.cfg.Policy == nil {
 		return nc, []security.Role{security.RoleEntry, security.RoleAgent}, nil
 	}
-	return s.cfg.Policy.Accept(nc, security.RoleEntry, security.RoleAgent)
+	return s.cfg.Policy.ServerHandshake(nc, security.RoleEntry, security.RoleAgent)
 }
 
 // mayAct reports whether the roles of a certificate include the one that the
--- a/lib/security/dial.go
+++ b/lib/security/dial.go
@@ -23,10 +23,10 @@
 	return (&tls.Dialer{Config: p.ClientTLSConfig(roles...)}).DialContext(ctx, "tcp", address)
 }
 
-// Accept completes the TLS handshake, where configured, on a connection that
+// ServerHandshake completes the TLS handshake, where configured, on a connection that
 // was accepted, and returns the roles that the peer may act in. It closes nc
 // when it fails. It is called on the connection's own goroutine.
-func (p *Policy) Accept(nc net.Conn, roles ...Role) (net.Conn, []Role, error) {
+func (p *Policy) ServerHandshake(nc net.Conn, roles ...Role) (net.Conn, []Role, error) {
 	if p.plaintext {
 		return nc, roles, nil
 	}
--- a/lib/security/policy_test.go
+++ b/lib/security/policy_test.go
@@ -41,7 +41,7 @@
 			return
 		}
 		var conn net.Conn
-		if conn, roles, atServer = server.Accept(nc, accepts...); atServer == nil {
+		if conn, roles, atServer = server.ServerHandshake(nc, accepts...); atServer == nil {
 			_, _ = conn.Write([]byte("x"))
 			_ = conn.Close()
 		}
@@ -113,7 +113,7 @@
 		}()
 		nc, err := ln.Accept()
 		Expect(err).NotTo(HaveOccurred())
-		_, _, err = server.Accept(nc, security.RoleAgent)
+		_, _, err = server.ServerHandshake(nc, security.RoleAgent)
 		Expect(err).To(HaveOccurred())
 	})
 
