--- a/lib/security/policy.go
+++ b/lib/security/policy.go
@@ -112,7 +112,7 @@
 }
 
 func (p *Policy) authorise(s tls.ConnectionState, roles []Role) error {
-	for _, role := range p.Roles(s) {
+	for _, role := range p.PeerRoles(s) {
 		if slices.Contains(roles, role) {
 			return nil
 		}
@@ -124,10 +124,10 @@
 	return merry.Wrap(ErrUnauthorised, merry.AppendMessagef("certificate names %q, wanted role is one of %q", names, roles))
 }
 
-// Roles returns the roles that the peer's certificate names may act in. The
+// PeerRoles returns the roles that the peer's certificate names may act in. The
 // owner of a connection compares them with the role that the peer claims in
 // its first message. With plain text all roles are returned.
-func (p *Policy) Roles(s tls.ConnectionState) []Role {
+func (p *Policy) PeerRoles(s tls.ConnectionState) []Role {
 	all := []Role{RoleEntry, RoleAgent, RoleOperator}
 	if p.plaintext {
 		return all
