--- a/lib/serving/kind.go
+++ b/lib/serving/kind.go
@@ -1,12 +1,12 @@
 package serving
 
-// Kind tells what the system may do with a request of a route.
-type Kind uint8
+// RequestKind tells what the system may do with a request of a route.
+type RequestKind uint8
 
 // Kinds of requests.
 const (
 	// NonIdempotent requests run at most once.
-	NonIdempotent Kind = iota
+	NonIdempotent RequestKind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
 	// Streaming requests are answered by a series of events. They run at most
@@ -15,7 +15,7 @@
 )
 
 // String returns the name used in logs and metrics.
-func (k Kind) String() string {
+func (k RequestKind) String() string {
 	switch k {
 	case Idempotent:
 		return "idempotent"
--- a/lib/serving/route.go
+++ b/lib/serving/route.go
@@ -7,7 +7,7 @@
 	Name string
 	// Host is matched exactly, Prefix by the longest match.
 	Host, Prefix string
-	Kind         Kind
+	Kind         RequestKind
 	// Timeout is the longest time that a caller is kept waiting for its final
 	// answer; zero sets no limit.
 	Timeout time.Duration
