--- a/gateway/request.go
+++ b/gateway/request.go
@@ -104,7 +104,7 @@
 	// overload. Time that the request has lost at a failed server does not count
 	// against the target: it is no load of the other servers.
 	if own := r.route.TargetLatency; own > 0 {
-		req.LatencyTarget = max(r.table.LeastTarget(r.service), own/maxTargetRatio)
+		req.LatencyTarget = max(r.table.MinTargetLatency(r.service), own/maxTargetRatio)
 	}
 	return req
 }
--- a/lib/serving/table.go
+++ b/lib/serving/table.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// LeastTarget returns the least target latency of the routes to a service; zero
+// MinTargetLatency returns the least target latency of the routes to a service; zero
 // if none is declared.
-func (t *Table) LeastTarget(service string) time.Duration { return t.targets[service] }
+func (t *Table) MinTargetLatency(service string) time.Duration { return t.targets[service] }
 
 // Config returns the configuration.
 func (t *Table) Config() *Config { return t.config }
--- a/lib/serving/table_test.go
+++ b/lib/serving/table_test.go
@@ -56,9 +56,9 @@
 		table := serving.NewTable(&serving.Config{Routes: []serving.Route{
 			route("drafts", 500*time.Millisecond), route("drafts", 400*time.Millisecond), route("drafts", 0), route("desk", time.Second),
 		}})
-		Expect(table.LeastTarget("drafts")).To(Equal(400 * time.Millisecond))
-		Expect(table.LeastTarget("desk")).To(Equal(time.Second))
-		Expect(table.LeastTarget("other")).To(BeZero())
+		Expect(table.MinTargetLatency("drafts")).To(Equal(400 * time.Millisecond))
+		Expect(table.MinTargetLatency("desk")).To(Equal(time.Second))
+		Expect(table.MinTargetLatency("other")).To(BeZero())
 	})
 
 	It("follows the declared weights of a split", func() {
