--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -80,7 +80,7 @@
 	if r.team != nil {
 		r.summary.Team = r.team.Name
 	}
-	r.service = r.route.Pick(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	r.service = r.route.PickService(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.summary.Service = r.service
 	if s := r.table.Service(r.service); s != nil {
 		r.engine = s.Engine
--- a/lib/serving/table.go
+++ b/lib/serving/table.go
@@ -84,9 +84,9 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick returns the name of the service that a request of the route goes to. It
+// PickService returns the name of the service that a request of the route goes to. It
 // follows the declared weights.
-func (r *Route) Pick(rng *rand.Rand) string {
+func (r *Route) PickService(rng *rand.Rand) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
--- a/lib/serving/table_test.go
+++ b/lib/serving/table_test.go
@@ -67,7 +67,7 @@
 		rng := rand.New(rand.NewPCG(1, 1))
 		counts := make(map[string]int)
 		for range 10000 {
-			counts[route.Pick(rng)]++
+			counts[route.PickService(rng)]++
 		}
 		Expect(counts["off"]).To(BeZero())
 		Expect(counts["new"]).To(BeNumerically("~", 1000, 150))
