--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -72,11 +72,11 @@
 func (r *request) stallTimeout() time.Duration {
 	g := r.gateway
 	last := r.route.MaxBackendServers > 0 && r.dispatched >= r.route.MaxBackendServers
-	if r.route.Repeatable() && !last && r.route.EventGap > 0 {
+	if r.route.Repeatable() && !last && r.route.MaxEventGap > 0 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.budget.Remaining(r.service, g.now()) >= 1 {
-			return maxStallGaps * r.route.EventGap
+			return maxStallGaps * r.route.MaxEventGap
 		}
 	}
 	if r.deadline.IsZero() {
--- a/lib/serving/route.go
+++ b/lib/serving/route.go
@@ -14,8 +14,8 @@
 	// TargetLatency is the time to the answer, or to the first event, within
 	// which callers are served well.
 	TargetLatency time.Duration
-	// EventGap is the longest pause between events of a good stream.
-	EventGap time.Duration
+	// MaxEventGap is the longest pause between events of a good stream.
+	MaxEventGap time.Duration
 	// Priority ranks routes; 0 is the highest.
 	Priority int
 	Targets  []Target
