--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	r.summary.Route = r.route.Name
-	r.team = r.table.Team(call.APIKey)
+	r.team = r.table.TeamByKey(call.APIKey)
 	if r.team == nil && !r.route.Public && len(r.table.Config().Teams) > 0 {
 		r.refuse(http.StatusUnauthorized, outcomeInvalid, "unknown key", 0)
 		return false
--- a/lib/serving/table.go
+++ b/lib/serving/table.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Team returns the team that holds a key, or nil.
-func (t *Table) Team(key string) *Team { return t.teams[key] }
+// TeamByKey returns the team that holds a key, or nil.
+func (t *Table) TeamByKey(key string) *Team { return t.teams[key] }
 
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/lib/serving/table_test.go
+++ b/lib/serving/table_test.go
@@ -42,9 +42,9 @@
 	)
 
 	It("knows all keys of a team and no others", func() {
-		Expect(table.Team("k2").Name).To(Equal("carvers"))
-		Expect(table.Team("k3")).To(BeNil())
-		Expect(table.Team("")).To(BeNil())
+		Expect(table.TeamByKey("k2").Name).To(Equal("carvers"))
+		Expect(table.TeamByKey("k3")).To(BeNil())
+		Expect(table.TeamByKey("")).To(BeNil())
 	})
 
 	It("knows the least target of the routes to a service", func() {
