--- a/lib/serving/table.go
+++ b/lib/serving/table.go
@@ -37,7 +37,7 @@
 		t.addTarget(r)
 	}
 	for i := range c.Teams {
-		for _, key := range c.Teams[i].Keys {
+		for _, key := range c.Teams[i].APIKeys {
 			t.teams[key] = &c.Teams[i]
 		}
 	}
--- a/lib/serving/table_test.go
+++ b/lib/serving/table_test.go
@@ -17,7 +17,7 @@
 			{Name: "deep", Host: "a.example", Prefix: "/x/y/"},
 			{Name: "other", Host: "b.example", Prefix: "/x/"},
 		},
-		Teams: []serving.Team{{Name: "carvers", Keys: []string{"k1", "k2"}}},
+		Teams: []serving.Team{{Name: "carvers", APIKeys: []string{"k1", "k2"}}},
 	})
 
 	DescribeTable("chooses the longest prefix of the path on the host",
