--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -105,7 +105,7 @@
 // readBody reads the body. If it returns false, it has sent the refusal.
 func (r *request) readBody() bool {
 	limit := int64(defaultMaxBodyBytes)
-	if n := r.table.Config().Limits.BodyBytes; n > 0 {
+	if n := r.table.Config().Limits.MaxBodyBytes; n > 0 {
 		limit = int64(n)
 	}
 	if r.http.ContentLength > limit {
