--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -6,8 +6,8 @@
 type Engine struct {
 	// Slots is the number of requests that run at the same time.
 	Slots int
-	// KVTokens is the number of tokens of context that fit into memory.
-	KVTokens int
+	// KVCacheTokens is the number of tokens of context that fit into memory.
+	KVCacheTokens int
 	// StepTime is the duration of one token step of an empty batch.
 	StepTime time.Duration
 	// SequenceTime is added to a step for each request that generates tokens.
