--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -10,8 +10,8 @@
 	KVCacheTokens int
 	// StepTime is the duration of one token step of an empty batch.
 	StepTime time.Duration
-	// SequenceTime is added to a step for each request that generates tokens.
-	SequenceTime time.Duration
+	// StepTimePerSequence is added to a step for each request that generates tokens.
+	StepTimePerSequence time.Duration
 	// ContextTime is added to a step for each 1,000 tokens of context of these
 	// requests.
 	ContextTime time.Duration
