--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -100,7 +100,7 @@
 // passTime is the duration of one pass with n requests that generate tokens.
 func passTime(e *serving.Engine, n int) time.Duration {
 	context := float64(n) * float64(e.UsualPrompt+e.UsualAnswer/2) / 1000
-	step := e.StepTime + time.Duration(n)*e.StepTimePerSequence + time.Duration(context*float64(e.ContextTime))
+	step := e.StepTime + time.Duration(n)*e.StepTimePerSequence + time.Duration(context*float64(e.StepTimePer1kContext))
 	return step * time.Duration(max(1, e.StepsPerPass))
 }
 
--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -12,9 +12,9 @@
 	StepTime time.Duration
 	// StepTimePerSequence is added to a step for each request that generates tokens.
 	StepTimePerSequence time.Duration
-	// ContextTime is added to a step for each 1,000 tokens of context of these
+	// StepTimePer1kContext is added to a step for each 1,000 tokens of context of these
 	// requests.
-	ContextTime time.Duration
+	StepTimePer1kContext time.Duration
 	// PrefillRate is in prompt tokens per second.
 	PrefillRate float64
 	// PairTime is added to the prefill for each million pairs of a token and an
