--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -83,7 +83,7 @@
 	if age > maxReportAge {
 		return s.usage.PrefillTokens
 	}
-	processed := int(age.Seconds() * e.PrefillRate)
+	processed := int(age.Seconds() * e.PrefillTokensPerSecond)
 	return s.usage.PrefillTokens + max(0, s.otherPrefillTokens-processed)
 }
 
@@ -113,10 +113,10 @@
 // prefillTime is the time to process a prompt. pairs is 1 if its tokens attend to
 // each other, and 0 to leave out that cost.
 func prefillTime(e *serving.Engine, tokens, pairs int) time.Duration {
-	if e.PrefillRate <= 0 {
+	if e.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	linear := time.Duration(float64(tokens) / e.PrefillRate * float64(time.Second))
+	linear := time.Duration(float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second))
 	millionPairs := float64(pairs) * float64(tokens) * float64(tokens) / 2 / 1e6
 	return linear + time.Duration(millionPairs*float64(e.PairTime))
 }
--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -15,8 +15,8 @@
 	// StepTimePer1kContext is added to a step for each 1,000 tokens of context of these
 	// requests.
 	StepTimePer1kContext time.Duration
-	// PrefillRate is in prompt tokens per second.
-	PrefillRate float64
+	// PrefillTokensPerSecond is in prompt tokens per second.
+	PrefillTokensPerSecond float64
 	// PairTime is added to the prefill for each million pairs of a token and an
 	// earlier one.
 	PairTime time.Duration
