--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -118,7 +118,7 @@
 	}
 	linear := time.Duration(float64(tokens) / e.PrefillTokensPerSecond * float64(time.Second))
 	millionPairs := float64(pairs) * float64(tokens) * float64(tokens) / 2 / 1e6
-	return linear + time.Duration(millionPairs*float64(e.PairTime))
+	return linear + time.Duration(millionPairs*float64(e.PrefillTimePerMillionPairs))
 }
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -17,9 +17,9 @@
 	StepTimePer1kContext time.Duration
 	// PrefillTokensPerSecond is in prompt tokens per second.
 	PrefillTokensPerSecond float64
-	// PairTime is added to the prefill for each million pairs of a token and an
+	// PrefillTimePerMillionPairs is added to the prefill for each million pairs of a token and an
 	// earlier one.
-	PairTime time.Duration
+	PrefillTimePerMillionPairs time.Duration
 	// StepsPerPass is the number of token steps between two pieces of prefill.
 	StepsPerPass int
 	// ChunkTokens bounds the prompt tokens that one pass prefills.
