--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -93,7 +93,7 @@
 	if e.UsualAnswer <= 0 {
 		return 0
 	}
-	perPass := float64(n*max(1, e.StepsPerPass)) / float64(e.UsualAnswer)
+	perPass := float64(n*max(1, e.StepsPerPrefillChunk)) / float64(e.UsualAnswer)
 	return scale(prefillTime(e, e.UsualPrompt, 1), perPass)
 }
 
@@ -101,12 +101,12 @@
 func passTime(e *serving.Engine, n int) time.Duration {
 	context := float64(n) * float64(e.UsualPrompt+e.UsualAnswer/2) / 1000
 	step := e.StepTime + time.Duration(n)*e.StepTimePerSequence + time.Duration(context*float64(e.StepTimePer1kContext))
-	return step * time.Duration(max(1, e.StepsPerPass))
+	return step * time.Duration(max(1, e.StepsPerPrefillChunk))
 }
 
 // serviceTime is the mean time between the ends of two requests on a full engine.
 func serviceTime(e *serving.Engine, slots int) time.Duration {
-	decode := passTime(e, slots) * time.Duration(e.UsualAnswer) / time.Duration(max(1, e.StepsPerPass)*slots)
+	decode := passTime(e, slots) * time.Duration(e.UsualAnswer) / time.Duration(max(1, e.StepsPerPrefillChunk)*slots)
 	return prefillTime(e, e.UsualPrompt, 1) + decode
 }
 
--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -20,8 +20,8 @@
 	// PrefillTimePerMillionPairs is added to the prefill for each million pairs of a token and an
 	// earlier one.
 	PrefillTimePerMillionPairs time.Duration
-	// StepsPerPass is the number of token steps between two pieces of prefill.
-	StepsPerPass int
+	// StepsPerPrefillChunk is the number of token steps between two pieces of prefill.
+	StepsPerPrefillChunk int
 	// ChunkTokens bounds the prompt tokens that one pass prefills.
 	ChunkTokens int
 	// UsualPrompt and UsualAnswer are mean token counts of a request.
