--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -68,8 +68,8 @@
 	wait += prefillTime(e, s.prefillAhead(e, now), 0)
 	own := prefillTime(e, req.PromptTokens, 1)
 	// After each prefill chunk but the last, the running requests make a pass.
-	if e.ChunkTokens > 0 && req.PromptTokens > e.ChunkTokens {
-		own += time.Duration((req.PromptTokens-1)/e.ChunkTokens) * pass
+	if e.PrefillChunkTokens > 0 && req.PromptTokens > e.PrefillChunkTokens {
+		own += time.Duration((req.PromptTokens-1)/e.PrefillChunkTokens) * pass
 	}
 	pace := s.slowdown(now)
 	wait = scale(wait, pace)
--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -22,8 +22,8 @@
 	PrefillTimePerMillionPairs time.Duration
 	// StepsPerPrefillChunk is the number of token steps between two pieces of prefill.
 	StepsPerPrefillChunk int
-	// ChunkTokens bounds the prompt tokens that one pass prefills.
-	ChunkTokens int
+	// PrefillChunkTokens bounds the prompt tokens that one pass prefills.
+	PrefillChunkTokens int
 	// UsualPrompt and UsualAnswer are mean token counts of a request.
 	UsualPrompt, UsualAnswer int
 	// Layers is the number of layers of the model.
