--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -199,7 +199,7 @@
 	}
 	usual := e.firstResponse - e.wait
 	if req.Engine != nil {
-		usual = prefillTime(req.Engine, req.Engine.UsualPrompt, 1) + passTime(req.Engine, s.slots())
+		usual = prefillTime(req.Engine, req.Engine.MeanPromptTokens, 1) + passTime(req.Engine, s.slots())
 	}
 	limit := scale(req.LatencyTarget, p.config.TargetShare)
 	predicted := e.wait + usual
--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -94,12 +94,12 @@
 		return 0
 	}
 	perPass := float64(n*max(1, e.StepsPerPrefillChunk)) / float64(e.UsualAnswer)
-	return scale(prefillTime(e, e.UsualPrompt, 1), perPass)
+	return scale(prefillTime(e, e.MeanPromptTokens, 1), perPass)
 }
 
 // passTime is the duration of one pass with n requests that generate tokens.
 func passTime(e *serving.Engine, n int) time.Duration {
-	context := float64(n) * float64(e.UsualPrompt+e.UsualAnswer/2) / 1000
+	context := float64(n) * float64(e.MeanPromptTokens+e.UsualAnswer/2) / 1000
 	step := e.StepTime + time.Duration(n)*e.StepTimePerSequence + time.Duration(context*float64(e.StepTimePer1kContext))
 	return step * time.Duration(max(1, e.StepsPerPrefillChunk))
 }
@@ -107,7 +107,7 @@
 // serviceTime is the mean time between the ends of two requests on a full engine.
 func serviceTime(e *serving.Engine, slots int) time.Duration {
 	decode := passTime(e, slots) * time.Duration(e.UsualAnswer) / time.Duration(max(1, e.StepsPerPrefillChunk)*slots)
-	return prefillTime(e, e.UsualPrompt, 1) + decode
+	return prefillTime(e, e.MeanPromptTokens, 1) + decode
 }
 
 // prefillTime is the time to process a prompt. pairs is 1 if its tokens attend to
--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -24,8 +24,8 @@
 	StepsPerPrefillChunk int
 	// PrefillChunkTokens bounds the prompt tokens that one pass prefills.
 	PrefillChunkTokens int
-	// UsualPrompt and UsualAnswer are mean token counts of a request.
-	UsualPrompt, UsualAnswer int
+	// MeanPromptTokens and UsualAnswer are mean token counts of a request.
+	MeanPromptTokens, UsualAnswer int
 	// Layers is the number of layers of the model.
 	Layers int
 	// ReportLag is the age of a load report that is read over the network.
