--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -18,7 +18,7 @@
 
 var _ = Describe("Placement by the entries of a region", func() {
 	engine := &serving.Engine{
-		Slots: 8, StepTime: 13 * time.Millisecond, PrefillTokensPerSecond: 12700, StepsPerPrefillChunk: 5, PrefillChunkTokens: 2048, MeanPromptTokens: 900, UsualAnswer: 75,
+		Slots: 8, StepTime: 13 * time.Millisecond, PrefillTokensPerSecond: 12700, StepsPerPrefillChunk: 5, PrefillChunkTokens: 2048, MeanPromptTokens: 900, MeanOutputTokens: 75,
 	}
 	demand := placement.Request{
 		Service: "drafts", Engine: engine, Model: "m", PromptTokens: 900, OutputTokens: 75,
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -17,7 +17,7 @@
 var engine = &serving.Engine{
 	Slots: 16, KVCacheTokens: 1180000, StepTime: 8870 * time.Microsecond, StepTimePerSequence: 39 * time.Microsecond,
 	StepTimePer1kContext: 23 * time.Microsecond, PrefillTokensPerSecond: 19100, PrefillTimePerMillionPairs: 1470 * time.Microsecond,
-	StepsPerPrefillChunk: 5, PrefillChunkTokens: 2048, MeanPromptTokens: 977, UsualAnswer: 94,
+	StepsPerPrefillChunk: 5, PrefillChunkTokens: 2048, MeanPromptTokens: 977, MeanOutputTokens: 94,
 }
 
 var _ = Describe("Picker", func() {
--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -90,23 +90,23 @@
 // turnoverTime is the time per pass that an engine with n requests spends on the
 // prompts of new requests.
 func turnoverTime(e *serving.Engine, n int) time.Duration {
-	if e.UsualAnswer <= 0 {
+	if e.MeanOutputTokens <= 0 {
 		return 0
 	}
-	perPass := float64(n*max(1, e.StepsPerPrefillChunk)) / float64(e.UsualAnswer)
+	perPass := float64(n*max(1, e.StepsPerPrefillChunk)) / float64(e.MeanOutputTokens)
 	return scale(prefillTime(e, e.MeanPromptTokens, 1), perPass)
 }
 
 // passTime is the duration of one pass with n requests that generate tokens.
 func passTime(e *serving.Engine, n int) time.Duration {
-	context := float64(n) * float64(e.MeanPromptTokens+e.UsualAnswer/2) / 1000
+	context := float64(n) * float64(e.MeanPromptTokens+e.MeanOutputTokens/2) / 1000
 	step := e.StepTime + time.Duration(n)*e.StepTimePerSequence + time.Duration(context*float64(e.StepTimePer1kContext))
 	return step * time.Duration(max(1, e.StepsPerPrefillChunk))
 }
 
 // serviceTime is the mean time between the ends of two requests on a full engine.
 func serviceTime(e *serving.Engine, slots int) time.Duration {
-	decode := passTime(e, slots) * time.Duration(e.UsualAnswer) / time.Duration(max(1, e.StepsPerPrefillChunk)*slots)
+	decode := passTime(e, slots) * time.Duration(e.MeanOutputTokens) / time.Duration(max(1, e.StepsPerPrefillChunk)*slots)
 	return prefillTime(e, e.MeanPromptTokens, 1) + decode
 }
 
--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -25,7 +25,7 @@
 	// PrefillChunkTokens bounds the prompt tokens that one pass prefills.
 	PrefillChunkTokens int
 	// MeanPromptTokens and UsualAnswer are mean token counts of a request.
-	MeanPromptTokens, UsualAnswer int
+	MeanPromptTokens, MeanOutputTokens int
 	// Layers is the number of layers of the model.
 	Layers int
 	// ReportLag is the age of a load report that is read over the network.
