--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -28,8 +28,8 @@
 	MeanPromptTokens, MeanOutputTokens int
 	// Layers is the number of layers of the model.
 	Layers int
-	// ReportLag is the age of a load report that is read over the network.
-	ReportLag time.Duration
+	// LoadReportLag is the age of a load report that is read over the network.
+	LoadReportLag time.Duration
 	// Pieces and PieceBytes give the size of the weights.
 	Pieces, PieceBytes int
 	// Models are the names of the models that the engines may serve.
