--- a/lib/serving/engine.go
+++ b/lib/serving/engine.go
@@ -30,8 +30,8 @@
 	Layers int
 	// LoadReportLag is the age of a load report that is read over the network.
 	LoadReportLag time.Duration
-	// Pieces and PieceBytes give the size of the weights.
-	Pieces, PieceBytes int
+	// PieceCount and PieceBytes give the size of the weights.
+	PieceCount, PieceBytes int
 	// Models are the names of the models that the engines may serve.
 	Models []string
 }
