--- a/lib/serving/origin.go
+++ b/lib/serving/origin.go
@@ -6,8 +6,8 @@
 type Origin struct {
 	// Address is an IP address and port.
 	Address string
-	// Rate is the bandwidth of the origin's link in bytes per second.
-	Rate float64
+	// BytesPerSecond is the bandwidth of the origin's link in bytes per second.
+	BytesPerSecond float64
 	// MaxConnections bounds the connections to the origin from all instances.
 	MaxConnections int
 }
@@ -15,8 +15,8 @@
 // transferTime returns the time that the origin's link takes for some bytes, zero
 // if its rate is not known.
 func (o *Origin) transferTime(bytes int) time.Duration {
-	if o.Rate <= 0 {
+	if o.BytesPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(bytes) / o.Rate * float64(time.Second))
+	return time.Duration(float64(bytes) / o.BytesPerSecond * float64(time.Second))
 }
