--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -148,7 +148,7 @@
 		if target.Service == t.service {
 			t.take(&peerlink.Target{
 				ConfigVersion: c.Version, Model: target.Model, Version: serving.FirstVersion,
-				Origin: target.Origin.Address, OriginPieceMicros: target.PieceTime.Microseconds(),
+				Origin: target.Origin.Address, OriginPieceMicros: target.OriginPieceTime.Microseconds(),
 			}, "store")
 		}
 	}
--- a/lib/serving/weights_target.go
+++ b/lib/serving/weights_target.go
@@ -10,9 +10,9 @@
 type WeightsTarget struct {
 	Service, Model string
 	Origin         *Origin
-	// PieceTime is the time that the origin's link takes for one piece, zero if it
+	// OriginPieceTime is the time that the origin's link takes for one piece, zero if it
 	// is not known.
-	PieceTime time.Duration
+	OriginPieceTime time.Duration
 }
 
 // WeightsTargets returns the first model of each service with engines; none
@@ -34,7 +34,7 @@
 			continue
 		}
 		targets = append(targets, WeightsTarget{
-			Service: s.Name, Model: s.Engine.Models[0], Origin: origin, PieceTime: origin.transferTime(s.Engine.PieceBytes),
+			Service: s.Name, Model: s.Engine.Models[0], Origin: origin, OriginPieceTime: origin.transferTime(s.Engine.PieceBytes),
 		})
 	}
 	return targets
