--- a/lib/rendezvous/rendezvous.go
+++ b/lib/rendezvous/rendezvous.go
@@ -16,10 +16,10 @@
 // score often keep it.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Combine returns the weight of a member for a key from their hashes. The
+// Score returns the weight of a member for a key from their hashes. The
 // multipliers are those of the splitmix64 finalizer, which spreads each input
 // bit over the whole word.
-func Combine(key, member uint64) uint64 {
+func Score(key, member uint64) uint64 {
 	x := key ^ (member*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
@@ -47,7 +47,7 @@
 	keyHash := Hash(key)
 	all := make([]weighted, len(members))
 	for i, m := range members {
-		all[i] = weighted{m, Combine(keyHash, Hash(string(m)))}
+		all[i] = weighted{m, Score(keyHash, Hash(string(m)))}
 	}
 	slices.SortFunc(all, func(a, b weighted) int {
 		if c := cmp.Compare(b.weight, a.weight); c != 0 {
--- a/lib/route/pick.go
+++ b/lib/route/pick.go
@@ -181,7 +181,7 @@
 		if c.utilization-c.requestShare > bound {
 			continue
 		}
-		if weight := rendezvous.Combine(key, c.slot.hash); choice == nil || weight > highest {
+		if weight := rendezvous.Score(key, c.slot.hash); choice == nil || weight > highest {
 			choice, highest = c.slot, weight
 		}
 	}
--- a/lib/spread/scheduler_choice.go
+++ b/lib/spread/scheduler_choice.go
@@ -66,7 +66,7 @@
 		return s.sources[a].openRequests < s.sources[b].openRequests
 	}
 	key := rendezvous.Hash(s.plan.self.ID) + uint64(number)
-	return rendezvous.Combine(key, rendezvous.Hash(a)) > rendezvous.Combine(key, rendezvous.Hash(b))
+	return rendezvous.Score(key, rendezvous.Hash(a)) > rendezvous.Score(key, rendezvous.Hash(b))
 }
 
 // mayCrossRegions reports whether this instance may fetch a piece from another
--- a/lib/subset/matching.go
+++ b/lib/subset/matching.go
@@ -52,7 +52,7 @@
 		m.agentHashes = append(m.agentHashes, hash)
 		ranking := make([]candidate, len(m.entries))
 		for i, entryHash := range m.entryHashes {
-			ranking[i] = candidate{i, rendezvous.Combine(hash, entryHash)}
+			ranking[i] = candidate{i, rendezvous.Score(hash, entryHash)}
 		}
 		slices.SortFunc(ranking, byWeight)
 		wanted := degree(cfg, len(m.entries), len(m.agents), hash)
--- a/lib/subset/pool_fill.go
+++ b/lib/subset/pool_fill.go
@@ -52,7 +52,7 @@
 func (m *matching) bestCandidate(entry int, agents []int) candidate {
 	best := candidate{index: -1}
 	for _, i := range agents {
-		c := candidate{i, rendezvous.Combine(m.agentHashes[i], m.entryHashes[entry])}
+		c := candidate{i, rendezvous.Score(m.agentHashes[i], m.entryHashes[entry])}
 		held := slices.ContainsFunc(m.accepted[entry], func(a candidate) bool { return a.index == i })
 		if !held && (best.index < 0 || byWeight(c, best) < 0) {
 			best = c
