--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -49,7 +49,7 @@
 		if _, err := r.writer.Write(event.Raw); err != nil {
 			return r.callerWriteFailed()
 		}
-		if !events.Buffered() {
+		if !events.HasBufferedEvent() {
 			if err := control.Flush(); err != nil {
 				return r.callerWriteFailed()
 			}
--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Buffered reports whether Next may return without reading.
-func (r *Reader) Buffered() bool { return eventEnd(r.buf[r.start:r.end], 0) > 0 }
+// HasBufferedEvent reports whether Next may return without reading.
+func (r *Reader) HasBufferedEvent() bool { return eventEnd(r.buf[r.start:r.end], 0) > 0 }
 
 func (r *Reader) ended() error {
 	if errors.Is(r.err, io.EOF) && r.end > r.start {
