--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -101,7 +101,7 @@
 
 // running starts an engine that ignores fencing and a runner beside it.
 func running() (*backend.Runner, *host, *standin.Server) {
-	server, err := standin.Start(standin.Config{Scale: 0.01, IgnoreFencing: true})
+	server, err := standin.Start(standin.Config{TimeScale: 0.01, IgnoreFencing: true})
 	Expect(err).NotTo(HaveOccurred())
 	client, err := engine.NewClient(engine.Config{Address: server.URL()})
 	Expect(err).NotTo(HaveOccurred())
--- a/cmd/auburnbend-standins/backends.go
+++ b/cmd/auburnbend-standins/backends.go
@@ -15,7 +15,7 @@
 
 func (b *backends) start() error {
 	for _, address := range b.engines {
-		server, err := engine.Start(engine.Config{Address: address, Scale: engineScale})
+		server, err := engine.Start(engine.Config{Address: address, TimeScale: engineScale})
 		if err != nil {
 			return err
 		}
--- a/lib/engine/bench_test.go
+++ b/lib/engine/bench_test.go
@@ -14,7 +14,7 @@
 // the same setup as one that runs.
 func BenchmarkClient(b *testing.B) {
 	ctx := context.Background()
-	server, err := standin.Start(standin.Config{Scale: 1e-6, Capacity: 64})
+	server, err := standin.Start(standin.Config{TimeScale: 1e-6, Capacity: 64})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -37,8 +37,8 @@
 
 // loaded starts an engine and loads a version into it.
 func loaded(cfg standin.Config, name string) (*standin.Server, *engine.Client, *engine.Guard, model.Digest) {
-	if cfg.Scale == 0 {
-		cfg.Scale = 0.01
+	if cfg.TimeScale == 0 {
+		cfg.TimeScale = 0.01
 	}
 	server, err := standin.Start(cfg)
 	Expect(err).NotTo(HaveOccurred())
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -11,8 +11,8 @@
 type Config struct {
 	// Address is the loopback listen address; port 0 takes a free port.
 	Address string
-	// Scale multiplies all times below; 0.01 runs a hundred times as fast.
-	Scale float64
+	// TimeScale multiplies all times below; 0.01 runs a hundred times as fast.
+	TimeScale float64
 	// Capacity is the number of requests that run at once.
 	Capacity int
 	// MaxQueue bounds the requests that wait; more are refused.
@@ -53,8 +53,8 @@
 	if c.Address == "" {
 		c.Address = "127.0.0.1:0"
 	}
-	if c.Scale <= 0 {
-		c.Scale = 1
+	if c.TimeScale <= 0 {
+		c.TimeScale = 1
 	}
 	defaultTo(&c.Capacity, 16)
 	defaultTo(&c.MaxQueue, 256)
@@ -79,5 +79,5 @@
 }
 
 func (c *Config) scaled(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * c.Scale)
+	return time.Duration(float64(d) * c.TimeScale)
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -67,7 +67,7 @@
 	// The tests of the whole system rest on this: if weights are partial or
 	// mixed, the answers must show it.
 	It("shows partial weights in its answers", func() {
-		_, c := start(engine.Config{Scale: 0.01})
+		_, c := start(engine.Config{TimeScale: 0.01})
 		o, whole := stage("v1", 1, 4)
 		Expect(os.Remove(filepath.Join(o.Base.Directory, "002"))).To(Succeed())
 		r, err := c.Order(ctx, o)
@@ -82,7 +82,7 @@
 	})
 
 	It("mixes weights when two loads overlap, unless it checks fencing", func() {
-		s, c := start(engine.Config{Scale: 0.02, LoadTime: 20 * time.Second, IgnoreFencing: true})
+		s, c := start(engine.Config{TimeScale: 0.02, LoadTime: 20 * time.Second, IgnoreFencing: true})
 		first, one := stage("v1", 1, 10)
 		second, two := stage("v2", 2, 4)
 		done := make(chan struct{})
@@ -98,7 +98,7 @@
 		Expect(atOnce).To(Equal(2))
 		Expect(s.Content()).NotTo(BeElementOf(one, two))
 
-		s, c = start(engine.Config{Scale: 0.02, LoadTime: 20 * time.Second})
+		s, c = start(engine.Config{TimeScale: 0.02, LoadTime: 20 * time.Second})
 		done = make(chan struct{})
 		go func() {
 			defer close(done)
@@ -112,7 +112,7 @@
 	})
 
 	It("mixes an answer that runs during a load", func() {
-		_, c := start(engine.Config{Scale: 0.01, IgnoreWeights: true})
+		_, c := start(engine.Config{TimeScale: 0.01, IgnoreWeights: true})
 		first, _ := stage("v1", 1, 4)
 		_, err := c.Order(ctx, first)
 		Expect(err).NotTo(HaveOccurred())
@@ -136,7 +136,7 @@
 	})
 
 	It("starts waiting requests by priority", func() {
-		_, c := start(engine.Config{Scale: 0.01, Capacity: 1})
+		_, c := start(engine.Config{TimeScale: 0.01, Capacity: 1})
 		order := make(chan string, 4)
 		busy, err := c.Generate(ctx, api.Request{ID: "busy", Stream: "busy", Body: []byte(`{"max_tokens":500}`)})
 		Expect(err).NotTo(HaveOccurred())
@@ -159,7 +159,7 @@
 	})
 
 	It("refuses a request that it cannot start before its deadline", func() {
-		_, c := start(engine.Config{Scale: 0.01, Capacity: 1})
+		_, c := start(engine.Config{TimeScale: 0.01, Capacity: 1})
 		busy, err := c.Generate(ctx, api.Request{ID: "busy", Stream: "busy", Body: []byte(`{"max_tokens":100000}`)})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = busy.Next()
@@ -169,7 +169,7 @@
 	})
 
 	It("comes back after a crash without weights and with a new incarnation", func() {
-		s, c := start(engine.Config{Scale: 0.01})
+		s, c := start(engine.Config{TimeScale: 0.01})
 		o, _ := stage("v1", 1, 2)
 		_, err := c.Order(ctx, o)
 		Expect(err).NotTo(HaveOccurred())
@@ -185,7 +185,7 @@
 	})
 
 	It("slows down with the number of running requests", func() {
-		s, c := start(engine.Config{Scale: 0.05, TokenTime: 20 * time.Millisecond, BatchTime: 20 * time.Millisecond, LoadLag: time.Millisecond})
+		s, c := start(engine.Config{TimeScale: 0.05, TokenTime: 20 * time.Millisecond, BatchTime: 20 * time.Millisecond, LoadLag: time.Millisecond})
 		between := func(running int) func() float64 {
 			return func() float64 {
 				r, err := c.Load(ctx)
