--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -29,8 +29,8 @@
 	RestartDelay time.Duration
 	// LoadLag is the least age of a load report.
 	LoadLag time.Duration
-	// CacheDelay is the time from a cache change to its event.
-	CacheDelay time.Duration
+	// CacheEventDelay is the time from a cache change to its event.
+	CacheEventDelay time.Duration
 	// CacheLoss is the share of cache events that are never published.
 	CacheLoss float64
 	// CachePrefixes is the number of prefixes that fit into the cache.
@@ -65,7 +65,7 @@
 	defaultTo(&c.LoadTime, 5*time.Second)
 	defaultTo(&c.RestartDelay, 3*time.Second)
 	defaultTo(&c.LoadLag, 500*time.Millisecond)
-	defaultTo(&c.CacheDelay, 500*time.Millisecond)
+	defaultTo(&c.CacheEventDelay, 500*time.Millisecond)
 	defaultTo(&c.Retention, 20*time.Second)
 	if c.CrashMarker == "" {
 		c.CrashMarker = DefaultCrashMarker
