--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -31,8 +31,8 @@
 	LoadLag time.Duration
 	// CacheEventDelay is the time from a cache change to its event.
 	CacheEventDelay time.Duration
-	// CacheLoss is the share of cache events that are never published.
-	CacheLoss float64
+	// CacheEventLoss is the share of cache events that are never published.
+	CacheEventLoss float64
 	// CachePrefixes is the number of prefixes that fit into the cache.
 	CachePrefixes int
 	// Retention is how long a finished stream can be resumed.
