--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -197,7 +197,7 @@
 	})
 
 	It("follows cache events, finds gaps and resynchronises", func() {
-		_, client, _, _ := loaded(standin.Config{CacheEventLoss: 0.5, Seed: 3, CachePrefixes: 4}, "v1")
+		_, client, _, _ := loaded(standin.Config{CacheEventLoss: 0.5, Seed: 3, CacheCapacity: 4}, "v1")
 		var cursor engine.CacheCursor
 		snapshot, err := client.Cache(ctx)
 		Expect(err).NotTo(HaveOccurred())
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -33,8 +33,8 @@
 	CacheEventDelay time.Duration
 	// CacheEventLoss is the share of cache events that are never published.
 	CacheEventLoss float64
-	// CachePrefixes is the number of prefixes that fit into the cache.
-	CachePrefixes int
+	// CacheCapacity is the number of prefixes that fit into the cache.
+	CacheCapacity int
 	// Retention is how long a finished stream can be resumed.
 	Retention time.Duration
 	// IgnoreFencing makes the engine run orders with old numbers.
@@ -58,7 +58,7 @@
 	}
 	defaultTo(&c.Capacity, 16)
 	defaultTo(&c.MaxQueue, 256)
-	defaultTo(&c.CachePrefixes, 64)
+	defaultTo(&c.CacheCapacity, 64)
 	defaultTo(&c.TokenTime, 20*time.Millisecond)
 	defaultTo(&c.BatchTime, time.Millisecond)
 	defaultTo(&c.PrefillTime, 200*time.Millisecond)
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -58,7 +58,7 @@
 		cfg: cfg, closed: make(chan struct{}), incarnation: 1, role: api.RoleMixed,
 		streams: make(map[string]*stream), runs: make(map[model.RequestID]int),
 		cache: cache{
-			limit: cfg.CachePrefixes, delay: cfg.scaled(cfg.CacheEventDelay), loss: cfg.CacheEventLoss,
+			limit: cfg.CacheCapacity, delay: cfg.scaled(cfg.CacheEventDelay), loss: cfg.CacheEventLoss,
 			random: rand.New(rand.NewPCG(cfg.Seed, 0)),
 		},
 	}
