--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -19,8 +19,8 @@
 	MaxQueue int
 	// TokenTime is the time between tokens of one running request alone.
 	TokenTime time.Duration
-	// BatchTime is added to TokenTime for each further running request.
-	BatchTime time.Duration
+	// TimePerExtraRequest is added to TokenTime for each further running request.
+	TimePerExtraRequest time.Duration
 	// PrefillTime is the time for a prompt whose prefix is not cached.
 	PrefillTime time.Duration
 	// LoadTime is the time that a load takes.
@@ -60,7 +60,7 @@
 	defaultTo(&c.MaxQueue, 256)
 	defaultTo(&c.CacheCapacity, 64)
 	defaultTo(&c.TokenTime, 20*time.Millisecond)
-	defaultTo(&c.BatchTime, time.Millisecond)
+	defaultTo(&c.TimePerExtraRequest, time.Millisecond)
 	defaultTo(&c.PrefillTime, 200*time.Millisecond)
 	defaultTo(&c.LoadTime, 5*time.Second)
 	defaultTo(&c.RestartDelay, 3*time.Second)
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -185,7 +185,7 @@
 	})
 
 	It("slows down with the number of running requests", func() {
-		s, c := start(engine.Config{TimeScale: 0.05, TokenTime: 20 * time.Millisecond, BatchTime: 20 * time.Millisecond, LoadLag: time.Millisecond})
+		s, c := start(engine.Config{TimeScale: 0.05, TokenTime: 20 * time.Millisecond, TimePerExtraRequest: 20 * time.Millisecond, LoadLag: time.Millisecond})
 		between := func(running int) func() float64 {
 			return func() float64 {
 				r, err := c.Load(ctx)
--- a/standin/engine/scheduler.go
+++ b/standin/engine/scheduler.go
@@ -52,7 +52,7 @@
 
 func (s *Server) stepTime() time.Duration {
 	extra := max(len(s.running)-1, 0)
-	return max(s.cfg.scaled(s.cfg.TokenTime+time.Duration(extra)*s.cfg.BatchTime), minStep)
+	return max(s.cfg.scaled(s.cfg.TokenTime+time.Duration(extra)*s.cfg.TimePerExtraRequest), minStep)
 }
 
 // admit moves waiting requests into the batch, highest priority first.
