--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -95,7 +95,7 @@
 	return func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return !h.refusing && h.served == w && (w.IsZero() || server.Content() == h.content[w])
+		return !h.refusing && h.served == w && (w.IsZero() || server.LoadedDigest() == h.content[w])
 	}
 }
 
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -96,7 +96,7 @@
 		<-done
 		atOnce, _ := s.OrderFaults()
 		Expect(atOnce).To(Equal(2))
-		Expect(s.Content()).NotTo(BeElementOf(one, two))
+		Expect(s.LoadedDigest()).NotTo(BeElementOf(one, two))
 
 		s, c = start(engine.Config{TimeScale: 0.02, LoadTime: 20 * time.Second})
 		done = make(chan struct{})
@@ -108,7 +108,7 @@
 		_, err = c.Order(ctx, second)
 		Expect(api.NotStarted(err)).To(BeTrue())
 		<-done
-		Expect(s.Content()).To(Equal(one))
+		Expect(s.LoadedDigest()).To(Equal(one))
 	})
 
 	It("mixes an answer that runs during a load", func() {
--- a/standin/engine/inspect.go
+++ b/standin/engine/inspect.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Content returns the digest over what is in memory, which answers carry.
-func (s *Server) Content() model.Digest {
+// LoadedDigest returns the digest over what is in memory, which answers carry.
+func (s *Server) LoadedDigest() model.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.content()
