--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -67,7 +67,7 @@
 func (d *Deployment) DraftRuns(request string) int {
 	runs := 0
 	for _, a := range d.ModelAgents() {
-		runs += a.Engine.Runs(model.RequestID(request))
+		runs += a.Engine.RunCount(model.RequestID(request))
 	}
 	return runs
 }
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -52,7 +52,7 @@
 					continue
 				}
 				for i := 1; i <= calls; i++ {
-					runs += a.Engine.Runs(model.RequestID(fmt.Sprintf("draft-%d", i)))
+					runs += a.Engine.RunCount(model.RequestID(fmt.Sprintf("draft-%d", i)))
 				}
 			}
 			return runs
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -85,7 +85,7 @@
 		answer, err := receive(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
 		Expect(answer).To(Equal(standin.ExpectedAnswer(content, []byte("draft a report"))))
-		Expect(server.Runs("r1")).To(Equal(1))
+		Expect(server.RunCount("r1")).To(Equal(1))
 	})
 
 	It("tells a refused connection and an explicit refusal from a lost answer", func() {
@@ -100,7 +100,7 @@
 		}
 		Expect(engine.NotStarted(err)).To(BeFalse())
 		Expect(errors.Is(err, engine.ErrMayHaveRun)).To(BeTrue())
-		Expect(server.Runs("r2")).To(Equal(1))
+		Expect(server.RunCount("r2")).To(Equal(1))
 
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -181,7 +181,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(after.Incarnation).NotTo(Equal(before.Incarnation))
 		Expect(after.Weights.IsZero()).To(BeTrue())
-		Expect(s.Runs("r")).To(Equal(1))
+		Expect(s.RunCount("r")).To(Equal(1))
 	})
 
 	It("slows down with the number of running requests", func() {
@@ -202,6 +202,6 @@
 			want := float64(i+1) * 1.0 // 20 ms scaled, for each running request
 			Eventually(between(i + 1)).Should(BeNumerically("~", want, 0.01))
 		}
-		Expect(s.Runs("r7")).To(Equal(1))
+		Expect(s.RunCount("r7")).To(Equal(1))
 	})
 })
--- a/standin/engine/inspect.go
+++ b/standin/engine/inspect.go
@@ -39,8 +39,8 @@
 
 func (s *Server) content() model.Digest { return ContentDigest(s.memory...) }
 
-// Runs returns how often a request id started to run, over all incarnations.
-func (s *Server) Runs(id model.RequestID) int {
+// RunCount returns how often a request id started to run, over all incarnations.
+func (s *Server) RunCount(id model.RequestID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
