--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -27,7 +27,7 @@
 		atOnce, outdated := server.OrderFaults()
 		Expect(atOnce).To(Equal(1))
 		Expect(outdated).To(Equal(0))
-		Expect(server.Orders()).To(HaveLen(2))
+		Expect(server.AcceptedOrders()).To(HaveLen(2))
 	},
 		Entry("from an engine that checks fencing", standin.Config{}),
 		Entry("from an engine that ignores fencing", standin.Config{IgnoreFencing: true}),
--- a/lib/engine/kv_test.go
+++ b/lib/engine/kv_test.go
@@ -21,9 +21,9 @@
 	// checks nothing, so the order must not be sent.
 	DescribeTable("are not sent to an engine of other weights", func(o engine.Order) {
 		server, client, guard, _ := loaded(standin.Config{IgnoreWeights: true}, "v1")
-		before := len(server.Orders())
+		before := len(server.AcceptedOrders())
 		Expect(order(client, guard, o).Err).To(MatchError(engine.ErrWeightsMismatch))
-		Expect(server.Orders()).To(HaveLen(before))
+		Expect(server.AcceptedOrders()).To(HaveLen(before))
 	},
 		Entry("export", engine.Order{Kind: engine.OrderExportKV, Weights: weightsOf("v2"), Stream: "r1"}),
 		Entry("export of an adapter", engine.Order{Kind: engine.OrderExportKV, Weights: adapted, Stream: "r1"}),
--- a/standin/engine/inspect.go
+++ b/standin/engine/inspect.go
@@ -46,8 +46,8 @@
 	return s.runs[id]
 }
 
-// Orders returns the orders that were accepted, over all incarnations.
-func (s *Server) Orders() []api.Order {
+// AcceptedOrders returns the orders that were accepted, over all incarnations.
+func (s *Server) AcceptedOrders() []api.Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.given)
