--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -158,7 +158,7 @@
 		server.Crash()
 		Eventually(h.serves(model.Weights{}, server), 10*time.Second).Should(BeTrue())
 		Eventually(h.serves(version("v3"), server), 10*time.Second).Should(BeTrue())
-		atOnce, outdated := server.OrderFaults()
+		atOnce, outdated := server.OrderStats()
 		Expect(atOnce).To(Equal(1))
 		Expect(outdated).To(Equal(0))
 	},
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -96,7 +96,7 @@
 		// The first instance that is mixed again takes requests; the others follow.
 		Eventually(roles).WithTimeout(settleTime).Should(HaveEach(engine.RoleMixed))
 		for _, a := range d.ModelAgents() {
-			atOnce, outdated := a.Engine.OrderFaults()
+			atOnce, outdated := a.Engine.OrderStats()
 			Expect([]int{atOnce, outdated}).To(Equal([]int{1, 0}))
 		}
 	})
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -24,7 +24,7 @@
 		result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place})
 		Expect(result.Err).NotTo(HaveOccurred())
 		Expect(server.LoadedDigest()).To(Equal(content))
-		atOnce, outdated := server.OrderFaults()
+		atOnce, outdated := server.OrderStats()
 		Expect(atOnce).To(Equal(1))
 		Expect(outdated).To(Equal(0))
 		Expect(server.AcceptedOrders()).To(HaveLen(2))
@@ -63,7 +63,7 @@
 		result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v3"), Base: other})
 		Expect(result.Err).NotTo(HaveOccurred())
 		Expect(server.LoadedDigest()).To(Equal(content))
-		atOnce, _ := server.OrderFaults()
+		atOnce, _ := server.OrderStats()
 		Expect(atOnce).To(Equal(1))
 	})
 
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -94,7 +94,7 @@
 		_, err := c.Order(ctx, second)
 		Expect(err).NotTo(HaveOccurred())
 		<-done
-		atOnce, _ := s.OrderFaults()
+		atOnce, _ := s.OrderStats()
 		Expect(atOnce).To(Equal(2))
 		Expect(s.LoadedDigest()).NotTo(BeElementOf(one, two))
 
--- a/standin/engine/inspect.go
+++ b/standin/engine/inspect.go
@@ -53,9 +53,9 @@
 	return slices.Clone(s.given)
 }
 
-// OrderFaults returns the largest number of orders that ran at once and the
+// OrderStats returns the largest number of orders that ran at once and the
 // number of orders that ran with an old fencing number.
-func (s *Server) OrderFaults() (atOnce, outdated int) {
+func (s *Server) OrderStats() (atOnce, outdated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxOrders, s.ignored
