--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -78,7 +78,7 @@
 
 	hits := func() (sum int) {
 		for _, a := range d.ModelAgents() {
-			h, _ := a.Engine.CacheUses()
+			h, _ := a.Engine.CacheStats()
 			sum += h
 		}
 		return sum
--- a/standin/engine/inspect.go
+++ b/standin/engine/inspect.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// CacheUses returns how many requests found their prefix cached when they
+// CacheStats returns how many requests found their prefix cached when they
 // started to run, and how many did not.
-func (s *Server) CacheUses() (hits, misses int) {
+func (s *Server) CacheStats() (hits, misses int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cache.hits, s.cache.misses
