--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -22,11 +22,11 @@
 type Program struct {
 	Name, Short, Long, Example string
 	// Run serves until stop is closed and its work has ended.
-	Run func(ctx context.Context, p Process) error
+	Run func(ctx context.Context, p Environment) error
 }
 
-// Process is what a daemon has from its surroundings.
-type Process struct {
+// Environment is what a daemon has from its surroundings.
+type Environment struct {
 	Settings *platform.Settings
 	// MetricsPort is where metrics are served; zero serves none.
 	MetricsPort int
@@ -37,7 +37,7 @@
 }
 
 // followSettings follows the settings in a goroutine of its own until ctx ends.
-func (p *Process) followSettings(ctx context.Context, apply func(*platform.Settings)) {
+func (p *Environment) followSettings(ctx context.Context, apply func(*platform.Settings)) {
 	if p.FollowSettings != nil {
 		go p.FollowSettings(ctx, apply)
 	}
@@ -103,7 +103,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 	file := newSettingsFile(path, settings, log)
-	err := p.Run(ctx, Process{
+	err := p.Run(ctx, Environment{
 		Settings: settings, MetricsPort: metricsPort, Log: log,
 		FollowSettings: func(ctx context.Context, apply func(*platform.Settings)) {
 			file.follow(ctx, reload, func(s *platform.Settings) {
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -40,7 +40,7 @@
 )
 
 // RunGateway serves callers until ctx ends, and then finishes what runs.
-func RunGateway(ctx context.Context, p Process) error {
+func RunGateway(ctx context.Context, p Environment) error {
 	s := p.Settings
 	if s.CallerAddress == "" || s.ReadyAddress == "" {
 		return errors.New("the settings name no addresses for callers and readiness")
@@ -92,7 +92,7 @@
 // serveCallers listens until ctx ends, then until the balancer has noticed, and
 // returns when all requests have ended or the time to stop, in nanoseconds, is
 // over.
-func serveCallers(ctx context.Context, g *gateway.Gateway, p Process, stopTime *atomic.Int64) error {
+func serveCallers(ctx context.Context, g *gateway.Gateway, p Environment, stopTime *atomic.Int64) error {
 	s := p.Settings
 	quiet := log.New(discard{}, "", 0)
 	callers := &http.Server{
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -88,7 +88,7 @@
 	e.metrics, err = strconv.Atoi(metricsAddress[strings.LastIndexByte(metricsAddress, ':')+1:])
 	Expect(err).NotTo(HaveOccurred())
 	go func() {
-		e.ended <- RunGateway(ctx, Process{Settings: e.settings, MetricsPort: e.metrics, Log: eventlog.OpenPlain(e.logs, clock.System{})})
+		e.ended <- RunGateway(ctx, Environment{Settings: e.settings, MetricsPort: e.metrics, Log: eventlog.OpenPlain(e.logs, clock.System{})})
 	}()
 	DeferCleanup(func() {
 		stop()
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -18,7 +18,7 @@
 
 // RunReplica keeps the engine of this instance on the declared version until ctx
 // ends.
-func RunReplica(ctx context.Context, p Process) error {
+func RunReplica(ctx context.Context, p Environment) error {
 	s := p.Settings
 	if s.EngineAddress == "" {
 		return errors.New("the settings name no engine on this instance")
--- a/internal/node/site_test.go
+++ b/internal/node/site_test.go
@@ -183,7 +183,7 @@
 }
 
 // run starts a daemon that ends with the spec, or with the returned function.
-func (s *site) run(daemon func(context.Context, Process) error, settings *platform.Settings) (stop context.CancelFunc, ended chan struct{}) {
+func (s *site) run(daemon func(context.Context, Environment) error, settings *platform.Settings) (stop context.CancelFunc, ended chan struct{}) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended = make(chan struct{})
 	DeferCleanup(stop)
@@ -191,7 +191,7 @@
 		defer close(ended)
 		defer GinkgoRecover()
 		log := eventlog.OpenPlain(s.logs, clock.System{}).With("instance", settings.Instance)
-		Expect(daemon(ctx, Process{Settings: settings, Log: log})).To(Succeed())
+		Expect(daemon(ctx, Environment{Settings: settings, Log: log})).To(Succeed())
 	}()
 	return stop, ended
 }
