--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -31,15 +31,15 @@
 	// MetricsPort is where metrics are served; zero serves none.
 	MetricsPort int
 	Log         *eventlog.Logger
-	// FollowSettings calls apply with the settings whenever they have changed,
+	// WatchSettings calls apply with the settings whenever they have changed,
 	// until ctx ends. Addresses take effect at the next start only.
-	FollowSettings func(ctx context.Context, apply func(*platform.Settings))
+	WatchSettings func(ctx context.Context, apply func(*platform.Settings))
 }
 
 // followSettings follows the settings in a goroutine of its own until ctx ends.
 func (p *Environment) followSettings(ctx context.Context, apply func(*platform.Settings)) {
-	if p.FollowSettings != nil {
-		go p.FollowSettings(ctx, apply)
+	if p.WatchSettings != nil {
+		go p.WatchSettings(ctx, apply)
 	}
 }
 
@@ -105,7 +105,7 @@
 	file := newSettingsFile(path, settings, log)
 	err := p.Run(ctx, Environment{
 		Settings: settings, MetricsPort: metricsPort, Log: log,
-		FollowSettings: func(ctx context.Context, apply func(*platform.Settings)) {
+		WatchSettings: func(ctx context.Context, apply func(*platform.Settings)) {
 			file.follow(ctx, reload, func(s *platform.Settings) {
 				limitMemory(s.MemoryLimit)
 				apply(s)
