--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -47,15 +47,15 @@
 func Main(p Program) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	cmd := Command(p, os.Stdout)
+	cmd := NewCommand(p, os.Stdout)
 	if err := cmd.ExecuteContext(ctx); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
 		os.Exit(1)
 	}
 }
 
-// Command returns the program's command line. Log lines go to logs.
-func Command(p Program, logs io.Writer) *cobra.Command {
+// NewCommand returns the program's command line. Log lines go to logs.
+func NewCommand(p Program, logs io.Writer) *cobra.Command {
 	var path string
 	var check bool
 	var metricsPort int
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -304,7 +304,7 @@
 	It("checks a settings file and names what is wrong with it", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "node.yaml")
 		Expect(os.WriteFile(path, []byte("node_name: x\nip: none\nzone: z\n"), 0o600)).To(Succeed())
-		cmd := Command(Program{Name: "test"}, io.Discard)
+		cmd := NewCommand(Program{Name: "test"}, io.Discard)
 		cmd.SetArgs([]string{"--settings", path, "--check"})
 		Expect(cmd.Execute()).To(MatchError(ContainSubstring(`ip: "none" is not an IP address`)))
 	})
