--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,44 +8,44 @@
 	"time"
 )
 
-// Kind is what a step of a plan does.
-type Kind string
+// StepKind is what a step of a plan does.
+type StepKind string
 
 // Kinds of steps.
 const (
-	KillEntry     Kind = "kill-entry"
-	KillAgent     Kind = "kill-agent"
-	KillAll       Kind = "kill-all"
-	PauseEntry    Kind = "pause-entry"
-	PauseAgent    Kind = "pause-agent"
-	StopEntry     Kind = "stop-entry"
-	Hangup        Kind = "hangup"
-	StoreLink     Kind = "store-link"
-	ServerLink    Kind = "server-link"
-	OriginLink    Kind = "origin-link"
-	StoreDown     Kind = "store-down"
-	StoreForgets  Kind = "store-forgets"
-	StoreStale    Kind = "store-stale"
-	CrashServer   Kind = "crash-server"
-	DrainServer   Kind = "drain-server"
-	TroubleServer Kind = "trouble-server"
-	LeaveServer   Kind = "leave-server"
-	PauseServer   Kind = "pause-server"
-	AskPoison     Kind = "ask-poison"
-	RotPiece      Kind = "rot-piece"
-	SpoilPieces   Kind = "spoil-pieces"
-	ChangeConfig  Kind = "change-config"
-	DeclareWeight Kind = "declare-weights"
+	KillEntry     StepKind = "kill-entry"
+	KillAgent     StepKind = "kill-agent"
+	KillAll       StepKind = "kill-all"
+	PauseEntry    StepKind = "pause-entry"
+	PauseAgent    StepKind = "pause-agent"
+	StopEntry     StepKind = "stop-entry"
+	Hangup        StepKind = "hangup"
+	StoreLink     StepKind = "store-link"
+	ServerLink    StepKind = "server-link"
+	OriginLink    StepKind = "origin-link"
+	StoreDown     StepKind = "store-down"
+	StoreForgets  StepKind = "store-forgets"
+	StoreStale    StepKind = "store-stale"
+	CrashServer   StepKind = "crash-server"
+	DrainServer   StepKind = "drain-server"
+	TroubleServer StepKind = "trouble-server"
+	LeaveServer   StepKind = "leave-server"
+	PauseServer   StepKind = "pause-server"
+	AskPoison     StepKind = "ask-poison"
+	RotPiece      StepKind = "rot-piece"
+	SpoilPieces   StepKind = "spoil-pieces"
+	ChangeConfig  StepKind = "change-config"
+	DeclareWeight StepKind = "declare-weights"
 )
 
 // planned are the steps of planned work: they excuse nothing.
-var planned = map[Kind]bool{
+var planned = map[StepKind]bool{
 	StopEntry: true, Hangup: true, DrainServer: true, LeaveServer: true, PauseServer: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
 type Step struct {
-	Kind Kind
+	Kind StepKind
 	// At counts from the start of traffic. For is how long a fault lasts.
 	At, For time.Duration
 	// Target numbers the process, link or server; Link is the fault of a link.
@@ -68,7 +68,7 @@
 )
 
 // kinds are the steps that are drawn, likelier ones more often.
-var kinds = []Kind{
+var kinds = []StepKind{
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, Hangup,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreForgets, StoreStale,
 	CrashServer, CrashServer, DrainServer, TroubleServer, TroubleServer, RotPiece, SpoilPieces,
