--- a/cmd/auburnbend-soak/main.go
+++ b/cmd/auburnbend-soak/main.go
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	report, err := soak.Run(ctx, soak.Options{
-		Seed: seed, Slot: slot, Dir: dir, Busy: s.busy,
+		Seed: seed, Slot: slot, Dir: dir, StepWindow: s.busy,
 		Binaries: soak.Binaries{Gateway: filepath.Join(s.binaries, "auburnbend-gateway"), Replica: filepath.Join(s.binaries, "auburnbend-replica")},
 	})
 	if err == nil && len(report.Violations) == 0 {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -16,8 +16,8 @@
 	// Dir takes settings files and logs.
 	Dir      string
 	Binaries Binaries
-	// Busy is the time in which steps come.
-	Busy time.Duration
+	// StepWindow is the time in which steps come.
+	StepWindow time.Duration
 	// Steps are played in place of those that the seed draws; nil draws.
 	Steps []Step
 	// Trace takes a line for each step; nil takes none.
@@ -52,10 +52,10 @@
 	wait(ctx, startTime)
 	steps := o.Steps
 	if steps == nil {
-		steps = NewPlan(o.Seed, o.Busy)
+		steps = NewPlan(o.Seed, o.StepWindow)
 	}
 	w.ledger.note(func(l *ledger, _ time.Duration) { l.started = time.Now() })
-	end := o.Busy + recoverTime + tail
+	end := o.StepWindow + recoverTime + tail
 	traffic, stop := context.WithTimeout(ctx, end)
 	defer stop()
 	var playing sync.WaitGroup
@@ -99,7 +99,7 @@
 			r.Refused++
 		}
 	}
-	c := &check{ledger: l, steps: steps, busy: o.Busy, end: end}
+	c := &check{ledger: l, steps: steps, busy: o.StepWindow, end: end}
 	r.Violations = c.run()
 	return r
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -27,7 +27,7 @@
 		// steps that did it, as the steps of a seed change with the kinds of steps.
 		func(seed uint64, busy time.Duration, steps []Step) {
 			result, err := Run(context.Background(), Options{
-				Seed: seed, Slot: 200, Dir: GinkgoT().TempDir(), Binaries: binaries, Busy: busy, Steps: steps, Trace: GinkgoWriter,
+				Seed: seed, Slot: 200, Dir: GinkgoT().TempDir(), Binaries: binaries, StepWindow: busy, Steps: steps, Trace: GinkgoWriter,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(result.Violations).To(BeEmpty())
