--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -64,7 +64,7 @@
 	prefix := kinds[s.Target%len(kinds)]
 	var callers []*caller
 	for entry := range w.entries {
-		callers = append(callers, w.newCaller(entry, poisonCaller+int(s.At.Milliseconds()), uint64(s.Target)))
+		callers = append(callers, w.newCaller(entry, poisonCaller+int(s.Start.Milliseconds()), uint64(s.Target)))
 	}
 	for end := time.Now().Add(s.For); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, poisonInterval) {
 		c := callers[w.poisons.Add(1)%uint64(len(callers))]
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -46,15 +46,15 @@
 // Step is one fault or one piece of planned work.
 type Step struct {
 	Kind StepKind
-	// At counts from the start of traffic. For is how long a fault lasts.
-	At, For time.Duration
+	// Start counts from the start of traffic. For is how long a fault lasts.
+	Start, For time.Duration
 	// Target numbers the process, link or server; Link is the fault of a link.
 	Target int
 	Link   LinkFault
 }
 
 func (s Step) String() string {
-	return fmt.Sprintf("%5.1fs %-15s target %d for %.1fs link %d", s.At.Seconds(), s.Kind, s.Target, s.For.Seconds(), s.Link)
+	return fmt.Sprintf("%5.1fs %-15s target %d for %.1fs link %d", s.Start.Seconds(), s.Kind, s.Target, s.For.Seconds(), s.Link)
 }
 
 const (
@@ -86,14 +86,14 @@
 			Link: LinkDelayed + LinkFault(rng.IntN(int(LinkSilent-LinkDelayed)+1)),
 		}
 		s.For = shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))
-		s.At = firstStep + time.Duration(rng.Int64N(int64(busy-firstStep-s.For)))
+		s.Start = firstStep + time.Duration(rng.Int64N(int64(busy-firstStep-s.For)))
 		if i > 0 && rng.IntN(3) == 0 {
 			// Some steps meet: they come while another one lasts.
-			s.At = min(steps[i-1].At+time.Duration(rng.Int64N(int64(steps[i-1].For))), busy-s.For)
+			s.Start = min(steps[i-1].Start+time.Duration(rng.Int64N(int64(steps[i-1].For))), busy-s.For)
 		}
 		steps[i] = s
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.Start, b.Start) })
 	return steps
 }
 
@@ -101,7 +101,7 @@
 // moments or in the time before that it takes to settle.
 func calm(steps []Step, from, to, settle time.Duration) bool {
 	for _, s := range steps {
-		if !planned[s.Kind] && s.At <= to && s.At+s.For+settle >= from {
+		if !planned[s.Kind] && s.Start <= to && s.Start+s.For+settle >= from {
 			return false
 		}
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -74,7 +74,7 @@
 	var open sync.WaitGroup
 	defer open.Wait()
 	for _, s := range steps {
-		wait(ctx, s.At-w.ledger.now())
+		wait(ctx, s.Start-w.ledger.now())
 		if trace != nil {
 			fmt.Fprintln(trace, s)
 		}
