--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -66,7 +66,7 @@
 	for entry := range w.entries {
 		callers = append(callers, w.newCaller(entry, poisonCaller+int(s.Start.Milliseconds()), uint64(s.Target)))
 	}
-	for end := time.Now().Add(s.For); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, poisonInterval) {
+	for end := time.Now().Add(s.Duration); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, poisonInterval) {
 		c := callers[w.poisons.Add(1)%uint64(len(callers))]
 		if c.goes() {
 			c.poison(prefix)
--- a/internal/soak/check_signals.go
+++ b/internal/soak/check_signals.go
@@ -88,7 +88,7 @@
 		default:
 			continue
 		}
-		if s.Start <= to && s.Start+s.For+stopTime >= from {
+		if s.Start <= to && s.Start+s.Duration+stopTime >= from {
 			return true
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -140,14 +140,14 @@
 
 	It("excuse what faults have done", func() {
 		f := newFixture("/once/")
-		f.check.steps = []Step{{Kind: ServerLink, Start: 19 * time.Second, For: time.Second}}
+		f.check.steps = []Step{{Kind: ServerLink, Start: 19 * time.Second, Duration: time.Second}}
 		f.outcome.answer.Complete = false
 		Expect(f.rules(f.run)).To(BeEmpty())
 	})
 
 	It("excuse nothing for planned work", func() {
 		f := newFixture("/once/")
-		f.check.steps = []Step{{Kind: StopEntry, Start: 19 * time.Second, For: time.Second}}
+		f.check.steps = []Step{{Kind: StopEntry, Start: 19 * time.Second, Duration: time.Second}}
 		f.outcome.answer.Complete = false
 		Expect(f.rules(f.run)).To(ConsistOf("LOST"))
 	})
@@ -161,7 +161,7 @@
 			Expect(NewPlan(seed, busy)).To(Equal(steps))
 			for _, s := range steps {
 				Expect(s.Start).To(BeNumerically(">=", firstStep))
-				Expect(s.Start + s.For).To(BeNumerically("<=", busy))
+				Expect(s.Start + s.Duration).To(BeNumerically("<=", busy))
 			}
 		}
 	})
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -47,14 +47,14 @@
 type Step struct {
 	Kind StepKind
 	// Start counts from the start of traffic. For is how long a fault lasts.
-	Start, For time.Duration
+	Start, Duration time.Duration
 	// Target numbers the process, link or server; Link is the fault of a link.
 	Target int
 	Link   LinkFault
 }
 
 func (s Step) String() string {
-	return fmt.Sprintf("%5.1fs %-15s target %d for %.1fs link %d", s.Start.Seconds(), s.Kind, s.Target, s.For.Seconds(), s.Link)
+	return fmt.Sprintf("%5.1fs %-15s target %d for %.1fs link %d", s.Start.Seconds(), s.Kind, s.Target, s.Duration.Seconds(), s.Link)
 }
 
 const (
@@ -85,11 +85,11 @@
 			Kind: kinds[rng.IntN(len(kinds))], Target: rng.IntN(64),
 			Link: LinkDelayed + LinkFault(rng.IntN(int(LinkSilent-LinkDelayed)+1)),
 		}
-		s.For = shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))
-		s.Start = firstStep + time.Duration(rng.Int64N(int64(busy-firstStep-s.For)))
+		s.Duration = shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))
+		s.Start = firstStep + time.Duration(rng.Int64N(int64(busy-firstStep-s.Duration)))
 		if i > 0 && rng.IntN(3) == 0 {
 			// Some steps meet: they come while another one lasts.
-			s.Start = min(steps[i-1].Start+time.Duration(rng.Int64N(int64(steps[i-1].For))), busy-s.For)
+			s.Start = min(steps[i-1].Start+time.Duration(rng.Int64N(int64(steps[i-1].Duration))), busy-s.Duration)
 		}
 		steps[i] = s
 	}
@@ -101,7 +101,7 @@
 // moments or in the time before that it takes to settle.
 func calm(steps []Step, from, to, settle time.Duration) bool {
 	for _, s := range steps {
-		if !planned[s.Kind] && s.Start <= to && s.Start+s.For+settle >= from {
+		if !planned[s.Kind] && s.Start <= to && s.Start+s.Duration+settle >= from {
 			return false
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -35,6 +35,6 @@
 		},
 		Entry("drawn steps", uint64(1), 8*time.Second, nil),
 		// The soak's own callers went to an entry that the balancer had left.
-		Entry("an entry that stops", uint64(116), 3*time.Second, []Step{{Kind: StopEntry, Start: firstStep, For: time.Second, Target: 2}}),
+		Entry("an entry that stops", uint64(116), 3*time.Second, []Step{{Kind: StopEntry, Start: firstStep, Duration: time.Second, Target: 2}}),
 	)
 })
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -174,9 +174,9 @@
 			p.signal(syscall.SIGKILL)
 		}
 	case PauseEntry:
-		w.pause(ctx, entry, s.For)
+		w.pause(ctx, entry, s.Duration)
 	case PauseAgent:
-		w.pause(ctx, agent, s.For)
+		w.pause(ctx, agent, s.Duration)
 	case StopEntry:
 		entry.signal(syscall.SIGTERM)
 	case Hangup:
@@ -189,28 +189,28 @@
 		w.faultLink(ctx, w.originLink, s)
 	case StoreDown:
 		w.store.FailWith(503)
-		wait(ctx, s.For)
+		wait(ctx, s.Duration)
 		w.store.FailWith(0)
 	case StoreStale:
 		w.store.ServeStale(true)
-		wait(ctx, s.For)
+		wait(ctx, s.Duration)
 		w.store.ServeStale(false)
 	case StoreForgets:
 		w.store.DropHistory()
 	case CrashServer:
-		w.crash(ctx, pick(w.backends, s.Target), s.For)
+		w.crash(ctx, pick(w.backends, s.Target), s.Duration)
 	case TroubleServer:
 		server := pick(w.backends, s.Target)
 		server.SetFault(platformtest.FaultDuplicate + platformtest.Fault(s.Target/len(w.backends))%(platformtest.FaultCount-1))
-		wait(ctx, s.For)
+		wait(ctx, s.Duration)
 		server.SetFault(platformtest.FaultNone)
 	case DrainServer:
 		w.drain(ctx, pick(w.backends, s.Target))
 	case LeaveServer:
 		w.leave(ctx, pick(w.backends, s.Target))
 	case PauseServer:
-		pick(w.backends, s.Target).RejectRequests(s.For, pauseSeconds)
-		wait(ctx, s.For)
+		pick(w.backends, s.Target).RejectRequests(s.Duration, pauseSeconds)
+		wait(ctx, s.Duration)
 	case AskPoison:
 		w.askPoison(ctx, s)
 	case RotPiece:
@@ -218,7 +218,7 @@
 		w.ledger.note(func(l *ledger, now time.Duration) { l.rotten = append(l.rotten, now) })
 	case SpoilPieces:
 		w.origin.SetCorruptShare(0.2)
-		wait(ctx, s.For)
+		wait(ctx, s.Duration)
 		w.origin.SetCorruptShare(0)
 	case ChangeConfig:
 		w.config++
@@ -246,7 +246,7 @@
 
 func (w *world) faultLink(ctx context.Context, p *proxy, s Step) {
 	p.set(s.Link)
-	wait(ctx, s.For)
+	wait(ctx, s.Duration)
 	p.set(LinkClear)
 }
 
