--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -49,12 +49,12 @@
 	// Start counts from the start of traffic. For is how long a fault lasts.
 	Start, Duration time.Duration
 	// Target numbers the process, link or server; Link is the fault of a link.
-	Target int
-	Link   LinkFault
+	Target    int
+	LinkFault LinkFault
 }
 
 func (s Step) String() string {
-	return fmt.Sprintf("%5.1fs %-15s target %d for %.1fs link %d", s.Start.Seconds(), s.Kind, s.Target, s.Duration.Seconds(), s.Link)
+	return fmt.Sprintf("%5.1fs %-15s target %d for %.1fs link %d", s.Start.Seconds(), s.Kind, s.Target, s.Duration.Seconds(), s.LinkFault)
 }
 
 const (
@@ -83,7 +83,7 @@
 	for i := range steps {
 		s := Step{
 			Kind: kinds[rng.IntN(len(kinds))], Target: rng.IntN(64),
-			Link: LinkDelayed + LinkFault(rng.IntN(int(LinkSilent-LinkDelayed)+1)),
+			LinkFault: LinkDelayed + LinkFault(rng.IntN(int(LinkSilent-LinkDelayed)+1)),
 		}
 		s.Duration = shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))
 		s.Start = firstStep + time.Duration(rng.Int64N(int64(busy-firstStep-s.Duration)))
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -245,7 +245,7 @@
 }
 
 func (w *world) faultLink(ctx context.Context, p *proxy, s Step) {
-	p.set(s.Link)
+	p.set(s.LinkFault)
 	wait(ctx, s.Duration)
 	p.set(LinkClear)
 }
