--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -11,11 +11,11 @@
 // Violation is a broken promise.
 type Violation struct {
 	Rule, Detail string
-	At           time.Duration
+	Time         time.Duration
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, v.At.Seconds(), v.Detail)
+	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, v.Time.Seconds(), v.Detail)
 }
 
 // rotExcuse is the time after a piece has turned bad at an engine in which it
@@ -36,7 +36,7 @@
 }
 
 func (c *check) broken(rule string, at time.Duration, format string, arguments ...any) {
-	c.violations = append(c.violations, Violation{Rule: rule, At: at, Detail: fmt.Sprintf(format, arguments...)})
+	c.violations = append(c.violations, Violation{Rule: rule, Time: at, Detail: fmt.Sprintf(format, arguments...)})
 }
 
 // run checks everything and returns what is broken.
