--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -19,7 +19,7 @@
 	PauseEntry    StepKind = "pause-entry"
 	PauseAgent    StepKind = "pause-agent"
 	StopEntry     StepKind = "stop-entry"
-	Hangup        StepKind = "hangup"
+	ReloadEntry   StepKind = "hangup"
 	StoreLink     StepKind = "store-link"
 	ServerLink    StepKind = "server-link"
 	OriginLink    StepKind = "origin-link"
@@ -40,7 +40,7 @@
 
 // planned are the steps of planned work: they excuse nothing.
 var planned = map[StepKind]bool{
-	StopEntry: true, Hangup: true, DrainServer: true, LeaveServer: true, PauseServer: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
+	StopEntry: true, ReloadEntry: true, DrainServer: true, LeaveServer: true, PauseServer: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
@@ -69,7 +69,7 @@
 
 // kinds are the steps that are drawn, likelier ones more often.
 var kinds = []StepKind{
-	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, Hangup,
+	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreForgets, StoreStale,
 	CrashServer, CrashServer, DrainServer, TroubleServer, TroubleServer, RotPiece, SpoilPieces,
 	LeaveServer, LeaveServer, PauseServer, PauseServer, AskPoison, AskPoison,
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -179,7 +179,7 @@
 		w.pause(ctx, agent, s.Duration)
 	case StopEntry:
 		entry.signal(syscall.SIGTERM)
-	case Hangup:
+	case ReloadEntry:
 		entry.signal(syscall.SIGHUP)
 	case StoreLink:
 		w.faultLink(ctx, pick(w.storeLinks, s.Target), s)
