--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,29 +13,29 @@
 
 // Kinds of steps.
 const (
-	KillEntry     StepKind = "kill-entry"
-	KillAgent     StepKind = "kill-agent"
-	KillAll       StepKind = "kill-all"
-	PauseEntry    StepKind = "pause-entry"
-	PauseAgent    StepKind = "pause-agent"
-	StopEntry     StepKind = "stop-entry"
-	ReloadEntry   StepKind = "hangup"
-	StoreLink     StepKind = "store-link"
-	ServerLink    StepKind = "server-link"
-	OriginLink    StepKind = "origin-link"
-	StoreDown     StepKind = "store-down"
-	StoreForgets  StepKind = "store-forgets"
-	StoreStale    StepKind = "store-stale"
-	CrashServer   StepKind = "crash-server"
-	DrainServer   StepKind = "drain-server"
-	TroubleServer StepKind = "trouble-server"
-	LeaveServer   StepKind = "leave-server"
-	PauseServer   StepKind = "pause-server"
-	AskPoison     StepKind = "ask-poison"
-	RotPiece      StepKind = "rot-piece"
-	SpoilPieces   StepKind = "spoil-pieces"
-	ChangeConfig  StepKind = "change-config"
-	DeclareWeight StepKind = "declare-weights"
+	KillEntry         StepKind = "kill-entry"
+	KillAgent         StepKind = "kill-agent"
+	KillAll           StepKind = "kill-all"
+	PauseEntry        StepKind = "pause-entry"
+	PauseAgent        StepKind = "pause-agent"
+	StopEntry         StepKind = "stop-entry"
+	ReloadEntry       StepKind = "hangup"
+	StoreLink         StepKind = "store-link"
+	ServerLink        StepKind = "server-link"
+	OriginLink        StepKind = "origin-link"
+	StoreDown         StepKind = "store-down"
+	StoreDropsHistory StepKind = "store-forgets"
+	StoreStale        StepKind = "store-stale"
+	CrashServer       StepKind = "crash-server"
+	DrainServer       StepKind = "drain-server"
+	TroubleServer     StepKind = "trouble-server"
+	LeaveServer       StepKind = "leave-server"
+	PauseServer       StepKind = "pause-server"
+	AskPoison         StepKind = "ask-poison"
+	RotPiece          StepKind = "rot-piece"
+	SpoilPieces       StepKind = "spoil-pieces"
+	ChangeConfig      StepKind = "change-config"
+	DeclareWeight     StepKind = "declare-weights"
 )
 
 // planned are the steps of planned work: they excuse nothing.
@@ -70,7 +70,7 @@
 // kinds are the steps that are drawn, likelier ones more often.
 var kinds = []StepKind{
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
-	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreForgets, StoreStale,
+	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
 	CrashServer, CrashServer, DrainServer, TroubleServer, TroubleServer, RotPiece, SpoilPieces,
 	LeaveServer, LeaveServer, PauseServer, PauseServer, AskPoison, AskPoison,
 	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -195,7 +195,7 @@
 		w.store.ServeStale(true)
 		wait(ctx, s.Duration)
 		w.store.ServeStale(false)
-	case StoreForgets:
+	case StoreDropsHistory:
 		w.store.DropHistory()
 	case CrashServer:
 		w.crash(ctx, pick(w.backends, s.Target), s.Duration)
