--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -28,7 +28,7 @@
 	StoreStale        StepKind = "store-stale"
 	CrashServer       StepKind = "crash-server"
 	DrainServer       StepKind = "drain-server"
-	TroubleServer     StepKind = "trouble-server"
+	ServerMisbehaves  StepKind = "trouble-server"
 	LeaveServer       StepKind = "leave-server"
 	PauseServer       StepKind = "pause-server"
 	AskPoison         StepKind = "ask-poison"
@@ -71,7 +71,7 @@
 var kinds = []StepKind{
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
-	CrashServer, CrashServer, DrainServer, TroubleServer, TroubleServer, RotPiece, SpoilPieces,
+	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, RotPiece, SpoilPieces,
 	LeaveServer, LeaveServer, PauseServer, PauseServer, AskPoison, AskPoison,
 	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -199,7 +199,7 @@
 		w.store.DropHistory()
 	case CrashServer:
 		w.crash(ctx, pick(w.backends, s.Target), s.Duration)
-	case TroubleServer:
+	case ServerMisbehaves:
 		server := pick(w.backends, s.Target)
 		server.SetFault(platformtest.FaultDuplicate + platformtest.Fault(s.Target/len(w.backends))%(platformtest.FaultCount-1))
 		wait(ctx, s.Duration)
