--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,34 +13,34 @@
 
 // Kinds of steps.
 const (
-	KillEntry         StepKind = "kill-entry"
-	KillAgent         StepKind = "kill-agent"
-	KillAll           StepKind = "kill-all"
-	PauseEntry        StepKind = "pause-entry"
-	PauseAgent        StepKind = "pause-agent"
-	StopEntry         StepKind = "stop-entry"
-	ReloadEntry       StepKind = "hangup"
-	StoreLink         StepKind = "store-link"
-	ServerLink        StepKind = "server-link"
-	OriginLink        StepKind = "origin-link"
-	StoreDown         StepKind = "store-down"
-	StoreDropsHistory StepKind = "store-forgets"
-	StoreStale        StepKind = "store-stale"
-	CrashServer       StepKind = "crash-server"
-	DrainServer       StepKind = "drain-server"
-	ServerMisbehaves  StepKind = "trouble-server"
-	LeaveServer       StepKind = "leave-server"
-	PauseServer       StepKind = "pause-server"
-	AskPoison         StepKind = "ask-poison"
-	RotPiece          StepKind = "rot-piece"
-	SpoilPieces       StepKind = "spoil-pieces"
-	ChangeConfig      StepKind = "change-config"
-	DeclareWeight     StepKind = "declare-weights"
+	KillEntry             StepKind = "kill-entry"
+	KillAgent             StepKind = "kill-agent"
+	KillAll               StepKind = "kill-all"
+	PauseEntry            StepKind = "pause-entry"
+	PauseAgent            StepKind = "pause-agent"
+	StopEntry             StepKind = "stop-entry"
+	ReloadEntry           StepKind = "hangup"
+	StoreLink             StepKind = "store-link"
+	ServerLink            StepKind = "server-link"
+	OriginLink            StepKind = "origin-link"
+	StoreDown             StepKind = "store-down"
+	StoreDropsHistory     StepKind = "store-forgets"
+	StoreStale            StepKind = "store-stale"
+	CrashServer           StepKind = "crash-server"
+	DrainServer           StepKind = "drain-server"
+	ServerMisbehaves      StepKind = "trouble-server"
+	ServerSignalsDraining StepKind = "leave-server"
+	PauseServer           StepKind = "pause-server"
+	AskPoison             StepKind = "ask-poison"
+	RotPiece              StepKind = "rot-piece"
+	SpoilPieces           StepKind = "spoil-pieces"
+	ChangeConfig          StepKind = "change-config"
+	DeclareWeight         StepKind = "declare-weights"
 )
 
 // planned are the steps of planned work: they excuse nothing.
 var planned = map[StepKind]bool{
-	StopEntry: true, ReloadEntry: true, DrainServer: true, LeaveServer: true, PauseServer: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
+	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, PauseServer: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
@@ -72,7 +72,7 @@
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
 	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, RotPiece, SpoilPieces,
-	LeaveServer, LeaveServer, PauseServer, PauseServer, AskPoison, AskPoison,
+	ServerSignalsDraining, ServerSignalsDraining, PauseServer, PauseServer, AskPoison, AskPoison,
 	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
 }
 
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -206,7 +206,7 @@
 		server.SetFault(platformtest.FaultNone)
 	case DrainServer:
 		w.drain(ctx, pick(w.backends, s.Target))
-	case LeaveServer:
+	case ServerSignalsDraining:
 		w.leave(ctx, pick(w.backends, s.Target))
 	case PauseServer:
 		pick(w.backends, s.Target).RejectRequests(s.Duration, pauseSeconds)
