--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -30,7 +30,7 @@
 	DrainServer           StepKind = "drain-server"
 	ServerMisbehaves      StepKind = "trouble-server"
 	ServerSignalsDraining StepKind = "leave-server"
-	PauseServer           StepKind = "pause-server"
+	ServerSendsRetryAfter StepKind = "pause-server"
 	AskPoison             StepKind = "ask-poison"
 	RotPiece              StepKind = "rot-piece"
 	SpoilPieces           StepKind = "spoil-pieces"
@@ -40,7 +40,7 @@
 
 // planned are the steps of planned work: they excuse nothing.
 var planned = map[StepKind]bool{
-	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, PauseServer: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
+	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
@@ -72,7 +72,7 @@
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
 	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, RotPiece, SpoilPieces,
-	ServerSignalsDraining, ServerSignalsDraining, PauseServer, PauseServer, AskPoison, AskPoison,
+	ServerSignalsDraining, ServerSignalsDraining, ServerSendsRetryAfter, ServerSendsRetryAfter, AskPoison, AskPoison,
 	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
 }
 
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -208,7 +208,7 @@
 		w.drain(ctx, pick(w.backends, s.Target))
 	case ServerSignalsDraining:
 		w.leave(ctx, pick(w.backends, s.Target))
-	case PauseServer:
+	case ServerSendsRetryAfter:
 		pick(w.backends, s.Target).RejectRequests(s.Duration, pauseSeconds)
 		wait(ctx, s.Duration)
 	case AskPoison:
