--- a/internal/soak/check_signals.go
+++ b/internal/soak/check_signals.go
@@ -136,7 +136,7 @@
 func (c *check) otherSteps() []Step {
 	var others []Step
 	for _, s := range c.steps {
-		if s.Kind != AskPoison {
+		if s.Kind != SendPoison {
 			others = append(others, s)
 		}
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -31,7 +31,7 @@
 	ServerMisbehaves      StepKind = "trouble-server"
 	ServerSignalsDraining StepKind = "leave-server"
 	ServerSendsRetryAfter StepKind = "pause-server"
-	AskPoison             StepKind = "ask-poison"
+	SendPoison            StepKind = "ask-poison"
 	RotPiece              StepKind = "rot-piece"
 	SpoilPieces           StepKind = "spoil-pieces"
 	ChangeConfig          StepKind = "change-config"
@@ -72,7 +72,7 @@
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
 	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, RotPiece, SpoilPieces,
-	ServerSignalsDraining, ServerSignalsDraining, ServerSendsRetryAfter, ServerSendsRetryAfter, AskPoison, AskPoison,
+	ServerSignalsDraining, ServerSignalsDraining, ServerSendsRetryAfter, ServerSendsRetryAfter, SendPoison, SendPoison,
 	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
 }
 
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -211,7 +211,7 @@
 	case ServerSendsRetryAfter:
 		pick(w.backends, s.Target).RejectRequests(s.Duration, pauseSeconds)
 		wait(ctx, s.Duration)
-	case AskPoison:
+	case SendPoison:
 		w.askPoison(ctx, s)
 	case RotPiece:
 		pick(w.backends[:engineCount], s.Target).CorruptStagedPiece(s.Target % weights.Pieces)
