--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -32,7 +32,7 @@
 	ServerSignalsDraining StepKind = "leave-server"
 	ServerSendsRetryAfter StepKind = "pause-server"
 	SendPoison            StepKind = "ask-poison"
-	RotPiece              StepKind = "rot-piece"
+	CorruptStagedPiece    StepKind = "rot-piece"
 	SpoilPieces           StepKind = "spoil-pieces"
 	ChangeConfig          StepKind = "change-config"
 	DeclareWeight         StepKind = "declare-weights"
@@ -40,7 +40,7 @@
 
 // planned are the steps of planned work: they excuse nothing.
 var planned = map[StepKind]bool{
-	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareWeight: true, RotPiece: true, SpoilPieces: true,
+	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareWeight: true, CorruptStagedPiece: true, SpoilPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
@@ -71,7 +71,7 @@
 var kinds = []StepKind{
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
-	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, RotPiece, SpoilPieces,
+	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, CorruptStagedPiece, SpoilPieces,
 	ServerSignalsDraining, ServerSignalsDraining, ServerSendsRetryAfter, ServerSendsRetryAfter, SendPoison, SendPoison,
 	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -213,7 +213,7 @@
 		wait(ctx, s.Duration)
 	case SendPoison:
 		w.askPoison(ctx, s)
-	case RotPiece:
+	case CorruptStagedPiece:
 		pick(w.backends[:engineCount], s.Target).CorruptStagedPiece(s.Target % weights.Pieces)
 		w.ledger.note(func(l *ledger, now time.Duration) { l.rotten = append(l.rotten, now) })
 	case SpoilPieces:
