--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -33,14 +33,14 @@
 	ServerSendsRetryAfter StepKind = "pause-server"
 	SendPoison            StepKind = "ask-poison"
 	CorruptStagedPiece    StepKind = "rot-piece"
-	SpoilPieces           StepKind = "spoil-pieces"
+	CorruptOriginPieces   StepKind = "spoil-pieces"
 	ChangeConfig          StepKind = "change-config"
 	DeclareWeight         StepKind = "declare-weights"
 )
 
 // planned are the steps of planned work: they excuse nothing.
 var planned = map[StepKind]bool{
-	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareWeight: true, CorruptStagedPiece: true, SpoilPieces: true,
+	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareWeight: true, CorruptStagedPiece: true, CorruptOriginPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
@@ -71,7 +71,7 @@
 var kinds = []StepKind{
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
-	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, CorruptStagedPiece, SpoilPieces,
+	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, CorruptStagedPiece, CorruptOriginPieces,
 	ServerSignalsDraining, ServerSignalsDraining, ServerSendsRetryAfter, ServerSendsRetryAfter, SendPoison, SendPoison,
 	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -216,7 +216,7 @@
 	case CorruptStagedPiece:
 		pick(w.backends[:engineCount], s.Target).CorruptStagedPiece(s.Target % weights.Pieces)
 		w.ledger.note(func(l *ledger, now time.Duration) { l.rotten = append(l.rotten, now) })
-	case SpoilPieces:
+	case CorruptOriginPieces:
 		w.origin.SetCorruptShare(0.2)
 		wait(ctx, s.Duration)
 		w.origin.SetCorruptShare(0)
