--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -35,12 +35,12 @@
 	CorruptStagedPiece    StepKind = "rot-piece"
 	CorruptOriginPieces   StepKind = "spoil-pieces"
 	ChangeConfig          StepKind = "change-config"
-	DeclareWeight         StepKind = "declare-weights"
+	DeclareVersion        StepKind = "declare-weights"
 )
 
 // planned are the steps of planned work: they excuse nothing.
 var planned = map[StepKind]bool{
-	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareWeight: true, CorruptStagedPiece: true, CorruptOriginPieces: true,
+	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareVersion: true, CorruptStagedPiece: true, CorruptOriginPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
@@ -73,7 +73,7 @@
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
 	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, CorruptStagedPiece, CorruptOriginPieces,
 	ServerSignalsDraining, ServerSignalsDraining, ServerSendsRetryAfter, ServerSendsRetryAfter, SendPoison, SendPoison,
-	ChangeConfig, ChangeConfig, DeclareWeight, DeclareWeight,
+	ChangeConfig, ChangeConfig, DeclareVersion, DeclareVersion,
 }
 
 // NewPlan draws the steps of a seed. All of them end before busy is over.
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -224,7 +224,7 @@
 		w.config++
 		w.store.PutLiveConfig(declaration(w.config, address(w.slot, groupOrigin, 0, serverPort)))
 		w.ledger.note(func(l *ledger, now time.Duration) { l.configs = append(l.configs, declared{w.config, now}) })
-	case DeclareWeight:
+	case DeclareVersion:
 		w.version++
 		w.store.PutTargetVersion(model, w.version)
 		w.ledger.note(func(l *ledger, now time.Duration) { l.weights = append(l.weights, declared{w.version, now}) })
