--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -12,7 +12,7 @@
 
 // Link faults.
 const (
-	LinkClear LinkFault = iota
+	LinkHealthy LinkFault = iota
 	// LinkDelayed delivers everything later.
 	LinkDelayed
 	// LinkReset resets open and new connections.
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -247,7 +247,7 @@
 func (w *world) faultLink(ctx context.Context, p *proxy, s Step) {
 	p.set(s.LinkFault)
 	wait(ctx, s.Duration)
-	p.set(LinkClear)
+	p.set(LinkHealthy)
 }
 
 // crash ends a server and starts it again, as a new one.
