--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -83,7 +83,7 @@
 	for i := range steps {
 		s := Step{
 			Kind: kinds[rng.IntN(len(kinds))], Target: rng.IntN(64),
-			LinkFault: LinkDelayed + LinkFault(rng.IntN(int(LinkSilent-LinkDelayed)+1)),
+			LinkFault: LinkDelayed + LinkFault(rng.IntN(int(LinkBlackhole-LinkDelayed)+1)),
 		}
 		s.Duration = shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))
 		s.Start = firstStep + time.Duration(rng.Int64N(int64(busy-firstStep-s.Duration)))
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -20,8 +20,8 @@
 	// LinkOneWay loses what the server sends. Connections of that time stay
 	// broken.
 	LinkOneWay
-	// LinkSilent loses everything. Connections of that time stay broken.
-	LinkSilent
+	// LinkBlackhole loses everything. Connections of that time stay broken.
+	LinkBlackhole
 )
 
 const (
@@ -81,8 +81,8 @@
 }
 
 func (c *pair) mute(f LinkFault) {
-	c.muteUp = c.muteUp || f == LinkSilent
-	c.muteDown = c.muteDown || f == LinkSilent || f == LinkOneWay
+	c.muteUp = c.muteUp || f == LinkBlackhole
+	c.muteDown = c.muteDown || f == LinkBlackhole || f == LinkOneWay
 }
 
 func (c *pair) close(reset bool) {
