--- a/entry/config.go
+++ b/entry/config.go
@@ -39,8 +39,8 @@
 	Log      *eventlog.Logger
 	Metrics  Metrics
 
-	// Callers, Peers and Operators are the listeners. Operators may be nil.
-	Callers, Peers, Operators net.Listener
+	// CallerListener, Peers and Operators are the listeners. Operators may be nil.
+	CallerListener, Peers, Operators net.Listener
 	// Dial replaces the way in which connections to peers are opened; tests use
 	// it to inject faults.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -71,7 +71,7 @@
 		Rollout:   cfg.Waves,
 	})
 	e.callers = caller.NewServer(caller.Config{
-		Listener: cfg.Callers,
+		Listener: cfg.CallerListener,
 		Clock:    cfg.Clock,
 		Current:  e.Current,
 		Handler:  e.dispatcher,
