--- a/entry/entry.go
+++ b/entry/entry.go
@@ -146,7 +146,7 @@
 	serving, stop := context.WithCancel(context.Background())
 	e.stop = stop
 	peers := listen.New(listen.Config{
-		Listener: e.cfg.Peers,
+		Listener: e.cfg.PeerListener,
 		Hello:    e.hello,
 		Policy:   e.cfg.Policy,
 		Serve:    e.serve,
--- a/entry/program.go
+++ b/entry/program.go
@@ -80,7 +80,7 @@
 		Log:            log,
 		Metrics:        TelemetryMetrics(p.metrics.Metrics),
 		CallerListener: callers,
-		Peers:          peers,
+		PeerListener:   peers,
 		Operators:      operators,
 		Policy:         policy,
 		Table:          httpbacking.NewTable(httpbacking.Config{URL: s.Platform.TableService}),
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -78,7 +78,7 @@
 		Log:            d.log.With("instance", identity.Instance),
 		Metrics:        entry.TelemetryMetrics(metrics),
 		CallerListener: callers,
-		Peers:          peers,
+		PeerListener:   peers,
 		Operators:      operators,
 		Dial:           peers.dial,
 		Table:          d.Table,
