--- a/entry/config.go
+++ b/entry/config.go
@@ -40,7 +40,7 @@
 	Metrics  Metrics
 
 	// CallerListener, Peers and Operators are the listeners. Operators may be nil.
-	CallerListener, PeerListener, Operators net.Listener
+	CallerListener, PeerListener, OperatorListener net.Listener
 	// Dial replaces the way in which connections to peers are opened; tests use
 	// it to inject faults.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -160,7 +160,7 @@
 	e.tasks.Go(func() { e.follower.PollStore(serving, e.store, e.fleet.Size, random) })
 	if e.operators != nil {
 		e.tasks.Go(func() {
-			if err := e.operators.Serve(e.cfg.Operators); err != nil && serving.Err() == nil {
+			if err := e.operators.Serve(e.cfg.OperatorListener); err != nil && serving.Err() == nil {
 				e.failed <- err
 			}
 		})
@@ -174,7 +174,7 @@
 
 // setUpOperators prepares the operators' interface where it has a listener.
 func (e *Entry) setUpOperators() {
-	if e.cfg.Operators == nil {
+	if e.cfg.OperatorListener == nil {
 		return
 	}
 	options := operatorrpc.Options()
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -72,18 +72,18 @@
 	}
 	identity := d.identity(domain, fmt.Sprintf("%s-entry-%d", domain, index), peers)
 	e := entry.New(entry.Config{
-		Identity:       identity,
-		Clock:          clock.System{},
-		Rand:           rand.New(rand.NewPCG(uint64(d.rand.Int63()), 0)),
-		Log:            d.log.With("instance", identity.Instance),
-		Metrics:        entry.TelemetryMetrics(metrics),
-		CallerListener: callers,
-		PeerListener:   peers,
-		Operators:      operators,
-		Dial:           peers.dial,
-		Table:          d.Table,
-		List:           d.List,
-		BalancerLag:    balancerLag,
+		Identity:         identity,
+		Clock:            clock.System{},
+		Rand:             rand.New(rand.NewPCG(uint64(d.rand.Int63()), 0)),
+		Log:              d.log.With("instance", identity.Instance),
+		Metrics:          entry.TelemetryMetrics(metrics),
+		CallerListener:   callers,
+		PeerListener:     peers,
+		OperatorListener: operators,
+		Dial:             peers.dial,
+		Table:            d.Table,
+		List:             d.List,
+		BalancerLag:      balancerLag,
 	})
 	e.Watch(func(v *config.View) { metrics.DeclareLabels(v.Config) })
 	e.Start()
