--- a/entry/config.go
+++ b/entry/config.go
@@ -47,8 +47,8 @@
 	// Policy says who may connect in which role; nil means plain text.
 	Policy *security.Policy
 
-	Table backing.TableService
-	List  backing.InstanceList
+	Table        backing.TableService
+	InstanceList backing.InstanceList
 
 	Fleet    fleet.Config
 	Dispatch dispatch.Config
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -86,7 +86,7 @@
 func (e *Entry) fleetConfig() fleet.Config {
 	c := e.cfg.Fleet
 	c.Identity, c.Clock, c.Rand, c.Log = e.cfg.Identity, e.cfg.Clock, e.cfg.Rand, e.cfg.Log
-	c.InstanceList, c.Follower, c.Dial, c.Draining = e.cfg.List, e.follower, e.dial, e.draining.Load
+	c.InstanceList, c.Follower, c.Dial, c.Draining = e.cfg.InstanceList, e.follower, e.dial, e.draining.Load
 	c.HandleOther = e.peerMessage
 	return c
 }
--- a/entry/program.go
+++ b/entry/program.go
@@ -84,7 +84,7 @@
 		OperatorListener: operators,
 		Policy:           policy,
 		Table:            httpbacking.NewTable(httpbacking.Config{URL: s.Platform.TableService}),
-		List:             httpbacking.NewInstances(httpbacking.Config{URL: s.Platform.InstanceList}),
+		InstanceList:     httpbacking.NewInstances(httpbacking.Config{URL: s.Platform.InstanceList}),
 	})
 	p.Watch(func(v *config.View) { p.metrics.DeclareLabels(v.Config) })
 	p.Start()
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -82,7 +82,7 @@
 		OperatorListener: operators,
 		Dial:             peers.dial,
 		Table:            d.Table,
-		List:             d.List,
+		InstanceList:     d.List,
 		BalancerLag:      balancerLag,
 	})
 	e.Watch(func(v *config.View) { metrics.DeclareLabels(v.Config) })
