--- a/entry/config.go
+++ b/entry/config.go
@@ -53,7 +53,7 @@
 	Fleet    fleet.Config
 	Dispatch dispatch.Config
 	Tracker  distribute.TrackerConfig
-	Waves    rollout.Config
+	Rollout  rollout.Config
 	// BalancerLag is the time between the failed readiness check and the end of
 	// accepting.
 	BalancerLag time.Duration
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -68,7 +68,7 @@
 		Tracker:   cfg.Tracker,
 		Policy:    e.policy,
 		PoolState: e.group,
-		Rollout:   cfg.Waves,
+		Rollout:   cfg.Rollout,
 	})
 	e.callers = caller.NewServer(caller.Config{
 		Listener: cfg.CallerListener,
