--- a/entry/entry.go
+++ b/entry/entry.go
@@ -99,9 +99,9 @@
 	return c
 }
 
-// Watch calls fn after each change of the configuration in force. It is called
+// OnConfigChange calls fn after each change of the configuration in force. It is called
 // before Start.
-func (e *Entry) Watch(fn func(*config.View)) { e.follower.Watch(fn) }
+func (e *Entry) OnConfigChange(fn func(*config.View)) { e.follower.Watch(fn) }
 
 // Usable returns the number of agents that this entry may send work to.
 func (e *Entry) Usable() int { return e.fleet.UsableAgents() }
--- a/entry/program.go
+++ b/entry/program.go
@@ -86,7 +86,7 @@
 		Table:            httpbacking.NewTable(httpbacking.Config{URL: s.Platform.TableService}),
 		InstanceList:     httpbacking.NewInstances(httpbacking.Config{URL: s.Platform.InstanceList}),
 	})
-	p.Watch(func(v *config.View) { p.metrics.DeclareLabels(v.Config) })
+	p.OnConfigChange(func(v *config.View) { p.metrics.DeclareLabels(v.Config) })
 	p.Start()
 	return p, nil
 }
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -85,7 +85,7 @@
 		InstanceList:     d.List,
 		BalancerLag:      balancerLag,
 	})
-	e.Watch(func(v *config.View) { metrics.DeclareLabels(v.Config) })
+	e.OnConfigChange(func(v *config.View) { metrics.DeclareLabels(v.Config) })
 	e.Start()
 	p := &EntryProcess{
 		Entry: e, URL: "http://" + callers.Addr().String(), Metrics: metrics,
