--- a/entry/entry.go
+++ b/entry/entry.go
@@ -103,8 +103,8 @@
 // before Start.
 func (e *Entry) OnConfigChange(fn func(*config.View)) { e.follower.Watch(fn) }
 
-// Usable returns the number of agents that this entry may send work to.
-func (e *Entry) Usable() int { return e.fleet.UsableAgents() }
+// UsableAgents returns the number of agents that this entry may send work to.
+func (e *Entry) UsableAgents() int { return e.fleet.UsableAgents() }
 
 // Cached reports whether the prefix of a body is believed to be cached under the
 // given weights on any instance.
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -151,7 +151,7 @@
 		Expect(time.Since(silenced)).To(BeNumerically("<", 5*time.Second))
 		_, whole := d.VersionOf(a.Body, body)
 		Expect(whole).To(BeTrue())
-		Eventually(func() int { return d.Entries[0].Entry.Usable() }).
+		Eventually(func() int { return d.Entries[0].Entry.UsableAgents() }).
 			WithTimeout(settleTime).Should(Equal(len(d.Agents)))
 	})
 
--- a/internal/measure/capacity/sample.go
+++ b/internal/measure/capacity/sample.go
@@ -48,7 +48,7 @@
 	if err := measurerun.Pause(ctx, o.settle); err != nil {
 		return sample{}, err
 	}
-	if usable := d.Entries[0].Entry.Usable(); usable != agents {
+	if usable := d.Entries[0].Entry.UsableAgents(); usable != agents {
 		return sample{}, merry.Errorf("%d of %d agents are connected", usable, agents)
 	}
 	return window(ctx, d, others, o.window)
