--- a/entry/entry.go
+++ b/entry/entry.go
@@ -106,9 +106,9 @@
 // UsableAgents returns the number of agents that this entry may send work to.
 func (e *Entry) UsableAgents() int { return e.fleet.UsableAgents() }
 
-// Cached reports whether the prefix of a body is believed to be cached under the
+// PrefixCached reports whether the prefix of a body is believed to be cached under the
 // given weights on any instance.
-func (e *Entry) Cached(body []byte, weights model.Weights) bool {
+func (e *Entry) PrefixCached(body []byte, weights model.Weights) bool {
 	return e.fleet.PrefixCached(body, weights)
 }
 
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -119,7 +119,7 @@
 		warmAll()
 		unknown := func() (count int) {
 			for i := range prefixes {
-				if !d.Entries[0].Entry.Cached(body("measured", i, 0), d.Versions[0].Weights) {
+				if !d.Entries[0].Entry.PrefixCached(body("measured", i, 0), d.Versions[0].Weights) {
 					count++
 				}
 			}
