--- a/entry/entry.go
+++ b/entry/entry.go
@@ -112,8 +112,8 @@
 	return e.fleet.PrefixCached(body, weights)
 }
 
-// Sent returns the number of attempts that were placed on an agent.
-func (e *Entry) Sent(id model.InstanceID) int { return e.fleet.AttemptsSent(id) }
+// AttemptsSent returns the number of attempts that were placed on an agent.
+func (e *Entry) AttemptsSent(id model.InstanceID) int { return e.fleet.AttemptsSent(id) }
 
 // Traffic returns the bytes that the connections to agents and other entries
 // have sent and received.
--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -87,7 +87,7 @@
 func (d *Deployment) SentTo(a *AgentProcess) int {
 	sent := 0
 	for _, e := range d.Entries {
-		sent += e.Entry.Sent(a.Identity.Instance)
+		sent += e.Entry.AttemptsSent(a.Identity.Instance)
 	}
 	return sent
 }
