--- a/entry/program.go
+++ b/entry/program.go
@@ -78,7 +78,7 @@
 		Clock:            clock.System{},
 		Rand:             rand.New(rand.NewPCG(daemon.RandomUint64(), daemon.RandomUint64())),
 		Log:              log,
-		Metrics:          TelemetryMetrics(p.metrics.Metrics),
+		Metrics:          NewTelemetryMetrics(p.metrics.Metrics),
 		CallerListener:   callers,
 		PeerListener:     peers,
 		OperatorListener: operators,
--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -11,8 +11,8 @@
 // telemetryMetrics records an entry's measurements with OpenTelemetry.
 type telemetryMetrics struct{ metrics *telemetry.Metrics }
 
-// TelemetryMetrics returns Metrics that record with OpenTelemetry.
-func TelemetryMetrics(m *telemetry.Metrics) Metrics { return telemetryMetrics{m} }
+// NewTelemetryMetrics returns Metrics that record with OpenTelemetry.
+func NewTelemetryMetrics(m *telemetry.Metrics) Metrics { return telemetryMetrics{m} }
 
 func (t telemetryMetrics) ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration) {
 	t.metrics.ForRequest(tenant, class).RecordQueueTime(d)
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -76,7 +76,7 @@
 		Clock:            clock.System{},
 		Rand:             rand.New(rand.NewPCG(uint64(d.rand.Int63()), 0)),
 		Log:              d.log.With("instance", identity.Instance),
-		Metrics:          entry.TelemetryMetrics(metrics),
+		Metrics:          entry.NewTelemetryMetrics(metrics),
 		CallerListener:   callers,
 		PeerListener:     peers,
 		OperatorListener: operators,
