--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -19,9 +19,9 @@
 	Prune(ctx context.Context) (int, error)
 }
 
-// Replica shows what the entry has in force. Implementations are safe for
+// ConfigReplica shows what the entry has in force. Implementations are safe for
 // concurrent use.
-type Replica interface {
+type ConfigReplica interface {
 	// InForce returns nil before the first configuration.
 	InForce() (*config.View, time.Duration)
 	// Accepted takes over a revision that this entry just had accepted.
--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -22,12 +22,12 @@
 	pb.UnimplementedOperatorServer
 	cfg     Config
 	store   ConfigStore
-	replica Replica
+	replica ConfigReplica
 	status  Status
 }
 
 // New returns a server over the entry's store, replica and view of the fleet.
-func New(cfg Config, store ConfigStore, replica Replica, status Status) *Server {
+func New(cfg Config, store ConfigStore, replica ConfigReplica, status Status) *Server {
 	cfg.applyDefaults()
 	return &Server{cfg: cfg, store: store, replica: replica, status: status}
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -17,8 +17,8 @@
 type status struct{ entry *Entry }
 
 var (
-	_ operatorrpc.Status  = status{}
-	_ operatorrpc.Replica = status{}
+	_ operatorrpc.Status        = status{}
+	_ operatorrpc.ConfigReplica = status{}
 )
 
 // InForce implements operatorrpc.Replica.
