--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -24,8 +24,8 @@
 type ConfigReplica interface {
 	// InForce returns nil before the first configuration.
 	InForce() (*config.View, time.Duration)
-	// Accepted takes over a revision that this entry just had accepted.
-	Accepted(encoded []byte)
+	// ApplyAccepted takes over a revision that this entry just had accepted.
+	ApplyAccepted(encoded []byte)
 }
 
 // Status shows what the entry knows about the fleet. Implementations are safe
--- a/entry/operatorrpc/rollout_test.go
+++ b/entry/operatorrpc/rollout_test.go
@@ -21,7 +21,7 @@
 }
 
 func (s fixedStatus) InForce() (*config.View, time.Duration) { return s.view, 0 }
-func (s fixedStatus) Accepted([]byte)                        {}
+func (s fixedStatus) ApplyAccepted([]byte)                   {}
 func (s fixedStatus) Domains() []operatorrpc.DomainStatus    { return nil }
 func (s fixedStatus) Rollouts() []operatorrpc.Rollout        { return s.rollouts }
 func (s fixedStatus) Instances() []operatorrpc.Instance      { return nil }
--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -72,7 +72,7 @@
 		s.cfg.Log.Log(eventlog.StoreUnavailable, "operation", operation, "cause", unknown.Cause)
 	case err == nil && len(result.EncodedRevision) > 0:
 		s.cfg.Log.Log(eventlog.ConfigAccepted, "operation", operation, "revision", result.Head.Number)
-		s.replica.Accepted(result.EncodedRevision)
+		s.replica.ApplyAccepted(result.EncodedRevision)
 		s.prune(ctx, result.Head.Number)
 	}
 	if err != nil {
--- a/entry/status.go
+++ b/entry/status.go
@@ -26,8 +26,8 @@
 	return s.entry.follower.Current(), s.entry.follower.Age()
 }
 
-// Accepted implements operatorrpc.Replica.
-func (s status) Accepted(encoded []byte) { s.entry.follower.Accepted(encoded) }
+// ApplyAccepted implements operatorrpc.Replica.
+func (s status) ApplyAccepted(encoded []byte) { s.entry.follower.Accepted(encoded) }
 
 // Domains implements operatorrpc.Status.
 func (s status) Domains() []operatorrpc.DomainStatus {
--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -43,7 +43,7 @@
 	return f.replica.Current(), 1500 * time.Millisecond
 }
 
-func (f *fakeEntry) Accepted(encoded []byte) {
+func (f *fakeEntry) ApplyAccepted(encoded []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, err := f.replica.Apply([][]byte{encoded}, time.Now()); err != nil {
