--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -28,9 +28,9 @@
 	ApplyAccepted(encoded []byte)
 }
 
-// Status shows what the entry knows about the fleet. Implementations are safe
+// FleetStatus shows what the entry knows about the fleet. Implementations are safe
 // for concurrent use.
-type Status interface {
+type FleetStatus interface {
 	Domains() []DomainStatus
 	Rollouts() []Rollout
 	Instances() []Instance
--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -23,11 +23,11 @@
 	cfg     Config
 	store   ConfigStore
 	replica ConfigReplica
-	status  Status
+	status  FleetStatus
 }
 
 // New returns a server over the entry's store, replica and view of the fleet.
-func New(cfg Config, store ConfigStore, replica ConfigReplica, status Status) *Server {
+func New(cfg Config, store ConfigStore, replica ConfigReplica, status FleetStatus) *Server {
 	cfg.applyDefaults()
 	return &Server{cfg: cfg, store: store, replica: replica, status: status}
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -17,7 +17,7 @@
 type status struct{ entry *Entry }
 
 var (
-	_ operatorrpc.Status        = status{}
+	_ operatorrpc.FleetStatus   = status{}
 	_ operatorrpc.ConfigReplica = status{}
 )
 
