--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -41,8 +41,8 @@
 	Domain model.FailureDomain
 	// Lowest and Highest are over the processes that were heard.
 	Lowest, Highest config.Head
-	// Age is the time since the store confirmed Highest as the newest.
-	Age       time.Duration
+	// ConfigAge is the time since the store confirmed Highest as the newest.
+	ConfigAge time.Duration
 	Processes int
 	// Heard is the time since the domain was last heard.
 	Heard time.Duration
--- a/entry/operatorrpc/status.go
+++ b/entry/operatorrpc/status.go
@@ -23,7 +23,7 @@
 	for _, d := range s.status.Domains() {
 		response.Domains = append(response.Domains, &pb.DomainStatus{
 			FailureDomain: string(d.Domain), Lowest: convert.HeadToMessage(d.Lowest), Highest: convert.HeadToMessage(d.Highest),
-			Age: durationpb.New(d.Age), Processes: int32(d.Processes), Heard: durationpb.New(d.Heard),
+			Age: durationpb.New(d.ConfigAge), Processes: int32(d.Processes), Heard: durationpb.New(d.Heard),
 		})
 	}
 	return response, nil
--- a/entry/status.go
+++ b/entry/status.go
@@ -36,7 +36,7 @@
 	note := func(domain model.FailureDomain, head config.Head, age, heard time.Duration) {
 		d := domains[domain]
 		if d == nil {
-			d = &operatorrpc.DomainStatus{Domain: domain, Lowest: head, Highest: head, Age: age, Heard: heard}
+			d = &operatorrpc.DomainStatus{Domain: domain, Lowest: head, Highest: head, ConfigAge: age, Heard: heard}
 			domains[domain] = d
 		}
 		d.Processes++
@@ -44,8 +44,8 @@
 		if head.Number < d.Lowest.Number {
 			d.Lowest = head
 		}
-		if head.Number > d.Highest.Number || head == d.Highest && age < d.Age {
-			d.Highest, d.Age = head, age
+		if head.Number > d.Highest.Number || head == d.Highest && age < d.ConfigAge {
+			d.Highest, d.ConfigAge = head, age
 		}
 	}
 	if view, age := s.InForce(); view != nil {
