--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -44,8 +44,8 @@
 	// ConfigAge is the time since the store confirmed Highest as the newest.
 	ConfigAge time.Duration
 	Processes int
-	// Heard is the time since the domain was last heard.
-	Heard time.Duration
+	// SinceHeartbeat is the time since the domain was last heard.
+	SinceHeartbeat time.Duration
 }
 
 // Rollout is the state of one version in one failure domain.
@@ -81,6 +81,6 @@
 	Weights  []model.Weights
 	Running  int
 	Queued   int
-	// Heard is the time since the instance was last heard.
-	Heard time.Duration
+	// SinceHeartbeat is the time since the instance was last heard.
+	SinceHeartbeat time.Duration
 }
--- a/entry/operatorrpc/status.go
+++ b/entry/operatorrpc/status.go
@@ -23,7 +23,7 @@
 	for _, d := range s.status.Domains() {
 		response.Domains = append(response.Domains, &pb.DomainStatus{
 			FailureDomain: string(d.Domain), Lowest: convert.HeadToMessage(d.Lowest), Highest: convert.HeadToMessage(d.Highest),
-			Age: durationpb.New(d.ConfigAge), Processes: int32(d.Processes), Heard: durationpb.New(d.Heard),
+			Age: durationpb.New(d.ConfigAge), Processes: int32(d.Processes), Heard: durationpb.New(d.SinceHeartbeat),
 		})
 	}
 	return response, nil
@@ -44,7 +44,7 @@
 		message := &pb.Instance{
 			Id: string(i.Identity.Instance), Role: role, Region: string(location.Region), FailureDomain: string(location.FailureDomain),
 			Pool: i.Pool, Address: i.Identity.Address, State: i.State, Revision: i.Revision,
-			Running: int32(i.Running), Queued: int32(i.Queued), Heard: durationpb.New(i.Heard),
+			Running: int32(i.Running), Queued: int32(i.Queued), Heard: durationpb.New(i.SinceHeartbeat),
 		}
 		for _, w := range i.Weights {
 			message.Weights = append(message.Weights, w.String())
--- a/entry/status.go
+++ b/entry/status.go
@@ -36,11 +36,11 @@
 	note := func(domain model.FailureDomain, head config.Head, age, heard time.Duration) {
 		d := domains[domain]
 		if d == nil {
-			d = &operatorrpc.DomainStatus{Domain: domain, Lowest: head, Highest: head, ConfigAge: age, Heard: heard}
+			d = &operatorrpc.DomainStatus{Domain: domain, Lowest: head, Highest: head, ConfigAge: age, SinceHeartbeat: heard}
 			domains[domain] = d
 		}
 		d.Processes++
-		d.Heard = min(d.Heard, heard)
+		d.SinceHeartbeat = min(d.SinceHeartbeat, heard)
 		if head.Number < d.Lowest.Number {
 			d.Lowest = head
 		}
@@ -91,7 +91,7 @@
 			i.Role = wire.RoleEntry
 		}
 		if !m.HeartbeatAt.IsZero() {
-			i.Heard = now.Sub(m.HeartbeatAt)
+			i.SinceHeartbeat = now.Sub(m.HeartbeatAt)
 		}
 		list = append(list, i)
 	}
