--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -54,8 +54,8 @@
 	Version string
 	Domain  model.FailureDomain
 	Pool    string
-	// Wanted is the number of instances that should serve the version.
-	Wanted int
+	// DesiredInstances is the number of instances that should serve the version.
+	DesiredInstances int
 	// Phases counts instances by phase.
 	Phases      map[wire.Phase]int
 	OriginBytes int64
@@ -68,7 +68,7 @@
 }
 
 // Complete reports whether every wanted instance is live.
-func (r Rollout) Complete() bool { return r.Phases[wire.PhaseLive] >= r.Wanted }
+func (r Rollout) Complete() bool { return r.Phases[wire.PhaseLive] >= r.DesiredInstances }
 
 // Instance is one entry or agent that the entry knows.
 type Instance struct {
--- a/entry/operatorrpc/rollout_test.go
+++ b/entry/operatorrpc/rollout_test.go
@@ -45,7 +45,7 @@
 var _ = Describe("RolloutStatus", func() {
 	inForce := &config.View{Config: &config.Config{}}
 	rollout := func(wanted, live int) []operatorrpc.Rollout {
-		return []operatorrpc.Rollout{{Model: "crest", Version: "v1", Wanted: wanted, Phases: map[wire.Phase]int{wire.PhaseLive: live}}}
+		return []operatorrpc.Rollout{{Model: "crest", Version: "v1", DesiredInstances: wanted, Phases: map[wire.Phase]int{wire.PhaseLive: live}}}
 	}
 
 	// Guards against scripts that go on right after an apply, because the entry
--- a/entry/operatorrpc/status.go
+++ b/entry/operatorrpc/status.go
@@ -88,7 +88,7 @@
 			continue
 		}
 		message := &pb.Rollout{
-			Model: r.Model, Version: r.Version, FailureDomain: string(r.Domain), Pool: r.Pool, Wanted: int32(r.Wanted),
+			Model: r.Model, Version: r.Version, FailureDomain: string(r.Domain), Pool: r.Pool, Wanted: int32(r.DesiredInstances),
 			OriginBytes: r.OriginBytes, PeerBytes: r.PeerBytes, TotalBytes: r.TotalBytes,
 		}
 		for phase := wire.PhaseIdle; phase <= wire.PhaseFailed; phase++ {
@@ -100,7 +100,7 @@
 			message.Remaining = durationpb.New(remaining)
 		}
 		response.Complete = response.Complete && r.Complete()
-		wanted += r.Wanted
+		wanted += r.DesiredInstances
 		response.Rollouts = append(response.Rollouts, message)
 	}
 	// An entry that knows no instance at all has not met its agents yet. One
--- a/entry/status.go
+++ b/entry/status.go
@@ -131,7 +131,7 @@
 		}
 		r := operatorrpc.Rollout{
 			Model: p.Model, Version: p.Version, Domain: p.FailureDomain, Pool: p.Pool,
-			Wanted: e.wanted(p), Phases: make(map[wire.Phase]int),
+			DesiredInstances: e.wanted(p), Phases: make(map[wire.Phase]int),
 		}
 		for _, i := range statuses {
 			if i.Domain != p.FailureDomain || i.Status.Manifest != m.Manifest {
@@ -141,7 +141,7 @@
 			r.OriginBytes += i.Status.OriginBytes
 			r.PeerBytes += i.Status.PeerBytes
 		}
-		r.TotalBytes = int64(r.Wanted) * m.Bytes
+		r.TotalBytes = int64(r.DesiredInstances) * m.Bytes
 		list = append(list, r)
 	}
 	return list
--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -61,7 +61,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.polls++
-	r := operatorrpc.Rollout{Model: "crest", Version: "v4", Domain: "kigali", Wanted: 2, TotalBytes: 3 << 20, PeerBytes: int64(f.polls) << 20}
+	r := operatorrpc.Rollout{Model: "crest", Version: "v4", Domain: "kigali", DesiredInstances: 2, TotalBytes: 3 << 20, PeerBytes: int64(f.polls) << 20}
 	r.Phases = map[wire.Phase]int{wire.PhaseFetching: 2}
 	if f.polls >= 3 {
 		r.Phases = map[wire.Phase]int{wire.PhaseLive: 2}
