--- a/operator/cli/config_command.go
+++ b/operator/cli/config_command.go
@@ -37,7 +37,7 @@
 func (c *change) request() config.Request {
 	req := config.Request{Expected: c.expect, Operation: c.operation, DryRun: c.dryRun}
 	if req.Operation == "" {
-		req.Operation = operator.NewOperation()
+		req.Operation = operator.NewOperationID()
 	}
 	return req
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -63,8 +63,8 @@
 	return errors.Join(errs...)
 }
 
-// NewOperation returns a fresh operation id, ordered by time.
-func NewOperation() string { return uuid.Must(uuid.NewV7()).String() }
+// NewOperationID returns a fresh operation id, ordered by time.
+func NewOperationID() string { return uuid.Must(uuid.NewV7()).String() }
 
 // Apply makes a configuration the next revision. An empty Operation is filled
 // in. A lost reply is followed by the same call to the next entry; if no entry
@@ -92,7 +92,7 @@
 
 func (c *Client) fill(req *config.Request) {
 	if req.Operation == "" {
-		req.Operation = NewOperation()
+		req.Operation = NewOperationID()
 	}
 	if req.Author == "" {
 		req.Author = c.cfg.Author
