--- a/operator/cli/rollout_command.go
+++ b/operator/cli/rollout_command.go
@@ -31,7 +31,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.run(cmd, func(client *operator.Client, p *printer) error {
 				var printed error
-				err := client.Watch(cmd.Context(), modelName, version, interval, untilComplete, func(m *pb.RolloutStatusResponse) bool {
+				err := client.WatchRollout(cmd.Context(), modelName, version, interval, untilComplete, func(m *pb.RolloutStatusResponse) bool {
 					printed = p.message(m, func() { p.rollouts(m) })
 					return printed == nil && (watch || untilComplete)
 				})
--- a/operator/reads.go
+++ b/operator/reads.go
@@ -69,10 +69,10 @@
 	return m, convert.ErrorFromStatus(err)
 }
 
-// Watch asks RolloutStatus and hands each answer to show, until it returns
+// WatchRollout asks RolloutStatus and hands each answer to show, until it returns
 // false, ctx ends or, with untilComplete, every wanted instance is live. It goes
 // on with the next entry when one leaves.
-func (c *Client) Watch(ctx context.Context, modelName, version string, interval time.Duration, untilComplete bool, show func(*pb.RolloutStatusResponse) bool) error {
+func (c *Client) WatchRollout(ctx context.Context, modelName, version string, interval time.Duration, untilComplete bool, show func(*pb.RolloutStatusResponse) bool) error {
 	var err error
 	for attempt := range c.cfg.Rounds * len(c.conns) {
 		var ended bool
