--- a/cmd/auburnctl/main.go
+++ b/cmd/auburnctl/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	code := cli.Report(os.Stderr, cli.New(version).ExecuteContext(ctx))
+	code := cli.ReportError(os.Stderr, cli.New(version).ExecuteContext(ctx))
 	stop()
 	os.Exit(code)
 }
--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -105,7 +105,7 @@
 		cmd.SetOut(&out)
 		cmd.SetErr(&out)
 		cmd.SetArgs(append([]string{"--address", address, "--plaintext", "--author", "ops"}, arguments...))
-		return cli.Report(&out, cmd.Execute()), out.String()
+		return cli.ReportError(&out, cmd.Execute()), out.String()
 	}
 	must := func(arguments ...string) string {
 		code, out := run(arguments...)
@@ -165,7 +165,7 @@
 		cmd := cli.New("v0")
 		cmd.SetOut(&out)
 		cmd.SetArgs([]string{"--address", address, "config", "get"})
-		Expect(cli.Report(&out, cmd.Execute())).To(Equal(6))
+		Expect(cli.ReportError(&out, cmd.Execute())).To(Equal(6))
 	})
 
 	It("creates a manifest that its declaration names", func() {
--- a/operator/cli/exit.go
+++ b/operator/cli/exit.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Report prints an error for the operator and returns the exit code.
-func Report(w io.Writer, err error) int {
+// ReportError prints an error for the operator and returns the exit code.
+func ReportError(w io.Writer, err error) int {
 	var usage *usageError
 	var invalid *config.InvalidError
 	var conflict *config.RevisionConflictError
