--- a/operator/cli/explain_command.go
+++ b/operator/cli/explain_command.go
@@ -77,7 +77,7 @@
 }
 
 func (p *storyPrinter) line(l *explain.Line) {
-	p.printf("  %s %s %d %s", l.At.Format("15:04:05.000"), l.Instance, l.Event, l.Message)
+	p.printf("  %s %s %d %s", l.Time.Format("15:04:05.000"), l.Instance, l.Event, l.Message)
 	for _, f := range l.Fields {
 		if f.Value != "" && f.Value != "0" {
 			p.printf(" %s=%q", f.Key, f.Value)
--- a/operator/explain/line.go
+++ b/operator/explain/line.go
@@ -9,7 +9,7 @@
 
 // Line is one log line.
 type Line struct {
-	At       time.Time
+	Time     time.Time
 	Instance string
 	Event    int
 	Message  string
--- a/operator/explain/read.go
+++ b/operator/explain/read.go
@@ -40,14 +40,14 @@
 			line.take(string(d.Key()), string(d.Value()))
 		}
 	}
-	return line, d.Err() == nil && line.Event != 0 && !line.At.IsZero()
+	return line, d.Err() == nil && line.Event != 0 && !line.Time.IsZero()
 }
 
 func (l *Line) take(key, value string) {
 	switch key {
 	case "ts":
 		// A line without a readable time is not an event line.
-		l.At, _ = time.Parse(time.RFC3339, value)
+		l.Time, _ = time.Parse(time.RFC3339, value)
 	case "instance":
 		l.Instance = value
 	case "event":
--- a/operator/explain/story.go
+++ b/operator/explain/story.go
@@ -40,14 +40,14 @@
 	return s
 }
 
-func byTime(a, b Line) int { return a.At.Compare(b.At) }
+func byTime(a, b Line) int { return a.Time.Compare(b.Time) }
 
 // concerns reports whether a line is about an instance or backend server of the
 // story, at its time.
 func (s *Story) concerns(l *Line) bool {
 	first, last := &s.Lines[0], &s.Lines[len(s.Lines)-1]
-	start := first.At.Add(-first.duration("total_ms") - around)
-	if l.At.Before(start) || l.At.After(last.At.Add(around)) {
+	start := first.Time.Add(-first.duration("total_ms") - around)
+	if l.Time.Before(start) || l.Time.After(last.Time.Add(around)) {
 		return false
 	}
 	for i := range s.Lines {
