--- a/operator/cli/explain_command.go
+++ b/operator/cli/explain_command.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func printStory(w io.Writer, story explain.Story) error {
+func printStory(w io.Writer, story explain.Timeline) error {
 	p := storyPrinter{w: w}
 	p.printf("request:\n")
 	for i := range story.Lines {
--- a/operator/explain/story.go
+++ b/operator/explain/story.go
@@ -11,8 +11,8 @@
 // of the processes and backend servers that it met are of interest.
 const around = 3 * time.Second
 
-// Story is what the logs tell about one request.
-type Story struct {
+// Timeline is what the logs tell about one request.
+type Timeline struct {
 	// Lines name the request, in order of time.
 	Lines []Line
 	// Context are events of the same instances and backend servers around it.
@@ -20,8 +20,8 @@
 }
 
 // Find returns the story of a request.
-func Find(id string, lines []Line) Story {
-	var s Story
+func Find(id string, lines []Line) Timeline {
+	var s Timeline
 	for _, l := range lines {
 		if l.Get("request") == id {
 			s.Lines = append(s.Lines, l)
@@ -44,7 +44,7 @@
 
 // concerns reports whether a line is about an instance or backend server of the
 // story, at its time.
-func (s *Story) concerns(l *Line) bool {
+func (s *Timeline) concerns(l *Line) bool {
 	first, last := &s.Lines[0], &s.Lines[len(s.Lines)-1]
 	start := first.Time.Add(-first.duration("total_ms") - around)
 	if l.Time.Before(start) || l.Time.After(last.Time.Add(around)) {
