--- a/operator/cli/explain_command.go
+++ b/operator/cli/explain_command.go
@@ -37,7 +37,7 @@
 				}
 				lines = append(lines, more...)
 			}
-			story := explain.Find(args[0], lines)
+			story := explain.FindRequest(args[0], lines)
 			if len(story.Lines) == 0 {
 				return fmt.Errorf("no line names request %s", args[0])
 			}
--- a/operator/explain/story.go
+++ b/operator/explain/story.go
@@ -19,8 +19,8 @@
 	Context []Line
 }
 
-// Find returns the story of a request.
-func Find(id string, lines []Line) Timeline {
+// FindRequest returns the story of a request.
+func FindRequest(id string, lines []Line) Timeline {
 	var s Timeline
 	for _, l := range lines {
 		if l.Get("request") == id {
--- a/operator/explain/story_test.go
+++ b/operator/explain/story_test.go
@@ -26,7 +26,7 @@
 	It("orders the lines of a request and adds what happened around it", func() {
 		// Guards against an explanation that lacks the event which is the cause.
 		Expect(err).NotTo(HaveOccurred())
-		s := explain.Find("a", lines)
+		s := explain.FindRequest("a", lines)
 		Expect(s.Lines).To(HaveLen(2))
 		Expect(s.Lines[0].Event).To(Equal(7202))
 		Expect(s.Lines[1].Get("reason")).To(Equal("time over"))
@@ -45,7 +45,7 @@
 	})
 
 	It("finds nothing for an unknown request", func() {
-		Expect(explain.Find("zz", lines).Lines).To(BeEmpty())
+		Expect(explain.FindRequest("zz", lines).Lines).To(BeEmpty())
 	})
 
 	It("knows what reasons mean", func() {
