--- a/operator/cli/explain_command.go
+++ b/operator/cli/explain_command.go
@@ -30,7 +30,7 @@
 				if err != nil {
 					return err
 				}
-				more, err := explain.Read(file)
+				more, err := explain.ReadLines(file)
 				_ = file.Close()
 				if err != nil {
 					return fmt.Errorf("%s: %w", path, err)
--- a/operator/explain/read.go
+++ b/operator/explain/read.go
@@ -11,10 +11,10 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Read returns the event lines of a log. Other text is passed over: collected
+// ReadLines returns the event lines of a log. Other text is passed over: collected
 // output also has lines of other programs, and often begins or ends within a
 // line.
-func Read(r io.Reader) ([]Line, error) {
+func ReadLines(r io.Reader) ([]Line, error) {
 	var lines []Line
 	reader := bufio.NewReader(r)
 	for {
--- a/operator/explain/story_test.go
+++ b/operator/explain/story_test.go
@@ -21,7 +21,7 @@
 `
 
 var _ = Describe("Find", func() {
-	lines, err := explain.Read(strings.NewReader(logs))
+	lines, err := explain.ReadLines(strings.NewReader(logs))
 
 	It("orders the lines of a request and adds what happened around it", func() {
 		// Guards against an explanation that lacks the event which is the cause.
@@ -39,7 +39,7 @@
 
 	It("passes over lines that are not event lines", func() {
 		// Guards against collected output that cannot be read for one foreign line.
-		read, err := explain.Read(strings.NewReader("worth 0.6 = all (weight 0.3), \"half\n" + logs + "fatal error: a=b=c=\n"))
+		read, err := explain.ReadLines(strings.NewReader("worth 0.6 = all (weight 0.3), \"half\n" + logs + "fatal error: a=b=c=\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read).To(HaveLen(len(lines)))
 	})
