--- a/operator/cli/explain_command.go
+++ b/operator/cli/explain_command.go
@@ -52,7 +52,7 @@
 	for i := range story.Lines {
 		p.line(&story.Lines[i])
 	}
-	if meaning := explain.Meaning(story.Lines[len(story.Lines)-1].Get("reason")); meaning != "" {
+	if meaning := explain.DescribeReason(story.Lines[len(story.Lines)-1].Get("reason")); meaning != "" {
 		p.printf("reason: %s\n", meaning)
 	}
 	if len(story.Context) > 0 {
--- a/operator/explain/reason.go
+++ b/operator/explain/reason.go
@@ -33,5 +33,5 @@
 	"caller left":                                    "the caller closed its connection",
 }
 
-// Meaning explains a reason, or returns an empty string for an unknown one.
-func Meaning(reason string) string { return reasons[reason] }
+// DescribeReason explains a reason, or returns an empty string for an unknown one.
+func DescribeReason(reason string) string { return reasons[reason] }
--- a/operator/explain/story_test.go
+++ b/operator/explain/story_test.go
@@ -49,7 +49,7 @@
 	})
 
 	It("knows what reasons mean", func() {
-		Expect(explain.Meaning("overloaded")).NotTo(BeEmpty())
-		Expect(explain.Meaning("never heard of")).To(BeEmpty())
+		Expect(explain.DescribeReason("overloaded")).NotTo(BeEmpty())
+		Expect(explain.DescribeReason("never heard of")).To(BeEmpty())
 	})
 })
