--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -9,9 +9,9 @@
 type Config struct {
 	// Domains is the number of failure domains.
 	Domains int
-	// Entries and Agents are numbers per failure domain.
-	Entries int
-	Agents  int
+	// EntriesPerDomain and Agents are numbers per failure domain.
+	EntriesPerDomain int
+	Agents           int
 	// PeersInside and PeersOutside are the connections that each entry opens to
 	// entries of its own and of other domains.
 	PeersInside  int
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -70,7 +70,7 @@
 func (s *Sim) build() {
 	entries := make([][]*Node, s.cfg.Domains)
 	for d := range s.cfg.Domains {
-		for range s.cfg.Entries {
+		for range s.cfg.EntriesPerDomain {
 			entries[d] = append(entries[d], s.add(d, false))
 		}
 	}
@@ -167,7 +167,7 @@
 func (s *Sim) countRead() { s.reads[s.Second()]++ }
 
 func (s *Sim) fleet() config.FleetSize {
-	return config.FleetSize{Entries: s.cfg.Domains * s.cfg.Entries, DomainEntries: s.cfg.Entries}
+	return config.FleetSize{Entries: s.cfg.Domains * s.cfg.EntriesPerDomain, DomainEntries: s.cfg.EntriesPerDomain}
 }
 
 // send delivers a message after the latency of the path, or drops it when the
