--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -11,7 +11,7 @@
 	Domains int
 	// EntriesPerDomain and Agents are numbers per failure domain.
 	EntriesPerDomain int
-	Agents           int
+	AgentsPerDomain  int
 	// PeersInside and PeersOutside are the connections that each entry opens to
 	// entries of its own and of other domains.
 	PeersInside  int
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -86,7 +86,7 @@
 				n.connect(outside[s.rng.Intn(len(outside))])
 			}
 		}
-		for i := range s.cfg.Agents {
+		for i := range s.cfg.AgentsPerDomain {
 			a := s.add(d, true)
 			for k := range min(s.cfg.AgentEntries, len(inside)) {
 				a.connect(inside[(i+k)%len(inside)])
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -93,7 +93,7 @@
 			isCut := func(n *configsim.Node) bool { return n.Domain() == cut }
 			last := uint64(len(o.Accepted) - 1)
 			_, missing := s.InForce(last, s.Now(), isCut)
-			g.Expect(missing).To(Equal(cfg.EntriesPerDomain + cfg.Agents))
+			g.Expect(missing).To(Equal(cfg.EntriesPerDomain + cfg.AgentsPerDomain))
 			for _, n := range s.Nodes {
 				if isCut(n) {
 					g.Expect(n.Replica.Age(s.Now())).To(BeNumerically(">", 50*time.Second))
@@ -112,8 +112,8 @@
 			g.Expect(s.Damaged).To(BeZero())
 		})
 	}
-	bringsIntoForce("today's size at 6,000 changes a day", configsim.Config{Domains: 3, EntriesPerDomain: 3, Agents: 5, Seed: 2}, 14400*time.Millisecond, 20)
-	bringsIntoForce("today's size in a burst of 50 within 10 s", configsim.Config{Domains: 3, EntriesPerDomain: 2, Agents: 5, Seed: 3}, 200*time.Millisecond, 50)
-	bringsIntoForce("600 entries at 6,000 changes a day", configsim.Config{Domains: 15, EntriesPerDomain: 40, Models: 1, Agents: 10, Seed: 4}, 14400*time.Millisecond, 5)
-	bringsIntoForce("600 entries in a burst of 50 within 10 s", configsim.Config{Domains: 15, EntriesPerDomain: 40, Models: 1, Agents: 1, Seed: 5}, 200*time.Millisecond, 50)
+	bringsIntoForce("today's size at 6,000 changes a day", configsim.Config{Domains: 3, EntriesPerDomain: 3, AgentsPerDomain: 5, Seed: 2}, 14400*time.Millisecond, 20)
+	bringsIntoForce("today's size in a burst of 50 within 10 s", configsim.Config{Domains: 3, EntriesPerDomain: 2, AgentsPerDomain: 5, Seed: 3}, 200*time.Millisecond, 50)
+	bringsIntoForce("600 entries at 6,000 changes a day", configsim.Config{Domains: 15, EntriesPerDomain: 40, Models: 1, AgentsPerDomain: 10, Seed: 4}, 14400*time.Millisecond, 5)
+	bringsIntoForce("600 entries in a burst of 50 within 10 s", configsim.Config{Domains: 15, EntriesPerDomain: 40, Models: 1, AgentsPerDomain: 1, Seed: 5}, 200*time.Millisecond, 50)
 })
--- a/internal/measure/config/spread.go
+++ b/internal/measure/config/spread.go
@@ -35,8 +35,8 @@
 		name string
 		cfg  configsim.Config
 	}{
-		{"today", configsim.Config{Domains: 3, EntriesPerDomain: 3, Agents: 5, Seed: seed}},
-		{"600_entries", configsim.Config{Domains: 15, EntriesPerDomain: 40, Agents: 4, Seed: seed}},
+		{"today", configsim.Config{Domains: 3, EntriesPerDomain: 3, AgentsPerDomain: 5, Seed: seed}},
+		{"600_entries", configsim.Config{Domains: 15, EntriesPerDomain: 40, AgentsPerDomain: 4, Seed: seed}},
 	}
 	loads := []load{{"daily", dailyPause, 20}, {"burst", burstPause, burstChanges}}
 	for _, shape := range shapes {
