--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -12,9 +12,9 @@
 	// EntriesPerDomain and Agents are numbers per failure domain.
 	EntriesPerDomain int
 	AgentsPerDomain  int
-	// PeersInside and PeersOutside are the connections that each entry opens to
+	// LocalPeers and PeersOutside are the connections that each entry opens to
 	// entries of its own and of other domains.
-	PeersInside  int
+	LocalPeers   int
 	PeersOutside int
 	// AgentEntries is the number of entries that each agent connects to.
 	AgentEntries int
@@ -36,8 +36,8 @@
 }
 
 func (c *Config) applyDefaults() {
-	if c.PeersInside == 0 {
-		c.PeersInside = 2
+	if c.LocalPeers == 0 {
+		c.LocalPeers = 2
 	}
 	if c.PeersOutside == 0 {
 		c.PeersOutside = 1
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -76,7 +76,7 @@
 	}
 	for d, inside := range entries {
 		for i, n := range inside {
-			for k := 1; k <= s.cfg.PeersInside && k < len(inside); k++ {
+			for k := 1; k <= s.cfg.LocalPeers && k < len(inside); k++ {
 				// Distances of 1, 5, 25 and so on keep the number of processes
 				// between any two entries small.
 				n.connect(inside[(i+pow(5, k-1))%len(inside)])
