--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -14,8 +14,8 @@
 	AgentsPerDomain  int
 	// LocalPeers and PeersOutside are the connections that each entry opens to
 	// entries of its own and of other domains.
-	LocalPeers   int
-	PeersOutside int
+	LocalPeers  int
+	RemotePeers int
 	// AgentEntries is the number of entries that each agent connects to.
 	AgentEntries int
 	// Heartbeat is the time between two heartbeats of an idle connection.
@@ -39,8 +39,8 @@
 	if c.LocalPeers == 0 {
 		c.LocalPeers = 2
 	}
-	if c.PeersOutside == 0 {
-		c.PeersOutside = 1
+	if c.RemotePeers == 0 {
+		c.RemotePeers = 1
 	}
 	if c.AgentEntries == 0 {
 		c.AgentEntries = 3
--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -52,7 +52,7 @@
 
 func newMachine(t *rapid.T) *machine {
 	s := configsim.New(configsim.Config{
-		Domains: 3, EntriesPerDomain: 2, AgentsPerDomain: 1, PeersOutside: 2, Heartbeat: time.Second,
+		Domains: 3, EntriesPerDomain: 2, AgentsPerDomain: 1, RemotePeers: 2, Heartbeat: time.Second,
 		Seed: rapid.Int64Range(0, 1<<30).Draw(t, "seed"),
 	})
 	m := &machine{sim: s, oracle: newOracle(s), table: &delayedTable{TableService: s.Table}}
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -81,7 +81,7 @@
 				// between any two entries small.
 				n.connect(inside[(i+pow(5, k-1))%len(inside)])
 			}
-			for k := 1; k <= s.cfg.PeersOutside && s.cfg.Domains > 1; k++ {
+			for k := 1; k <= s.cfg.RemotePeers && s.cfg.Domains > 1; k++ {
 				outside := entries[(d+1+s.rng.Intn(s.cfg.Domains-1))%s.cfg.Domains]
 				n.connect(outside[s.rng.Intn(len(outside))])
 			}
