--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -16,8 +16,8 @@
 	// entries of its own and of other domains.
 	LocalPeers  int
 	RemotePeers int
-	// AgentEntries is the number of entries that each agent connects to.
-	AgentEntries int
+	// EntriesPerAgent is the number of entries that each agent connects to.
+	EntriesPerAgent int
 	// Heartbeat is the time between two heartbeats of an idle connection.
 	Heartbeat time.Duration
 	// StoreLatency is the time of a read from an entry in any domain.
@@ -42,8 +42,8 @@
 	if c.RemotePeers == 0 {
 		c.RemotePeers = 1
 	}
-	if c.AgentEntries == 0 {
-		c.AgentEntries = 3
+	if c.EntriesPerAgent == 0 {
+		c.EntriesPerAgent = 3
 	}
 	if c.Heartbeat == 0 {
 		c.Heartbeat = 3 * time.Second
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -88,7 +88,7 @@
 		}
 		for i := range s.cfg.AgentsPerDomain {
 			a := s.add(d, true)
-			for k := range min(s.cfg.AgentEntries, len(inside)) {
+			for k := range min(s.cfg.EntriesPerAgent, len(inside)) {
 				a.connect(inside[(i+k)%len(inside)])
 			}
 		}
