--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -27,8 +27,8 @@
 	// Models is the number of declared models, each with a placement in every
 	// domain.
 	Models int
-	// FixedPace polls and retries at fixed intervals, as a baseline.
-	FixedPace bool
+	// FixedIntervals polls and retries at fixed intervals, as a baseline.
+	FixedIntervals bool
 	// WholeSnapshots sends the whole configuration in place of deltas, as a
 	// baseline.
 	WholeSnapshots bool
--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -81,7 +81,7 @@
 }
 
 func (n *Node) newPace(now time.Time) pace {
-	if n.sim.cfg.FixedPace {
+	if n.sim.cfg.FixedIntervals {
 		return &fixedPace{next: now.Add(time.Duration(n.rng.Int63n(int64(fixedInterval))))}
 	}
 	return config.NewPoller(config.PollerConfig{}, n.sim.fleet(), n.rng, now)
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -33,7 +33,7 @@
 }
 
 func measureReads(seed int64, fixed bool) (readRate, writeRate float64, err error) {
-	s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, FixedPace: fixed, Seed: seed})
+	s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, FixedIntervals: fixed, Seed: seed})
 	o := s.NewOperator()
 	if err := o.Change(s); err != nil {
 		return 0, 0, err
@@ -78,7 +78,7 @@
 }
 
 func measureOutage(seed int64, fixed bool) (whole, atReturn float64, err error) {
-	s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, FixedPace: fixed, Seed: seed})
+	s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, FixedIntervals: fixed, Seed: seed})
 	o := s.NewOperator()
 	if err := o.Change(s); err != nil {
 		return 0, 0, err
