--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -29,10 +29,10 @@
 	Models int
 	// FixedIntervals polls and retries at fixed intervals, as a baseline.
 	FixedIntervals bool
-	// WholeSnapshots sends the whole configuration in place of deltas, as a
+	// FullSnapshots sends the whole configuration in place of deltas, as a
 	// baseline.
-	WholeSnapshots bool
-	Seed           int64
+	FullSnapshots bool
+	Seed          int64
 }
 
 func (c *Config) applyDefaults() {
--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -202,7 +202,7 @@
 		from.Received += asked
 		from.peers.MarkFetching(asker)
 		request := after
-		if from.sim.cfg.WholeSnapshots {
+		if from.sim.cfg.FullSnapshots {
 			request = 0
 		}
 		encoded, err := from.Replica.RevisionsAfter(request)
