--- a/internal/configsim/changes.go
+++ b/internal/configsim/changes.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Change accepts one revision that alters one value.
-func (o *Operator) Change(s *Sim) error {
+// ApplyChange accepts one revision that alters one value.
+func (o *Operator) ApplyChange(s *Sim) error {
 	number := uint64(len(o.Accepted))
 	next := *o.next
 	next.Tenants = append([]config.Tenant(nil), next.Tenants...)
@@ -55,7 +55,7 @@
 // Submit makes a change through an entry, which takes over the accepted
 // revision at once.
 func (o *Operator) Submit(s *Sim, entry *Node) error {
-	err := o.Change(s)
+	err := o.ApplyChange(s)
 	if err == nil {
 		entry.offer([][]byte{o.Encoded})
 	}
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -46,7 +46,7 @@
 	concurrently("keeps 600 entries within 200 reads/s while the store is down, slow and back", func(g Gomega, logf func(string, ...any)) {
 		s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, Models: 1, Heartbeat: 15 * time.Second, Seed: 1})
 		o := s.NewOperator()
-		g.Expect(o.Change(s)).To(Succeed())
+		g.Expect(o.ApplyChange(s)).To(Succeed())
 		s.Boot()
 		s.Run(time.Minute)
 		s.Store = configsim.StoreDown
@@ -55,7 +55,7 @@
 		s.Run(2 * time.Minute)
 		s.Store = configsim.StoreUp
 		back := s.Second()
-		g.Expect(o.Change(s)).To(Succeed())
+		g.Expect(o.ApplyChange(s)).To(Succeed())
 		s.Run(2 * time.Minute)
 		logf("peak reads/s: %d in the whole run, %d after the return\n", s.PeakReads(0), s.PeakReads(back))
 		g.Expect(s.PeakReads(0)).To(BeNumerically("<=", readBound))
@@ -71,12 +71,12 @@
 			const cut = 1
 			s := configsim.New(cfg)
 			o := s.NewOperator()
-			g.Expect(o.Change(s)).To(Succeed())
+			g.Expect(o.ApplyChange(s)).To(Succeed())
 			s.Boot()
 			s.Run(20 * time.Second)
 			s.CutFromStore[cut] = true
 			for range changes {
-				g.Expect(o.Change(s)).To(Succeed())
+				g.Expect(o.ApplyChange(s)).To(Succeed())
 				s.Run(every)
 			}
 			s.Run(inForceBound)
@@ -88,7 +88,7 @@
 			}
 
 			s.CutFromPeers[cut] = true
-			g.Expect(o.Change(s)).To(Succeed())
+			g.Expect(o.ApplyChange(s)).To(Succeed())
 			s.Run(time.Minute)
 			isCut := func(n *configsim.Node) bool { return n.Domain() == cut }
 			last := uint64(len(o.Accepted) - 1)
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -35,7 +35,7 @@
 func measureReads(seed int64, fixed bool) (readRate, writeRate float64, err error) {
 	s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, FixedIntervals: fixed, Seed: seed})
 	o := s.NewOperator()
-	if err := o.Change(s); err != nil {
+	if err := o.ApplyChange(s); err != nil {
 		return 0, 0, err
 	}
 	s.Boot()
@@ -80,7 +80,7 @@
 func measureOutage(seed int64, fixed bool) (whole, atReturn float64, err error) {
 	s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, FixedIntervals: fixed, Seed: seed})
 	o := s.NewOperator()
-	if err := o.Change(s); err != nil {
+	if err := o.ApplyChange(s); err != nil {
 		return 0, 0, err
 	}
 	s.Boot()
--- a/internal/measure/config/spread.go
+++ b/internal/measure/config/spread.go
@@ -52,7 +52,7 @@
 func spreadOnce(printer *figure.Printer, name string, cfg configsim.Config, l load) error {
 	s := configsim.New(cfg)
 	o := s.NewOperator()
-	if err := o.Change(s); err != nil {
+	if err := o.ApplyChange(s); err != nil {
 		return err
 	}
 	s.Boot()
@@ -71,7 +71,7 @@
 		worst = max(worst, slowest)
 	}
 	s.CutFromPeers[cutDomain] = true
-	if err := o.Change(s); err != nil {
+	if err := o.ApplyChange(s); err != nil {
 		return err
 	}
 	s.Run(time.Minute)
@@ -95,7 +95,7 @@
 
 func makeChanges(s *configsim.Sim, o *configsim.Operator, l load) error {
 	for range l.changes {
-		if err := o.Change(s); err != nil {
+		if err := o.ApplyChange(s); err != nil {
 			return err
 		}
 		s.Run(l.pause)
--- a/internal/measure/config/traffic.go
+++ b/internal/measure/config/traffic.go
@@ -48,7 +48,7 @@
 func measureTraffic(seed int64, l load, whole bool) (usage, error) {
 	s := configsim.New(configsim.Config{Domains: 3, EntriesPerDomain: 40, AgentsPerDomain: 667, FullSnapshots: whole, Seed: seed})
 	o := s.NewOperator()
-	if err := o.Change(s); err != nil {
+	if err := o.ApplyChange(s); err != nil {
 		return usage{}, err
 	}
 	s.Boot()
