--- a/internal/configsim/changes.go
+++ b/internal/configsim/changes.go
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// Submit makes a change through an entry, which takes over the accepted
+// ApplyChangeAt makes a change through an entry, which takes over the accepted
 // revision at once.
-func (o *Operator) Submit(s *Sim, entry *Node) error {
+func (o *Operator) ApplyChangeAt(s *Sim, entry *Node) error {
 	err := o.ApplyChange(s)
 	if err == nil {
 		entry.offer([][]byte{o.Encoded})
