--- a/internal/configsim/changes.go
+++ b/internal/configsim/changes.go
@@ -13,8 +13,8 @@
 type Operator struct {
 	store *config.Store
 	next  *config.Config
-	// Accepted is when each revision was accepted; index 0 is unused.
-	Accepted []time.Time
+	// AcceptedAt is when each revision was accepted; index 0 is unused.
+	AcceptedAt []time.Time
 	// Encoded is the last accepted revision.
 	Encoded []byte
 }
@@ -29,15 +29,15 @@
 // NewOperator returns an operator of the simulated deployment.
 func (s *Sim) NewOperator() *Operator {
 	return &Operator{
-		store:    config.NewStore(s.Table, config.StoreConfig{Clock: s.clock}),
-		next:     Typical(s.cfg.Domains, s.cfg.Models),
-		Accepted: make([]time.Time, 1),
+		store:      config.NewStore(s.Table, config.StoreConfig{Clock: s.clock}),
+		next:       Typical(s.cfg.Domains, s.cfg.Models),
+		AcceptedAt: make([]time.Time, 1),
 	}
 }
 
 // ApplyChange accepts one revision that alters one value.
 func (o *Operator) ApplyChange(s *Sim) error {
-	number := uint64(len(o.Accepted))
+	number := uint64(len(o.AcceptedAt))
 	next := *o.next
 	next.Tenants = append([]config.Tenant(nil), next.Tenants...)
 	next.Tenants[int(number)%len(next.Tenants)].MaxQueued = 100 + int(number)
@@ -48,7 +48,7 @@
 		return err
 	}
 	o.next, o.Encoded = &next, result.EncodedRevision
-	o.Accepted = append(o.Accepted, s.Now())
+	o.AcceptedAt = append(o.AcceptedAt, s.Now())
 	return nil
 }
 
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -59,7 +59,7 @@
 		s.Run(2 * time.Minute)
 		logf("peak reads/s: %d in the whole run, %d after the return\n", s.PeakReads(0), s.PeakReads(back))
 		g.Expect(s.PeakReads(0)).To(BeNumerically("<=", readBound))
-		slowest, missing := s.InForce(2, o.Accepted[2], nil)
+		slowest, missing := s.InForce(2, o.AcceptedAt[2], nil)
 		g.Expect(missing).To(BeZero())
 		g.Expect(slowest).To(BeNumerically("<=", inForceBound))
 	})
@@ -81,8 +81,8 @@
 			}
 			s.Run(inForceBound)
 			worst := time.Duration(0)
-			for number := 2; number < len(o.Accepted); number++ {
-				slowest, missing := s.InForce(uint64(number), o.Accepted[number], nil)
+			for number := 2; number < len(o.AcceptedAt); number++ {
+				slowest, missing := s.InForce(uint64(number), o.AcceptedAt[number], nil)
 				g.Expect(missing).To(BeZero())
 				worst = max(worst, slowest)
 			}
@@ -91,7 +91,7 @@
 			g.Expect(o.ApplyChange(s)).To(Succeed())
 			s.Run(time.Minute)
 			isCut := func(n *configsim.Node) bool { return n.Domain() == cut }
-			last := uint64(len(o.Accepted) - 1)
+			last := uint64(len(o.AcceptedAt) - 1)
 			_, missing := s.InForce(last, s.Now(), isCut)
 			g.Expect(missing).To(Equal(cfg.EntriesPerDomain + cfg.AgentsPerDomain))
 			for _, n := range s.Nodes {
