--- a/internal/configsim/changes.go
+++ b/internal/configsim/changes.go
@@ -15,8 +15,8 @@
 	next  *config.Config
 	// AcceptedAt is when each revision was accepted; index 0 is unused.
 	AcceptedAt []time.Time
-	// Encoded is the last accepted revision.
-	Encoded []byte
+	// LastRevision is the last accepted revision.
+	LastRevision []byte
 }
 
 // Typical sizes of a deployment: ten teams, a few models with adapters and a
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	o.next, o.Encoded = &next, result.EncodedRevision
+	o.next, o.LastRevision = &next, result.EncodedRevision
 	o.AcceptedAt = append(o.AcceptedAt, s.Now())
 	return nil
 }
@@ -57,7 +57,7 @@
 func (o *Operator) ApplyChangeAt(s *Sim, entry *Node) error {
 	err := o.ApplyChange(s)
 	if err == nil {
-		entry.offer([][]byte{o.Encoded})
+		entry.offer([][]byte{o.LastRevision})
 	}
 	return err
 }
