--- a/internal/configsim/changes.go
+++ b/internal/configsim/changes.go
@@ -30,7 +30,7 @@
 func (s *Sim) NewOperator() *Operator {
 	return &Operator{
 		store:      config.NewStore(s.Table, config.StoreConfig{Clock: s.clock}),
-		next:       Typical(s.cfg.Domains, s.cfg.Models),
+		next:       TypicalConfig(s.cfg.Domains, s.cfg.Models),
 		AcceptedAt: make([]time.Time, 1),
 	}
 }
@@ -62,8 +62,8 @@
 	return err
 }
 
-// Typical returns a configuration of the size that a deployment has.
-func Typical(domains, models int) *config.Config {
+// TypicalConfig returns a configuration of the size that a deployment has.
+func TypicalConfig(domains, models int) *config.Config {
 	c := &config.Config{Deployment: config.Deployment{TimeWeight: 0.5, OriginCopies: 2, TransferShare: 0.5, ClaimRetention: 24 * time.Hour}}
 	for i := range models {
 		name := fmt.Sprintf("model-%d", i)
--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -72,7 +72,7 @@
 	if expected > 0 && rapid.IntRange(0, 3).Draw(t, "outdated") == 0 {
 		expected--
 	}
-	c := configsim.Typical(1, 2)
+	c := configsim.TypicalConfig(1, 2)
 	c.Tenants[0].MaxQueued = 100 + m.serial
 	return config.Request{Config: c, Expected: expected, Operation: fmt.Sprintf("op-%d", m.serial), Author: "ops"}
 }
