--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -62,7 +62,7 @@
 			Sleep: func(context.Context, time.Duration) error { return nil },
 		}))
 	}
-	s.Boot()
+	s.StartAll()
 	return m
 }
 
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -50,8 +50,8 @@
 	return s
 }
 
-// Boot starts all nodes.
-func (s *Sim) Boot() {
+// StartAll starts all nodes.
+func (s *Sim) StartAll() {
 	for _, n := range s.Nodes {
 		n.prepare()
 	}
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -47,7 +47,7 @@
 		s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, Models: 1, Heartbeat: 15 * time.Second, Seed: 1})
 		o := s.NewOperator()
 		g.Expect(o.ApplyChange(s)).To(Succeed())
-		s.Boot()
+		s.StartAll()
 		s.Run(time.Minute)
 		s.Store = configsim.StoreDown
 		s.Run(10 * time.Minute)
@@ -72,7 +72,7 @@
 			s := configsim.New(cfg)
 			o := s.NewOperator()
 			g.Expect(o.ApplyChange(s)).To(Succeed())
-			s.Boot()
+			s.StartAll()
 			s.Run(20 * time.Second)
 			s.CutFromStore[cut] = true
 			for range changes {
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -38,7 +38,7 @@
 	if err := o.ApplyChange(s); err != nil {
 		return 0, 0, err
 	}
-	s.Boot()
+	s.StartAll()
 	s.Run(startTime)
 	before := s.Table.Stats()
 	from := s.Second()
@@ -83,7 +83,7 @@
 	if err := o.ApplyChange(s); err != nil {
 		return 0, 0, err
 	}
-	s.Boot()
+	s.StartAll()
 	s.Run(time.Minute)
 	s.Store = configsim.StoreDown
 	s.Run(10 * time.Minute)
--- a/internal/measure/config/spread.go
+++ b/internal/measure/config/spread.go
@@ -55,7 +55,7 @@
 	if err := o.ApplyChange(s); err != nil {
 		return err
 	}
-	s.Boot()
+	s.StartAll()
 	s.Run(startTime)
 	s.CutFromStore[cutDomain] = true
 	if err := makeChanges(s, o, l); err != nil {
--- a/internal/measure/config/traffic.go
+++ b/internal/measure/config/traffic.go
@@ -51,7 +51,7 @@
 	if err := o.ApplyChange(s); err != nil {
 		return usage{}, err
 	}
-	s.Boot()
+	s.StartAll()
 	s.Run(startTime)
 	for _, n := range s.Nodes {
 		n.Sent, n.Received = 0, 0
