--- a/internal/configsim/spread.go
+++ b/internal/configsim/spread.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// InForce returns how long after a time a revision came into force on every
+// PropagationDelay returns how long after a time a revision came into force on every
 // node for which the filter is true, and how many of them lack it.
-func (s *Sim) InForce(number uint64, since time.Time, filter func(*Node) bool) (slowest time.Duration, missing int) {
+func (s *Sim) PropagationDelay(number uint64, since time.Time, filter func(*Node) bool) (slowest time.Duration, missing int) {
 	for _, n := range s.Nodes {
 		if !n.Up || filter != nil && !filter(n) {
 			continue
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -59,7 +59,7 @@
 		s.Run(2 * time.Minute)
 		logf("peak reads/s: %d in the whole run, %d after the return\n", s.PeakReads(0), s.PeakReads(back))
 		g.Expect(s.PeakReads(0)).To(BeNumerically("<=", readBound))
-		slowest, missing := s.InForce(2, o.AcceptedAt[2], nil)
+		slowest, missing := s.PropagationDelay(2, o.AcceptedAt[2], nil)
 		g.Expect(missing).To(BeZero())
 		g.Expect(slowest).To(BeNumerically("<=", inForceBound))
 	})
@@ -82,7 +82,7 @@
 			s.Run(inForceBound)
 			worst := time.Duration(0)
 			for number := 2; number < len(o.AcceptedAt); number++ {
-				slowest, missing := s.InForce(uint64(number), o.AcceptedAt[number], nil)
+				slowest, missing := s.PropagationDelay(uint64(number), o.AcceptedAt[number], nil)
 				g.Expect(missing).To(BeZero())
 				worst = max(worst, slowest)
 			}
@@ -92,7 +92,7 @@
 			s.Run(time.Minute)
 			isCut := func(n *configsim.Node) bool { return n.Domain() == cut }
 			last := uint64(len(o.AcceptedAt) - 1)
-			_, missing := s.InForce(last, s.Now(), isCut)
+			_, missing := s.PropagationDelay(last, s.Now(), isCut)
 			g.Expect(missing).To(Equal(cfg.EntriesPerDomain + cfg.AgentsPerDomain))
 			for _, n := range s.Nodes {
 				if isCut(n) {
@@ -104,7 +104,7 @@
 			healed := s.Now()
 			s.CutFromPeers[cut], s.CutFromStore[cut] = false, false
 			s.Run(inForceBound)
-			slowest, missing := s.InForce(last, healed, isCut)
+			slowest, missing := s.PropagationDelay(last, healed, isCut)
 			logf("slowest %s, after healing %s, peak reads/s %d\n", worst, slowest, s.PeakReads(0))
 			g.Expect(missing).To(BeZero())
 			g.Expect(worst).To(BeNumerically("<=", inForceBound))
--- a/internal/measure/config/spread.go
+++ b/internal/measure/config/spread.go
@@ -64,7 +64,7 @@
 	s.Run(inForceBound * time.Second)
 	worst := time.Duration(0)
 	for number := 2; number < len(o.AcceptedAt); number++ {
-		slowest, missing := s.InForce(uint64(number), o.AcceptedAt[number], nil)
+		slowest, missing := s.PropagationDelay(uint64(number), o.AcceptedAt[number], nil)
 		if missing > 0 {
 			return merry.Errorf("%s: revision %d is missing on %d nodes", name, number, missing)
 		}
@@ -78,7 +78,7 @@
 	healed := s.Now()
 	s.CutFromStore[cutDomain], s.CutFromPeers[cutDomain] = false, false
 	s.Run(inForceBound * time.Second)
-	afterHealing, missing := s.InForce(uint64(len(o.AcceptedAt)-1), healed, func(n *configsim.Node) bool { return n.Domain() == cutDomain })
+	afterHealing, missing := s.PropagationDelay(uint64(len(o.AcceptedAt)-1), healed, func(n *configsim.Node) bool { return n.Domain() == cutDomain })
 	if missing > 0 {
 		return merry.Errorf("%s: %d nodes are behind after healing", name, missing)
 	}
