--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -147,8 +147,8 @@
 	return a.domain == b.domain || !s.CutFromPeers[a.domain] && !s.CutFromPeers[b.domain]
 }
 
-// Reads returns the reads per second of simulated time since the start.
-func (s *Sim) Reads() map[int64]int { return s.reads }
+// ReadsBySecond returns the reads per second of simulated time since the start.
+func (s *Sim) ReadsBySecond() map[int64]int { return s.reads }
 
 // Second returns the number of the current second since the start.
 func (s *Sim) Second() int64 { return int64(s.Now().Sub(simStart) / time.Second) }
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -46,7 +46,7 @@
 		return 0, 0, err
 	}
 	total := 0
-	for second, n := range s.Reads() {
+	for second, n := range s.ReadsBySecond() {
 		if second >= from {
 			total += n
 		}
