--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -150,8 +150,8 @@
 // ReadsBySecond returns the reads per second of simulated time since the start.
 func (s *Sim) ReadsBySecond() map[int64]int { return s.reads }
 
-// Second returns the number of the current second since the start.
-func (s *Sim) Second() int64 { return int64(s.Now().Sub(simStart) / time.Second) }
+// ElapsedSeconds returns the number of the current second since the start.
+func (s *Sim) ElapsedSeconds() int64 { return int64(s.Now().Sub(simStart) / time.Second) }
 
 // PeakReads returns the highest number of reads in any second from one on.
 func (s *Sim) PeakReads(from int64) int {
@@ -164,7 +164,7 @@
 	return peak
 }
 
-func (s *Sim) countRead() { s.reads[s.Second()]++ }
+func (s *Sim) countRead() { s.reads[s.ElapsedSeconds()]++ }
 
 func (s *Sim) fleet() config.FleetSize {
 	return config.FleetSize{Entries: s.cfg.Domains * s.cfg.EntriesPerDomain, DomainEntries: s.cfg.EntriesPerDomain}
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -54,7 +54,7 @@
 		s.Store = configsim.StoreSlow
 		s.Run(2 * time.Minute)
 		s.Store = configsim.StoreUp
-		back := s.Second()
+		back := s.ElapsedSeconds()
 		g.Expect(o.ApplyChange(s)).To(Succeed())
 		s.Run(2 * time.Minute)
 		logf("peak reads/s: %d in the whole run, %d after the return\n", s.PeakReads(0), s.PeakReads(back))
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -41,7 +41,7 @@
 	s.StartAll()
 	s.Run(startTime)
 	before := s.Table.Stats()
-	from := s.Second()
+	from := s.ElapsedSeconds()
 	if err := makeChanges(s, o, load{pause: dailyPause, changes: int(observed / dailyPause)}); err != nil {
 		return 0, 0, err
 	}
@@ -51,7 +51,7 @@
 			total += n
 		}
 	}
-	elapsed := float64(s.Second() - from)
+	elapsed := float64(s.ElapsedSeconds() - from)
 	return float64(total) / elapsed, float64(s.Table.Stats().Writes-before.Writes) / elapsed, nil
 }
 
@@ -90,7 +90,7 @@
 	s.Store = configsim.StoreSlow
 	s.Run(2 * time.Minute)
 	s.Store = configsim.StoreUp
-	back := s.Second()
+	back := s.ElapsedSeconds()
 	s.Run(time.Minute)
 	return float64(s.PeakReads(0)), float64(s.PeakReads(back)), nil
 }
