--- a/internal/configsim/link.go
+++ b/internal/configsim/link.go
@@ -54,7 +54,7 @@
 		return merry.Wrap(backing.ErrUnavailable)
 	}
 	l.sim.countRead()
-	switch l.sim.Store {
+	switch l.sim.StoreState {
 	case StoreDown:
 		return merry.Wrap(backing.ErrUnavailable)
 	case StoreSlow:
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -21,8 +21,8 @@
 
 	Table *table.Service
 	Nodes []*Node
-	// Store is the condition of the store for polls.
-	Store StoreState
+	// StoreState is the condition of the store for polls.
+	StoreState StoreState
 	// CutFromStore and CutFromPeers cut failure domains off, by number.
 	CutFromStore []bool
 	CutFromPeers []bool
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -49,11 +49,11 @@
 		g.Expect(o.ApplyChange(s)).To(Succeed())
 		s.StartAll()
 		s.Run(time.Minute)
-		s.Store = configsim.StoreDown
+		s.StoreState = configsim.StoreDown
 		s.Run(10 * time.Minute)
-		s.Store = configsim.StoreSlow
+		s.StoreState = configsim.StoreSlow
 		s.Run(2 * time.Minute)
-		s.Store = configsim.StoreUp
+		s.StoreState = configsim.StoreUp
 		back := s.ElapsedSeconds()
 		g.Expect(o.ApplyChange(s)).To(Succeed())
 		s.Run(2 * time.Minute)
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -85,11 +85,11 @@
 	}
 	s.StartAll()
 	s.Run(time.Minute)
-	s.Store = configsim.StoreDown
+	s.StoreState = configsim.StoreDown
 	s.Run(10 * time.Minute)
-	s.Store = configsim.StoreSlow
+	s.StoreState = configsim.StoreSlow
 	s.Run(2 * time.Minute)
-	s.Store = configsim.StoreUp
+	s.StoreState = configsim.StoreUp
 	back := s.ElapsedSeconds()
 	s.Run(time.Minute)
 	return float64(s.PeakReads(0)), float64(s.PeakReads(back)), nil
