--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -135,7 +135,7 @@
 
 func (m *machine) heal() {
 	for d := range m.sim.CutFromPeers {
-		m.sim.CutFromStore[d], m.sim.CutFromPeers[d] = false, false
+		m.sim.StoreUnreachable[d], m.sim.CutFromPeers[d] = false, false
 	}
 }
 
@@ -175,7 +175,7 @@
 		"deliver": func(*rapid.T) { m.deliver() },
 		"cut": func(t *rapid.T) {
 			d := rapid.IntRange(0, 2).Draw(t, "domain")
-			m.sim.CutFromStore[d] = rapid.IntRange(0, 2).Draw(t, "from store") > 0
+			m.sim.StoreUnreachable[d] = rapid.IntRange(0, 2).Draw(t, "from store") > 0
 			m.sim.CutFromPeers[d] = rapid.IntRange(0, 2).Draw(t, "from peers") > 0
 			m.oracle.relax()
 		},
--- a/internal/configsim/link.go
+++ b/internal/configsim/link.go
@@ -49,7 +49,7 @@
 }
 
 func (l *link) read() error {
-	if l.sim.CutFromStore[l.node.domain] {
+	if l.sim.StoreUnreachable[l.node.domain] {
 		l.took += l.sim.cfg.StoreTimeout
 		return merry.Wrap(backing.ErrUnavailable)
 	}
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -23,9 +23,9 @@
 	Nodes []*Node
 	// StoreState is the condition of the store for polls.
 	StoreState StoreState
-	// CutFromStore and CutFromPeers cut failure domains off, by number.
-	CutFromStore []bool
-	CutFromPeers []bool
+	// StoreUnreachable and CutFromPeers cut failure domains off, by number.
+	StoreUnreachable []bool
+	CutFromPeers     []bool
 	// Damaged counts revisions that a replica refused as damaged.
 	Damaged int
 }
@@ -37,14 +37,14 @@
 func New(cfg Config) *Sim {
 	cfg.applyDefaults()
 	s := &Sim{
-		scheduler:    newScheduler(simStart),
-		cfg:          cfg,
-		rng:          rand.New(rand.NewSource(cfg.Seed)),
-		byID:         make(map[model.InstanceID]*Node),
-		reads:        make(map[int64]int),
-		Table:        table.New(),
-		CutFromStore: make([]bool, cfg.Domains),
-		CutFromPeers: make([]bool, cfg.Domains),
+		scheduler:        newScheduler(simStart),
+		cfg:              cfg,
+		rng:              rand.New(rand.NewSource(cfg.Seed)),
+		byID:             make(map[model.InstanceID]*Node),
+		reads:            make(map[int64]int),
+		Table:            table.New(),
+		StoreUnreachable: make([]bool, cfg.Domains),
+		CutFromPeers:     make([]bool, cfg.Domains),
 	}
 	s.build()
 	return s
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -74,7 +74,7 @@
 			g.Expect(o.ApplyChange(s)).To(Succeed())
 			s.StartAll()
 			s.Run(20 * time.Second)
-			s.CutFromStore[cut] = true
+			s.StoreUnreachable[cut] = true
 			for range changes {
 				g.Expect(o.ApplyChange(s)).To(Succeed())
 				s.Run(every)
@@ -102,7 +102,7 @@
 				}
 			}
 			healed := s.Now()
-			s.CutFromPeers[cut], s.CutFromStore[cut] = false, false
+			s.CutFromPeers[cut], s.StoreUnreachable[cut] = false, false
 			s.Run(inForceBound)
 			slowest, missing := s.PropagationDelay(last, healed, isCut)
 			logf("slowest %s, after healing %s, peak reads/s %d\n", worst, slowest, s.PeakReads(0))
--- a/internal/measure/config/spread.go
+++ b/internal/measure/config/spread.go
@@ -57,7 +57,7 @@
 	}
 	s.StartAll()
 	s.Run(startTime)
-	s.CutFromStore[cutDomain] = true
+	s.StoreUnreachable[cutDomain] = true
 	if err := makeChanges(s, o, l); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	}
 	s.Run(time.Minute)
 	healed := s.Now()
-	s.CutFromStore[cutDomain], s.CutFromPeers[cutDomain] = false, false
+	s.StoreUnreachable[cutDomain], s.CutFromPeers[cutDomain] = false, false
 	s.Run(inForceBound * time.Second)
 	afterHealing, missing := s.PropagationDelay(uint64(len(o.AcceptedAt)-1), healed, func(n *configsim.Node) bool { return n.Domain() == cutDomain })
 	if missing > 0 {
