--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -134,8 +134,8 @@
 }
 
 func (m *machine) heal() {
-	for d := range m.sim.CutFromPeers {
-		m.sim.StoreUnreachable[d], m.sim.CutFromPeers[d] = false, false
+	for d := range m.sim.PeersUnreachable {
+		m.sim.StoreUnreachable[d], m.sim.PeersUnreachable[d] = false, false
 	}
 }
 
@@ -176,7 +176,7 @@
 		"cut": func(t *rapid.T) {
 			d := rapid.IntRange(0, 2).Draw(t, "domain")
 			m.sim.StoreUnreachable[d] = rapid.IntRange(0, 2).Draw(t, "from store") > 0
-			m.sim.CutFromPeers[d] = rapid.IntRange(0, 2).Draw(t, "from peers") > 0
+			m.sim.PeersUnreachable[d] = rapid.IntRange(0, 2).Draw(t, "from peers") > 0
 			m.oracle.relax()
 		},
 		"restart": func(t *rapid.T) {
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -25,7 +25,7 @@
 	StoreState StoreState
 	// StoreUnreachable and CutFromPeers cut failure domains off, by number.
 	StoreUnreachable []bool
-	CutFromPeers     []bool
+	PeersUnreachable []bool
 	// Damaged counts revisions that a replica refused as damaged.
 	Damaged int
 }
@@ -44,7 +44,7 @@
 		reads:            make(map[int64]int),
 		Table:            table.New(),
 		StoreUnreachable: make([]bool, cfg.Domains),
-		CutFromPeers:     make([]bool, cfg.Domains),
+		PeersUnreachable: make([]bool, cfg.Domains),
 	}
 	s.build()
 	return s
@@ -144,7 +144,7 @@
 	if !a.Up || !b.Up {
 		return false
 	}
-	return a.domain == b.domain || !s.CutFromPeers[a.domain] && !s.CutFromPeers[b.domain]
+	return a.domain == b.domain || !s.PeersUnreachable[a.domain] && !s.PeersUnreachable[b.domain]
 }
 
 // ReadsBySecond returns the reads per second of simulated time since the start.
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -87,7 +87,7 @@
 				worst = max(worst, slowest)
 			}
 
-			s.CutFromPeers[cut] = true
+			s.PeersUnreachable[cut] = true
 			g.Expect(o.ApplyChange(s)).To(Succeed())
 			s.Run(time.Minute)
 			isCut := func(n *configsim.Node) bool { return n.Domain() == cut }
@@ -102,7 +102,7 @@
 				}
 			}
 			healed := s.Now()
-			s.CutFromPeers[cut], s.StoreUnreachable[cut] = false, false
+			s.PeersUnreachable[cut], s.StoreUnreachable[cut] = false, false
 			s.Run(inForceBound)
 			slowest, missing := s.PropagationDelay(last, healed, isCut)
 			logf("slowest %s, after healing %s, peak reads/s %d\n", worst, slowest, s.PeakReads(0))
--- a/internal/measure/config/spread.go
+++ b/internal/measure/config/spread.go
@@ -70,13 +70,13 @@
 		}
 		worst = max(worst, slowest)
 	}
-	s.CutFromPeers[cutDomain] = true
+	s.PeersUnreachable[cutDomain] = true
 	if err := o.ApplyChange(s); err != nil {
 		return err
 	}
 	s.Run(time.Minute)
 	healed := s.Now()
-	s.StoreUnreachable[cutDomain], s.CutFromPeers[cutDomain] = false, false
+	s.StoreUnreachable[cutDomain], s.PeersUnreachable[cutDomain] = false, false
 	s.Run(inForceBound * time.Second)
 	afterHealing, missing := s.PropagationDelay(uint64(len(o.AcceptedAt)-1), healed, func(n *configsim.Node) bool { return n.Domain() == cutDomain })
 	if missing > 0 {
