--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -139,7 +139,7 @@
 	now := n.sim.Now()
 	_, err := n.Replica.Apply(encoded, now)
 	if err != nil && config.IsDamaged(err) {
-		n.sim.Damaged++
+		n.sim.DamagedRevisions++
 	}
 	n.act()
 }
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -26,8 +26,8 @@
 	// StoreUnreachable and CutFromPeers cut failure domains off, by number.
 	StoreUnreachable []bool
 	PeersUnreachable []bool
-	// Damaged counts revisions that a replica refused as damaged.
-	Damaged int
+	// DamagedRevisions counts revisions that a replica refused as damaged.
+	DamagedRevisions int
 }
 
 // simStart is the start of simulated time.
--- a/internal/configsim/spread_test.go
+++ b/internal/configsim/spread_test.go
@@ -109,7 +109,7 @@
 			g.Expect(missing).To(BeZero())
 			g.Expect(worst).To(BeNumerically("<=", inForceBound))
 			g.Expect(s.PeakReads(0)).To(BeNumerically("<=", readBound))
-			g.Expect(s.Damaged).To(BeZero())
+			g.Expect(s.DamagedRevisions).To(BeZero())
 		})
 	}
 	bringsIntoForce("today's size at 6,000 changes a day", configsim.Config{Domains: 3, EntriesPerDomain: 3, AgentsPerDomain: 5, Seed: 2}, 14400*time.Millisecond, 20)
