--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -216,7 +216,7 @@
 		},
 		"foreign merge": func(t *rapid.T) {
 			n := m.node(t)
-			if view := n.Replica.Current(); n.Up && view != nil {
+			if view := n.Replica.Current(); n.Running && view != nil {
 				n.Offer(foreign(t, view))
 			}
 		},
--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -23,8 +23,8 @@
 	conns  []*Node
 	rng    *rand.Rand
 
-	// Up is false while the process is stopped.
-	Up      bool
+	// Running is false while the process is stopped.
+	Running bool
 	Replica *config.Replica
 	peers   *config.Peers
 	store   *config.Store
@@ -52,7 +52,7 @@
 func (n *Node) start() {
 	now := n.sim.Now()
 	n.id.Generation++
-	n.Up = true
+	n.Running = true
 	n.Replica = config.NewReplica(config.ReplicaConfig{}, now)
 	n.peers = config.NewPeers(config.PeersConfig{}, n.rng)
 	n.inForce = make(map[uint64]time.Time)
@@ -64,7 +64,7 @@
 		n.schedulePoll(generation)
 	}
 	for _, other := range n.conns {
-		if !other.Up {
+		if !other.Running {
 			continue
 		}
 		n.join(other)
@@ -91,9 +91,9 @@
 
 // stop ends the incarnation; its peers notice at once.
 func (n *Node) stop() {
-	n.Up = false
+	n.Running = false
 	for _, other := range n.conns {
-		if other.Up {
+		if other.Running {
 			other.peers.Remove(n.id)
 		}
 	}
@@ -102,7 +102,7 @@
 // repeat runs f periodically while the incarnation lives.
 func (n *Node) repeat(generation model.Generation, first, every time.Duration, f func()) {
 	n.sim.after(first, func() {
-		if !n.Up || n.id.Generation != generation {
+		if !n.Running || n.id.Generation != generation {
 			return
 		}
 		f()
@@ -112,13 +112,13 @@
 
 func (n *Node) schedulePoll(generation model.Generation) {
 	n.sim.after(n.pace.Next().Sub(n.sim.Now()), func() {
-		if !n.Up || n.id.Generation != generation {
+		if !n.Running || n.id.Generation != generation {
 			return
 		}
 		n.link.took = 0
 		poll, err := n.store.Poll(context.Background(), n.Replica.Head())
 		n.sim.after(n.link.took, func() {
-			if !n.Up || n.id.Generation != generation {
+			if !n.Running || n.id.Generation != generation {
 				return
 			}
 			now := n.sim.Now()
@@ -146,7 +146,7 @@
 
 // Offer hands revisions to the node's replica as if a peer had sent them.
 func (n *Node) Offer(encoded [][]byte) {
-	if n.Up {
+	if n.Running {
 		n.offer(encoded)
 	}
 }
@@ -176,12 +176,12 @@
 func (n *Node) heartbeat(to *Node) {
 	now := n.sim.Now()
 	head, age := n.Replica.Head(), n.Replica.Age(now)
-	if to.Up {
+	if to.Running {
 		n.peers.MarkAnnounced(to.id, head, now)
 	}
 	from := n.id
 	n.sim.send(n, to, func() {
-		if n.id != from || !n.Up {
+		if n.id != from || !n.Running {
 			return
 		}
 		if _, err := to.Replica.ObserveHead(head, age, to.sim.Now()); err != nil {
--- a/internal/configsim/oracle_test.go
+++ b/internal/configsim/oracle_test.go
@@ -65,7 +65,7 @@
 
 func (o *oracle) observeNode(t *rapid.T, n *configsim.Node) {
 	view := n.Replica.Current()
-	if !n.Up || view == nil {
+	if !n.Running || view == nil {
 		return
 	}
 	number := view.Head.Number
@@ -96,7 +96,7 @@
 // restarts or is cut off before they could fetch from it.
 func (o *oracle) relax() {
 	for _, n := range o.sim.Nodes {
-		if n.Up && n.Replica.Current() == nil {
+		if n.Running && n.Replica.Current() == nil {
 			o.shown[n] = min(o.shown[n], o.learnable(n))
 		}
 	}
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -141,7 +141,7 @@
 
 // Reachable reports whether two nodes can exchange messages.
 func (s *Sim) Reachable(a, b *Node) bool {
-	if !a.Up || !b.Up {
+	if !a.Running || !b.Running {
 		return false
 	}
 	return a.domain == b.domain || !s.PeersUnreachable[a.domain] && !s.PeersUnreachable[b.domain]
--- a/internal/configsim/spread.go
+++ b/internal/configsim/spread.go
@@ -6,7 +6,7 @@
 // node for which the filter is true, and how many of them lack it.
 func (s *Sim) PropagationDelay(number uint64, since time.Time, filter func(*Node) bool) (slowest time.Duration, missing int) {
 	for _, n := range s.Nodes {
-		if !n.Up || filter != nil && !filter(n) {
+		if !n.Running || filter != nil && !filter(n) {
 			continue
 		}
 		at, ok := n.inForce[number]
