--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -39,8 +39,8 @@
 	Received int64
 }
 
-// Agent reports whether the node is an agent.
-func (n *Node) Agent() bool { return n.agent }
+// IsAgent reports whether the node is an agent.
+func (n *Node) IsAgent() bool { return n.agent }
 
 // Domain returns the failure domain of the node.
 func (n *Node) Domain() int { return n.domain }
--- a/internal/measure/config/traffic.go
+++ b/internal/measure/config/traffic.go
@@ -64,7 +64,7 @@
 	var entries, agents float64
 	for _, n := range s.Nodes {
 		bytes := float64(n.Sent + n.Received)
-		if n.Agent() {
+		if n.IsAgent() {
 			agents++
 			sum.agent += bytes
 		} else {
