--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -193,12 +193,12 @@
 		},
 		"lagging peer": func(t *rapid.T) {
 			if len(m.archive) > 0 {
-				m.node(t).Offer(rapid.SampledFrom(m.archive).Draw(t, "recorded"))
+				m.node(t).ApplyRevisions(rapid.SampledFrom(m.archive).Draw(t, "recorded"))
 			}
 		},
 		"damaged copy": func(t *rapid.T) {
 			if len(m.archive) > 0 {
-				m.node(t).Offer(damage(t, rapid.SampledFrom(m.archive).Draw(t, "recorded")))
+				m.node(t).ApplyRevisions(damage(t, rapid.SampledFrom(m.archive).Draw(t, "recorded")))
 			}
 		},
 		"altered merge": func(t *rapid.T) {
@@ -210,14 +210,14 @@
 			}
 			if altered := alter(t, encoded); altered != nil {
 				for _, other := range m.sim.Nodes {
-					other.Offer(altered)
+					other.ApplyRevisions(altered)
 				}
 			}
 		},
 		"foreign merge": func(t *rapid.T) {
 			n := m.node(t)
 			if view := n.Replica.Current(); n.Running && view != nil {
-				n.Offer(foreign(t, view))
+				n.ApplyRevisions(foreign(t, view))
 			}
 		},
 		"run": func(t *rapid.T) { m.sim.Run(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond) },
--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -144,8 +144,8 @@
 	n.act()
 }
 
-// Offer hands revisions to the node's replica as if a peer had sent them.
-func (n *Node) Offer(encoded [][]byte) {
+// ApplyRevisions hands revisions to the node's replica as if a peer had sent them.
+func (n *Node) ApplyRevisions(encoded [][]byte) {
 	if n.Running {
 		n.offer(encoded)
 	}
