--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -33,10 +33,10 @@
 	// inForce is when each revision came into force, by number.
 	inForce map[uint64]time.Time
 
-	// Sent and Received count the bytes of frames that the spread of the
+	// SentBytes and Received count the bytes of frames that the spread of the
 	// configuration cost, beyond the regular heartbeats.
-	Sent     int64
-	Received int64
+	SentBytes int64
+	Received  int64
 }
 
 // IsAgent reports whether the node is an agent.
@@ -165,7 +165,7 @@
 		other := n.sim.byID[id.Instance]
 		n.heartbeat(other)
 		size := n.sim.heartbeatBytes(n.agent)
-		n.Sent += size
+		n.SentBytes += size
 		other.Received += size
 	}
 	if id, ok := n.peers.StartFetch(head, now); ok {
@@ -197,7 +197,7 @@
 func (n *Node) fetch(from *Node, id config.PeerID, after uint64) {
 	asker := n.id
 	asked := frameBytes(&wire.ConfigFetch{After: after})
-	n.Sent += asked
+	n.SentBytes += asked
 	n.sim.send(n, from, func() {
 		from.Received += asked
 		from.peers.MarkFetching(asker)
@@ -210,7 +210,7 @@
 			return
 		}
 		answered := frameBytes(&wire.ConfigDelta{Revisions: encoded})
-		from.Sent += answered
+		from.SentBytes += answered
 		n.sim.send(from, n, func() {
 			n.Received += answered
 			if n.id == asker {
