--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -35,8 +35,8 @@
 
 	// SentBytes and Received count the bytes of frames that the spread of the
 	// configuration cost, beyond the regular heartbeats.
-	SentBytes int64
-	Received  int64
+	SentBytes     int64
+	ReceivedBytes int64
 }
 
 // IsAgent reports whether the node is an agent.
@@ -166,7 +166,7 @@
 		n.heartbeat(other)
 		size := n.sim.heartbeatBytes(n.agent)
 		n.SentBytes += size
-		other.Received += size
+		other.ReceivedBytes += size
 	}
 	if id, ok := n.peers.StartFetch(head, now); ok {
 		n.fetch(n.sim.byID[id.Instance], id, head.Number)
@@ -199,7 +199,7 @@
 	asked := frameBytes(&wire.ConfigFetch{After: after})
 	n.SentBytes += asked
 	n.sim.send(n, from, func() {
-		from.Received += asked
+		from.ReceivedBytes += asked
 		from.peers.MarkFetching(asker)
 		request := after
 		if from.sim.cfg.FullSnapshots {
@@ -212,7 +212,7 @@
 		answered := frameBytes(&wire.ConfigDelta{Revisions: encoded})
 		from.SentBytes += answered
 		n.sim.send(from, n, func() {
-			n.Received += answered
+			n.ReceivedBytes += answered
 			if n.id == asker {
 				n.peers.FetchAnswered(id)
 				n.offer(encoded)
--- a/internal/measure/config/traffic.go
+++ b/internal/measure/config/traffic.go
@@ -54,7 +54,7 @@
 	s.StartAll()
 	s.Run(startTime)
 	for _, n := range s.Nodes {
-		n.SentBytes, n.Received = 0, 0
+		n.SentBytes, n.ReceivedBytes = 0, 0
 	}
 	if err := makeChanges(s, o, l); err != nil {
 		return usage{}, err
@@ -63,7 +63,7 @@
 	var sum usage
 	var entries, agents float64
 	for _, n := range s.Nodes {
-		bytes := float64(n.SentBytes + n.Received)
+		bytes := float64(n.SentBytes + n.ReceivedBytes)
 		if n.IsAgent() {
 			agents++
 			sum.agent += bytes
