--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -56,7 +56,7 @@
 }
 
 func (d *Deployment) startDomain(domain model.FailureDomain) error {
-	for i := range d.Options.Entries {
+	for i := range d.Options.EntriesPerDomain {
 		if err := d.startEntry(domain, i); err != nil {
 			return err
 		}
--- a/internal/measure/capacity/sample.go
+++ b/internal/measure/capacity/sample.go
@@ -30,7 +30,7 @@
 // takes the cost of a window in which nothing happens.
 func measure(ctx context.Context, agents int, o options) (sample, error) {
 	d, err := deployment.Start(deployment.Options{
-		Domains: []model.FailureDomain{location.FailureDomain}, Entries: 1,
+		Domains: []model.FailureDomain{location.FailureDomain}, EntriesPerDomain: 1,
 		Window: time.Second, Directory: os.TempDir(), Seed: o.seed,
 	}, eventlog.Discard())
 	if err != nil {
