--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -61,7 +61,7 @@
 			return err
 		}
 	}
-	for i := range d.Options.Agents {
+	for i := range d.Options.AgentsPerDomain {
 		if err := d.StartAgent(domain, fmt.Sprintf("%s-runner-%d", domain, i), ModelPool); err != nil {
 			return err
 		}
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -11,7 +11,7 @@
 	// Domains names the failure domains; each is a region of its own.
 	Domains []model.FailureDomain
 	// EntriesPerDomain and Agents are the instances of each failure domain.
-	EntriesPerDomain, Agents int
+	EntriesPerDomain, AgentsPerDomain int
 	// Services is the number of plain-service instances of each failure domain.
 	Services int
 	// ModelBytes and ChunkBytes are the sizes of a version and of its chunks.
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -24,7 +24,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		DeferCleanup(cancel)
 		d, err := deployment.Start(deployment.Options{
-			Domains: []model.FailureDomain{"kigali", "huye"}, EntriesPerDomain: 1, Agents: 2,
+			Domains: []model.FailureDomain{"kigali", "huye"}, EntriesPerDomain: 1, AgentsPerDomain: 2,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, Window: time.Second,
 			EngineScale: 0.05, EngineRestart: 200 * time.Millisecond,
 			Directory: GinkgoT().TempDir(), Seed: 1,
--- a/internal/deployment/transfer_metrics_test.go
+++ b/internal/deployment/transfer_metrics_test.go
@@ -25,7 +25,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		DeferCleanup(cancel)
 		d, err := deployment.Start(deployment.Options{
-			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, Agents: 3,
+			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 3,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, Window: time.Second,
 			EngineScale: 0.05, EngineRestart: 200 * time.Millisecond,
 			Directory: GinkgoT().TempDir(), Seed: 1,
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -61,7 +61,7 @@
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	d, err := deployment.Start(deployment.Options{
-		Domains: []model.FailureDomain{"kigali", "huye"}, EntriesPerDomain: 2, Agents: o.agents,
+		Domains: []model.FailureDomain{"kigali", "huye"}, EntriesPerDomain: 2, AgentsPerDomain: o.agents,
 		ModelBytes: 1 << 20, ChunkBytes: 64 << 10, Window: time.Second,
 		EngineScale: 0.1, EngineRestart: time.Second, Directory: directory, Seed: o.seed,
 	}, eventlog.Discard())
