--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -66,7 +66,7 @@
 			return err
 		}
 	}
-	for i := range d.Options.Services {
+	for i := range d.Options.ServicesPerDomain {
 		if err := d.StartAgent(domain, fmt.Sprintf("%s-order-%d", domain, i), OrderPool); err != nil {
 			return err
 		}
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -12,8 +12,8 @@
 	Domains []model.FailureDomain
 	// EntriesPerDomain and Agents are the instances of each failure domain.
 	EntriesPerDomain, AgentsPerDomain int
-	// Services is the number of plain-service instances of each failure domain.
-	Services int
+	// ServicesPerDomain is the number of plain-service instances of each failure domain.
+	ServicesPerDomain int
 	// ModelBytes and ChunkBytes are the sizes of a version and of its chunks.
 	ModelBytes int64
 	ChunkBytes int
--- a/internal/measure/latency/latency.go
+++ b/internal/measure/latency/latency.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	d, err := deployment.Start(deployment.Options{
-		Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, Services: 1,
+		Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, ServicesPerDomain: 1,
 		Window: time.Second, Directory: os.TempDir(), Seed: o.seed,
 	}, eventlog.Discard())
 	if err != nil {
