--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -41,7 +41,7 @@
 		var err error
 		d, err = deployment.Start(deployment.Options{
 			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 4,
-			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, Window: time.Second,
+			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
 			EngineScale: 0.05, EngineRestart: 200 * time.Millisecond, NoCacheEvents: silent,
 			Directory: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(GinkgoWriter))))
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -17,9 +17,9 @@
 	// ModelBytes and ChunkBytes are the sizes of a version and of its chunks.
 	ModelBytes int64
 	ChunkBytes int
-	// Window is the time in which the origin's link carries four copies and an
+	// TransferWindow is the time in which the origin's link carries four copies and an
 	// instance's link two.
-	Window time.Duration
+	TransferWindow time.Duration
 	// ListLag is the delay of the instance list.
 	ListLag time.Duration
 	// EngineScale multiplies the times of the engine stand-ins.
@@ -52,9 +52,9 @@
 )
 
 func (o Options) originRate() int64 {
-	return int64(originCopies * float64(o.ModelBytes) / o.Window.Seconds())
+	return int64(originCopies * float64(o.ModelBytes) / o.TransferWindow.Seconds())
 }
 
 func (o Options) linkRate() float64 {
-	return instanceCopies * float64(o.ModelBytes) / o.Window.Seconds()
+	return instanceCopies * float64(o.ModelBytes) / o.TransferWindow.Seconds()
 }
--- a/internal/deployment/transfer_metrics_test.go
+++ b/internal/deployment/transfer_metrics_test.go
@@ -26,7 +26,7 @@
 		DeferCleanup(cancel)
 		d, err := deployment.Start(deployment.Options{
 			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 3,
-			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, Window: time.Second,
+			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
 			EngineScale: 0.05, EngineRestart: 200 * time.Millisecond,
 			Directory: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.Discard())
