--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -42,7 +42,7 @@
 		Options: o,
 		Table:   table.New(),
 		Origin:  origin.New(origin.Config{LinkBytesPerSecond: o.originRate(), Clock: clock.System{}}),
-		List:    instances.New(instances.Config{Lag: o.ListLag, Clock: clock.System{}}),
+		List:    instances.New(instances.Config{Lag: o.InstanceListLag, Clock: clock.System{}}),
 		rand:    rand.New(rand.NewSource(o.Seed)),
 		log:     log,
 	}
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -20,8 +20,8 @@
 	// TransferWindow is the time in which the origin's link carries four copies and an
 	// instance's link two.
 	TransferWindow time.Duration
-	// ListLag is the delay of the instance list.
-	ListLag time.Duration
+	// InstanceListLag is the delay of the instance list.
+	InstanceListLag time.Duration
 	// EngineScale multiplies the times of the engine stand-ins.
 	EngineScale float64
 	// EngineRestart is the time from a crash of an engine to its return.
