--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -22,8 +22,8 @@
 	TransferWindow time.Duration
 	// InstanceListLag is the delay of the instance list.
 	InstanceListLag time.Duration
-	// EngineScale multiplies the times of the engine stand-ins.
-	EngineScale float64
+	// EngineTimeScale multiplies the times of the engine stand-ins.
+	EngineTimeScale float64
 	// EngineRestart is the time from a crash of an engine to its return.
 	EngineRestart time.Duration
 	// NoCacheEvents keeps agents from passing the cache events of engines on.
