--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -94,7 +94,7 @@
 		return err
 	}
 	p.Engine, err = engine.Start(engine.Config{
-		TimeScale: o.EngineTimeScale, Capacity: engineCapacity, RestartDelay: o.EngineRestart,
+		TimeScale: o.EngineTimeScale, Capacity: engineCapacity, RestartDelay: o.EngineRestartDelay,
 		IgnoreFencing: ignores,
 	})
 	if err != nil {
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -24,8 +24,8 @@
 	InstanceListLag time.Duration
 	// EngineTimeScale multiplies the times of the engine stand-ins.
 	EngineTimeScale float64
-	// EngineRestart is the time from a crash of an engine to its return.
-	EngineRestart time.Duration
+	// EngineRestartDelay is the time from a crash of an engine to its return.
+	EngineRestartDelay time.Duration
 	// NoCacheEvents keeps agents from passing the cache events of engines on.
 	NoCacheEvents bool
 	// Directory holds the staging areas.
--- a/internal/deployment/transfer_metrics_test.go
+++ b/internal/deployment/transfer_metrics_test.go
@@ -27,7 +27,7 @@
 		d, err := deployment.Start(deployment.Options{
 			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 3,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
-			EngineTimeScale: 0.05, EngineRestart: 200 * time.Millisecond,
+			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond,
 			Directory: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.Discard())
 		Expect(err).NotTo(HaveOccurred())
