--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	cfg.Metrics = p.Metrics
-	if d.Options.NoCacheEvents {
+	if d.Options.DisableCacheEvents {
 		cfg.CacheInterval = -1
 	}
 	if err := p.startBackend(&cfg); err != nil {
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -42,7 +42,7 @@
 		d, err = deployment.Start(deployment.Options{
 			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 4,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
-			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond, NoCacheEvents: silent,
+			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond, DisableCacheEvents: silent,
 			Directory: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(GinkgoWriter))))
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -26,8 +26,8 @@
 	EngineTimeScale float64
 	// EngineRestartDelay is the time from a crash of an engine to its return.
 	EngineRestartDelay time.Duration
-	// NoCacheEvents keeps agents from passing the cache events of engines on.
-	NoCacheEvents bool
+	// DisableCacheEvents keeps agents from passing the cache events of engines on.
+	DisableCacheEvents bool
 	// Directory holds the staging areas.
 	Directory string
 	Seed      int64
