--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -59,7 +59,7 @@
 		Domains: domains, EntriesPerDomain: o.Entries, AgentsPerDomain: o.Agents, ServicesPerDomain: 1,
 		ModelBytes: int64(o.ModelMiB) << 20, ChunkBytes: o.ChunkKiB << 10, TransferWindow: o.Window,
 		InstanceListLag: 200 * time.Millisecond, EngineTimeScale: 0.1, EngineRestartDelay: time.Second,
-		Directory: directory, Seed: o.Seed,
+		StagingDir: directory, Seed: o.Seed,
 	}, logger)
 	if err != nil {
 		return err
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -43,7 +43,7 @@
 			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 4,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
 			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond, DisableCacheEvents: silent,
-			Directory: GinkgoT().TempDir(), Seed: 1,
+			StagingDir: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(GinkgoWriter))))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -87,6 +87,6 @@
 }
 
 func (d *Deployment) stagingOf(instance string) (string, error) {
-	path := filepath.Join(d.Options.Directory, instance)
+	path := filepath.Join(d.Options.StagingDir, instance)
 	return path, os.MkdirAll(path, 0o750)
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -73,7 +73,7 @@
 			Domains: []model.FailureDomain{"kigali", "huye"}, EntriesPerDomain: 2, AgentsPerDomain: 3, ServicesPerDomain: 1,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
 			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond,
-			Directory: GinkgoT().TempDir(), Seed: 1,
+			StagingDir: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(GinkgoWriter))))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -28,9 +28,9 @@
 	EngineRestartDelay time.Duration
 	// DisableCacheEvents keeps agents from passing the cache events of engines on.
 	DisableCacheEvents bool
-	// Directory holds the staging areas.
-	Directory string
-	Seed      int64
+	// StagingDir holds the staging areas.
+	StagingDir string
+	Seed       int64
 }
 
 // Names of what the deployment declares.
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -27,7 +27,7 @@
 			Domains: []model.FailureDomain{"kigali", "huye"}, EntriesPerDomain: 1, AgentsPerDomain: 2,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
 			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond,
-			Directory: GinkgoT().TempDir(), Seed: 1,
+			StagingDir: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(GinkgoWriter))))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
--- a/internal/deployment/transfer_metrics_test.go
+++ b/internal/deployment/transfer_metrics_test.go
@@ -28,7 +28,7 @@
 			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 3,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
 			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond,
-			Directory: GinkgoT().TempDir(), Seed: 1,
+			StagingDir: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.Discard())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
--- a/internal/measure/capacity/sample.go
+++ b/internal/measure/capacity/sample.go
@@ -31,7 +31,7 @@
 func measure(ctx context.Context, agents int, o options) (sample, error) {
 	d, err := deployment.Start(deployment.Options{
 		Domains: []model.FailureDomain{location.FailureDomain}, EntriesPerDomain: 1,
-		TransferWindow: time.Second, Directory: os.TempDir(), Seed: o.seed,
+		TransferWindow: time.Second, StagingDir: os.TempDir(), Seed: o.seed,
 	}, eventlog.Discard())
 	if err != nil {
 		return sample{}, err
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -63,7 +63,7 @@
 	d, err := deployment.Start(deployment.Options{
 		Domains: []model.FailureDomain{"kigali", "huye"}, EntriesPerDomain: 2, AgentsPerDomain: o.agents,
 		ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
-		EngineTimeScale: 0.1, EngineRestartDelay: time.Second, Directory: directory, Seed: o.seed,
+		EngineTimeScale: 0.1, EngineRestartDelay: time.Second, StagingDir: directory, Seed: o.seed,
 	}, eventlog.Discard())
 	if err != nil {
 		return err
--- a/internal/measure/latency/latency.go
+++ b/internal/measure/latency/latency.go
@@ -56,7 +56,7 @@
 	defer cancel()
 	d, err := deployment.Start(deployment.Options{
 		Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, ServicesPerDomain: 1,
-		TransferWindow: time.Second, Directory: os.TempDir(), Seed: o.seed,
+		TransferWindow: time.Second, StagingDir: os.TempDir(), Seed: o.seed,
 	}, eventlog.Discard())
 	if err != nil {
 		return err
