--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -72,7 +72,7 @@
 	}
 	p.Agent.Start()
 	d.Agents = append(d.Agents, p)
-	d.List.Set(backing.Instance{ID: p.Identity.Instance, Role: backing.RoleAgent, Location: p.Identity.Location, Address: p.Identity.Address, Pool: p.Pool})
+	d.InstanceList.Set(backing.Instance{ID: p.Identity.Instance, Role: backing.RoleAgent, Location: p.Identity.Location, Address: p.Identity.Address, Pool: p.Pool})
 	return nil
 }
 
@@ -115,7 +115,7 @@
 // Stop drains the agent as SIGTERM does and returns when it has ended.
 func (p *AgentProcess) Stop(ctx context.Context) error {
 	p.stopped.Store(true)
-	p.deployment.List.Remove(p.Identity.Instance)
+	p.deployment.InstanceList.Remove(p.Identity.Instance)
 	err := p.Agent.Drain(ctx)
 	p.close()
 	return err
@@ -128,7 +128,7 @@
 // Kill ends the instance at once, engine included: all its connections break.
 func (p *AgentProcess) Kill() {
 	p.stopped.Store(true)
-	p.deployment.List.Remove(p.Identity.Instance)
+	p.deployment.InstanceList.Remove(p.Identity.Instance)
 	p.listener.cut()
 	p.close()
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -20,12 +20,12 @@
 
 // Deployment is a running deployment. Its methods are called by one goroutine.
 type Deployment struct {
-	Options Options
-	Table   *table.Service
-	Origin  *origin.Source
-	List    *instances.List
-	Entries []*EntryProcess
-	Agents  []*AgentProcess
+	Options      Options
+	Table        *table.Service
+	Origin       *origin.Source
+	InstanceList *instances.List
+	Entries      []*EntryProcess
+	Agents       []*AgentProcess
 	// Replicas is the number of instances of each failure domain that Place asks
 	// for; 0 means all.
 	Replicas int
@@ -39,12 +39,12 @@
 // Start starts the stand-ins, entries and agents.
 func Start(o Options, log *eventlog.Logger) (*Deployment, error) {
 	d := &Deployment{
-		Options: o,
-		Table:   table.New(),
-		Origin:  origin.New(origin.Config{LinkBytesPerSecond: o.originRate(), Clock: clock.System{}}),
-		List:    instances.New(instances.Config{Lag: o.InstanceListLag, Clock: clock.System{}}),
-		rand:    rand.New(rand.NewSource(o.Seed)),
-		log:     log,
+		Options:      o,
+		Table:        table.New(),
+		Origin:       origin.New(origin.Config{LinkBytesPerSecond: o.originRate(), Clock: clock.System{}}),
+		InstanceList: instances.New(instances.Config{Lag: o.InstanceListLag, Clock: clock.System{}}),
+		rand:         rand.New(rand.NewSource(o.Seed)),
+		log:          log,
 	}
 	for _, domain := range o.Domains {
 		if err := d.startDomain(domain); err != nil {
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -35,14 +35,14 @@
 
 // Kill ends the entry at once: all its connections break.
 func (p *EntryProcess) Kill() {
-	p.deployment.List.Remove(p.identity.Instance)
+	p.deployment.InstanceList.Remove(p.identity.Instance)
 	p.peers.cut()
 	p.close()
 }
 
 // Stop drains the entry as SIGTERM does.
 func (p *EntryProcess) Stop(ctx context.Context) error {
-	p.deployment.List.Remove(p.identity.Instance)
+	p.deployment.InstanceList.Remove(p.identity.Instance)
 	err := p.Entry.Drain(ctx)
 	p.close()
 	return err
@@ -82,7 +82,7 @@
 		OperatorListener: operators,
 		Dial:             peers.dial,
 		Table:            d.Table,
-		InstanceList:     d.List,
+		InstanceList:     d.InstanceList,
 		BalancerLag:      balancerLag,
 	})
 	e.OnConfigChange(func(v *config.View) { metrics.DeclareLabels(v.Config) })
@@ -93,7 +93,7 @@
 		identity:  identity, deployment: d, peers: peers,
 	}
 	d.Entries = append(d.Entries, p)
-	d.List.Set(backing.Instance{ID: identity.Instance, Role: backing.RoleEntry, Location: identity.Location, Address: identity.Address})
+	d.InstanceList.Set(backing.Instance{ID: identity.Instance, Role: backing.RoleEntry, Location: identity.Location, Address: identity.Address})
 	return nil
 }
 
--- a/internal/measure/capacity/sample.go
+++ b/internal/measure/capacity/sample.go
@@ -43,7 +43,7 @@
 	}
 	defer others.stop()
 	for _, i := range others.instances {
-		d.List.Set(i)
+		d.InstanceList.Set(i)
 	}
 	if err := measurerun.Pause(ctx, o.settle); err != nil {
 		return sample{}, err
