--- a/internal/deployment/declare.go
+++ b/internal/deployment/declare.go
@@ -70,7 +70,7 @@
 	}
 	for _, domain := range d.Options.Domains {
 		c.Placements = append(c.Placements, config.Placement{
-			Model: ModelName, Version: placed, FailureDomain: domain, Pool: ModelPool, Replicas: d.Replicas, MinLive: d.Options.AgentsPerDomain / 2,
+			Model: ModelName, Version: placed, FailureDomain: domain, Pool: ModelPool, Replicas: d.ReplicasPerDomain, MinLive: d.Options.AgentsPerDomain / 2,
 		})
 	}
 	return c
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -26,9 +26,9 @@
 	InstanceList *instances.List
 	Entries      []*EntryProcess
 	Agents       []*AgentProcess
-	// Replicas is the number of instances of each failure domain that Place asks
+	// ReplicasPerDomain is the number of instances of each failure domain that Place asks
 	// for; 0 means all.
-	Replicas int
+	ReplicasPerDomain int
 	// Versions are the published versions of the model in order.
 	Versions []Version
 
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -216,7 +216,7 @@
 	// Guards against placements that take more instances than declared, and
 	// against replicas that are not replaced.
 	It("brings a version to the declared number of instances and replaces one that dies", func() {
-		d.Replicas = 2
+		d.ReplicasPerDomain = 2
 		v2, err := d.Place(ctx, "v2")
 		Expect(err).NotTo(HaveOccurred())
 		live := func() int { return d.Live(v2) }
