--- a/internal/deployment/declare.go
+++ b/internal/deployment/declare.go
@@ -45,8 +45,8 @@
 
 func manifestObject(version string) string { return "manifests/" + version }
 
-// Declare returns the configuration that places a version in all domains.
-func (d *Deployment) Declare(placed string) *config.Config {
+// ConfigFor returns the configuration that places a version in all domains.
+func (d *Deployment) ConfigFor(placed string) *config.Config {
 	c := &config.Config{
 		Deployment: config.Deployment{TimeWeight: 1, OriginCopies: len(d.Options.Domains), TransferShare: 0.8, ClaimRetention: 24 * time.Hour},
 		Services: []config.Service{
@@ -93,7 +93,7 @@
 		return v, err
 	}
 	_, err = client.Apply(ctx, config.Request{
-		Config: d.Declare(name), Expected: newest.Head.Number, Operation: "place-" + name, Author: "operator",
+		Config: d.ConfigFor(name), Expected: newest.Head.Number, Operation: "place-" + name, Author: "operator",
 	})
 	return v, err
 }
@@ -114,7 +114,7 @@
 		return err
 	}
 	defer func() { _ = client.Close() }()
-	c := d.Declare("")
+	c := d.ConfigFor("")
 	c.Placements = nil
 	c.Services = slices.DeleteFunc(c.Services, func(s config.Service) bool { return s.Kind == config.KindModel })
 	_, err = client.Apply(ctx, config.Request{Config: c, Operation: "configure", Author: "operator"})
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -69,7 +69,7 @@
 			defer func() { _ = operator.Close() }()
 			newest, err := operator.Get(ctx, 0, false)
 			Expect(err).NotTo(HaveOccurred())
-			c := d.Declare("v1")
+			c := d.ConfigFor("v1")
 			c.Placements[0].Role = role
 			_, err = operator.Apply(ctx, config.Request{
 				Config: c, Expected: newest.Head.Number, Operation: "role-" + role.String(), Author: "operator",
