--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -98,7 +98,7 @@
 // serve it.
 func (r *demo) rollOut(ctx context.Context, name string) error {
 	begun := time.Now()
-	v, err := r.d.Place(ctx, name)
+	v, err := r.d.PublishAndPlace(ctx, name)
 	if err != nil {
 		return err
 	}
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -49,7 +49,7 @@
 		DeferCleanup(d.Close)
 		client = deployment.NewClient()
 		DeferCleanup(client.Close)
-		v, err := d.Place(ctx, "v1")
+		v, err := d.PublishAndPlace(ctx, "v1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.WaitLive(ctx, v, 50*time.Millisecond, nil)).To(Succeed())
 	}
--- a/internal/deployment/declare.go
+++ b/internal/deployment/declare.go
@@ -76,9 +76,9 @@
 	return c
 }
 
-// Place publishes a version and places it in all failure domains through the
+// PublishAndPlace publishes a version and places it in all failure domains through the
 // operators' interface.
-func (d *Deployment) Place(ctx context.Context, name string) (Version, error) {
+func (d *Deployment) PublishAndPlace(ctx context.Context, name string) (Version, error) {
 	v, err := d.Publish(name)
 	if err != nil {
 		return v, err
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -34,7 +34,7 @@
 	)
 
 	rollOut := func(name string) {
-		v, err := d.Place(ctx, name)
+		v, err := d.PublishAndPlace(ctx, name)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.WaitLive(ctx, v, 50*time.Millisecond, nil)).To(Succeed())
 	}
@@ -217,7 +217,7 @@
 	// against replicas that are not replaced.
 	It("brings a version to the declared number of instances and replaces one that dies", func() {
 		d.ReplicasPerDomain = 2
-		v2, err := d.Place(ctx, "v2")
+		v2, err := d.PublishAndPlace(ctx, "v2")
 		Expect(err).NotTo(HaveOccurred())
 		live := func() int { return d.Live(v2) }
 		Eventually(live).WithTimeout(settleTime).Should(Equal(4))
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -31,7 +31,7 @@
 		}, eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(GinkgoWriter))))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
-		v, err := d.Place(ctx, "v1")
+		v, err := d.PublishAndPlace(ctx, "v1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.WaitLive(ctx, v, 50*time.Millisecond, nil)).To(Succeed())
 		client := deployment.NewClient()
--- a/internal/deployment/transfer_metrics_test.go
+++ b/internal/deployment/transfer_metrics_test.go
@@ -32,7 +32,7 @@
 		}, eventlog.Discard())
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
-		v, err := d.Place(ctx, "v1")
+		v, err := d.PublishAndPlace(ctx, "v1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.WaitLive(ctx, v, 50*time.Millisecond, nil)).To(Succeed())
 		sources := map[string]float64{}
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	defer d.Close()
-	v, err := d.Place(ctx, "v1")
+	v, err := d.PublishAndPlace(ctx, "v1")
 	if err != nil {
 		return err
 	}
