--- a/internal/deployment/declare.go
+++ b/internal/deployment/declare.go
@@ -107,8 +107,8 @@
 	return operator.New(operator.Config{Addresses: addresses, Plaintext: true})
 }
 
-// Configure applies a configuration without a model.
-func (d *Deployment) Configure(ctx context.Context) error {
+// ApplyConfigWithoutModel applies a configuration without a model.
+func (d *Deployment) ApplyConfigWithoutModel(ctx context.Context) error {
 	client, err := d.Operator()
 	if err != nil {
 		return err
--- a/internal/measure/latency/latency.go
+++ b/internal/measure/latency/latency.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	defer d.Close()
-	if err := d.Configure(ctx); err != nil {
+	if err := d.ApplyConfigWithoutModel(ctx); err != nil {
 		return err
 	}
 	client := deployment.NewClient()
