--- a/internal/deployment/declare.go
+++ b/internal/deployment/declare.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return v, err
 	}
-	client, err := d.Operator()
+	client, err := d.NewOperatorClient()
 	if err != nil {
 		return v, err
 	}
@@ -98,8 +98,8 @@
 	return v, err
 }
 
-// Operator returns a client of the operators' interface.
-func (d *Deployment) Operator() (*operator.Client, error) {
+// NewOperatorClient returns a client of the operators' interface.
+func (d *Deployment) NewOperatorClient() (*operator.Client, error) {
 	var addresses []string
 	for _, e := range d.Entries {
 		addresses = append(addresses, e.Operators)
@@ -109,7 +109,7 @@
 
 // ApplyConfigWithoutModel applies a configuration without a model.
 func (d *Deployment) ApplyConfigWithoutModel(ctx context.Context) error {
-	client, err := d.Operator()
+	client, err := d.NewOperatorClient()
 	if err != nil {
 		return err
 	}
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -64,7 +64,7 @@
 			return found
 		}
 		declare := func(role model.Role) {
-			operator, err := d.Operator()
+			operator, err := d.NewOperatorClient()
 			Expect(err).NotTo(HaveOccurred())
 			defer func() { _ = operator.Close() }()
 			newest, err := operator.Get(ctx, 0, false)
