--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -219,7 +219,7 @@
 		d.ReplicasPerDomain = 2
 		v2, err := d.PublishAndPlace(ctx, "v2")
 		Expect(err).NotTo(HaveOccurred())
-		live := func() int { return d.Live(v2) }
+		live := func() int { return d.CountServing(v2) }
 		Eventually(live).WithTimeout(settleTime).Should(Equal(4))
 		Consistently(live).WithTimeout(2 * time.Second).Should(Equal(4))
 		for _, a := range d.ModelAgents() {
--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -9,8 +9,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Live returns the number of running model agents that serve a version.
-func (d *Deployment) Live(v Version) int {
+// CountServing returns the number of running model agents that serve a version.
+func (d *Deployment) CountServing(v Version) int {
 	live := 0
 	for _, a := range d.Agents {
 		if a.Pool == ModelPool && !a.Stopped() && a.Serves(v) {
@@ -37,7 +37,7 @@
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		live, of := d.Live(v), d.Running()
+		live, of := d.CountServing(v), d.Running()
 		if progress != nil {
 			progress(live, of)
 		}
