--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -20,8 +20,8 @@
 	return live
 }
 
-// Running returns the number of model agents that have not been stopped.
-func (d *Deployment) Running() int {
+// CountRunning returns the number of model agents that have not been stopped.
+func (d *Deployment) CountRunning() int {
 	running := 0
 	for _, a := range d.Agents {
 		if a.Pool == ModelPool && !a.Stopped() {
@@ -37,7 +37,7 @@
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		live, of := d.CountServing(v), d.Running()
+		live, of := d.CountServing(v), d.CountRunning()
 		if progress != nil {
 			progress(live, of)
 		}
