--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -83,8 +83,8 @@
 	return runs
 }
 
-// SentTo returns the attempts that all entries have placed on an agent.
-func (d *Deployment) SentTo(a *AgentProcess) int {
+// AttemptsSentTo returns the attempts that all entries have placed on an agent.
+func (d *Deployment) AttemptsSentTo(a *AgentProcess) int {
 	sent := 0
 	for _, e := range d.Entries {
 		sent += e.Entry.AttemptsSent(a.Identity.Instance)
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -93,7 +93,7 @@
 	if err := measurerun.Pause(ctx, noWorkAfter); err != nil {
 		return err
 	}
-	sentLater, err := watch(ctx, func() int { return d.SentTo(leaving) })
+	sentLater, err := watch(ctx, func() int { return d.AttemptsSentTo(leaving) })
 	if err != nil {
 		return err
 	}
