--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -32,7 +32,7 @@
 }
 
 func (t *tally) draft(d *deployment.Deployment, a deployment.Answer, body []byte) {
-	version, whole := d.VersionOf(a.Body, body)
+	version, whole := d.VersionOfAnswer(a.Body, body)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.drafts[outcomeOf(a)]++
--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -130,9 +130,9 @@
 	return fmt.Appendf(nil, `{"max_tokens":%d,"prompt":"%s %016x"}`, tokens, strings.Repeat("blazon ", 1+rng.Intn(8)), rng.Uint64())
 }
 
-// VersionOf returns the version that gave a whole answer to body, or false when
+// VersionOfAnswer returns the version that gave a whole answer to body, or false when
 // the answer is that of no published version.
-func (d *Deployment) VersionOf(answer, body []byte) (Version, bool) {
+func (d *Deployment) VersionOfAnswer(answer, body []byte) (Version, bool) {
 	for _, v := range d.Versions {
 		if bytes.Equal(answer, engine.ExpectedAnswer(v.Content, body)) {
 			return v, true
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -93,7 +93,7 @@
 			body := deployment.DraftBody(rng, 20)
 			a := draft(i, body)
 			Expect(a.Outcome).To(Equal(completed))
-			version, whole := d.VersionOf(a.Body, body)
+			version, whole := d.VersionOfAnswer(a.Body, body)
 			Expect(whole).To(BeTrue())
 			Expect(version.Name).To(Equal("v2"))
 		}
@@ -149,7 +149,7 @@
 			return a.Outcome
 		}).WithTimeout(settleTime).WithPolling(50 * time.Millisecond).Should(Equal(completed))
 		Expect(time.Since(silenced)).To(BeNumerically("<", 5*time.Second))
-		_, whole := d.VersionOf(a.Body, body)
+		_, whole := d.VersionOfAnswer(a.Body, body)
 		Expect(whole).To(BeTrue())
 		Eventually(func() int { return d.Entries[0].Entry.UsableAgents() }).
 			WithTimeout(settleTime).Should(Equal(len(d.Agents)))
--- a/internal/measure/drain/load.go
+++ b/internal/measure/drain/load.go
@@ -69,7 +69,7 @@
 func (l *load) judge(a deployment.Answer, body []byte) verdict {
 	switch a.Outcome {
 	case "completed":
-		if _, whole := l.d.VersionOf(a.Body, body); !whole {
+		if _, whole := l.d.VersionOfAnswer(a.Body, body); !whole {
 			return wrong
 		}
 		return completed
