--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -134,7 +134,7 @@
 // the answer is that of no published version.
 func (d *Deployment) VersionOfAnswer(answer, body []byte) (Version, bool) {
 	for _, v := range d.Versions {
-		if bytes.Equal(answer, engine.ExpectedAnswer(v.Content, body)) {
+		if bytes.Equal(answer, engine.ExpectedAnswer(v.ContentDigest, body)) {
 			return v, true
 		}
 	}
--- a/internal/deployment/declare.go
+++ b/internal/deployment/declare.go
@@ -34,10 +34,10 @@
 		files = append(files, c.Digest)
 	}
 	v := Version{
-		Name:    name,
-		Digest:  digest,
-		Weights: model.Weights{Base: digest},
-		Content: engine.ContentDigest(files...),
+		Name:          name,
+		Digest:        digest,
+		Weights:       model.Weights{Base: digest},
+		ContentDigest: engine.ContentDigest(files...),
 	}
 	d.Versions = append(d.Versions, v)
 	return v, nil
--- a/internal/deployment/version.go
+++ b/internal/deployment/version.go
@@ -9,7 +9,7 @@
 	Name    string
 	Digest  model.Digest
 	Weights model.Weights
-	// Content is the digest that answers of an engine with exactly this version
+	// ContentDigest is the digest that answers of an engine with exactly this version
 	// carry.
-	Content model.Digest
+	ContentDigest model.Digest
 }
