--- a/internal/deployment/declare.go
+++ b/internal/deployment/declare.go
@@ -102,7 +102,7 @@
 func (d *Deployment) NewOperatorClient() (*operator.Client, error) {
 	var addresses []string
 	for _, e := range d.Entries {
-		addresses = append(addresses, e.Operators)
+		addresses = append(addresses, e.OperatorAddress)
 	}
 	return operator.New(operator.Config{Addresses: addresses, Plaintext: true})
 }
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -19,9 +19,9 @@
 type EntryProcess struct {
 	Entry *entry.Entry
 	URL   string
-	// Operators is the address of the operators' interface.
-	Operators string
-	Metrics   *telemetry.Metrics
+	// OperatorAddress is the address of the operators' interface.
+	OperatorAddress string
+	Metrics         *telemetry.Metrics
 
 	identity   model.Identity
 	deployment *Deployment
@@ -89,8 +89,8 @@
 	e.Start()
 	p := &EntryProcess{
 		Entry: e, URL: "http://" + callers.Addr().String(), Metrics: metrics,
-		Operators: operators.Addr().String(),
-		identity:  identity, deployment: d, peers: peers,
+		OperatorAddress: operators.Addr().String(),
+		identity:        identity, deployment: d, peers: peers,
 	}
 	d.Entries = append(d.Entries, p)
 	d.InstanceList.Set(backing.Instance{ID: identity.Instance, Role: backing.RoleEntry, Location: identity.Location, Address: identity.Address})
