--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -141,7 +141,7 @@
 		body := deployment.DraftBody(rng, 8)
 		silenced := time.Now()
 		for _, e := range d.Entries {
-			e.Silence()
+			e.BlackholeConnections()
 		}
 		var a deployment.Answer
 		Eventually(func() string {
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -29,9 +29,9 @@
 	closing    sync.Once
 }
 
-// Silence makes all open connections to agents and other entries go silent for
+// BlackholeConnections makes all open connections to agents and other entries go silent for
 // good; new ones work.
-func (p *EntryProcess) Silence() { p.peers.silence() }
+func (p *EntryProcess) BlackholeConnections() { p.peers.silence() }
 
 // Kill ends the entry at once: all its connections break.
 func (p *EntryProcess) Kill() {
