--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -121,9 +121,9 @@
 	return err
 }
 
-// SilenceHalf makes half of the entries' connections to this agent go silent for
+// BlackholeHalf makes half of the entries' connections to this agent go silent for
 // good, so that they miss what it announces next.
-func (p *AgentProcess) SilenceHalf() { p.listener.silenceHalf() }
+func (p *AgentProcess) BlackholeHalf() { p.listener.silenceHalf() }
 
 // Kill ends the instance at once, engine included: all its connections break.
 func (p *AgentProcess) Kill() {
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	leaving := d.ModelAgents()[0]
-	leaving.SilenceHalf()
+	leaving.BlackholeHalf()
 	notice := time.Now()
 	drained := make(chan error, 1)
 	go func() { drained <- leaving.Stop(ctx) }()
