--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -47,7 +47,7 @@
 		}
 		t.byVersion[version.Name]++
 	case "not_run":
-		t.notRun = append(t.notRun, a.Request)
+		t.notRun = append(t.notRun, a.RequestID)
 	}
 }
 
--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -18,10 +18,10 @@
 
 // Answer is what a caller got.
 type Answer struct {
-	Request string
-	Outcome string
-	Reason  string
-	Body    []byte
+	RequestID string
+	Outcome   string
+	Reason    string
+	Body      []byte
 	// FirstByte is the time to the first piece of the answer.
 	FirstByte time.Duration
 	// Entry is the index of the entry that answered.
@@ -60,7 +60,7 @@
 
 // Send sends a call to an entry and waits for its end.
 func (c *Client) Send(ctx context.Context, url string, call Call) Answer {
-	a := Answer{Request: call.Request, Outcome: outcomeBroken}
+	a := Answer{RequestID: call.Request, Outcome: outcomeBroken}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/services/"+call.Service, bytes.NewReader(call.Body))
 	if err != nil {
 		return a
