--- a/internal/demo/tally.go
+++ b/internal/demo/tally.go
@@ -38,8 +38,8 @@
 	t.drafts[outcomeOf(a)]++
 	switch a.Outcome {
 	case "completed":
-		if a.FirstByte > 0 {
-			t.firstByte = append(t.firstByte, a.FirstByte)
+		if a.TimeToFirstByte > 0 {
+			t.firstByte = append(t.firstByte, a.TimeToFirstByte)
 		}
 		if !whole {
 			t.wrong++
--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -22,8 +22,8 @@
 	Outcome   string
 	Reason    string
 	Body      []byte
-	// FirstByte is the time to the first piece of the answer.
-	FirstByte time.Duration
+	// TimeToFirstByte is the time to the first piece of the answer.
+	TimeToFirstByte time.Duration
 	// Entry is the index of the entry that answered.
 	Entry int
 }
@@ -106,8 +106,8 @@
 		if !ok {
 			continue
 		}
-		if a.FirstByte == 0 {
-			a.FirstByte = time.Since(sent)
+		if a.TimeToFirstByte == 0 {
+			a.TimeToFirstByte = time.Since(sent)
 		}
 		switch event {
 		case caller.EventChunk:
