--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -76,7 +76,7 @@
 	}
 	body := deployment.DraftBody(rng, 1+rng.Intn(maxTokens))
 	answer := l.client.Send(ctx, l.entry(rng), deployment.Call{
-		Service: deployment.DraftService, Tenant: tenant, Request: id, Body: body, Stream: rng.Intn(2) == 0,
+		Service: deployment.DraftService, Tenant: tenant, RequestID: id, Body: body, Stream: rng.Intn(2) == 0,
 	})
 	l.tally.draft(l.d, answer, body)
 }
@@ -90,7 +90,7 @@
 		both.Go(func() {
 			answer := l.client.Send(ctx, url, deployment.Call{
 				Service: deployment.OrderService, Tenant: deployment.TenantSmall,
-				Request: id, Key: id, Body: []byte(`{"plate":"` + id + `"}`),
+				RequestID: id, Key: id, Body: []byte(`{"plate":"` + id + `"}`),
 			})
 			l.tally.order(id, answer)
 		})
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -91,7 +91,7 @@
 		calls++
 		a := client.Send(ctx, d.Entries[0].URL, deployment.Call{
 			Service: deployment.DraftService, Tenant: deployment.TenantSmall,
-			Request: fmt.Sprintf("ask-%d", calls), Body: body(kind, prefix, calls), Stream: true,
+			RequestID: fmt.Sprintf("ask-%d", calls), Body: body(kind, prefix, calls), Stream: true,
 		})
 		return a.Outcome == completed && hits() > before
 	}
--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -52,21 +52,21 @@
 type Call struct {
 	Service string
 	Tenant  string
-	// Request is the caller's id, Key the idempotency key or empty.
-	Request, Key string
-	Body         []byte
-	Stream       bool
+	// RequestID is the caller's id, Key the idempotency key or empty.
+	RequestID, Key string
+	Body           []byte
+	Stream         bool
 }
 
 // Send sends a call to an entry and waits for its end.
 func (c *Client) Send(ctx context.Context, url string, call Call) Answer {
-	a := Answer{RequestID: call.Request, Outcome: outcomeBroken}
+	a := Answer{RequestID: call.RequestID, Outcome: outcomeBroken}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/services/"+call.Service, bytes.NewReader(call.Body))
 	if err != nil {
 		return a
 	}
 	r.Header.Set(caller.HeaderTenant, call.Tenant)
-	r.Header.Set(caller.HeaderRequestID, call.Request)
+	r.Header.Set(caller.HeaderRequestID, call.RequestID)
 	if call.Key != "" {
 		r.Header.Set(caller.HeaderIdempotencyKey, call.Key)
 	}
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -43,7 +43,7 @@
 		calls++
 		return client.Send(ctx, d.Entries[entry].URL, deployment.Call{
 			Service: deployment.DraftService, Tenant: deployment.TenantSmall,
-			Request: fmt.Sprintf("draft-%d", calls), Body: body, Stream: true,
+			RequestID: fmt.Sprintf("draft-%d", calls), Body: body, Stream: true,
 		})
 	}
 
@@ -51,7 +51,7 @@
 		calls++
 		return client.Send(ctx, d.Entries[entry].URL, deployment.Call{
 			Service: deployment.OrderService, Tenant: deployment.TenantSmall,
-			Request: fmt.Sprintf("order-%d", calls), Key: key, Body: []byte(`{"plate":"` + key + `"}`),
+			RequestID: fmt.Sprintf("order-%d", calls), Key: key, Body: []byte(`{"plate":"` + key + `"}`),
 		})
 	}
 
@@ -106,7 +106,7 @@
 			go func() {
 				answers <- client.Send(ctx, url(i), deployment.Call{
 					Service: deployment.DraftService, Tenant: deployment.TenantSmall,
-					Request: fmt.Sprintf("long-%d", i), Body: deployment.DraftBody(rand.New(rand.NewSource(int64(i))), 200), Stream: true,
+					RequestID: fmt.Sprintf("long-%d", i), Body: deployment.DraftBody(rand.New(rand.NewSource(int64(i))), 200), Stream: true,
 				})
 			}()
 		}
@@ -199,7 +199,7 @@
 				go func() {
 					answers <- client.Send(ctx, d.Entries[(i+n)%len(d.Entries)].URL, deployment.Call{
 						Service: deployment.OrderService, Tenant: deployment.TenantLarge,
-						Request: fmt.Sprintf("%s-%d", key, n), Key: key, Body: []byte(key),
+						RequestID: fmt.Sprintf("%s-%d", key, n), Key: key, Body: []byte(key),
 					})
 				}()
 			}
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -43,7 +43,7 @@
 			calls++
 			return client.Send(ctx, d.Entries[0].URL, deployment.Call{
 				Service: deployment.DraftService, Tenant: deployment.TenantSmall,
-				Request: fmt.Sprintf("draft-%d", calls), Body: deployment.DraftBody(rng, 2), Stream: true,
+				RequestID: fmt.Sprintf("draft-%d", calls), Body: deployment.DraftBody(rng, 2), Stream: true,
 			}).Outcome
 		}
 		local := func() (runs int) {
--- a/internal/measure/drain/load.go
+++ b/internal/measure/drain/load.go
@@ -60,7 +60,7 @@
 		body := deployment.DraftBody(rng, l.o.tokens)
 		a := l.client.Send(ctx, l.d.Entries[rng.Intn(len(l.d.Entries))].URL, deployment.Call{
 			Service: deployment.DraftService, Tenant: deployment.TenantLarge,
-			Request: fmt.Sprintf("draft-%d-%d", caller, n), Body: body, Stream: true,
+			RequestID: fmt.Sprintf("draft-%d-%d", caller, n), Body: body, Stream: true,
 		})
 		l.add(l.judge(a, body))
 	}
--- a/internal/measure/latency/latency.go
+++ b/internal/measure/latency/latency.go
@@ -167,7 +167,7 @@
 func call(ctx context.Context, client *deployment.Client, d *deployment.Deployment, i int) error {
 	a := client.Send(ctx, d.Entries[0].URL, deployment.Call{
 		Service: deployment.OrderService, Tenant: deployment.TenantLarge,
-		Request: fmt.Sprintf("request-%d", i), Body: []byte("{}"),
+		RequestID: fmt.Sprintf("request-%d", i), Body: []byte("{}"),
 	})
 	if a.Outcome != "completed" {
 		return merry.Errorf("request was %s: %s", a.Outcome, a.Reason)
--- a/internal/processes/fleet_test.go
+++ b/internal/processes/fleet_test.go
@@ -124,7 +124,7 @@
 	id := fmt.Sprintf("draft-%d", f.sent)
 	body := fmt.Appendf(nil, `{"max_tokens":%d,"prompt":"blazon %s"}`, tokens, id)
 	return body, f.callers.Send(context.Background(), "http://"+f.entries[entry].callers, deployment.Call{
-		Service: "drafts", Tenant: "engravers", Request: id, Body: body, Stream: true,
+		Service: "drafts", Tenant: "engravers", RequestID: id, Body: body, Stream: true,
 	})
 }
 
@@ -133,7 +133,7 @@
 	f.sent++
 	body := []byte(`{"plate":"` + key + `"}`)
 	return body, f.callers.Send(context.Background(), "http://"+f.entries[entry].callers, deployment.Call{
-		Service: "orders", Tenant: "engravers", Request: fmt.Sprintf("order-%d", f.sent), Key: key, Body: body,
+		Service: "orders", Tenant: "engravers", RequestID: fmt.Sprintf("order-%d", f.sent), Key: key, Body: body,
 	})
 }
 
