--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -90,7 +90,7 @@
 		both.Go(func() {
 			answer := l.client.Send(ctx, url, deployment.Call{
 				Service: deployment.OrderService, Tenant: deployment.TenantSmall,
-				RequestID: id, Key: id, Body: []byte(`{"plate":"` + id + `"}`),
+				RequestID: id, IdempotencyKey: id, Body: []byte(`{"plate":"` + id + `"}`),
 			})
 			l.tally.order(id, answer)
 		})
--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -53,9 +53,9 @@
 	Service string
 	Tenant  string
 	// RequestID is the caller's id, Key the idempotency key or empty.
-	RequestID, Key string
-	Body           []byte
-	Stream         bool
+	RequestID, IdempotencyKey string
+	Body                      []byte
+	Stream                    bool
 }
 
 // Send sends a call to an entry and waits for its end.
@@ -67,8 +67,8 @@
 	}
 	r.Header.Set(caller.HeaderTenant, call.Tenant)
 	r.Header.Set(caller.HeaderRequestID, call.RequestID)
-	if call.Key != "" {
-		r.Header.Set(caller.HeaderIdempotencyKey, call.Key)
+	if call.IdempotencyKey != "" {
+		r.Header.Set(caller.HeaderIdempotencyKey, call.IdempotencyKey)
 	}
 	if call.Stream {
 		r.Header.Set("Accept", "text/event-stream")
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -51,7 +51,7 @@
 		calls++
 		return client.Send(ctx, d.Entries[entry].URL, deployment.Call{
 			Service: deployment.OrderService, Tenant: deployment.TenantSmall,
-			RequestID: fmt.Sprintf("order-%d", calls), Key: key, Body: []byte(`{"plate":"` + key + `"}`),
+			RequestID: fmt.Sprintf("order-%d", calls), IdempotencyKey: key, Body: []byte(`{"plate":"` + key + `"}`),
 		})
 	}
 
@@ -199,7 +199,7 @@
 				go func() {
 					answers <- client.Send(ctx, d.Entries[(i+n)%len(d.Entries)].URL, deployment.Call{
 						Service: deployment.OrderService, Tenant: deployment.TenantLarge,
-						RequestID: fmt.Sprintf("%s-%d", key, n), Key: key, Body: []byte(key),
+						RequestID: fmt.Sprintf("%s-%d", key, n), IdempotencyKey: key, Body: []byte(key),
 					})
 				}()
 			}
--- a/internal/processes/fleet_test.go
+++ b/internal/processes/fleet_test.go
@@ -133,7 +133,7 @@
 	f.sent++
 	body := []byte(`{"plate":"` + key + `"}`)
 	return body, f.callers.Send(context.Background(), "http://"+f.entries[entry].callers, deployment.Call{
-		Service: "orders", Tenant: "engravers", RequestID: fmt.Sprintf("order-%d", f.sent), Key: key, Body: body,
+		Service: "orders", Tenant: "engravers", RequestID: fmt.Sprintf("order-%d", f.sent), IdempotencyKey: key, Body: body,
 	})
 }
 
