--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -30,7 +30,7 @@
 			answer(started(a), "engraved")
 			expectBody(first, "engraved")
 			expectBody(h.send("k", "plate"), "engraved")
-			Expect(a.Starts).To(BeEmpty())
+			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
 		// Guards against a caller that repeats a request after a lost connection
@@ -43,7 +43,7 @@
 			answer(run, "engraved")
 			expectBody(first, "engraved")
 			expectBody(second, "engraved")
-			Expect(a.Starts).To(BeEmpty())
+			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
 		// Guards against a key that stays blocked by a request that was not run.
@@ -65,7 +65,7 @@
 			Expect(r.Outcome).To(Equal(outcome.NotRun))
 			Expect(r.Reason).To(Equal(outcome.ReasonStoreUnavailable))
 			Expect(r.RetryAfter).To(BeNumerically(">", 0))
-			Expect(a.Starts).To(BeEmpty())
+			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
 		// Guards against a final answer that is delayed by a store that does not
@@ -74,7 +74,7 @@
 			h.table.Faults.Set(fault.Faults{Stall: true})
 			c := h.send("k", "plate", within(200*time.Millisecond))
 			Eventually(c.ended).WithTimeout(time.Second).Should(Receive(HaveField("Outcome", outcome.NotRun)))
-			Expect(a.Starts).To(BeEmpty())
+			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
 		// Guards against returning the answer of a different request.
@@ -83,7 +83,7 @@
 			answer(started(a), "engraved")
 			expectBody(first, "engraved")
 			expectResult(h.send("k", "goblet"), outcome.NotRun, outcome.ReasonInvalid)
-			Expect(a.Starts).To(BeEmpty())
+			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
 		// Guards against a claim that never gets its result because the caller did
@@ -95,7 +95,7 @@
 			expectResult(first, outcome.Unknown, outcome.ReasonCanceled)
 			answer(run, "engraved")
 			expectBody(h.send("k", "plate"), "engraved")
-			Expect(a.Starts).To(BeEmpty())
+			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
 		// Guards against an entry that exits while a claim waits for its result.
@@ -125,7 +125,7 @@
 			again := reattached(a, run)
 			answer(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
 			expectBody(h.send("k", "plate"), "engraved")
-			Expect(a.Starts).To(BeEmpty())
+			Expect(a.RequestStarts).To(BeEmpty())
 		})
 	})
 
@@ -142,7 +142,7 @@
 		again := reattached(a, run)
 		answer(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
 		expectBody(h.send("k", "plate"), "engraved")
-		Expect(a.Starts).To(BeEmpty())
+		Expect(a.RequestStarts).To(BeEmpty())
 	})
 
 	// Guards against a request that is queued past its deadline, and against the
@@ -161,14 +161,14 @@
 		first, second := agents["runner-a"], agents["runner-b"]
 		var run agenttest.Received
 		select {
-		case run = <-first.Starts:
-		case run = <-second.Starts:
+		case run = <-first.RequestStarts:
+		case run = <-second.RequestStarts:
 			first, second = second, first
 		}
 		refuse(run, outcome.ReasonDraining)
 		answer(started(second), "engraved")
 		expectBody(c, "engraved")
-		Expect(first.Starts).To(BeEmpty())
+		Expect(first.RequestStarts).To(BeEmpty())
 	})
 
 	// Guards against sending a request to backend servers after it has crashed
@@ -183,7 +183,7 @@
 				HaveField("Identity.Instance", one.Identity().Instance), HaveField("Heartbeat.Load.Queued", 7))))
 		}
 		expectResult(h.send("", "poison"), outcome.NotRun, outcome.ReasonQuarantined)
-		Expect(a.Starts).To(BeEmpty())
-		Expect(b.Starts).To(BeEmpty())
+		Expect(a.RequestStarts).To(BeEmpty())
+		Expect(b.RequestStarts).To(BeEmpty())
 	})
 })
--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -135,7 +135,7 @@
 // started waits until an attempt arrives at an agent.
 func started(a *agenttest.Agent) agenttest.Received {
 	var r agenttest.Received
-	EventuallyWithOffset(1, a.Starts).WithTimeout(testTimeout).Should(Receive(&r))
+	EventuallyWithOffset(1, a.RequestStarts).WithTimeout(testTimeout).Should(Receive(&r))
 	return r
 }
 
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -107,14 +107,14 @@
 	It("reports an attempt as not sent if and only if it was not queued", func() {
 		inbox, err := l.Start(&wire.RequestStart{Attempt: "sent"})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(agent.Starts).Should(Receive(WithTransform(agenttest.Received.Attempt, Equal(model.AttemptID("sent")))))
+		Eventually(agent.RequestStarts).Should(Receive(WithTransform(agenttest.Received.Attempt, Equal(model.AttemptID("sent")))))
 		agent.Stop()
 		Expect(next(inbox).Kind).To(Equal(link.ConnectionLost))
 		Expect(l.InFlight()).To(Equal(1))
 		_, err = l.Start(&wire.RequestStart{Attempt: "late"})
 		Expect(err).To(MatchError(link.ErrNotSent))
 		Expect(l.InFlight()).To(Equal(1))
-		Consistently(agent.Starts).Should(BeEmpty())
+		Consistently(agent.RequestStarts).Should(BeEmpty())
 	})
 
 	// Guards against treating an attempt that does not fit into the queue as possibly
@@ -152,7 +152,7 @@
 		inbox, err := l.Start(&wire.RequestStart{Attempt: "a"})
 		Expect(err).NotTo(HaveOccurred())
 		var start agenttest.Received
-		Eventually(agent.Starts).Should(Receive(&start))
+		Eventually(agent.RequestStarts).Should(Receive(&start))
 		start.Frame(0, "one")
 		Expect(next(inbox).Kind).To(Equal(link.MessageReceived))
 		agent.Cut()
--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -17,10 +17,10 @@
 
 // Agent is a fake agent. Its methods are safe for concurrent use.
 type Agent struct {
-	// Starts delivers the attempts that entries send, Others all messages but
+	// RequestStarts delivers the attempts that entries send, Others all messages but
 	// those and heartbeats.
-	Starts chan Received
-	Others chan Received
+	RequestStarts chan Received
+	Others        chan Received
 	// Conns delivers each new connection after its handshake.
 	Conns chan *wire.Conn
 
@@ -41,12 +41,12 @@
 // Start starts an agent of a pool that serves the given weights.
 func Start(identity model.Identity, pool string, live ...model.Weights) (*Agent, error) {
 	a := &Agent{
-		Starts: make(chan Received, queue),
-		Others: make(chan Received, queue),
-		Conns:  make(chan *wire.Conn, queue),
-		hello:  wire.Hello{Role: wire.RoleAgent, Identity: identity, Pool: pool},
-		beat:   wire.Heartbeat{LiveWeights: live, Load: wire.Load{Capacity: 4}},
-		open:   make(map[net.Conn]*wire.Conn),
+		RequestStarts: make(chan Received, queue),
+		Others:        make(chan Received, queue),
+		Conns:         make(chan *wire.Conn, queue),
+		hello:         wire.Hello{Role: wire.RoleAgent, Identity: identity, Pool: pool},
+		beat:          wire.Heartbeat{LiveWeights: live, Load: wire.Load{Capacity: 4}},
+		open:          make(map[net.Conn]*wire.Conn),
 	}
 	return a, a.Listen("127.0.0.1:0")
 }
@@ -172,7 +172,7 @@
 		}
 		switch m.(type) {
 		case *wire.RequestStart:
-			a.Starts <- Received{conn, m}
+			a.RequestStarts <- Received{conn, m}
 		case *wire.Heartbeat, *wire.EntryList, *wire.ConfigFetch:
 		default:
 			a.Others <- Received{conn, m}
