--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -142,7 +142,7 @@
 // reattached waits until an entry requests the rest of an attempt.
 func reattached(a *agenttest.Agent, run agenttest.Received) agenttest.Received {
 	var r agenttest.Received
-	EventuallyWithOffset(1, a.Others).WithTimeout(testTimeout).Should(Receive(&r, HaveField("Message", &wire.Reattach{Attempt: run.Attempt()})))
+	EventuallyWithOffset(1, a.OtherMessages).WithTimeout(testTimeout).Should(Receive(&r, HaveField("Message", &wire.Reattach{Attempt: run.Attempt()})))
 	return r
 }
 
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -50,12 +50,12 @@
 	// Guards against routing by an incomplete cache after a gap in the cache events,
 	// and against an entry that never requests the missing events.
 	It("fetches the cache after a gap and routes by it", func() {
-		Eventually(b.Others).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
+		Eventually(b.OtherMessages).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
 		prefix := engine.HashPrefix([]byte("system prompt"))
 		block := prefix.Block(loaded)
 		b.Broadcast(&wire.CacheUpdate{Snapshot: true, Sequence: 4})
 		b.Broadcast(&wire.CacheUpdate{Sequence: 6, Stored: []model.Block{block}})
-		Eventually(b.Others).WithTimeout(settle).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
+		Eventually(b.OtherMessages).WithTimeout(settle).Should(Receive(HaveField("Message", BeAssignableToTypeOf(&wire.CacheFetch{}))))
 		b.Broadcast(&wire.CacheUpdate{Snapshot: true, Sequence: 6, Stored: []model.Block{block}})
 		place := func() model.InstanceID {
 			request := requirements()
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -161,7 +161,7 @@
 		start.Frame(1, "of the lost connection")
 		Expect(l.Send(&wire.Reattach{Attempt: "a", NextSequence: 1})).To(Succeed())
 		var again agenttest.Received
-		Eventually(agent.Others).Should(Receive(&again))
+		Eventually(agent.OtherMessages).Should(Receive(&again))
 		Expect(again.Conn.Send(&wire.ResponseFrame{Attempt: "a", Sequence: 1, Data: []byte("two")})).To(Succeed())
 		e := next(inbox)
 		Expect(e.Message).To(HaveField("Data", []byte("two")))
--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -20,7 +20,7 @@
 	// RequestStarts delivers the attempts that entries send, Others all messages but
 	// those and heartbeats.
 	RequestStarts chan Received
-	Others        chan Received
+	OtherMessages chan Received
 	// Conns delivers each new connection after its handshake.
 	Conns chan *wire.Conn
 
@@ -42,7 +42,7 @@
 func Start(identity model.Identity, pool string, live ...model.Weights) (*Agent, error) {
 	a := &Agent{
 		RequestStarts: make(chan Received, queue),
-		Others:        make(chan Received, queue),
+		OtherMessages: make(chan Received, queue),
 		Conns:         make(chan *wire.Conn, queue),
 		hello:         wire.Hello{Role: wire.RoleAgent, Identity: identity, Pool: pool},
 		beat:          wire.Heartbeat{LiveWeights: live, Load: wire.Load{Capacity: 4}},
@@ -175,7 +175,7 @@
 			a.RequestStarts <- Received{conn, m}
 		case *wire.Heartbeat, *wire.EntryList, *wire.ConfigFetch:
 		default:
-			a.Others <- Received{conn, m}
+			a.OtherMessages <- Received{conn, m}
 		}
 	}
 }
