--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -69,11 +69,11 @@
 	a.mu.Lock()
 	_ = a.listener.Close()
 	a.mu.Unlock()
-	a.Cut()
+	a.CloseConns()
 }
 
-// Cut closes all open connections.
-func (a *Agent) Cut() {
+// CloseConns closes all open connections.
+func (a *Agent) CloseConns() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for nc := range a.open {
