--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -147,7 +147,7 @@
 }
 
 func answer(r agenttest.Received, body string) {
-	r.Frame(0, body)
+	r.SendFrame(0, body)
 	r.End(1, body)
 }
 
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -153,12 +153,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		var start agenttest.Received
 		Eventually(agent.RequestStarts).Should(Receive(&start))
-		start.Frame(0, "one")
+		start.SendFrame(0, "one")
 		Expect(next(inbox).Kind).To(Equal(link.MessageReceived))
 		agent.CloseConns()
 		Expect(next(inbox).Kind).To(Equal(link.ConnectionLost))
 		Expect(next(inbox).Kind).To(Equal(link.Reconnected))
-		start.Frame(1, "of the lost connection")
+		start.SendFrame(1, "of the lost connection")
 		Expect(l.Send(&wire.Reattach{Attempt: "a", NextSequence: 1})).To(Succeed())
 		var again agenttest.Received
 		Eventually(agent.OtherMessages).Should(Receive(&again))
--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -188,8 +188,8 @@
 	return ""
 }
 
-// Frame sends one piece of an answer.
-func (r Received) Frame(sequence uint64, data string) {
+// SendFrame sends one piece of an answer.
+func (r Received) SendFrame(sequence uint64, data string) {
 	_ = r.Conn.Send(&wire.ResponseFrame{Attempt: r.Attempt(), Sequence: sequence, Data: []byte(data)})
 }
 
