--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/world_test.go
@@ -148,7 +148,7 @@
 
 func answer(r agenttest.Received, body string) {
 	r.SendFrame(0, body)
-	r.End(1, body)
+	r.SendEnd(1, body)
 }
 
 func refuse(r agenttest.Received, reason outcome.Reason) {
--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -193,7 +193,7 @@
 	_ = r.Conn.Send(&wire.ResponseFrame{Attempt: r.Attempt(), Sequence: sequence, Data: []byte(data)})
 }
 
-// End closes an answer that consists of the given number of frames.
-func (r Received) End(frames uint64, whole string) {
+// SendEnd closes an answer that consists of the given number of frames.
+func (r Received) SendEnd(frames uint64, whole string) {
 	_ = r.Conn.Send(EndOf(r.Attempt(), frames, whole))
 }
