--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -195,5 +195,5 @@
 
 // SendEnd closes an answer that consists of the given number of frames.
 func (r Received) SendEnd(frames uint64, whole string) {
-	_ = r.Conn.Send(EndOf(r.Attempt(), frames, whole))
+	_ = r.Conn.Send(CompletedEnd(r.Attempt(), frames, whole))
 }
--- a/internal/agenttest/end.go
+++ b/internal/agenttest/end.go
@@ -8,8 +8,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// EndOf returns the end of a whole answer.
-func EndOf(attempt model.AttemptID, frames uint64, whole string) *wire.ResponseEnd {
+// CompletedEnd returns the end of a whole answer.
+func CompletedEnd(attempt model.AttemptID, frames uint64, whole string) *wire.ResponseEnd {
 	return &wire.ResponseEnd{
 		Attempt: attempt, Outcome: outcome.Completed, Status: http.StatusOK,
 		ContentType: "text/plain", Frames: frames, Digest: model.Sum([]byte(whole)),
