--- a/internal/requestsim/faults_test.go
+++ b/internal/requestsim/faults_test.go
@@ -53,7 +53,7 @@
 		if write || reads {
 			return fault
 		}
-		return tabletest.None
+		return tabletest.NoFault
 	}
 	if w.chance("healthy", 2) {
 		w.fault = nil
--- a/internal/requestsim/world_test.go
+++ b/internal/requestsim/world_test.go
@@ -97,7 +97,7 @@
 	}
 	w.table.Fault = func(write bool) tabletest.Fault {
 		if w.fault == nil {
-			return tabletest.None
+			return tabletest.NoFault
 		}
 		return w.fault(write)
 	}
--- a/internal/tabletest/table.go
+++ b/internal/tabletest/table.go
@@ -16,8 +16,8 @@
 type Fault uint8
 
 const (
-	// None answers as the platform does on a good day.
-	None Fault = iota
+	// NoFault answers as the platform does on a good day.
+	NoFault Fault = iota
 	// Down refuses a write as not applied and leaves a read unanswered.
 	Down
 	// LostBefore loses a write before it takes effect.
@@ -48,14 +48,14 @@
 
 func (t *Table) fault(write bool) Fault {
 	if t.Fault == nil {
-		return None
+		return NoFault
 	}
 	return t.Fault(write)
 }
 
 // Get returns a row.
 func (t *Table) Get(_ context.Context, table, key string) (backing.Row, error) {
-	if t.fault(false) != None {
+	if t.fault(false) != NoFault {
 		return backing.Row{}, backing.ErrUnavailable
 	}
 	t.mu.Lock()
@@ -69,7 +69,7 @@
 
 // Scan returns rows in key order.
 func (t *Table) Scan(_ context.Context, table, prefix, after string, limit int) ([]backing.Row, error) {
-	if t.fault(false) != None {
+	if t.fault(false) != NoFault {
 		return nil, backing.ErrUnavailable
 	}
 	t.mu.Lock()
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -31,7 +31,7 @@
 				return tabletest.Down
 			}
 			if !write || len(faults) == 0 {
-				return tabletest.None
+				return tabletest.NoFault
 			}
 			f := faults[0]
 			faults = faults[1:]
