--- a/internal/tabletest/table.go
+++ b/internal/tabletest/table.go
@@ -18,8 +18,8 @@
 const (
 	// NoFault answers as the platform does on a good day.
 	NoFault Fault = iota
-	// Down refuses a write as not applied and leaves a read unanswered.
-	Down
+	// Unavailable refuses a write as not applied and leaves a read unanswered.
+	Unavailable
 	// LostBefore loses a write before it takes effect.
 	LostBefore
 	// LostAfter loses the reply of a write that took effect.
@@ -91,7 +91,7 @@
 	defer t.mu.Unlock()
 	t.commits++
 	switch f {
-	case Down:
+	case Unavailable:
 		return backing.ErrNotApplied
 	case LostBefore:
 		return backing.ErrUnknown
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -28,7 +28,7 @@
 		table, faults, readsFail = tabletest.New(), nil, false
 		table.Fault = func(write bool) tabletest.Fault {
 			if !write && readsFail {
-				return tabletest.Down
+				return tabletest.Unavailable
 			}
 			if !write || len(faults) == 0 {
 				return tabletest.NoFault
@@ -64,7 +64,7 @@
 	)
 
 	It("returns not run if no write of the claim was applied", func() {
-		faults = []tabletest.Fault{tabletest.Down, tabletest.Down}
+		faults = []tabletest.Fault{tabletest.Unavailable, tabletest.Unavailable}
 		a := open().Claim(ctx, now, key, intent("a1"))
 		Expect(a.Status).To(Equal(StatusNotRun))
 		Expect(a.Outcome).To(Equal(outcome.NotRun))
