--- a/internal/tabletest/table.go
+++ b/internal/tabletest/table.go
@@ -20,8 +20,8 @@
 	NoFault Fault = iota
 	// Unavailable refuses a write as not applied and leaves a read unanswered.
 	Unavailable
-	// LostBefore loses a write before it takes effect.
-	LostBefore
+	// LostRequest loses a write before it takes effect.
+	LostRequest
 	// LostAfter loses the reply of a write that took effect.
 	LostAfter
 	// Late loses the reply; the write takes effect at the next Land, if its
@@ -93,7 +93,7 @@
 	switch f {
 	case Unavailable:
 		return backing.ErrNotApplied
-	case LostBefore:
+	case LostRequest:
 		return backing.ErrUnknown
 	case LostAfter:
 		_ = t.apply(tx)
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -59,7 +59,7 @@
 		Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusNoResult))
 	},
 		Entry("if the write was applied", tabletest.LostAfter),
-		Entry("if the write was not applied", tabletest.LostBefore),
+		Entry("if the write was not applied", tabletest.LostRequest),
 		Entry("if the write is applied later", tabletest.Late),
 	)
 
@@ -96,7 +96,7 @@
 			Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
 		},
 			Entry("if the row exists", tabletest.LostAfter),
-			Entry("if the row does not exist", tabletest.LostBefore),
+			Entry("if the row does not exist", tabletest.LostRequest),
 			Entry("if the row appears after RetryPending", tabletest.Late),
 		)
 		It("lets the same entry overwrite the row", func() {
@@ -141,7 +141,7 @@
 
 	It("makes no claim if the backlog has no room for it", func() {
 		l := New(Config{MaxTries: 1, MaxPending: 2}, table, nil)
-		readsFail, faults = true, []tabletest.Fault{tabletest.LostBefore}
+		readsFail, faults = true, []tabletest.Fault{tabletest.LostRequest}
 		Expect(l.Claim(ctx, now, key, intent("a1")).Status).To(Equal(StatusAbandoned))
 		commits := table.Commits()
 		Expect(l.Claim(ctx, now, Key{IdempotencyKey: "other"}, intent("a2")).Status).To(Equal(StatusNotRun))
