--- a/internal/tabletest/table.go
+++ b/internal/tabletest/table.go
@@ -22,8 +22,8 @@
 	Unavailable
 	// LostRequest loses a write before it takes effect.
 	LostRequest
-	// LostAfter loses the reply of a write that took effect.
-	LostAfter
+	// LostReply loses the reply of a write that took effect.
+	LostReply
 	// Late loses the reply; the write takes effect at the next Land, if its
 	// conditions hold then.
 	Late
@@ -95,7 +95,7 @@
 		return backing.ErrNotApplied
 	case LostRequest:
 		return backing.ErrUnknown
-	case LostAfter:
+	case LostReply:
 		_ = t.apply(tx)
 		return backing.ErrUnknown
 	case Late:
--- a/lib/claim/batcher_test.go
+++ b/lib/claim/batcher_test.go
@@ -54,7 +54,7 @@
 
 	It("returns ErrUnknown to every writer if the reply is lost", func() {
 		table := tabletest.New()
-		table.Fault = func(bool) tabletest.Fault { return tabletest.LostAfter }
+		table.Fault = func(bool) tabletest.Fault { return tabletest.LostReply }
 		for _, err := range writeAll(NewBatcher(BatcherConfig{Size: 4, After: never}, table), inserts(4)) {
 			Expect(err).To(MatchError(backing.ErrUnknown))
 		}
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -58,7 +58,7 @@
 		table.Land()
 		Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusNoResult))
 	},
-		Entry("if the write was applied", tabletest.LostAfter),
+		Entry("if the write was applied", tabletest.LostReply),
 		Entry("if the write was not applied", tabletest.LostRequest),
 		Entry("if the write is applied later", tabletest.Late),
 	)
@@ -95,18 +95,18 @@
 			table.Land()
 			Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
 		},
-			Entry("if the row exists", tabletest.LostAfter),
+			Entry("if the row exists", tabletest.LostReply),
 			Entry("if the row does not exist", tabletest.LostRequest),
 			Entry("if the row appears after RetryPending", tabletest.Late),
 		)
 		It("lets the same entry overwrite the row", func() {
-			abandon(tabletest.LostAfter)
+			abandon(tabletest.LostReply)
 			Expect(first.Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
 			Expect(first.RetryPending(ctx, 10)).To(BeZero())
 			Expect(open().Claim(ctx, now, key, intent("a3")).Status).To(Equal(StatusNoResult))
 		})
 		It("accepts the caller's proof if the entry is gone", func() {
-			abandon(tabletest.LostAfter)
+			abandon(tabletest.LostReply)
 			Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusNoResult))
 			Expect(open().Claim(ctx, now, key, intent("a3", "a1")).Status).To(Equal(StatusHeld))
 		})
@@ -133,7 +133,7 @@
 		readsFail = true
 		Expect(l.Complete(ctx, now, key, "a1", result)).To(MatchError(ErrPending))
 		Expect(l.RetryPending(ctx, 10)).To(Equal(1))
-		readsFail, faults = false, []tabletest.Fault{tabletest.LostAfter}
+		readsFail, faults = false, []tabletest.Fault{tabletest.LostReply}
 		l.RetryPending(ctx, 10)
 		Expect(l.RetryPending(ctx, 10)).To(BeZero())
 		Expect(open().Claim(ctx, now, key, intent("a2")).Result).To(Equal(&result))
