--- a/internal/tabletest/table.go
+++ b/internal/tabletest/table.go
@@ -24,9 +24,9 @@
 	LostRequest
 	// LostReply loses the reply of a write that took effect.
 	LostReply
-	// Late loses the reply; the write takes effect at the next Land, if its
+	// DelayedWrite loses the reply; the write takes effect at the next Land, if its
 	// conditions hold then.
-	Late
+	DelayedWrite
 )
 
 // Table is the table service. It is safe for concurrent use.
@@ -98,7 +98,7 @@
 	case LostReply:
 		_ = t.apply(tx)
 		return backing.ErrUnknown
-	case Late:
+	case DelayedWrite:
 		t.late = append(t.late, tx)
 		return backing.ErrUnknown
 	default:
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -60,7 +60,7 @@
 	},
 		Entry("if the write was applied", tabletest.LostReply),
 		Entry("if the write was not applied", tabletest.LostRequest),
-		Entry("if the write is applied later", tabletest.Late),
+		Entry("if the write is applied later", tabletest.DelayedWrite),
 	)
 
 	It("returns not run if no write of the claim was applied", func() {
@@ -97,7 +97,7 @@
 		},
 			Entry("if the row exists", tabletest.LostReply),
 			Entry("if the row does not exist", tabletest.LostRequest),
-			Entry("if the row appears after RetryPending", tabletest.Late),
+			Entry("if the row appears after RetryPending", tabletest.DelayedWrite),
 		)
 		It("lets the same entry overwrite the row", func() {
 			abandon(tabletest.LostReply)
