--- a/internal/requestsim/fuzz_test.go
+++ b/internal/requestsim/fuzz_test.go
@@ -45,7 +45,7 @@
 		"silence":       w.silence,
 		"close":         w.closeLink,
 		"store":         w.changeStore,
-		"land":          w.table.Land,
+		"land":          w.table.ApplyDelayed,
 		"time":          w.pass,
 		"sweep":         func() { w.entries[w.pick("entry", entryCount)].ledger.RetryPending(w.ctx, 10) },
 		"entry dies":    w.entryDies,
--- a/internal/requestsim/oracle_test.go
+++ b/internal/requestsim/oracle_test.go
@@ -69,7 +69,7 @@
 // every entry that handled it is gone.
 func (w *world) checkKeysUsable() {
 	w.fault = nil
-	w.table.Land()
+	w.table.ApplyDelayed()
 	last := make(map[string]*ask)
 	open := make(map[string]bool)
 	for _, a := range w.asks {
--- a/internal/tabletest/table.go
+++ b/internal/tabletest/table.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Land lets all late writes take effect.
-func (t *Table) Land() {
+// ApplyDelayed lets all late writes take effect.
+func (t *Table) ApplyDelayed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, tx := range t.late {
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -55,7 +55,7 @@
 	DescribeTable("reads the row back if the reply is lost", func(f tabletest.Fault) {
 		faults = []tabletest.Fault{f}
 		Expect(open().Claim(ctx, now, key, intent("a1")).Status).To(Equal(StatusHeld))
-		table.Land()
+		table.ApplyDelayed()
 		Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusNoResult))
 	},
 		Entry("if the write was applied", tabletest.LostReply),
@@ -92,7 +92,7 @@
 		DescribeTable("RetryPending frees the key", func(f tabletest.Fault) {
 			abandon(f)
 			Expect(first.RetryPending(ctx, 10)).To(BeZero())
-			table.Land()
+			table.ApplyDelayed()
 			Expect(open().Claim(ctx, now, key, intent("a2")).Status).To(Equal(StatusHeld))
 		},
 			Entry("if the row exists", tabletest.LostReply),
