--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -19,8 +19,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ErrBroken means that a property did not hold.
-var ErrBroken = merry.New("a property did not hold")
+// ErrPropertyViolated means that a property did not hold.
+var ErrPropertyViolated = merry.New("a property did not hold")
 
 // progressInterval is the time between two lines of progress.
 const progressInterval = 500 * time.Millisecond
--- a/internal/demo/summary.go
+++ b/internal/demo/summary.go
@@ -33,10 +33,10 @@
 	row("orders that ran twice", "%d", twice)
 	row("runs after not_run", "%d", ranAfterNotRun)
 	if t.wrong+twice+ranAfterNotRun > 0 {
-		return merry.Wrap(ErrBroken)
+		return merry.Wrap(ErrPropertyViolated)
 	}
 	if t.drafts["completed"] == 0 || t.orders["completed"] == 0 {
-		return merry.Wrap(ErrBroken, merry.AppendMessage("no request completed"))
+		return merry.Wrap(ErrPropertyViolated, merry.AppendMessage("no request completed"))
 	}
 	return nil
 }
