--- a/lib/engine/bench_test.go
+++ b/lib/engine/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/auburnbend/auburnbend/standin/service"
 )
 
-// BenchmarkClient measures one request over loopback. A refused request costs
-// the same setup as one that runs.
+// BenchmarkClient measures one request over loopback. A rejected request has
+// the same connection setup cost as one that runs.
 func BenchmarkClient(b *testing.B) {
 	ctx := context.Background()
 	server, err := standin.Start(standin.Config{TimeScale: 1e-6, Capacity: 64})
@@ -31,7 +31,7 @@
 			}
 		}
 	})
-	b.Run("refused generate", func(b *testing.B) {
+	b.Run("rejected generate", func(b *testing.B) {
 		b.ReportAllocs()
 		req := engine.Request{ID: "r", Stream: "r", Weights: model.Weights{Base: model.Sum([]byte("other"))}}
 		for b.Loop() {
@@ -42,7 +42,7 @@
 	})
 }
 
-// BenchmarkPlainClient measures one call over loopback.
+// BenchmarkPlainClient measures one plain service call over loopback.
 func BenchmarkPlainClient(b *testing.B) {
 	server, err := service.Start(service.Config{})
 	if err != nil {
--- a/lib/engine/cache.go
+++ b/lib/engine/cache.go
@@ -2,20 +2,20 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// CacheChange says what happened to a prefix.
+// CacheChange is the kind of a cache event.
 type CacheChange string
 
 const (
-	// CacheStored means that the prefix is cached now.
+	// CacheStored reports that the prefix was added to the cache.
 	CacheStored CacheChange = "stored"
-	// CacheEvicted means that it no longer is.
+	// CacheEvicted reports that the prefix was removed from the cache.
 	CacheEvicted CacheChange = "evicted"
-	// CacheCleared means that no prefix is cached any more.
+	// CacheCleared reports that all prefixes were removed.
 	CacheCleared CacheChange = "cleared"
 )
 
-// CacheEvent is one change of an engine's prefix cache. Events arrive late and
-// some never arrive: they are hints.
+// CacheEvent is one change of an engine's prefix cache. Events are delayed and
+// can be lost, so they are only hints.
 type CacheEvent struct {
 	Sequence uint64        `json:"sequence"`
 	Change   CacheChange   `json:"change"`
@@ -23,13 +23,13 @@
 	Weights  model.Weights `json:"weights"`
 }
 
-// CacheEventBatch answers a read of events.
+// CacheEventBatch is the response of GET /v1/cache-events.
 type CacheEventBatch struct {
 	Incarnation uint64       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
 }
 
-// CacheSnapshot lists all cached prefixes as of a sequence number.
+// CacheSnapshot lists all prefixes that were cached at a sequence number.
 type CacheSnapshot struct {
 	Incarnation uint64        `json:"incarnation"`
 	Sequence    uint64        `json:"sequence"`
@@ -37,35 +37,35 @@
 	Prefixes    []PrefixHash  `json:"prefixes"`
 }
 
-// CacheCursor follows the events of one engine and finds gaps. It is not safe
-// for concurrent use.
+// CacheCursor tracks the position in the event sequence of one engine and
+// detects gaps. It is not safe for concurrent use.
 type CacheCursor struct {
 	incarnation uint64
-	next        uint64
+	last        uint64
 }
 
-// After returns the sequence number to ask for events after.
-func (c *CacheCursor) After() uint64 { return c.next }
+// After returns the last sequence number seen, to pass to Client.CacheEvents.
+func (c *CacheCursor) After() uint64 { return c.last }
 
-// Accept returns the events of a batch that continue the last ones, and whether
-// events are missing before or between them, or the engine restarted. The
-// caller then reads a snapshot and passes it to Reset.
+// Accept returns the new events of a batch up to the first gap. resync is true
+// if events are missing or the engine restarted; the caller must then read a
+// snapshot and pass it to Reset.
 func (c *CacheCursor) Accept(batch CacheEventBatch) (events []CacheEvent, resync bool) {
 	if batch.Incarnation != c.incarnation {
 		return nil, true
 	}
 	for _, e := range batch.Events {
-		if e.Sequence <= c.next {
+		if e.Sequence <= c.last {
 			continue
 		}
-		if e.Sequence != c.next+1 {
+		if e.Sequence != c.last+1 {
 			return events, true
 		}
-		c.next = e.Sequence
+		c.last = e.Sequence
 		events = append(events, e)
 	}
 	return events, false
 }
 
-// Reset continues after a snapshot.
-func (c *CacheCursor) Reset(s CacheSnapshot) { c.incarnation, c.next = s.Incarnation, s.Sequence }
+// Reset moves the cursor to the position of a snapshot.
+func (c *CacheCursor) Reset(s CacheSnapshot) { c.incarnation, c.last = s.Incarnation, s.Sequence }
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -20,9 +20,9 @@
 	standin "github.com/auburnbend/auburnbend/standin/engine"
 )
 
-// stage writes files of a version and returns where they are and the digest
-// that answers must carry.
-func stage(name string, files int) (engine.StagedFiles, model.Digest) {
+// stageFiles writes the files of a version and returns their location and the
+// content digest that responses must carry.
+func stageFiles(name string, files int) (engine.StagedFiles, model.Digest) {
 	dir := GinkgoT().TempDir()
 	digests := make([]model.Digest, files)
 	for i := range files {
@@ -35,8 +35,8 @@
 
 func weightsOf(name string) model.Weights { return model.Weights{Base: model.Sum([]byte(name))} }
 
-// loaded starts an engine and loads a version into it.
-func loaded(cfg standin.Config, name string) (*standin.Server, *engine.Client, *engine.Guard, model.Digest) {
+// startLoaded starts an engine and loads a version into it.
+func startLoaded(cfg standin.Config, name string) (*standin.Server, *engine.Client, *engine.Guard, model.Digest) {
 	if cfg.TimeScale == 0 {
 		cfg.TimeScale = 0.01
 	}
@@ -46,13 +46,13 @@
 	client, err := engine.NewClient(engine.Config{Address: server.URL(), StallTimeout: 5 * time.Second})
 	Expect(err).NotTo(HaveOccurred())
 	guard := engine.NewGuard(engine.GuardConfig{PollInterval: time.Millisecond, SettleTime: 20 * time.Millisecond})
-	place, content := stage(name, 4)
-	result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf(name), Base: place})
+	place, content := stageFiles(name, 4)
+	result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf(name), Base: place})
 	Expect(result.Err).NotTo(HaveOccurred())
 	return server, client, guard, content
 }
 
-func order(client *engine.Client, guard *engine.Guard, o engine.Order) engine.Result {
+func runOrder(client *engine.Client, guard *engine.Guard, o engine.Order) engine.Result {
 	result, err := engine.RunOrder(context.Background(), clock.System{}, client, guard, o)
 	Expect(err).NotTo(HaveOccurred())
 	return result
@@ -62,8 +62,8 @@
 	return engine.Request{ID: model.RequestID(id), Stream: id, Weights: weightsOf(name), Prefix: engine.HashPrefix([]byte(body)), Body: []byte(body)}
 }
 
-// receive reads up to limit frames.
-func receive(s *engine.Stream, limit int) ([]byte, error) {
+// readFrames reads up to limit frames and returns their data.
+func readFrames(s *engine.Stream, limit int) ([]byte, error) {
 	var b bytes.Buffer
 	for range limit {
 		f, err := s.Next()
@@ -78,25 +78,25 @@
 var _ = Describe("Client", func() {
 	ctx := context.Background()
 
-	It("receives a whole answer of the loaded weights", func() {
-		server, client, _, content := loaded(standin.Config{}, "v1")
+	It("receives a complete response from the loaded weights", func() {
+		server, client, _, content := startLoaded(standin.Config{}, "v1")
 		s, err := client.Generate(ctx, request("v1", "r1", "draft a report"))
 		Expect(err).NotTo(HaveOccurred())
-		answer, err := receive(s, 1000)
+		answer, err := readFrames(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
 		Expect(answer).To(Equal(standin.ExpectedAnswer(content, []byte("draft a report"))))
 		Expect(server.RunCount("r1")).To(Equal(1))
 	})
 
-	It("tells a refused connection and an explicit refusal from a lost answer", func() {
-		server, client, _, _ := loaded(standin.Config{}, "v1")
+	It("distinguishes a refused connection and a rejection from a lost response", func() {
+		server, client, _, _ := startLoaded(standin.Config{}, "v1")
 		_, err := client.Generate(ctx, request("v2", "r1", "x"))
 		Expect(engine.NotStarted(err)).To(BeTrue())
 		Expect(errors.Is(err, engine.ErrWeightsMismatch)).To(BeTrue())
 
 		s, err := client.Generate(ctx, request("v1", "r2", standin.DefaultCrashMarker))
 		if err == nil {
-			_, err = receive(s, 1000)
+			_, err = readFrames(s, 1000)
 		}
 		Expect(engine.NotStarted(err)).To(BeFalse())
 		Expect(errors.Is(err, engine.ErrMayHaveRun)).To(BeTrue())
@@ -111,63 +111,63 @@
 		Expect(engine.NotStarted(err)).To(BeTrue())
 	})
 
-	// A stream that stops in the middle must never look like a whole answer.
+	// Guards against a truncated response being reported as complete.
 	It("reports a stalled stream as incomplete", func() {
-		server, _, _, _ := loaded(standin.Config{}, "v1")
+		server, _, _, _ := startLoaded(standin.Config{}, "v1")
 		client, err := engine.NewClient(engine.Config{Address: server.URL(), StallTimeout: 50 * time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
 		s, err := client.Generate(ctx, request("v1", "r1", `{"max_tokens":5000}`))
 		Expect(err).NotTo(HaveOccurred())
-		_, err = receive(s, 3)
+		_, err = readFrames(s, 3)
 		Expect(err).NotTo(HaveOccurred())
 		server.SetStalled(true)
-		_, err = receive(s, 5000)
+		_, err = readFrames(s, 5000)
 		Expect(errors.Is(err, engine.ErrIncomplete)).To(BeTrue())
 		Expect(engine.NotStarted(err)).To(BeFalse())
 	})
 
-	It("resumes a stream at its offset, and not under other weights", func() {
-		_, client, guard, content := loaded(standin.Config{}, "v1")
+	It("resumes a stream at its offset, but not under other weights", func() {
+		_, client, guard, content := startLoaded(standin.Config{}, "v1")
 		body := `{"max_tokens":40}`
 		s, err := client.Generate(ctx, request("v1", "r1", body))
 		Expect(err).NotTo(HaveOccurred())
-		head, err := receive(s, 7)
+		head, err := readFrames(s, 7)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(client.Resume(ctx, s)).To(Succeed())
-		tail, err := receive(s, 1000)
+		tail, err := readFrames(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
 		Expect(string(head) + string(tail)).To(Equal(string(standin.ExpectedAnswer(content, []byte(body)))))
 
 		s, err = client.Generate(ctx, request("v1", "r2", body))
 		Expect(err).NotTo(HaveOccurred())
-		place, _ := stage("v2", 4)
-		Expect(order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}).Err).NotTo(HaveOccurred())
+		place, _ := stageFiles("v2", 4)
+		Expect(runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}).Err).NotTo(HaveOccurred())
 		err = client.Resume(ctx, s)
 		Expect(errors.Is(err, engine.ErrWeightsMismatch)).To(BeTrue())
 		Expect(engine.NotStarted(err)).To(BeFalse())
 	})
 
-	// An engine that does not look at the weights of a request still cannot
-	// pass its answer off as one of the weights that were asked for.
-	It("refuses an answer of other weights from an engine that checks nothing", func() {
-		_, client, _, _ := loaded(standin.Config{IgnoreWeights: true}, "v1")
+	// Guards against an engine that ignores the weights named in a request: its
+	// response must not be accepted as one from the requested weights.
+	It("rejects a response from other weights if the engine does not check them", func() {
+		_, client, _, _ := startLoaded(standin.Config{IgnoreWeights: true}, "v1")
 		_, err := client.Generate(ctx, request("v2", "r1", "x"))
 		Expect(errors.Is(err, engine.ErrWeightsMismatch)).To(BeTrue())
 		Expect(engine.NotStarted(err)).To(BeFalse())
 	})
 
 	It("cancels a stream", func() {
-		_, client, _, _ := loaded(standin.Config{}, "v1")
+		_, client, _, _ := startLoaded(standin.Config{}, "v1")
 		s, err := client.Generate(ctx, request("v1", "r1", `{"max_tokens":100000}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(client.Cancel(ctx, "r1")).To(Succeed())
-		_, err = receive(s, 100000)
+		_, err = readFrames(s, 100000)
 		Expect(err).To(MatchError(ContainSubstring("canceled")))
 		Expect(client.Cancel(ctx, "unknown")).To(Succeed())
 	})
 
-	It("ends a wait when its context ends", func() {
-		server, client, _, _ := loaded(standin.Config{}, "v1")
+	It("stops waiting when its context ends", func() {
+		server, client, _, _ := startLoaded(standin.Config{}, "v1")
 		server.SetStalled(true)
 		short, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
 		defer cancel()
@@ -175,29 +175,29 @@
 		Expect(errors.Is(err, engine.ErrMayHaveRun)).To(BeTrue())
 	})
 
-	It("moves a KV cache to an engine with the same weights only", func() {
-		_, from, fromGuard, content := loaded(standin.Config{}, "v1")
-		_, same, sameGuard, _ := loaded(standin.Config{}, "v1")
-		_, other, otherGuard, _ := loaded(standin.Config{IgnoreWeights: true}, "v2")
+	It("moves a KV cache only to an engine with the same weights", func() {
+		_, from, fromGuard, content := startLoaded(standin.Config{}, "v1")
+		_, same, sameGuard, _ := startLoaded(standin.Config{}, "v1")
+		_, other, otherGuard, _ := startLoaded(standin.Config{IgnoreWeights: true}, "v2")
 		body := `{"max_tokens":400}`
 		s, err := from.Generate(ctx, request("v1", "r1", body))
 		Expect(err).NotTo(HaveOccurred())
-		head, err := receive(s, 5)
+		head, err := readFrames(s, 5)
 		Expect(err).NotTo(HaveOccurred())
-		out := order(from, fromGuard, engine.Order{Kind: engine.OrderExportKV, Weights: weightsOf("v1"), Stream: "r1"})
+		out := runOrder(from, fromGuard, engine.Order{Kind: engine.OrderExportKV, Weights: weightsOf("v1"), Stream: "r1"})
 		Expect(out.Err).NotTo(HaveOccurred())
 		in := engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v1"), KV: out.Reply.KV}
-		Expect(errors.Is(order(other, otherGuard, in).Err, engine.ErrWeightsMismatch)).To(BeTrue())
-		Expect(order(same, sameGuard, in).Err).NotTo(HaveOccurred())
+		Expect(errors.Is(runOrder(other, otherGuard, in).Err, engine.ErrWeightsMismatch)).To(BeTrue())
+		Expect(runOrder(same, sameGuard, in).Err).NotTo(HaveOccurred())
 		Expect(from.Cancel(ctx, "r1")).To(Succeed())
 		Expect(same.Resume(ctx, s)).To(Succeed())
-		tail, err := receive(s, 1000)
+		tail, err := readFrames(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
 		Expect(string(head) + string(tail)).To(Equal(string(standin.ExpectedAnswer(content, []byte(body)))))
 	})
 
-	It("follows cache events, finds gaps and resynchronises", func() {
-		_, client, _, _ := loaded(standin.Config{CacheEventLoss: 0.5, Seed: 3, CacheCapacity: 4}, "v1")
+	It("follows cache events and resynchronises after a gap", func() {
+		_, client, _, _ := startLoaded(standin.Config{CacheEventLoss: 0.5, Seed: 3, CacheCapacity: 4}, "v1")
 		var cursor engine.CacheCursor
 		snapshot, err := client.Cache(ctx)
 		Expect(err).NotTo(HaveOccurred())
@@ -206,7 +206,7 @@
 		for i := range 12 {
 			s, err := client.Generate(ctx, request("v1", fmt.Sprint("r", i), fmt.Sprint("prompt ", i)))
 			Expect(err).NotTo(HaveOccurred())
-			_, err = receive(s, 1000)
+			_, err = readFrames(s, 1000)
 			Expect(err).To(MatchError(io.EOF))
 			batch, err := client.CacheEvents(ctx, cursor.After())
 			Expect(err).NotTo(HaveOccurred())
@@ -222,7 +222,7 @@
 	})
 
 	It("reads a load report with its age", func() {
-		_, client, _, _ := loaded(standin.Config{Capacity: 2}, "v1")
+		_, client, _, _ := startLoaded(standin.Config{Capacity: 2}, "v1")
 		Eventually(func() bool {
 			r, err := client.Load(ctx)
 			return err == nil && r.Capacity == 2 && r.Age() >= 5*time.Millisecond
--- a/lib/engine/config.go
+++ b/lib/engine/config.go
@@ -3,53 +3,60 @@
 import "time"
 
 const (
-	// defaultDialTimeout is long for a backend server on the same instance.
+	// defaultDialTimeout is generous, because the backend server runs on the same
+	// instance.
 	defaultDialTimeout = time.Second
-	// defaultReadTimeout bounds the reads of state, load and cache.
+	// defaultReadTimeout limits reads of state, load and cache.
 	defaultReadTimeout = 2 * time.Second
-	// defaultOrderTimeout bounds a load of the largest models in use.
+	// defaultOrderTimeout is enough to load the largest models in use.
 	defaultOrderTimeout = 15 * time.Minute
-	// defaultRequestTimeout bounds a request whose context has no deadline.
+	// defaultRequestTimeout limits a request whose context has no deadline.
 	defaultRequestTimeout = 10 * time.Minute
-	// defaultStall is the longest pause inside a stream. An engine sends a
-	// keep-alive comment while a request waits in its queue.
-	defaultStall = 30 * time.Second
-	// defaultMaxAnswer bounds an answer in bytes.
-	defaultMaxAnswer = 64 << 20
-	// maxEvent bounds one server-sent event in bytes.
-	maxEvent = 4 << 20
-	// maxConnections is above the capacity of any engine; the agent's gate is
-	// the limit that counts.
+	// defaultStallTimeout covers pauses within a stream only: while a request
+	// waits in its queue, an engine sends keep-alive comments.
+	defaultStallTimeout = 30 * time.Second
+	// defaultMaxResponseBytes limits the body of a plain service response or an
+	// order reply.
+	defaultMaxResponseBytes = 64 << 20
+	// maxEventBytes limits one server-sent event.
+	maxEventBytes = 4 << 20
+	// maxConnections is higher than the capacity of any engine. The effective
+	// limit on concurrent requests is the agent's gate.
 	maxConnections = 16384
 )
 
-// Config holds the settings of a client.
+// Config configures a Client or PlainClient. Zero timeouts and limits are
+// replaced by defaults.
 type Config struct {
-	// Address is the base address of the backend server, such as
+	// Address is the base URL of the backend server, such as
 	// http://127.0.0.1:9000.
-	Address        string
-	DialTimeout    time.Duration
-	ReadTimeout    time.Duration
-	OrderTimeout   time.Duration
+	Address     string
+	DialTimeout time.Duration
+	// ReadTimeout limits reads of state, load and cache, and cancellations.
+	ReadTimeout  time.Duration
+	OrderTimeout time.Duration
+	// RequestTimeout limits a request unless its context has an earlier deadline.
 	RequestTimeout time.Duration
-	// StallTimeout is the longest pause inside a stream before it counts as lost.
+	// StallTimeout is the longest pause within a stream before the stream is
+	// considered lost.
 	StallTimeout time.Duration
-	// MaxResponseBytes bounds an answer in bytes.
+	// MaxResponseBytes limits the body of a plain service response or an order
+	// reply.
 	MaxResponseBytes int64
 }
 
 func (c *Config) applyDefaults() {
-	defaultTo(&c.DialTimeout, defaultDialTimeout)
-	defaultTo(&c.ReadTimeout, defaultReadTimeout)
-	defaultTo(&c.OrderTimeout, defaultOrderTimeout)
-	defaultTo(&c.RequestTimeout, defaultRequestTimeout)
-	defaultTo(&c.StallTimeout, defaultStall)
+	setDefault(&c.DialTimeout, defaultDialTimeout)
+	setDefault(&c.ReadTimeout, defaultReadTimeout)
+	setDefault(&c.OrderTimeout, defaultOrderTimeout)
+	setDefault(&c.RequestTimeout, defaultRequestTimeout)
+	setDefault(&c.StallTimeout, defaultStallTimeout)
 	if c.MaxResponseBytes <= 0 {
-		c.MaxResponseBytes = defaultMaxAnswer
+		c.MaxResponseBytes = defaultMaxResponseBytes
 	}
 }
 
-func defaultTo(d *time.Duration, value time.Duration) {
+func setDefault(d *time.Duration, value time.Duration) {
 	if *d <= 0 {
 		*d = value
 	}
--- a/lib/engine/dialer.go
+++ b/lib/engine/dialer.go
@@ -8,14 +8,15 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-// dialer marks errors of connection setup: no byte of the request was sent.
+// dialer marks connection errors with ErrNotStarted, because no byte of the
+// request was sent.
 type dialer struct {
 	network.Dialer
 }
 
 func newDialer() network.Dialer { return dialer{standard.NewDialer()} }
 
-// DialConnection connects, or returns an error that wraps ErrNotStarted.
+// DialConnection implements network.Dialer. Its errors wrap ErrNotStarted.
 func (d dialer) DialConnection(nw, address string, timeout time.Duration, cfg *tls.Config) (network.Conn, error) {
 	conn, err := d.Dialer.DialConnection(nw, address, timeout, cfg)
 	if err != nil {
--- a/lib/engine/errors.go
+++ b/lib/engine/errors.go
@@ -9,29 +9,29 @@
 )
 
 var (
-	// ErrNotStarted means that the request certainly did not start: it was
-	// never sent, or the backend server refused it before running it.
+	// ErrNotStarted means that the request provably did not start: it was never
+	// sent, or the backend server rejected it before running it.
 	ErrNotStarted = merry.New("request not started")
-	// ErrMayHaveRun means that the request was sent and its answer is missing
-	// or incomplete.
+	// ErrMayHaveRun means that the request was sent, but its response is
+	// missing or incomplete.
 	ErrMayHaveRun = merry.New("request may have run")
-	// ErrIncomplete means that an answer lacks its end, or that its frames do
-	// not match its end. Such an answer may have run too.
-	ErrIncomplete = merry.New("answer incomplete")
-	// ErrWeightsMismatch means that the backend server has other weights than
-	// the request, stream or cache names.
+	// ErrIncomplete means that a response is truncated or malformed, or that its
+	// frames do not match its end event. The request may have run.
+	ErrIncomplete = merry.New("incomplete response")
+	// ErrWeightsMismatch means that the backend server's weights differ from
+	// those that the request, stream or KV cache names.
 	ErrWeightsMismatch = merry.New("weights mismatch")
-	// ErrWrongRequest means that the answer belongs to another request.
-	ErrWrongRequest = merry.New("answer of another request")
-	// ErrUnavailable means that a read of state or load was not answered.
+	// ErrWrongRequest means that the response belongs to another request.
+	ErrWrongRequest = merry.New("response belongs to another request")
+	// ErrUnavailable means that a read of state, load or cache failed.
 	ErrUnavailable = merry.New("backend server unavailable")
-	// ErrNoLoadReport means that a plain service reports no load.
-	ErrNoLoadReport = merry.New("service reports no load")
-	// ErrTooLarge means that an answer is longer than this process accepts.
-	ErrTooLarge = merry.New("answer too large")
+	// ErrNoLoadReport means that a plain service does not provide load reports.
+	ErrNoLoadReport = merry.New("service has no load report")
+	// ErrTooLarge means that a response exceeds the size limit.
+	ErrTooLarge = merry.New("response too large")
 )
 
-// Refusal reasons that engines give.
+// Reasons with which engines reject a request or an order.
 const (
 	RefusalWeights  = "weights_mismatch"
 	RefusalFenced   = "old_fencing_number"
@@ -41,42 +41,43 @@
 	RefusalDeadline = "deadline"
 )
 
-// RefusedError is an explicit refusal of the backend server.
+// RefusedError is a rejection that the backend server sent.
 type RefusedError struct {
+	// Status is the HTTP status; 0 for an error event within a stream.
 	Status int
-	// Reason is one of the refusal reasons or free text.
+	// Reason is one of the Refusal constants or free text.
 	Reason string
-	// RetryAfter is zero when the backend server named no time.
+	// RetryAfter is zero if the response has no Retry-After header.
 	RetryAfter time.Duration
 }
 
-// Error returns status and reason.
+// Error implements error.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("refused with status %d: %s", e.Status, e.Reason)
+	return fmt.Sprintf("rejected with status %d: %s", e.Status, e.Reason)
 }
 
-// Is makes a refusal for other weights match ErrWeightsMismatch.
+// Is makes a rejection with RefusalWeights match ErrWeightsMismatch.
 func (e *RefusedError) Is(target error) bool {
 	return e.Reason == RefusalWeights && target == ErrWeightsMismatch //nolint:errorlint // Is must compare
 }
 
-// NotStarted reports whether err proves that the request did not start. Any
-// other error means that it may have run, also one that holds both verdicts,
-// such as a refused resume of a stream that was started before.
+// NotStarted reports whether err proves that the request did not start. After any
+// other error it may have run. That includes errors that wrap both ErrNotStarted
+// and ErrMayHaveRun, such as a rejected resume of a stream that had started.
 func NotStarted(err error) bool {
 	return errors.Is(err, ErrNotStarted) && !errors.Is(err, ErrMayHaveRun)
 }
 
-func notStarted(cause error) error { return because(ErrNotStarted, cause) }
+func notStarted(cause error) error { return wrapCause(ErrNotStarted, cause) }
 
-func mayHaveRun(cause error) error { return because(ErrMayHaveRun, cause) }
+func mayHaveRun(cause error) error { return wrapCause(ErrMayHaveRun, cause) }
 
-// because wraps a verdict with its cause, whose text the message includes.
-func because(verdict, cause error) error {
-	return merry.Wrap(verdict, merry.AppendMessage(cause.Error()), merry.WithCause(cause))
+// wrapCause returns kind with the cause attached and its text appended.
+func wrapCause(kind, cause error) error {
+	return merry.Wrap(kind, merry.AppendMessage(cause.Error()), merry.WithCause(cause))
 }
 
-// AsRefused returns the explicit refusal inside err, if there is one.
+// AsRefused returns the RefusedError that err wraps, if any.
 func AsRefused(err error) (*RefusedError, bool) {
 	var r *RefusedError
 	ok := errors.As(err, &r)
--- a/lib/engine/exchange.go
+++ b/lib/engine/exchange.go
@@ -14,12 +14,11 @@
 	"github.com/cloudwego/hertz/pkg/protocol"
 )
 
-// headerRetryAfter holds the seconds after which to try again.
 const headerRetryAfter = "Retry-After"
 
-// transport sends requests to one backend server.
+// transport sends HTTP requests to one backend server.
 type transport struct {
-	http *client.Client
+	client *client.Client
 }
 
 func newTransport(cfg Config) (*transport, error) {
@@ -33,11 +32,11 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "HTTP client")
 	}
-	return &transport{http: c}, nil
+	return &transport{client: c}, nil
 }
 
-// exchange is one request and its response. The body is read as a stream and
-// must be closed.
+// exchange is one HTTP request and its response. The response body is streamed,
+// so the exchange must be closed.
 type exchange struct {
 	req  *protocol.Request
 	resp *protocol.Response
@@ -50,15 +49,15 @@
 	return x
 }
 
-// forceCloser ends a body stream from another goroutine by closing the
-// connection; the streams of hertz's client implement it.
+// forceCloser is implemented by the body streams of the hertz client. ForceClose
+// closes the connection and may be called from any goroutine.
 type forceCloser interface {
 	ForceClose() error
 }
 
 // do sends the request and waits for the response header. The HTTP client does
-// not watch ctx while it waits, so a goroutine waits for it; the timeout bounds
-// the life of that goroutine.
+// not observe ctx while it waits, so the call runs in a goroutine of its own,
+// whose lifetime is limited by the timeout.
 func (t *transport) do(ctx context.Context, x *exchange, timeout time.Duration) error {
 	if err := ctx.Err(); err != nil {
 		return notStarted(err)
@@ -71,24 +70,24 @@
 	}
 	x.req.SetOptions(config.WithRequestTimeout(timeout))
 	done := make(chan error, 1)
-	go func() { done <- t.http.Do(context.Background(), x.req, x.resp) }()
+	go func() { done <- t.client.Do(context.Background(), x.req, x.resp) }()
 	select {
 	case err := <-done:
-		return classify(err)
+		return classifyError(err)
 	case <-ctx.Done():
 		go x.discard(done)
 		return mayHaveRun(ctx.Err())
 	}
 }
 
-// discard waits for an abandoned exchange and closes its connection.
+// discard waits for the end of a canceled call and closes its connection.
 func (x *exchange) discard(done <-chan error) {
 	if err := <-done; err == nil {
 		x.close()
 	}
 }
 
-func classify(err error) error {
+func classifyError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -101,20 +100,21 @@
 	}
 }
 
-// close closes the connection under the body. It may be called from any
-// goroutine and more than once. The body is never closed through the response:
-// that returns it to a pool, where a late close would hit another response.
+// close closes the connection of the response body. It may be called from any
+// goroutine and more than once. It does not close the body through the response:
+// that would return the body to a pool, and a late close could then hit another
+// response.
 func (x *exchange) close() {
 	if f, ok := x.resp.BodyStream().(forceCloser); ok {
 		_ = f.ForceClose()
 	}
 }
 
-// body reads the whole body up to limit bytes. A body that ends with the
-// connection is refused: it could be cut off unnoticed.
+// body reads a response body of at most limit bytes. It rejects a body that is
+// delimited by the end of the connection, because truncation would go unnoticed.
 func (x *exchange) body(ctx context.Context, limit int64) ([]byte, error) {
 	if x.resp.Header.ContentLength() < -1 {
-		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessage("body has neither a length nor chunks"))
+		return nil, merry.Wrap(ErrIncomplete, merry.AppendMessage("response has neither Content-Length nor chunked encoding"))
 	}
 	if !x.resp.IsBodyStream() {
 		return x.resp.Body(), nil
@@ -122,20 +122,20 @@
 	stop := context.AfterFunc(ctx, x.close)
 	data, err := io.ReadAll(io.LimitReader(x.resp.BodyStream(), limit+1))
 	if stop() && err == nil && int64(len(data)) <= limit {
-		// Nobody else can close the body now, so it may go back to its pool and
-		// the connection of a read serves the next one.
+		// No other goroutine can close the body any more, so it can be returned
+		// to its pool and the connection can be reused for the next read.
 		_ = x.resp.CloseBodyStream()
 	}
 	if err != nil {
-		return nil, because(ErrIncomplete, err)
+		return nil, wrapCause(ErrIncomplete, err)
 	}
 	if int64(len(data)) > limit {
-		return nil, merry.Wrap(ErrTooLarge, merry.AppendMessagef("allowed are %d bytes", limit))
+		return nil, merry.Wrap(ErrTooLarge, merry.AppendMessagef("limit is %d bytes", limit))
 	}
 	return data, nil
 }
 
-// retryAfter reads the header in seconds.
+// retryAfter returns the Retry-After header, or zero if it is missing or invalid.
 func (x *exchange) retryAfter() time.Duration {
 	n, err := strconv.Atoi(string(x.resp.Header.Peek(headerRetryAfter)))
 	if err != nil || n < 0 {
--- a/lib/engine/fence.go
+++ b/lib/engine/fence.go
@@ -2,17 +2,19 @@
 
 import "fmt"
 
-// Fence numbers an order: first by the start counter of the agent generation
-// that gave it, then by a sequence within that generation.
+// Fence is the fencing number of an order. Fences are ordered by Epoch first, then
+// by Sequence.
 type Fence struct {
-	Epoch    uint64 `json:"start"`
+	// Epoch is the start counter of the agent generation that issued the order.
+	Epoch uint64 `json:"start"`
+	// Sequence numbers the orders of one agent generation.
 	Sequence uint64 `json:"sequence"`
 }
 
-// Before reports whether f is older than other.
+// Before reports whether f is lower than other.
 func (f Fence) Before(other Fence) bool {
 	return f.Epoch < other.Epoch || f.Epoch == other.Epoch && f.Sequence < other.Sequence
 }
 
-// String returns both numbers joined by a dot.
+// String returns epoch and sequence, joined by a dot.
 func (f Fence) String() string { return fmt.Sprintf("%d.%d", f.Epoch, f.Sequence) }
--- a/lib/engine/frame.go
+++ b/lib/engine/frame.go
@@ -2,7 +2,7 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// Names of the server-sent events of an answer.
+// Types of the server-sent events in a response stream.
 const (
 	EventStart = "start"
 	EventToken = "token"
@@ -10,31 +10,33 @@
 	EventError = "error"
 )
 
-// StreamStart opens an answer.
+// StreamStart is the data of EventStart, the first event of a response.
 type StreamStart struct {
 	Request model.RequestID `json:"request"`
 	Stream  string          `json:"stream"`
 	Weights model.Weights   `json:"weights"`
 }
 
-// Frame is one piece of an answer. Offsets start at 0.
+// Frame is the data of EventToken: one part of a response. Offsets count frames
+// and start at 0.
 type Frame struct {
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
 }
 
-// StreamEnd closes an answer.
+// StreamEnd is the data of EventEnd, the last event of a complete response.
 type StreamEnd struct {
-	// Frames counts the frames from offset 0 on.
+	// Frames is the number of frames of the whole response.
 	Frames uint64 `json:"frames"`
-	// Digest is over the data of all frames.
+	// Digest is the digest over the data of all frames.
 	Digest  model.Digest  `json:"digest"`
 	Weights model.Weights `json:"weights"`
 }
 
-// StreamError ends an answer that does not become complete.
+// StreamError is the data of EventError, the last event of a response that could
+// not be completed.
 type StreamError struct {
 	Reason string `json:"reason"`
-	// Started is false when the engine proves that it ran nothing.
+	// Started is false if the engine guarantees that the request did not run.
 	Started bool `json:"started"`
 }
--- a/lib/engine/guard_config.go
+++ b/lib/engine/guard_config.go
@@ -3,28 +3,33 @@
 import "time"
 
 const (
-	// defaultPoll is the interval between two reads of state while an order
-	// runs or its outcome is unknown.
-	defaultPoll = 250 * time.Millisecond
-	// defaultSettle is how long an order whose connection was lost may still
-	// sit unread in the engine's socket before it counts as never accepted.
-	defaultSettle = 3 * time.Second
+	// defaultPollInterval is the interval between reads of the state while an
+	// order is running or its outcome is unknown.
+	defaultPollInterval = 250 * time.Millisecond
+	// defaultSettleTime is how long an order may remain unread in the engine's
+	// socket after its connection was lost.
+	defaultSettleTime = 3 * time.Second
 )
 
-// GuardConfig holds the settings of a Guard.
+// GuardConfig configures a Guard.
 type GuardConfig struct {
-	// Epoch is the agent generation's start counter. 0 takes the number after
-	// the one that the engine reports at the first read of state.
+	// Epoch is the start counter of the agent generation. If it is 0, the guard
+	// uses the number after the one in the engine's last accepted fence.
 	Epoch uint64
-	// EnforcesFencing says that the engine refuses old numbers. Without it the first
-	// order waits until the settle time has passed since the first read of
-	// state: an order of an earlier agent may still be unread.
+	// EnforcesFencing is true if the engine rejects orders with outdated fencing
+	// numbers. Otherwise the first order is delayed until the settle time has passed
+	// since the first read of the state, because an order of an earlier agent may
+	// still be unread.
 	EnforcesFencing bool
-	PollInterval    time.Duration
-	SettleTime      time.Duration
+	// PollInterval is the interval between reads of the state while an order is
+	// running or its outcome is unknown.
+	PollInterval time.Duration
+	// SettleTime is the time after which an order whose reply was lost is
+	// considered never accepted, unless the engine's state shows it.
+	SettleTime time.Duration
 }
 
 func (c *GuardConfig) applyDefaults() {
-	defaultTo(&c.PollInterval, defaultPoll)
-	defaultTo(&c.SettleTime, defaultSettle)
+	setDefault(&c.PollInterval, defaultPollInterval)
+	setDefault(&c.SettleTime, defaultSettleTime)
 }
--- a/lib/engine/guard_run.go
+++ b/lib/engine/guard_run.go
@@ -7,15 +7,15 @@
 	"github.com/auburnbend/auburnbend/lib/clock"
 )
 
-// OrderClient is the part of Client that orders need.
+// OrderClient is the subset of Client needed to execute orders.
 type OrderClient interface {
 	State(ctx context.Context) (State, error)
 	Order(ctx context.Context, o Order) (Reply, error)
 }
 
-// RunOrder carries out one order from submission to its result. When ctx ends
-// before that, an order that was not sent is withdrawn. One that was sent stays
-// outstanding in the guard; the next Run resolves it before it submits its own.
+// RunOrder submits an order and waits for its result. If ctx ends first, an order
+// that was not sent is withdrawn; an order that was sent remains outstanding in the
+// guard, and the next RunOrder resolves it before it submits its own.
 func RunOrder(ctx context.Context, c clock.Clock, api OrderClient, g *Guard, order Order) (Result, error) {
 	if g.Outstanding() {
 		if _, err := ResolveOrder(ctx, c, api, g); err != nil {
@@ -28,7 +28,8 @@
 	return ResolveOrder(ctx, c, api, g)
 }
 
-// ResolveOrder carries on with the outstanding order until its result is known.
+// ResolveOrder executes steps until the result of the outstanding order is known or
+// ctx ends.
 func ResolveOrder(ctx context.Context, c clock.Clock, api OrderClient, g *Guard) (Result, error) {
 	for {
 		switch step := g.Next(c.Now()); step.Kind {
--- a/lib/engine/guard_step.go
+++ b/lib/engine/guard_step.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// StepKind says what the owner of a Guard does next.
+// StepKind is the kind of action that the owner of a Guard must take next.
 type StepKind uint8
 
 const (
 	// StepIdle means that no order is outstanding.
 	StepIdle StepKind = iota
-	// StepReadState asks for State, whose result goes to OnState.
+	// StepReadState means: read the engine's state and call OnState.
 	StepReadState
-	// StepSend asks to send Order, whose result goes to OnReply.
+	// StepSend means: send Step.Order and call OnReply.
 	StepSend
-	// StepWait asks to call Next again at Until.
+	// StepWait means: call Next again at Step.Until.
 	StepWait
-	// StepDone reports Result; the guard is idle from then on.
+	// StepDone delivers Step.Result. The guard is idle afterwards.
 	StepDone
 )
 
-// Step is the next action of an order.
+// Step is the next action for the owner of a Guard.
 type Step struct {
 	Kind   StepKind
 	Order  Order
@@ -29,10 +29,10 @@
 // Result is the outcome of an order.
 type Result struct {
 	Order Order
-	// State was read after the order ended. It is the zero value when the
-	// order was refused or never sent.
+	// State was read after the order ended. It is the zero value if the order
+	// was rejected or never sent.
 	State State
 	Reply Reply
-	// Err is nil when the order was carried out and the state shows it.
+	// Err is nil if the order succeeded and the state confirms it.
 	Err error
 }
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -16,12 +16,12 @@
 	standin "github.com/auburnbend/auburnbend/standin/engine"
 )
 
-var _ = Describe("Guard against a real engine", func() {
-	DescribeTable("resolves a lost reply by reading the state", func(cfg standin.Config) {
-		server, client, guard, _ := loaded(cfg, "v1")
+var _ = Describe("Guard with an engine stand-in", func() {
+	DescribeTable("resolves a lost reply from the engine's state", func(cfg standin.Config) {
+		server, client, guard, _ := startLoaded(cfg, "v1")
 		server.SetFaults(standin.Faults{DropReplies: 1})
-		place, content := stage("v2", 4)
-		result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place})
+		place, content := stageFiles("v2", 4)
+		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place})
 		Expect(result.Err).NotTo(HaveOccurred())
 		Expect(server.LoadedDigest()).To(Equal(content))
 		atOnce, outdated := server.OrderStats()
@@ -34,20 +34,20 @@
 	)
 
 	It("reports a crash in the middle of a load", func() {
-		server, client, guard, _ := loaded(standin.Config{RestartDelay: time.Second}, "v1")
+		server, client, guard, _ := startLoaded(standin.Config{RestartDelay: time.Second}, "v1")
 		server.SetFaults(standin.Faults{CrashLoads: 1})
-		place, _ := stage("v2", 4)
-		result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place})
+		place, _ := stageFiles("v2", 4)
+		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place})
 		Expect(errors.Is(result.Err, engine.ErrOrderLost)).To(BeTrue())
 		Expect(result.State.Weights.IsZero()).To(BeTrue())
 	})
 
-	// A version that was replaced while its order waited must not be loaded
-	// later, and an order that was sent must be resolved before the next.
+	// Guards against loading a version that was replaced while its order waited,
+	// and against sending an order before the previous one is resolved.
 	It("withdraws an unsent order and resolves a sent one", func() {
-		server, client, guard, _ := loaded(standin.Config{LoadTime: 10 * time.Second}, "v1")
-		place, _ := stage("v2", 4)
-		other, content := stage("v3", 4)
+		server, client, guard, _ := startLoaded(standin.Config{LoadTime: 10 * time.Second}, "v1")
+		place, _ := stageFiles("v2", 4)
+		other, content := stageFiles("v3", 4)
 		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}
 		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -60,24 +60,24 @@
 		_, err = engine.RunOrder(short, clock.System{}, client, guard, load)
 		Expect(err).To(MatchError(context.DeadlineExceeded))
 		Expect(guard.Outstanding()).To(BeTrue())
-		result := order(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v3"), Base: other})
+		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v3"), Base: other})
 		Expect(result.Err).NotTo(HaveOccurred())
 		Expect(server.LoadedDigest()).To(Equal(content))
 		atOnce, _ := server.OrderStats()
 		Expect(atOnce).To(Equal(1))
 	})
 
-	It("stops an older agent generation", func() {
-		_, client, old, _ := loaded(standin.Config{IgnoreFencing: true}, "v1")
-		place, _ := stage("v2", 4)
+	It("stops an older agent generation with ErrSuperseded", func() {
+		_, client, old, _ := startLoaded(standin.Config{IgnoreFencing: true}, "v1")
+		place, _ := stageFiles("v2", 4)
 		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}
 		next := engine.NewGuard(engine.GuardConfig{Epoch: old.Fence().Epoch + 1})
-		Expect(order(client, next, load).Err).NotTo(HaveOccurred())
-		Expect(errors.Is(order(client, old, load).Err, engine.ErrSuperseded)).To(BeTrue())
+		Expect(runOrder(client, next, load).Err).NotTo(HaveOccurred())
+		Expect(errors.Is(runOrder(client, old, load).Err, engine.ErrSuperseded)).To(BeTrue())
 	})
 
-	It("refuses an old number at an engine that checks it", func() {
-		_, client, _, _ := loaded(standin.Config{}, "v1")
+	It("gets an outdated fencing number rejected by an engine that checks it", func() {
+		_, client, _, _ := startLoaded(standin.Config{}, "v1")
 		_, err := client.Order(context.Background(), engine.Order{Kind: engine.OrderRole, Role: engine.RoleDecode})
 		refused, ok := engine.AsRefused(err)
 		Expect(ok).To(BeTrue())
@@ -85,9 +85,9 @@
 	})
 })
 
-// guardModel is an engine that ignores fencing, seen through a network that
-// loses replies and delivers orders late.
-type guardModel struct {
+// engineModel is an engine that ignores fencing, behind a network that loses replies
+// and delivers orders late.
+type engineModel struct {
 	state     engine.State
 	running   *engine.Order
 	inFlight  *engine.Order
@@ -95,16 +95,16 @@
 	lastRead  engine.State
 }
 
-func (m *guardModel) deliver() {
+func (m *engineModel) deliver() {
 	if m.inFlight != nil {
 		m.running, m.inFlight = m.inFlight, nil
 		m.state.Accepted, m.state.Busy, m.state.Weights = m.running.Fence, true, model.Weights{}
 	}
 }
 
-// finish ends the running order; one that fails leaves nothing loaded and, as
-// some engines do, reports no failure.
-func (m *guardModel) finish(fails bool) {
+// finish ends the running order. An order that fails leaves nothing loaded and, as
+// with some engines, reports no failure.
+func (m *engineModel) finish(fails bool) {
 	if m.running == nil {
 		return
 	}
@@ -116,15 +116,15 @@
 	m.ran++
 }
 
-// TestGuard checks that no order is sent while an earlier one runs or is in
-// flight, and that a success means that the engine reports what was ordered.
+// TestGuard checks that no order is sent while an earlier one is running or in
+// flight, and that a successful order is confirmed by the engine's state.
 func TestGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const settle = 3 * time.Second
 		now := time.Unix(1_700_000_000, 0)
 		g := engine.NewGuard(engine.GuardConfig{SettleTime: settle})
 		var lostAt time.Time
-		m := &guardModel{state: engine.State{Incarnation: 1}}
+		m := &engineModel{state: engine.State{Incarnation: 1}}
 		if rapid.Bool().Draw(t, "order of an earlier agent") {
 			m.inFlight, m.sent, lostAt = &engine.Order{Fence: engine.Fence{Epoch: 7, Sequence: 3}, Weights: weightsOf("old")}, 1, now
 			if rapid.Bool().Draw(t, "read already") {
@@ -143,17 +143,17 @@
 				g.OnState(now, m.state, nil)
 			case engine.StepSend:
 				if m.running != nil || m.inFlight != nil {
-					t.Fatalf("order %s sent while another runs", step.Order.Fence)
+					t.Fatalf("order %s sent while another one is running or in flight", step.Order.Fence)
 				}
 				m.sent++
 				o := step.Order
 				switch rapid.IntRange(0, 3).Draw(t, "send") {
 				case 0:
 					g.OnReply(now, engine.Reply{}, engine.ErrNotStarted)
-				case 1: // lost on the way, may arrive late
+				case 1: // reply lost, order may arrive late
 					m.inFlight, lostAt = &o, now
 					g.OnReply(now, engine.Reply{}, engine.ErrMayHaveRun)
-				case 2: // never arrives
+				case 2: // order never arrives
 					g.OnReply(now, engine.Reply{}, engine.ErrMayHaveRun)
 				case 3:
 					m.inFlight = &o
@@ -163,7 +163,7 @@
 				}
 			case engine.StepDone:
 				if step.Result.Err == nil && (m.lastRead.Busy || m.lastRead.Weights != step.Result.Order.Weights) {
-					t.Fatalf("success for %s, engine reported %s", step.Result.Order.Weights, m.lastRead.Weights)
+					t.Fatalf("order for %s succeeded, but engine reported %s", step.Result.Order.Weights, m.lastRead.Weights)
 				}
 			}
 		}
@@ -172,7 +172,7 @@
 			"submit": func(t *rapid.T) {
 				err := g.Submit(engine.Order{Kind: engine.OrderLoad, Weights: weightsOf(rapid.SampledFrom(versions).Draw(t, "version"))})
 				if (err == nil) == errors.Is(err, engine.ErrOrderOutstanding) {
-					t.Fatalf("submit: %v", err)
+					t.Fatalf("Submit returned unexpected error: %v", err)
 				}
 			},
 			"withdraw": func(*rapid.T) { g.Withdraw() },
@@ -187,15 +187,15 @@
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond)
-				// An order that was not read within the settle time is gone
-				// with its connection.
+				// An order that was not read within the settle time is lost with
+				// its connection.
 				if m.inFlight != nil && now.Sub(lostAt) >= settle {
 					m.inFlight = nil
 				}
 			},
 		})
 		if m.ran > m.sent {
-			t.Fatalf("%d orders ran, %d were sent", m.ran, m.sent)
+			t.Fatalf("%d orders ran, but only %d were sent", m.ran, m.sent)
 		}
 	})
 }
--- a/lib/engine/json.go
+++ b/lib/engine/json.go
@@ -9,38 +9,39 @@
 	"github.com/cloudwego/hertz/pkg/protocol/consts"
 )
 
-// maxControl bounds the answers to reads of state, load and cache in bytes.
-const maxControl = 16 << 20
+// maxControlBytes limits the responses to reads of state, load and cache, and the
+// bodies of rejections.
+const maxControlBytes = 16 << 20
 
-// refusal is the body of an answer that refuses a request.
-type refusal struct {
+// refusalBody is the body of a response that rejects a request.
+type refusalBody struct {
 	Reason string `json:"reason"`
 }
 
-// read gets a JSON document. Reads have no effect, so every failure is
-// ErrUnavailable.
+// read gets a JSON document. Reads have no side effects, so every failure is
+// reported as ErrUnavailable.
 func (t *transport) read(ctx context.Context, uri string, timeout time.Duration, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	x := newExchange(consts.MethodGet, uri)
 	if err := t.do(ctx, x, timeout); err != nil {
-		return because(ErrUnavailable, err)
+		return wrapCause(ErrUnavailable, err)
 	}
 	defer x.close()
-	data, err := x.body(ctx, maxControl)
+	data, err := x.body(ctx, maxControlBytes)
 	if err != nil {
-		return because(ErrUnavailable, err)
+		return wrapCause(ErrUnavailable, err)
 	}
 	if status := x.resp.StatusCode(); status != consts.StatusOK {
 		return merry.Wrap(ErrUnavailable, merry.AppendMessagef("status %d", status), merry.WithHTTPCode(status))
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return because(ErrUnavailable, err)
+		return wrapCause(ErrUnavailable, err)
 	}
 	return nil
 }
 
-// post starts an exchange with a JSON body on a connection of its own.
+// post prepares a POST request with a JSON body on a connection of its own.
 func post(uri string, body any) (*exchange, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -53,19 +54,19 @@
 	return x, nil
 }
 
-// refused reads the refusal out of a response that is not a success.
-func (x *exchange) refused(ctx context.Context) *RefusedError {
+// refusal converts an unsuccessful response to a RefusedError.
+func (x *exchange) refusal(ctx context.Context) *RefusedError {
 	e := &RefusedError{Status: x.resp.StatusCode(), RetryAfter: x.retryAfter()}
-	var r refusal
-	if data, err := x.body(ctx, maxControl); err == nil && json.Unmarshal(data, &r) == nil {
+	var r refusalBody
+	if data, err := x.body(ctx, maxControlBytes); err == nil && json.Unmarshal(data, &r) == nil {
 		e.Reason = r.Reason
 	}
 	return e
 }
 
-// refusesBeforeStart reports whether a status proves that the engine did not
-// start the request. 408 and the other 5xx may come after a start.
-func refusesBeforeStart(status int) bool {
+// provesNotStarted reports whether a status proves that the engine did not start
+// the request. Status 408 and other 5xx codes may be returned after the start.
+func provesNotStarted(status int) bool {
 	switch status {
 	case consts.StatusBadRequest, consts.StatusNotFound, consts.StatusConflict,
 		consts.StatusRequestEntityTooLarge, consts.StatusUnprocessableEntity,
--- a/lib/engine/kv_test.go
+++ b/lib/engine/kv_test.go
@@ -17,25 +17,25 @@
 		return &engine.KVCache{Weights: w, Stream: "r1", Data: []byte("{}")}
 	}
 
-	// Guards against answers that mix two versions of the weights: the engine
-	// checks nothing, so the order must not be sent.
-	DescribeTable("are not sent to an engine of other weights", func(o engine.Order) {
-		server, client, guard, _ := loaded(standin.Config{IgnoreWeights: true}, "v1")
+	// Guards against responses that mix two versions of the weights. The engine
+	// does not check the weights, so the order must not be sent.
+	DescribeTable("are not sent to an engine with other weights", func(o engine.Order) {
+		server, client, guard, _ := startLoaded(standin.Config{IgnoreWeights: true}, "v1")
 		before := len(server.AcceptedOrders())
-		Expect(order(client, guard, o).Err).To(MatchError(engine.ErrWeightsMismatch))
+		Expect(runOrder(client, guard, o).Err).To(MatchError(engine.ErrWeightsMismatch))
 		Expect(server.AcceptedOrders()).To(HaveLen(before))
 	},
 		Entry("export", engine.Order{Kind: engine.OrderExportKV, Weights: weightsOf("v2"), Stream: "r1"}),
 		Entry("export of an adapter", engine.Order{Kind: engine.OrderExportKV, Weights: adapted, Stream: "r1"}),
 		Entry("import", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v2"), KV: cache(weightsOf("v2"))}),
 		Entry("import of an adapter's cache", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v1"), KV: cache(adapted)}),
-		Entry("import under another name", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v1"), KV: cache(weightsOf("v2"))}),
-		Entry("import that names others than the cache", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v2"), KV: cache(weightsOf("v1"))}),
-		Entry("import of nothing", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v1")}),
+		Entry("import of a cache of other weights", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v1"), KV: cache(weightsOf("v2"))}),
+		Entry("import that names other weights than the cache", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v2"), KV: cache(weightsOf("v1"))}),
+		Entry("import without a cache", engine.Order{Kind: engine.OrderImportKV, Weights: weightsOf("v1")}),
 	)
 
-	// Guards against an engine that changed its weights between the check and
-	// the order, which only the state after it shows.
+	// Guards against an engine whose weights change between the precheck and
+	// the order, which only the state after the order shows.
 	DescribeTable("fail when the engine has other weights afterwards", func(kind engine.OrderKind) {
 		now := time.Unix(1000, 0)
 		guard := engine.NewGuard(engine.GuardConfig{Epoch: 1, EnforcesFencing: true})
--- a/lib/engine/order.go
+++ b/lib/engine/order.go
@@ -2,29 +2,29 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// OrderKind says what an order asks for.
+// OrderKind is the operation that an order requests.
 type OrderKind string
 
 const (
-	// OrderLoad loads a base model and, where named, an adapter.
+	// OrderLoad loads a base model and, if specified, an adapter.
 	OrderLoad OrderKind = "load"
-	// OrderRole changes the role.
+	// OrderRole changes the engine's role.
 	OrderRole OrderKind = "role"
-	// OrderExportKV takes the KV cache of a stream out of the engine.
+	// OrderExportKV exports the KV cache of a stream.
 	OrderExportKV OrderKind = "export_kv"
-	// OrderImportKV puts a KV cache into the engine.
+	// OrderImportKV imports the KV cache of a stream.
 	OrderImportKV OrderKind = "import_kv"
 )
 
-// StagedFiles names staged files: the given ones of a directory in order, or all of
-// them in lexical order when none is given.
+// StagedFiles lists staged files in load order. If Files is empty, it stands for all
+// files of the directory in lexical order.
 type StagedFiles struct {
 	Directory string   `json:"directory"`
 	Files     []string `json:"files,omitempty"`
 }
 
-// KVCache is the state of a stream. It is of use only under the weights that
-// it was computed with.
+// KVCache is the exported state of a stream. It is valid only under the weights
+// that computed it.
 type KVCache struct {
 	Weights model.Weights `json:"weights"`
 	Stream  string        `json:"stream"`
@@ -33,26 +33,26 @@
 	Data   []byte `json:"data"`
 }
 
-// Order changes the state of an engine.
+// Order is a request to change the state of an engine.
 type Order struct {
 	Fence Fence     `json:"fence"`
 	Kind  OrderKind `json:"kind"`
-	// Weights are what to load, or those that a KV cache belongs to.
+	// Weights are the weights to load, or those of the KV cache.
 	Weights model.Weights `json:"weights"`
-	// Base and Adapter say where the files of Weights are staged.
+	// Base and Adapter are the staged files of Weights.
 	Base    StagedFiles `json:"base"`
 	Adapter StagedFiles `json:"adapter"`
 	Role    Role        `json:"role,omitempty"`
-	// Stream names the stream whose KV cache is exported.
+	// Stream identifies the stream whose KV cache is exported.
 	Stream string `json:"stream,omitempty"`
-	// KV is imported.
+	// KV is the KV cache to import.
 	KV *KVCache `json:"kv,omitempty"`
 }
 
-// Reply answers an order that has finished.
+// Reply is the response to an order that has finished.
 type Reply struct {
-	// Failure says why the order failed; it is empty after a success.
+	// Failure is the reason why the order failed; it is empty on success.
 	Failure string `json:"failure,omitempty"`
-	// KV is the exported cache.
+	// KV is the exported KV cache.
 	KV *KVCache `json:"kv,omitempty"`
 }
--- a/lib/engine/plain_client.go
+++ b/lib/engine/plain_client.go
@@ -11,62 +11,67 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Headers of calls to plain services.
+// Request headers of plain service calls.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderRequestID      = "X-Request-Id"
 	HeaderRemaining      = "X-Remaining-Ms"
 )
 
-// PlainRequest is one call of a plain service.
+// PlainRequest is one call to a plain service.
 type PlainRequest struct {
 	ID      model.RequestID
 	Service model.Service
-	// IdempotencyKey is sent where the caller gave one.
-	IdempotencyKey  string
-	ContentType     string
+	// IdempotencyKey is optional.
+	IdempotencyKey string
+	ContentType    string
+	// RemainingMillis is the time until the deadline in milliseconds. It is sent
+	// only if it is positive.
 	RemainingMillis int64
 	Body            []byte
 }
 
-// PlainResponse is the whole answer of a plain service.
+// PlainResponse is the complete response of a plain service.
 type PlainResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// PlainClient calls one plain service.
+// PlainClient is the HTTP client of one plain service. It is safe for concurrent
+// use.
 type PlainClient struct {
-	cfg  Config
-	http *transport
+	cfg       Config
+	transport *transport
 }
 
-// NewPlainClient returns a client. It does not connect.
+// NewPlainClient returns a client without connecting to the service.
 func NewPlainClient(cfg Config) (*PlainClient, error) {
 	cfg.applyDefaults()
 	t, err := newTransport(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &PlainClient{cfg: cfg, http: t}, nil
+	return &PlainClient{cfg: cfg, transport: t}, nil
 }
 
-// Load reads the load report of the service. It returns ErrNoLoad if the service
-// answers 404, because reports are optional, and otherwise ErrUnavailable.
+// Load returns the load report of the service. Load reports are optional: if the
+// service responds with 404, Load returns ErrNoLoadReport. On any other failure it
+// returns ErrUnavailable.
 func (c *PlainClient) Load(ctx context.Context) (LoadReport, error) {
 	var r LoadReport
-	err := c.http.read(ctx, c.cfg.Address+"/v1/load", c.cfg.ReadTimeout, &r)
+	err := c.transport.read(ctx, c.cfg.Address+"/v1/load", c.cfg.ReadTimeout, &r)
 	if err != nil && merry.HTTPCode(err) == consts.StatusNotFound {
 		return LoadReport{}, merry.Wrap(ErrNoLoadReport, merry.WithCause(err))
 	}
 	return r, err
 }
 
-// Call posts a request and returns its answer, whatever the status. A status
-// of 429 or 503 with a Retry-After header is a refusal before the request ran;
-// without the header it is an answer, because a service may also use these
-// statuses after it ran something.
+// Call posts a request and returns the response, whatever its status. The one
+// exception is status 429 or 503 with a Retry-After header, which means that the
+// service rejected the request without running it. Without the header it is
+// returned as a response, because a service may also use these statuses after it
+// has run the request.
 func (c *PlainClient) Call(ctx context.Context, req PlainRequest) (PlainResponse, error) {
 	x := newExchange(consts.MethodPost, c.cfg.Address+"/"+url.PathEscape(string(req.Service)))
 	x.req.SetBodyRaw(req.Body)
@@ -79,14 +84,14 @@
 	if req.RemainingMillis > 0 {
 		x.req.Header.Set(HeaderRemaining, strconv.FormatInt(req.RemainingMillis, 10))
 	}
-	if err := c.http.do(ctx, x, c.cfg.RequestTimeout); err != nil {
+	if err := c.transport.do(ctx, x, c.cfg.RequestTimeout); err != nil {
 		return PlainResponse{}, err
 	}
 	defer x.close()
 	status := x.resp.StatusCode()
 	if status == consts.StatusTooManyRequests || status == consts.StatusServiceUnavailable {
 		if len(x.resp.Header.Peek(headerRetryAfter)) > 0 {
-			return PlainResponse{}, notStarted(x.refused(ctx))
+			return PlainResponse{}, notStarted(x.refusal(ctx))
 		}
 	}
 	body, err := x.body(ctx, c.cfg.MaxResponseBytes)
--- a/lib/engine/plain_client_test.go
+++ b/lib/engine/plain_client_test.go
@@ -27,7 +27,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("returns the one answer to its key", func() {
+	It("returns the response for its idempotency key", func() {
 		a, err := client.Call(ctx, req)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Status).To(Equal(200))
@@ -35,27 +35,27 @@
 		Expect(a.Body).To(Equal(service.ExpectedAnswer("/orders", "k1", req.Body)))
 	})
 
-	// Each of these decides whether a call that must not be repeated is.
-	DescribeTable("judges a failure", func(f service.Faults, notStarted bool, runs int) {
+	// Guards against retrying a call that may have run.
+	DescribeTable("reports whether a failed call may have run", func(f service.Faults, notStarted bool, runs int) {
 		server.SetFaults(f)
 		_, err := client.Call(ctx, req)
 		Expect(err).To(HaveOccurred())
 		Expect(engine.NotStarted(err)).To(Equal(notStarted))
 		Expect(server.Runs("k1")).To(Equal(runs))
 	},
-		Entry("refused before the run", service.Faults{Refuse: 1}, true, 0),
-		Entry("reply dropped after the run", service.Faults{DropReply: 1}, false, 1),
-		Entry("reply cut in the middle", service.Faults{CutReply: 1}, false, 1),
+		Entry("rejected before the run", service.Faults{Refuse: 1}, true, 0),
+		Entry("response dropped after the run", service.Faults{DropReply: 1}, false, 1),
+		Entry("response truncated", service.Faults{CutReply: 1}, false, 1),
 	)
 
-	It("passes an error of the service on as its answer", func() {
+	It("returns an error status of the service as a response", func() {
 		server.SetFaults(service.Faults{Fail: 1})
 		a, err := client.Call(ctx, req)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.Status).To(Equal(500))
 	})
 
-	It("never sends a call twice over a connection that died idle", func() {
+	It("never sends a call twice over a connection that was closed while idle", func() {
 		for range 20 {
 			_, err := client.Call(ctx, req)
 			Expect(err).NotTo(HaveOccurred())
@@ -66,7 +66,7 @@
 		Expect(server.Runs("k1")).To(Equal(21))
 	})
 
-	It("leaves a slow call open at its deadline", func() {
+	It("reports a call that exceeds its deadline as possibly run", func() {
 		server.SetFaults(service.Faults{Delay: time.Second})
 		short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 		defer cancel()
@@ -74,7 +74,7 @@
 		Expect(errors.Is(err, engine.ErrMayHaveRun)).To(BeTrue())
 	})
 
-	It("tells a service without load reports from one that does not answer", func() {
+	It("distinguishes a service without load reports from an unavailable one", func() {
 		_, err := client.Load(ctx)
 		Expect(errors.Is(err, engine.ErrNoLoadReport)).To(BeTrue())
 		Expect(server.Close()).To(Succeed())
@@ -83,7 +83,7 @@
 		Expect(errors.Is(err, engine.ErrNoLoadReport)).To(BeFalse())
 	})
 
-	It("reads the load as it was the lag ago", func() {
+	It("reads load reports that are delayed by the configured lag", func() {
 		const lag = 300 * time.Millisecond
 		lagging, err := service.Start(service.Config{Capacity: 4, LoadLag: lag, Delay: time.Second})
 		Expect(err).NotTo(HaveOccurred())
@@ -104,7 +104,7 @@
 			Expect(r.Age()).To(Equal(lag))
 			return r.Running
 		}, 5*time.Second, 10*time.Millisecond).Should(Equal(1))
-		// The poll of Running notices the call up to 10 ms after it began.
+		// Polling Running detects the call up to 10 ms after its start.
 		Expect(time.Since(begun)).To(BeNumerically(">", lag/2))
 		Eventually(done, 5*time.Second).Should(BeClosed())
 	})
--- a/lib/engine/prefix.go
+++ b/lib/engine/prefix.go
@@ -9,22 +9,23 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// PrefixBytes is the length of the beginning of a body that counts as its
-// prompt prefix: system prompts and few-shot examples are longer, questions
-// are shorter.
+// PrefixBytes is the number of leading body bytes that are hashed as the prompt
+// prefix. System prompts and few-shot examples are longer than this, questions are
+// shorter.
 const PrefixBytes = 256
 
-// PrefixHash identifies the text of a prompt prefix; a collision costs a cache miss
-// and nothing else.
+// PrefixHash identifies the text of a prompt prefix. A collision only causes a cache
+// miss.
 type PrefixHash uint64
 
-// HashPrefix returns the prefix of a request's body.
+// HashPrefix returns the hash of the prompt prefix of a request body.
 func HashPrefix(body []byte) PrefixHash {
 	return PrefixHash(xxhash.Sum64(body[:min(len(body), PrefixBytes)]))
 }
 
-// Block returns the block of the prefix under weights. Equal text under other
-// weights gives another block: its cached state is of no use.
+// Block returns the block for the prefix under the given weights. The same text
+// under other weights is a different block, because its cached state cannot be
+// reused.
 func (p PrefixHash) Block(w model.Weights) model.Block {
 	b := make([]byte, 0, 2*model.DigestSize+8)
 	b = append(b, w.Base[:]...)
@@ -32,5 +33,5 @@
 	return model.Block(xxhash.Sum64(binary.BigEndian.AppendUint64(b, uint64(p))))
 }
 
-// String returns the prefix in hexadecimal.
+// String returns the hash in hexadecimal.
 func (p PrefixHash) String() string { return strconv.FormatUint(uint64(p), 16) }
--- a/lib/engine/state.go
+++ b/lib/engine/state.go
@@ -2,18 +2,18 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// State is what an engine reports about itself.
+// State is the state that an engine reports.
 type State struct {
-	// Incarnation changes with each start of the engine.
+	// Incarnation changes at every start of the engine.
 	Incarnation uint64 `json:"incarnation"`
-	// Weights are the manifest digests of what is loaded; zero when nothing is,
-	// and while a load runs.
+	// Weights are the manifest digests of the loaded weights. They are zero if
+	// nothing is loaded and during a load.
 	Weights model.Weights `json:"weights"`
 	Role    Role          `json:"role"`
-	// Accepted is the number of the last order that the engine took on.
+	// Accepted is the fence of the last order that the engine accepted.
 	Accepted Fence `json:"accepted"`
-	// Busy is true while that order runs.
+	// Busy is true while that order is running.
 	Busy bool `json:"busy"`
-	// Failure says why the last order failed; it is empty after a success.
+	// Failure is the reason why the last order failed; it is empty on success.
 	Failure string `json:"failure,omitempty"`
 }
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -13,29 +13,30 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Stream is an answer that is being received. Next belongs to one goroutine;
-// Close may be called by the same one only. The context of Generate ends it.
+// Stream is a response that is being received. Its methods must be called from one
+// goroutine only. It is closed when the context of Generate or Resume ends.
 type Stream struct {
 	request Request
 	stall   time.Duration
 
-	x      *exchange
-	ctx    context.Context
-	reader *sse.Reader
-	stop   func() bool
-	next   uint64
-	hash   *blake3.Hasher
-	end    *StreamEnd
+	exchange   *exchange
+	ctx        context.Context
+	reader     *sse.Reader
+	stopWatch  func() bool
+	nextOffset uint64
+	hash       *blake3.Hasher
+	end        *StreamEnd
 }
 
 func newStream(req Request, stall time.Duration) *Stream {
 	return &Stream{request: req, stall: stall, hash: blake3.New()}
 }
 
-// Offset returns the offset of the next frame.
-func (s *Stream) Offset() uint64 { return s.next }
+// Offset returns the offset of the next frame to receive.
+func (s *Stream) Offset() uint64 { return s.nextOffset }
 
-// End returns the end of a complete answer, after Next returned io.EOF.
+// End returns the end event of a complete response. It returns false until Next has
+// returned io.EOF.
 func (s *Stream) End() (StreamEnd, bool) {
 	if s.end == nil {
 		return StreamEnd{}, false
@@ -43,30 +44,30 @@
 	return *s.end, true
 }
 
-// attach takes over an exchange whose status was a success.
+// attach starts reading the body of a successful exchange.
 func (s *Stream) attach(ctx context.Context, x *exchange) error {
 	reader, err := sse.NewReader(x.resp)
 	if err != nil {
 		x.close()
 		return mayHaveRun(err)
 	}
-	reader.SetMaxBufferSize(maxEvent)
-	s.x, s.ctx, s.reader = x, ctx, reader
-	s.stop = context.AfterFunc(ctx, x.close)
-	return s.checkStart()
+	reader.SetMaxBufferSize(maxEventBytes)
+	s.exchange, s.ctx, s.reader = x, ctx, reader
+	s.stopWatch = context.AfterFunc(ctx, x.close)
+	return s.readStart()
 }
 
-func (s *Stream) checkStart() error {
+func (s *Stream) readStart() error {
 	var start StreamStart
-	name, data, err := s.event()
+	name, data, err := s.readEvent()
 	if err != nil {
 		return err
 	}
 	if name == EventError {
-		return s.aborted(data)
+		return s.streamError(data)
 	}
 	if name != EventStart || json.Unmarshal(data, &start) != nil {
-		return mayHaveRun(merry.Errorf("first event is %q", name))
+		return mayHaveRun(merry.Errorf("first event is %q, want \"start\"", name))
 	}
 	if start.Stream != s.request.Stream || start.Request != s.request.ID {
 		return mayHaveRun(merry.Wrap(ErrWrongRequest, merry.AppendMessagef("got stream %s, want %s", start.Stream, s.request.Stream)))
@@ -78,16 +79,16 @@
 	if got == s.request.Weights {
 		return nil
 	}
-	return mayHaveRun(merry.Wrap(ErrWeightsMismatch, merry.AppendMessagef("answer is of %s, request is for %s", got, s.request.Weights)))
+	return mayHaveRun(merry.Wrap(ErrWeightsMismatch, merry.AppendMessagef("response is from %s, request is for %s", got, s.request.Weights)))
 }
 
-// event reads one server-sent event. A stream that pauses for longer than the
-// stall bound is closed, which ends the read.
-func (s *Stream) event() (name string, data []byte, err error) {
-	if s.x == nil {
+// readEvent reads one server-sent event. If the stream pauses for longer than the
+// stall timeout, the connection is closed, which ends the read.
+func (s *Stream) readEvent() (name string, data []byte, err error) {
+	if s.exchange == nil {
 		return "", nil, mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessage("stream is closed")))
 	}
-	timer := time.AfterFunc(s.stall, s.x.close)
+	timer := time.AfterFunc(s.stall, s.exchange.close)
 	defer timer.Stop()
 	e := sse.NewEvent()
 	defer e.Release()
@@ -95,56 +96,56 @@
 		if ctxErr := s.ctx.Err(); ctxErr != nil {
 			err = ctxErr
 		}
-		return "", nil, mayHaveRun(because(ErrIncomplete, err))
+		return "", nil, mayHaveRun(wrapCause(ErrIncomplete, err))
 	}
 	return e.Type, append([]byte(nil), e.Data...), nil
 }
 
-// Next returns the next frame. It returns io.EOF after a complete answer whose
-// frame count, digest and weights match; any other error means that the answer
-// is incomplete and must not be closed as a success.
+// Next returns the next frame. It returns io.EOF after a complete response whose
+// frame count, digest and weights match. Any other error means that the response is
+// incomplete and must not be reported as a success.
 func (s *Stream) Next() (Frame, error) {
 	if s.end != nil {
 		return Frame{}, io.EOF
 	}
-	name, data, err := s.event()
+	name, data, err := s.readEvent()
 	if err != nil {
 		return Frame{}, err
 	}
 	switch name {
 	case EventToken:
-		return s.frame(data)
+		return s.acceptFrame(data)
 	case EventEnd:
-		return Frame{}, s.finish(data)
+		return Frame{}, s.acceptEnd(data)
 	case EventError:
-		return Frame{}, s.aborted(data)
+		return Frame{}, s.streamError(data)
 	default:
 		return Frame{}, mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessagef("unknown event %q", name)))
 	}
 }
 
-func (s *Stream) frame(data []byte) (Frame, error) {
+func (s *Stream) acceptFrame(data []byte) (Frame, error) {
 	var f Frame
 	if err := json.Unmarshal(data, &f); err != nil {
-		return Frame{}, mayHaveRun(because(ErrIncomplete, err))
+		return Frame{}, mayHaveRun(wrapCause(ErrIncomplete, err))
 	}
-	if f.Offset != s.next {
-		return Frame{}, mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessagef("frame %d follows frame %d", f.Offset, s.next)))
+	if f.Offset != s.nextOffset {
+		return Frame{}, mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessagef("got frame %d, want frame %d", f.Offset, s.nextOffset)))
 	}
-	s.next++
+	s.nextOffset++
 	_, _ = s.hash.Write(f.Data)
 	return f, nil
 }
 
-func (s *Stream) finish(data []byte) error {
+func (s *Stream) acceptEnd(data []byte) error {
 	var end StreamEnd
 	if err := json.Unmarshal(data, &end); err != nil {
-		return mayHaveRun(because(ErrIncomplete, err))
+		return mayHaveRun(wrapCause(ErrIncomplete, err))
 	}
 	var digest model.Digest
 	copy(digest[:], s.hash.Sum(nil))
-	if end.Frames != s.next || end.Digest != digest {
-		return mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessagef("received %d frames of %d, digest %s of %s", s.next, end.Frames, digest.Short(), end.Digest.Short())))
+	if end.Frames != s.nextOffset || end.Digest != digest {
+		return mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessagef("got %d of %d frames, digest %s, want %s", s.nextOffset, end.Frames, digest.Short(), end.Digest.Short())))
 	}
 	if err := s.checkWeights(end.Weights); err != nil {
 		return err
@@ -153,27 +154,27 @@
 	return io.EOF
 }
 
-// aborted reports an error event. It proves that nothing ran only when the
-// engine says so and no frame was received.
-func (s *Stream) aborted(data []byte) error {
+// streamError converts an error event to an error. The event proves that the request
+// did not run only if the engine says so and no frame was received.
+func (s *Stream) streamError(data []byte) error {
 	var a StreamError
 	if err := json.Unmarshal(data, &a); err != nil {
-		return mayHaveRun(because(ErrIncomplete, err))
+		return mayHaveRun(wrapCause(ErrIncomplete, err))
 	}
 	err := &RefusedError{Reason: a.Reason}
-	if !a.Started && s.next == 0 && !s.request.Resume {
+	if !a.Started && s.nextOffset == 0 && !s.request.Resume {
 		return notStarted(err)
 	}
 	return mayHaveRun(err)
 }
 
-// Close ends the connection. The engine goes on until Cancel or the end of the
-// answer, so that the stream can be resumed.
+// Close closes the connection. The engine continues until Cancel or the end of the
+// response, so that the stream can be resumed.
 func (s *Stream) Close() {
-	if s.x == nil {
+	if s.exchange == nil {
 		return
 	}
-	s.stop()
-	s.x.close()
-	s.x = nil
+	s.stopWatch()
+	s.exchange.close()
+	s.exchange = nil
 }
--- a/lib/engine/suite_test.go
+++ b/lib/engine/suite_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// init fixes the seed of property tests; -rapid.seed still overrides it. The
-// default of 100 runs seldom reaches a lost reply followed by a second order.
+// init sets a fixed seed for property tests, which -rapid.seed overrides, and more
+// runs: the default of 100 rarely reaches a lost reply followed by a second order.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "3000")
