--- a/lib/telemetry/config.go
+++ b/lib/telemetry/config.go
@@ -1,24 +1,24 @@
 package telemetry
 
 const (
-	// defaultMaxNames bounds the names of one kind that ever get a label of
-	// their own. A deployment has about ten teams.
-	defaultMaxNames = 200
-	// seriesPerInstrument bounds the label sets of one instrument; the SDK
-	// counts what is beyond under an overflow label.
-	seriesPerInstrument = 10_000
-	// otherName stands for all names that are not declared.
-	otherName = "other"
+	// defaultMaxLabelNames is far above need: a deployment has about ten teams.
+	defaultMaxLabelNames = 200
+	// maxSeriesPerInstrument limits the label sets of one instrument. The SDK
+	// counts further ones under an overflow label.
+	maxSeriesPerInstrument = 10_000
+	// otherLabel is the label value for all undeclared names.
+	otherLabel = "other"
 )
 
-// Config holds the settings of Metrics.
+// Config configures Metrics.
 type Config struct {
-	// MaxNames bounds the tenants, classes and models that get labels.
-	MaxNames int
+	// MaxLabelNames limits the tenants, the classes and the models that ever get a
+	// label value of their own.
+	MaxLabelNames int
 }
 
 func (c *Config) applyDefaults() {
-	if c.MaxNames <= 0 {
-		c.MaxNames = defaultMaxNames
+	if c.MaxLabelNames <= 0 {
+		c.MaxLabelNames = defaultMaxLabelNames
 	}
 }
--- a/lib/telemetry/doc.go
+++ b/lib/telemetry/doc.go
@@ -1,8 +1,8 @@
-// Package telemetry holds the OpenTelemetry instruments of both daemons and the
-// local text endpoint that shows them in the Prometheus text format.
+// Package telemetry provides the OpenTelemetry instruments of both daemons and a
+// local endpoint that serves them in the Prometheus text format.
 //
-// Label values are bounded: only declared tenants, classes and models have
-// labels of their own, all others are counted under "other", so that callers
-// cannot grow the memory of a process by inventing names. All methods are safe
-// for concurrent use.
+// The number of label values is limited: only declared tenants, classes and models
+// have label values of their own, and all others are counted under "other". This
+// prevents callers from growing the memory of a process by sending arbitrary names.
+// All methods are safe for concurrent use.
 package telemetry
--- a/lib/telemetry/endpoint.go
+++ b/lib/telemetry/endpoint.go
@@ -9,17 +9,17 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// endpointTimeout bounds one read of the text endpoint.
+// endpointTimeout limits reading a request and writing its response.
 const endpointTimeout = 10 * time.Second
 
-// Endpoint serves the text format under /metrics.
+// Endpoint is an HTTP server for GET /metrics in the Prometheus text format.
 type Endpoint struct {
 	server *http.Server
 	ln     net.Listener
 	done   chan struct{}
 }
 
-// Listen starts the text endpoint at an IP address and port.
+// Listen starts the metrics endpoint at an IP address and port.
 func (m *Metrics) Listen(address string) (*Endpoint, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,10 +39,10 @@
 	return e, nil
 }
 
-// Address returns the IP address and port.
+// Address returns the IP address and port of the endpoint.
 func (e *Endpoint) Address() string { return e.ln.Addr().String() }
 
-// Close stops the endpoint and waits for it.
+// Close shuts the endpoint down, waiting for open requests until ctx ends.
 func (e *Endpoint) Close(ctx context.Context) error {
 	err := e.server.Shutdown(ctx)
 	<-e.done
--- a/lib/telemetry/metrics_test.go
+++ b/lib/telemetry/metrics_test.go
@@ -18,7 +18,7 @@
 	"github.com/auburnbend/auburnbend/lib/telemetry"
 )
 
-func declared() *config.Config {
+func testConfig() *config.Config {
 	return &config.Config{
 		Tenants: []config.Tenant{{Name: "hauliers"}},
 		Classes: []config.Class{{Name: "interactive"}},
@@ -29,10 +29,10 @@
 var _ = Describe("Metrics", func() {
 	ctx := context.Background()
 
-	It("shows what was recorded in the text format", func() {
+	It("serves recorded values in the Prometheus text format", func() {
 		m, err := telemetry.New(telemetry.Config{})
 		Expect(err).NotTo(HaveOccurred())
-		m.DeclareLabels(declared())
+		m.DeclareLabels(testConfig())
 		r := m.ForRequest("hauliers", "interactive")
 		r.RecordQueueTime(3 * time.Millisecond)
 		r.RecordFirstToken(900 * time.Millisecond)
@@ -68,36 +68,38 @@
 		}
 	})
 
-	// A caller that invents tenant names must not grow the memory of an entry.
+	// Guards against callers growing the memory of an entry by sending arbitrary
+	// tenant names.
 	It("counts undeclared names under other", func() {
-		m, err := telemetry.New(telemetry.Config{MaxNames: 1})
+		m, err := telemetry.New(telemetry.Config{MaxLabelNames: 1})
 		Expect(err).NotTo(HaveOccurred())
-		m.DeclareLabels(declared())
+		m.DeclareLabels(testConfig())
 		m.DeclareLabels(&config.Config{Tenants: []config.Tenant{{Name: "one-too-many"}}})
 		for i := range 1000 {
 			m.ForRequest(model.Tenant(fmt.Sprint("t", i)), "x").RecordQueueTime(time.Millisecond)
 		}
 		m.ForRequest("one-too-many", "x").RecordQueueTime(time.Millisecond)
-		rec := &recorder{}
+		rec := &responseRecorder{}
 		m.Handler().ServeHTTP(rec, &http.Request{Method: http.MethodGet})
 		Expect(strings.Count(rec.String(), "auburnbend_request_queue_time_seconds_count")).To(Equal(1))
 		Expect(rec.String()).To(ContainSubstring(`auburnbend_request_queue_time_seconds_count{class="other",tenant="other"} 1001`))
 	})
 })
 
-// recorder keeps a response in memory.
-type recorder struct{ strings.Builder }
+// responseRecorder is an http.ResponseWriter that stores the body in memory.
+type responseRecorder struct{ strings.Builder }
 
-func (*recorder) Header() http.Header { return http.Header{} }
-func (*recorder) WriteHeader(int)     {}
+func (*responseRecorder) Header() http.Header { return http.Header{} }
+func (*responseRecorder) WriteHeader(int)     {}
 
-// BenchmarkRecord is the cost of one recorded token.
+// BenchmarkRecord measures the cost of recording one token, one outcome and one
+// lookup.
 func BenchmarkRecord(b *testing.B) {
 	m, err := telemetry.New(telemetry.Config{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	m.DeclareLabels(declared())
+	m.DeclareLabels(testConfig())
 	r := m.ForRequest("hauliers", "interactive")
 	b.Run("between tokens", func(b *testing.B) {
 		b.ReportAllocs()
--- a/lib/telemetry/names.go
+++ b/lib/telemetry/names.go
@@ -2,32 +2,34 @@
 
 import "sync"
 
-// names decides which names of one kind get a label of their own. A name that
-// was declared once keeps its label, because its series exist already.
-type names struct {
+// labelNames is the set of names of one kind that have a label value of their own. A
+// declared name is never removed, because its series already exist.
+type labelNames struct {
 	limit int
 
-	mu   sync.Mutex
-	seen map[string]bool
+	mu       sync.Mutex
+	declared map[string]bool
 }
 
-func newNames(limit int) *names { return &names{limit: limit, seen: make(map[string]bool)} }
+func newLabelNames(limit int) *labelNames {
+	return &labelNames{limit: limit, declared: make(map[string]bool)}
+}
 
-func (n *names) declare(all []string) {
+func (n *labelNames) add(all []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, name := range all {
-		if !n.seen[name] && len(n.seen) < n.limit {
-			n.seen[name] = true
+		if !n.declared[name] && len(n.declared) < n.limit {
+			n.declared[name] = true
 		}
 	}
 }
 
-func (n *names) label(name string) string {
+func (n *labelNames) label(name string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.seen[name] {
+	if n.declared[name] {
 		return name
 	}
-	return otherName
+	return otherLabel
 }
--- a/lib/telemetry/source.go
+++ b/lib/telemetry/source.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// Source says where bytes of weights came from. The set is closed.
+// Source is the origin of received weight bytes, used as a metric label.
 type Source uint8
 
 // Sources of weights.
@@ -9,15 +9,15 @@
 	SourceWeightStore
 	SourcePeer
 	SourceRemotePeer
-	sources
+	sourceCount
 )
 
-var sourceNames = [sources]string{"origin", "weight_store", "peer", "remote_peer"}
+var sourceNames = [sourceCount]string{"origin", "weight_store", "peer", "remote_peer"}
 
 // String returns the label value.
 func (s Source) String() string {
-	if s < sources {
+	if s < sourceCount {
 		return sourceNames[s]
 	}
-	return otherName
+	return otherLabel
 }
