--- a/lib/backing/errors.go
+++ b/lib/backing/errors.go
@@ -10,26 +10,30 @@
 var (
 	// ErrNotFound means that the row or object does not exist.
 	ErrNotFound = merry.New("not found")
-	// ErrNotApplied means that a write certainly had no effect.
+	// ErrNotApplied means that a write provably had no effect.
 	ErrNotApplied = merry.New("write not applied")
-	// ErrUnknown means that a write may have taken effect: its reply was lost.
+	// ErrUnknown means that a write may have taken effect, because its response
+	// was lost.
 	ErrUnknown = merry.New("write outcome unknown")
-	// ErrUnavailable means that a read was not answered.
+	// ErrUnavailable means that a read failed.
 	ErrUnavailable = merry.New("platform service unavailable")
 	// ErrExists means that an object already exists.
 	ErrExists = merry.New("object already exists")
 )
 
-// ConflictError says which write's condition did not hold. Nothing was applied.
+// ConflictError reports that the condition of a write did not hold. No write of the
+// transaction was applied.
 type ConflictError struct {
+	// Index is the position of the write in the transaction.
 	Index int
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("condition of write %d does not hold", e.Index)
+	return fmt.Sprintf("condition of write %d not met", e.Index)
 }
 
-// ThrottledError asks the client to come back later.
+// ThrottledError reports that the service throttles the client, which may retry after
+// RetryAfter.
 type ThrottledError struct {
 	RetryAfter time.Duration
 }
--- a/lib/backing/httpbacking/client.go
+++ b/lib/backing/httpbacking/client.go
@@ -16,66 +16,67 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// notAppliedHeader marks an answer that proves that a write had no effect.
+// notAppliedHeader is set on responses that prove that a write had no effect.
 const notAppliedHeader = "X-Not-Applied"
 
-// defaultRetryAfter is used when a throttling service names no time.
+// defaultRetryAfter is used if a throttling service sends no valid Retry-After.
 const defaultRetryAfter = time.Second
 
-// caller sends calls to one service.
-type caller struct {
+// httpClient sends requests to one service.
+type httpClient struct {
 	cfg    Config
 	client *http.Client
 }
 
-func newCaller(cfg Config) caller {
+func newHTTPClient(cfg Config) httpClient {
 	cfg.applyDefaults()
-	return caller{cfg: cfg, client: &http.Client{Transport: cfg.Transport}}
+	return httpClient{cfg: cfg, client: &http.Client{Transport: cfg.Transport}}
 }
 
-// answer is what a service replied. A reply is complete: a broken body is an
-// error of the call.
-type answer struct {
+// response is a complete HTTP response. A truncated body is reported as an error of
+// the request.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// read sends a call without an effect.
-func (c caller) read(ctx context.Context, path string) (answer, error) {
-	a, _, err := c.send(ctx, http.MethodGet, path, nil)
+// read sends a request without side effects.
+func (c httpClient) read(ctx context.Context, path string) (response, error) {
+	r, _, err := c.send(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return answer{}, merry.Wrap(backing.ErrUnavailable, merry.WithCause(err))
+		return response{}, merry.Wrap(backing.ErrUnavailable, merry.WithCause(err))
 	}
-	if a.status == http.StatusNotFound {
-		return a, merry.Wrap(backing.ErrNotFound)
+	if r.status == http.StatusNotFound {
+		return r, merry.Wrap(backing.ErrNotFound)
 	}
-	if a.status != http.StatusOK {
-		return a, statusError(backing.ErrUnavailable, a)
+	if r.status != http.StatusOK {
+		return r, statusError(backing.ErrUnavailable, r)
 	}
-	return a, nil
+	return r, nil
 }
 
-// write sends a call with an effect. An answer with status 2xx or 409 is
-// returned; every other end is ErrNotApplied or ErrUnknown.
-func (c caller) write(ctx context.Context, method, path string, body []byte) (answer, error) {
-	a, connected, err := c.send(ctx, method, path, body)
+// write sends a request with side effects. It returns responses with status 2xx or
+// 409; every other result is ErrNotApplied or ErrUnknown.
+func (c httpClient) write(ctx context.Context, method, path string, body []byte) (response, error) {
+	r, connected, err := c.send(ctx, method, path, body)
 	switch {
 	case err != nil && !connected:
-		return answer{}, merry.Wrap(backing.ErrNotApplied, merry.WithCause(err))
+		return response{}, merry.Wrap(backing.ErrNotApplied, merry.WithCause(err))
 	case err != nil:
-		return answer{}, merry.Wrap(backing.ErrUnknown, merry.WithCause(err))
-	case a.status/100 == 2, a.status == http.StatusConflict:
-		return a, nil
-	case a.status/100 == 4, a.header.Get(notAppliedHeader) != "":
-		return a, statusError(backing.ErrNotApplied, a)
+		return response{}, merry.Wrap(backing.ErrUnknown, merry.WithCause(err))
+	case r.status/100 == 2, r.status == http.StatusConflict:
+		return r, nil
+	case r.status/100 == 4, r.header.Get(notAppliedHeader) != "":
+		return r, statusError(backing.ErrNotApplied, r)
 	default:
-		return a, statusError(backing.ErrUnknown, a)
+		return r, statusError(backing.ErrUnknown, r)
 	}
 }
 
-// send reports whether a connection was obtained: without one, nothing was sent.
-func (c caller) send(ctx context.Context, method, path string, body []byte) (a answer, connected bool, err error) {
+// send sends one request. connected is false if no connection was established, so
+// that nothing was sent.
+func (c httpClient) send(ctx context.Context, method, path string, body []byte) (r response, connected bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	var got atomic.Bool
@@ -84,28 +85,28 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, method, c.cfg.URL+path, bytes.NewReader(body))
 	if err != nil {
-		return answer{}, false, err
+		return response{}, false, err
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return answer{}, got.Load(), err
+		return response{}, got.Load(), err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return answer{}, true, err
+		return response{}, true, err
 	}
-	return answer{status: resp.StatusCode, header: resp.Header, body: data}, true, nil
+	return response{status: resp.StatusCode, header: resp.Header, body: data}, true, nil
 }
 
-func statusError(kind error, a answer) error {
-	if a.status == http.StatusTooManyRequests {
-		kind = merry.Wrap(kind, merry.WithCause(throttled(a.header)))
+func statusError(kind error, r response) error {
+	if r.status == http.StatusTooManyRequests {
+		kind = merry.Wrap(kind, merry.WithCause(throttledError(r.header)))
 	}
-	return merry.Wrap(kind, merry.AppendMessagef("status %d", a.status))
+	return merry.Wrap(kind, merry.AppendMessagef("status %d", r.status))
 }
 
-func throttled(header http.Header) *backing.ThrottledError {
+func throttledError(header http.Header) *backing.ThrottledError {
 	seconds, err := strconv.ParseInt(header.Get("Retry-After"), 10, 64)
 	if err != nil || seconds < 0 {
 		return &backing.ThrottledError{RetryAfter: defaultRetryAfter}
@@ -113,9 +114,9 @@
 	return &backing.ThrottledError{RetryAfter: time.Duration(seconds) * time.Second}
 }
 
-// decode reads the body of a read. A broken body is not an answer.
-func (a answer) decode(v any) error {
-	if err := json.Unmarshal(a.body, v); err != nil {
+// decode parses the body of a read. An invalid body is reported as ErrUnavailable.
+func (r response) decode(v any) error {
+	if err := json.Unmarshal(r.body, v); err != nil {
 		return merry.Wrap(backing.ErrUnavailable, merry.WithCause(err))
 	}
 	return nil
--- a/lib/backing/httpbacking/clients_test.go
+++ b/lib/backing/httpbacking/clients_test.go
@@ -20,7 +20,7 @@
 	standins "github.com/auburnbend/auburnbend/standin/platform"
 )
 
-var _ = Describe("the HTTP clients", func() {
+var _ = Describe("HTTP clients", func() {
 	ctx := context.Background()
 	var (
 		p      *standins.Platform
@@ -40,7 +40,7 @@
 		DeferCleanup(server.Close)
 	})
 
-	It("commits, reads, scans and reports conflicts by index", func() {
+	It("commits, reads, scans and reports the index of a conflicting write", func() {
 		t := httpbacking.NewTable(client(standins.TablePath))
 		Expect(t.Commit(ctx, put("a", backing.IfAbsent, 0))).To(Succeed())
 		Expect(t.Commit(ctx, put("b&c", backing.Always, 0))).To(Succeed())
@@ -57,9 +57,9 @@
 		Expect(errors.Is(err, backing.ErrNotFound)).To(BeTrue())
 	})
 
-	// Guards against a write that took effect being reported as not applied,
-	// which would make its caller repeat it.
-	DescribeTable("maps a failed write", func(f fault.Faults, want error, applied bool) {
+	// Guards against reporting a write that took effect as not applied, which
+	// would make its caller retry it.
+	DescribeTable("maps failed writes to errors", func(f fault.Faults, want error, applied bool) {
 		t := httpbacking.NewTable(client(standins.TablePath))
 		p.Table.Faults.Set(f)
 		Expect(errors.Is(t.Commit(ctx, put("a", backing.IfAbsent, 0)), want)).To(BeTrue())
@@ -67,13 +67,13 @@
 		_, err := t.Get(ctx, "t", "a")
 		Expect(err == nil).To(Equal(applied))
 	},
-		Entry("refused by the service", fault.Faults{Down: true}, backing.ErrNotApplied, false),
-		Entry("reply lost after the effect", fault.Faults{LoseAfter: 1}, backing.ErrUnknown, true),
-		Entry("lost before the effect", fault.Faults{LoseBefore: 1}, backing.ErrUnknown, false),
+		Entry("rejected by the service", fault.Faults{Down: true}, backing.ErrNotApplied, false),
+		Entry("response lost after the write took effect", fault.Faults{LoseAfter: 1}, backing.ErrUnknown, true),
+		Entry("lost before the write took effect", fault.Faults{LoseBefore: 1}, backing.ErrUnknown, false),
 		Entry("timed out", fault.Faults{Stall: true}, backing.ErrUnknown, false),
 	)
 
-	It("knows that nothing was sent when no connection was made", func() {
+	It("reports a write as not applied if no connection was established", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		url := "http://" + listener.Addr().String()
@@ -84,7 +84,7 @@
 		Expect(errors.Is(err, backing.ErrUnavailable)).To(BeTrue())
 	})
 
-	It("treats a broken or failed answer to a write as unknown", func() {
+	It("reports a write with an invalid or failed response as unknown", func() {
 		status := http.StatusInternalServerError
 		broken := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 		DeferCleanup(broken.Close)
@@ -103,7 +103,7 @@
 		Expect(o.Get(ctx, "m/a b")).To(Equal([]byte("1")))
 	})
 
-	It("reads ranges and takes throttling and cut streams as such", func() {
+	It("reads ranges and reports throttling and truncated streams", func() {
 		p.Origin.Put("w", []byte("0123456789"))
 		s := httpbacking.NewSource(client(standins.OriginPath))
 		r, err := s.ReadRange(ctx, "w", 3, 4)
--- a/lib/backing/httpbacking/config.go
+++ b/lib/backing/httpbacking/config.go
@@ -1,6 +1,6 @@
-// Package httpbacking holds the HTTP clients of the platform. Every failure is
-// mapped to the typed errors of lib/platform: a write is reported as not
-// applied only when no connection was obtained or the service said so.
+// Package httpbacking contains the HTTP clients of the platform services. All
+// failures are mapped to the errors of lib/backing. A write is reported as not
+// applied only if no connection was established or the service said so.
 package httpbacking
 
 import (
@@ -11,27 +11,28 @@
 )
 
 const (
-	// defaultTimeout bounds one call. It leaves room for a poll and its repeat
-	// within the 9 s in which a configuration is in force.
-	defaultTimeout = 2 * time.Second
-	// defaultConnectTimeout bounds the set-up of a connection.
+	// defaultTimeout leaves room for a poll and one retry within the 9 s in which a
+	// configuration is in force.
+	defaultTimeout        = 2 * time.Second
 	defaultConnectTimeout = time.Second
-	// defaultMaxIdle is the number of connections kept open.
-	defaultMaxIdle = 16
-	// maxAnswer bounds the body of an answer in bytes.
-	maxAnswer = 64 << 20
+	defaultMaxIdleConns   = 16
+	// maxResponseBytes limits a response body.
+	maxResponseBytes = 64 << 20
 )
 
-// Config holds the address and limits of a client.
+// Config configures a client. Zero values are replaced by defaults, except for URL.
 type Config struct {
-	// URL is the base URL, without a slash at the end.
+	// URL is the base URL of the service.
 	URL string
-	// Timeout bounds one call; for WeightSource it bounds the time until the
-	// answer starts.
-	Timeout        time.Duration
+	// Timeout limits one call. For Source it limits the time until the response
+	// header.
+	Timeout time.Duration
+	// ConnectTimeout limits the opening of a connection.
 	ConnectTimeout time.Duration
-	MaxIdle        int
-	// Transport replaces the transport, for example to set TLS.
+	// MaxIdle is the maximum number of idle connections.
+	MaxIdle int
+	// Transport replaces the default transport, for example for TLS. It overrides
+	// ConnectTimeout and MaxIdle.
 	Transport http.RoundTripper
 }
 
@@ -44,7 +45,7 @@
 		c.ConnectTimeout = defaultConnectTimeout
 	}
 	if c.MaxIdle == 0 {
-		c.MaxIdle = defaultMaxIdle
+		c.MaxIdle = defaultMaxIdleConns
 	}
 	if c.Transport == nil {
 		c.Transport = &http.Transport{
--- a/lib/backing/httpbacking/object.go
+++ b/lib/backing/httpbacking/object.go
@@ -10,24 +10,24 @@
 )
 
 // Objects is the client of the object store. It is safe for concurrent use.
-type Objects struct{ caller caller }
+type Objects struct{ http httpClient }
 
 // NewObjects returns a client of the object store.
-func NewObjects(cfg Config) *Objects { return &Objects{caller: newCaller(cfg)} }
+func NewObjects(cfg Config) *Objects { return &Objects{http: newHTTPClient(cfg)} }
 
 // Get implements backing.ObjectStore.
 func (o *Objects) Get(ctx context.Context, name string) ([]byte, error) {
-	a, err := o.caller.read(ctx, objectPath(name))
-	return a.body, err
+	r, err := o.http.read(ctx, objectPath(name))
+	return r.body, err
 }
 
 // PutIfAbsent implements backing.ObjectStore.
 func (o *Objects) PutIfAbsent(ctx context.Context, name string, data []byte) error {
-	a, err := o.caller.write(ctx, http.MethodPut, objectPath(name), data)
+	r, err := o.http.write(ctx, http.MethodPut, objectPath(name), data)
 	if err != nil {
 		return err
 	}
-	if a.status == http.StatusConflict {
+	if r.status == http.StatusConflict {
 		return merry.Wrap(backing.ErrExists)
 	}
 	return nil
--- a/lib/backing/httpbacking/source.go
+++ b/lib/backing/httpbacking/source.go
@@ -15,21 +15,20 @@
 )
 
 // Source is the client of a source of weights. It is safe for concurrent use.
-type Source struct{ caller caller }
+type Source struct{ http httpClient }
 
 // NewSource returns a client of the origin or of the weight store.
-func NewSource(cfg Config) *Source { return &Source{caller: newCaller(cfg)} }
+func NewSource(cfg Config) *Source { return &Source{http: newHTTPClient(cfg)} }
 
-// ReadRange implements backing.WeightSource. The timeout of the client bounds
-// the time until the answer starts; ctx bounds the reading. A source that
-// ignores the range is refused, because its bytes would be those of another
-// range.
+// ReadRange implements backing.WeightSource. The client's timeout limits the time
+// until the response header; ctx applies until the reader is closed. A response to
+// another range than the requested one is rejected.
 func (s *Source) ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error) {
 	if length <= 0 {
 		return io.NopCloser(strings.NewReader("")), nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	timer := time.AfterFunc(s.caller.cfg.Timeout, cancel)
+	timer := time.AfterFunc(s.http.cfg.Timeout, cancel)
 	resp, err := s.open(ctx, object, offset, length)
 	if err != nil || !timer.Stop() {
 		cancel()
@@ -38,7 +37,7 @@
 		}
 		return nil, merry.Wrap(backing.ErrUnavailable, merry.WithCause(err))
 	}
-	if err := rangeError(resp, offset); err != nil {
+	if err := checkRange(resp, offset); err != nil {
 		_ = resp.Body.Close()
 		cancel()
 		return nil, err
@@ -47,34 +46,34 @@
 }
 
 func (s *Source) open(ctx context.Context, object string, offset, length int64) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.caller.cfg.URL+objectPath(object), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.http.cfg.URL+objectPath(object), nil)
 	if err != nil {
 		return nil, err
 	}
 	req.Header.Set("Range", fmt.Sprintf("bytes=%d-%d", offset, offset+length-1))
-	return s.caller.client.Do(req)
+	return s.http.client.Do(req)
 }
 
-// rangeError maps the status of an answer, and checks that a partial answer
-// starts where it was asked to.
-func rangeError(resp *http.Response, offset int64) error {
+// checkRange maps the status to an error and checks that a partial response starts at
+// the requested offset.
+func checkRange(resp *http.Response, offset int64) error {
 	switch resp.StatusCode {
 	case http.StatusPartialContent:
 		prefix := fmt.Sprintf("bytes %d-", offset)
 		if got := resp.Header.Get("Content-Range"); !strings.HasPrefix(got, prefix) {
-			return merry.Wrap(backing.ErrUnavailable, merry.AppendMessagef("range %q answered, want %q", got, prefix))
+			return merry.Wrap(backing.ErrUnavailable, merry.AppendMessagef("got range %q, want %q", got, prefix))
 		}
 		return nil
 	case http.StatusNotFound:
 		return merry.Wrap(backing.ErrNotFound)
 	case http.StatusTooManyRequests:
-		return merry.Wrap(throttled(resp.Header))
+		return merry.Wrap(throttledError(resp.Header))
 	default:
 		return merry.Wrap(backing.ErrUnavailable, merry.AppendMessagef("status %d", resp.StatusCode))
 	}
 }
 
-// rangeReader releases the request when it is closed.
+// rangeReader cancels the request's context when it is closed.
 type rangeReader struct {
 	body   io.ReadCloser
 	cancel context.CancelFunc
@@ -89,7 +88,8 @@
 	return r.body.Close()
 }
 
-// objectPath escapes each segment of a name and keeps the slashes.
+// objectPath returns the URL path of an object. It escapes each segment of the name
+// but keeps the slashes.
 func objectPath(name string) string {
 	segments := strings.Split(name, "/")
 	for i, segment := range segments {
--- a/lib/backing/source.go
+++ b/lib/backing/source.go
@@ -5,10 +5,10 @@
 	"io"
 )
 
-// WeightSource serves the bytes of weights: the origin or the weight store.
+// WeightSource serves weight bytes. It is the origin or the weight store.
 type WeightSource interface {
-	// ReadRange opens length bytes of an object from offset on. It returns
-	// *ThrottledError, ErrNotFound or ErrUnavailable. The reader may end early;
-	// the client resumes by asking for the rest of the range.
+	// ReadRange opens a reader for length bytes of an object, starting at offset.
+	// It returns *ThrottledError, ErrNotFound or ErrUnavailable on failure. The
+	// reader may end early; the caller then requests the rest of the range.
 	ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error)
 }
--- a/lib/backing/transaction.go
+++ b/lib/backing/transaction.go
@@ -1,18 +1,18 @@
 package backing
 
-// Condition must hold for a write to be applied.
+// Condition is the precondition of a write.
 type Condition uint8
 
 const (
-	// Always applies the write whatever the row holds.
+	// Always applies the write unconditionally.
 	Always Condition = iota
-	// IfAbsent applies the write only when the row does not exist.
+	// IfAbsent applies the write only if the row does not exist.
 	IfAbsent
-	// IfVersion applies the write only when the row's version equals Version.
+	// IfVersion applies the write only if the row's version equals Write.Version.
 	IfVersion
 )
 
-// Write puts or deletes one row.
+// Write puts or deletes one row. Version is used with IfVersion only.
 type Write struct {
 	Table     string    `json:"table"`
 	Key       string    `json:"key"`
@@ -22,7 +22,7 @@
 	Delete    bool      `json:"delete"`
 }
 
-// Transaction is a list of writes that are applied all or none.
+// Transaction is a list of writes that are applied atomically.
 type Transaction struct {
 	Writes []Write `json:"writes"`
 }
