--- a/lib/daemon/command.go
+++ b/lib/daemon/command.go
@@ -15,18 +15,19 @@
 	"github.com/auburnbend/auburnbend/lib/eventlog"
 )
 
-// Main runs the program with the process's arguments and signals and exits.
+// Main runs the program with the process's arguments, signals and standard streams,
+// and exits the process with its exit code.
 func Main[S any](p Program[S]) {
-	// The HTTP library logs lines of its own format to standard error. What
-	// matters of it is logged as numbered events.
+	// The HTTP library logs to standard error in its own format. The relevant errors
+	// are logged as numbered events instead.
 	hlog.SetLevel(hlog.LevelFatal)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	os.Exit(Execute(p, os.Args[1:], signals, os.Stdout, os.Stderr))
 }
 
-// Execute runs the program and returns its exit code. Log lines and faults go
-// to stderr.
+// Execute runs the program until it ends and returns its exit code. Log lines and
+// error messages are written to stderr.
 func Execute[S any](p Program[S], args []string, signals <-chan os.Signal, stdout, stderr io.Writer) int {
 	code := ExitOK
 	cmd := command(p, signals, stderr, &code)
@@ -40,8 +41,8 @@
 	return code
 }
 
-// command returns the command; code is set by a run of the daemon. Its errors
-// are those of the command line and of the settings.
+// command returns the root command. Running the daemon sets code to its exit code;
+// the command itself returns only errors of the command line and the settings.
 func command[S any](p Program[S], signals <-chan os.Signal, stderr io.Writer, code *int) *cobra.Command {
 	var path string
 	var check bool
@@ -71,7 +72,7 @@
 	return cmd
 }
 
-// load reads and checks the settings.
+// load reads and validates the settings.
 func (p *Program[S]) load(path string) (S, error) {
 	s, err := p.Load(path)
 	if err != nil || p.Check == nil {
@@ -80,7 +81,7 @@
 	return s, p.Check(s)
 }
 
-// run starts the process, waits for a signal or a failure, and drains.
+// run starts the process, waits for a signal or a failure, drains and closes it.
 func run[S any](p Program[S], s S, common CommonSettings, log *eventlog.Logger, signals <-chan os.Signal) int {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -90,7 +91,7 @@
 		return ExitFailed
 	}
 	log.Log(eventlog.ProcessStarted, "version", p.version())
-	code := wait(process, common, log, signals)
+	code := waitAndDrain(process, common, log, signals)
 	if err := process.Close(); err != nil && code == ExitOK {
 		log.Log(eventlog.ProcessStopped, "error", err)
 		return ExitFailed
@@ -99,7 +100,9 @@
 	return code
 }
 
-func wait(process Process, common CommonSettings, log *eventlog.Logger, signals <-chan os.Signal) int {
+// waitAndDrain waits for a failure or a signal. After a signal it drains the process
+// until that is done, the drain timeout expires or a second signal arrives.
+func waitAndDrain(process Process, common CommonSettings, log *eventlog.Logger, signals <-chan os.Signal) int {
 	select {
 	case err := <-process.Failed():
 		log.Log(eventlog.ProcessFailed, "error", err)
--- a/lib/daemon/daemon_test.go
+++ b/lib/daemon/daemon_test.go
@@ -16,14 +16,14 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// process is a daemon that drains when it is told to.
-type process struct {
+// fakeProcess is a daemon whose drain ends when the test sends to drained.
+type fakeProcess struct {
 	drained chan error
 	failed  chan error
 	closed  bool
 }
 
-func (p *process) Drain(ctx context.Context) error {
+func (p *fakeProcess) Drain(ctx context.Context) error {
 	select {
 	case err := <-p.drained:
 		return err
@@ -31,18 +31,18 @@
 		return ctx.Err()
 	}
 }
-func (p *process) Close() error         { p.closed = true; return nil }
-func (p *process) Failed() <-chan error { return p.failed }
+func (p *fakeProcess) Close() error         { p.closed = true; return nil }
+func (p *fakeProcess) Failed() <-chan error { return p.failed }
 
 var _ = Describe("Execute", func() {
-	var p *process
+	var p *fakeProcess
 	var signals chan os.Signal
 	var out, errs *bytes.Buffer
 	var program daemon.Program[string]
 	timeout := time.Minute
 
 	BeforeEach(func() {
-		p = &process{drained: make(chan error, 1), failed: make(chan error, 1)}
+		p = &fakeProcess{drained: make(chan error, 1), failed: make(chan error, 1)}
 		signals = make(chan os.Signal, 2)
 		out, errs = &bytes.Buffer{}, &bytes.Buffer{}
 		timeout = time.Minute
@@ -68,7 +68,7 @@
 
 	execute := func(args ...string) int { return daemon.Execute(program, args, signals, out, errs) }
 
-	It("drains at a signal and ends with 0", func() {
+	It("drains after a signal and exits with 0", func() {
 		signals <- syscall.SIGTERM
 		p.drained <- nil
 		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitOK))
@@ -76,28 +76,28 @@
 		Expect(errs.String()).To(ContainSubstring("instance=i1 event=1002"))
 	})
 
-	It("ends at a second signal", func() {
+	It("exits after a second signal", func() {
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGINT
 		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitDrainIncomplete))
 		Expect(p.closed).To(BeTrue())
 	})
 
-	It("ends at the drain timeout", func() {
+	It("exits at the drain timeout", func() {
 		timeout = time.Millisecond
 		signals <- syscall.SIGTERM
 		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitDrainIncomplete))
 		Expect(errs.String()).To(ContainSubstring("event=1007"))
 	})
 
-	It("ends when the process fails or does not start", func() {
+	It("exits if the process fails or does not start", func() {
 		p.failed <- errors.New("listener broke")
 		Expect(execute("--config", "x.ini")).To(Equal(daemon.ExitFailed))
 		Expect(execute("--config", "busy.ini")).To(Equal(daemon.ExitFailed))
 		Expect(errs.String()).To(ContainSubstring("address in use"))
 	})
 
-	DescribeTable("answers the command line", func(code int, output string, args ...string) {
+	DescribeTable("handles command lines", func(code int, output string, args ...string) {
 		Expect(execute(args...)).To(Equal(code))
 		Expect(out.String() + errs.String()).To(ContainSubstring(output))
 	},
--- a/lib/daemon/doc.go
+++ b/lib/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon is what the two daemons share: the command line, the check of
-// settings, signals, the graceful end and exit codes.
+// Package daemon contains the code that the two daemons share: command line,
+// validation of settings, signal handling, graceful shutdown and exit codes.
 package daemon
--- a/lib/daemon/exit.go
+++ b/lib/daemon/exit.go
@@ -1,15 +1,15 @@
 package daemon
 
-// Exit codes of a daemon. Service managers tell a fault that a restart may
-// cure (1) from one that it does not (2).
+// Exit codes of a daemon. They let a service manager distinguish failures that a
+// restart may fix (1) from those that it does not (2).
 const (
-	// ExitOK means that the process ended as asked, with no work left.
+	// ExitOK means that the process stopped as requested, with no work left.
 	ExitOK = 0
-	// ExitFailed means that the process could not start or go on.
+	// ExitFailed means that the process could not start or continue.
 	ExitFailed = 1
 	// ExitUsage means that the command line or the settings are invalid.
 	ExitUsage = 2
-	// ExitDrainIncomplete means that work was cut off by the drain timeout or by a
-	// second signal.
+	// ExitDrainIncomplete means that the drain failed, or that the drain timeout or a
+	// second signal aborted it.
 	ExitDrainIncomplete = 3
 )
--- a/lib/daemon/metrics.go
+++ b/lib/daemon/metrics.go
@@ -6,14 +6,14 @@
 	"github.com/auburnbend/auburnbend/lib/telemetry"
 )
 
-// Metrics is a process's metrics with the text endpoint that its settings name.
+// Metrics contains the metrics of a process and its optional metrics endpoint.
 type Metrics struct {
 	*telemetry.Metrics
 	endpoint *telemetry.Endpoint
 }
 
-// OpenMetrics returns metrics and serves them at address; an empty address serves
-// them nowhere.
+// OpenMetrics creates the metrics and serves them at address, an IP address and port.
+// If address is empty, it starts no endpoint.
 func OpenMetrics(address string) (*Metrics, error) {
 	metrics, err := telemetry.New(telemetry.Config{})
 	if err != nil {
@@ -26,7 +26,7 @@
 	return m, err
 }
 
-// Close stops the endpoint and flushes the metrics.
+// Close shuts the endpoint down and flushes the metrics.
 func (m *Metrics) Close() {
 	ctx := context.Background()
 	if m.endpoint != nil {
--- a/lib/daemon/process.go
+++ b/lib/daemon/process.go
@@ -4,11 +4,12 @@
 
 // Process is a running daemon.
 type Process interface {
-	// Drain stops taking new work, finishes what runs and returns nil when
-	// nothing is left, or an error when ctx ends first.
+	// Drain stops accepting new work and waits for running work. It returns nil when
+	// no work is left, or an error if ctx ends first.
 	Drain(ctx context.Context) error
-	// Close ends the process at once. It is called after Drain in any case.
+	// Close stops the process immediately. It is always called, also while an aborted
+	// Drain may still be running.
 	Close() error
-	// Failed delivers an error when the process cannot go on.
+	// Failed returns a channel that receives an error if the process cannot continue.
 	Failed() <-chan error
 }
--- a/lib/daemon/program.go
+++ b/lib/daemon/program.go
@@ -8,11 +8,11 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// CommonSettings is the part of the settings that this package needs.
+// CommonSettings contains the settings that this package uses.
 type CommonSettings struct {
 	Log   settings.Log
 	Drain settings.Drain
-	// Identity is added to each log line.
+	// Identity supplies the instance ID that is added to each log line.
 	Identity settings.Instance
 }
 
@@ -20,20 +20,21 @@
 type Program[S any] struct {
 	// Name is the name of the executable.
 	Name string
-	// Short and Long describe the daemon in its help.
+	// Short and Long are the descriptions in the help text.
 	Short, Long string
-	// Example is shown in the help.
+	// Example is the example in the help text.
 	Example string
-	// Version is printed by --version; empty takes the build information.
+	// Version is printed by --version. If it is empty, the version from the build
+	// information is used.
 	Version string
-	// Load reads and checks the settings file.
+	// Load reads and validates the settings file.
 	Load func(path string) (S, error)
-	// Check verifies what goes beyond the file itself, such as certificates. It
-	// may be nil.
+	// Check validates what the settings refer to, such as certificates. It may be
+	// nil.
 	Check func(S) error
-	// Common picks the common settings.
+	// Common returns the common part of the settings.
 	Common func(S) CommonSettings
-	// Start starts the daemon. It returns once all listeners are open.
+	// Start starts the daemon and returns when all listeners are open.
 	Start func(ctx context.Context, s S, log *eventlog.Logger) (Process, error)
 }
 
