--- a/lib/security/dial.go
+++ b/lib/security/dial.go
@@ -10,12 +10,12 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// handshakeTimeout bounds the TLS handshake of an accepted connection, so that
-// a silent client holds no goroutine for long.
+// handshakeTimeout limits the TLS handshake of an accepted connection, so that a
+// silent client does not block a goroutine for long.
 const handshakeTimeout = 3 * time.Second
 
-// Dial connects to a peer that acts in one of the given roles and completes the
-// TLS handshake, where configured.
+// Dial connects to a peer and completes the TLS handshake, unless the policy is plain
+// text. The peer must be authorised for one of the given roles.
 func (p *Policy) Dial(ctx context.Context, address string, roles ...Role) (net.Conn, error) {
 	if p.plaintext {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", address)
@@ -23,9 +23,10 @@
 	return (&tls.Dialer{Config: p.ClientTLSConfig(roles...)}).DialContext(ctx, "tcp", address)
 }
 
-// ServerHandshake completes the TLS handshake, where configured, on a connection that
-// was accepted, and returns the roles that the peer may act in. It closes nc
-// when it fails. It is called on the connection's own goroutine.
+// ServerHandshake completes the TLS handshake on an accepted connection, unless the
+// policy is plain text, and returns those of the given roles that the peer is
+// authorised for; for plain text it returns nc and all of them. It closes nc on failure.
+// It blocks for up to 3 s, so it must be called on the connection's own goroutine.
 func (p *Policy) ServerHandshake(nc net.Conn, roles ...Role) (net.Conn, []Role, error) {
 	if p.plaintext {
 		return nc, roles, nil
--- a/lib/security/doc.go
+++ b/lib/security/doc.go
@@ -1,7 +1,7 @@
-// Package security sets up the connections between the system's own processes
-// and those of operators: mutual TLS 1.3 with authorised certificate names for
-// each role, or plain text where the settings name it.
+// Package security sets up connections between the system's processes and from
+// operators: mutual TLS 1.3 with a list of authorised certificate names for each role,
+// or plain text if the settings say so.
 //
-// Names are the DNS names of a certificate. They stand for a role, not for a
-// host: processes dial each other by IP address.
+// Certificate names are DNS names. A name identifies a role, not a host, because
+// processes dial each other by IP address.
 package security
--- a/lib/security/policy.go
+++ b/lib/security/policy.go
@@ -11,20 +11,20 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// ErrUnauthorised means that the peer's certificate names none that may act in
-// a wanted role.
+// ErrUnauthorised means that the peer's certificate is invalid or has no name that is
+// authorised for a required role.
 var ErrUnauthorised = merry.New("peer is not authorised")
 
-// Policy knows this process's certificate and who may connect. It is immutable
-// and safe for concurrent use.
+// Policy contains this process's certificate and the authorised names of its peers. It
+// is immutable and safe for concurrent use.
 type Policy struct {
-	plaintext   bool
-	certificate tls.Certificate
-	roots       *x509.CertPool
-	names       map[Role][]string
+	plaintext    bool
+	certificate  tls.Certificate
+	roots        *x509.CertPool
+	allowedNames map[Role][]string
 }
 
-// New reads the certificate files that the settings name.
+// New creates a policy and loads the certificate files named in the settings.
 func New(t settings.Transport) (*Policy, error) {
 	if t.Kind == settings.TransportPlaintext {
 		return &Policy{plaintext: true}, nil
@@ -42,22 +42,22 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, merry.Errorf("certificate authority %s holds no certificate", t.CA)
+		return nil, merry.Errorf("certificate authority file %s contains no certificate", t.CA)
 	}
 	return &Policy{
 		certificate: certificate,
 		roots:       roots,
-		names: map[Role][]string{
+		allowedNames: map[Role][]string{
 			RoleEntry: t.EntryNames, RoleAgent: t.AgentNames, RoleOperator: t.OperatorNames,
 		},
 	}, nil
 }
 
-// Plaintext reports whether the settings name plain text.
+// Plaintext reports whether connections are plain text.
 func (p *Policy) Plaintext() bool { return p.plaintext }
 
-// ServerTLSConfig returns the TLS settings of a listener that only the given roles may
-// connect to; nil for plain text.
+// ServerTLSConfig returns the TLS configuration of a listener that only peers with one
+// of the given roles may connect to. It returns nil for plain text.
 func (p *Policy) ServerTLSConfig(roles ...Role) *tls.Config {
 	if p.plaintext {
 		return nil
@@ -73,8 +73,8 @@
 	}
 }
 
-// ClientTLSConfig returns the TLS settings to connect to a peer that acts in one of the
-// given roles; nil for plain text.
+// ClientTLSConfig returns the TLS configuration for connecting to a peer with one of
+// the given roles. It returns nil for plain text.
 func (p *Policy) ClientTLSConfig(roles ...Role) *tls.Config {
 	if p.plaintext {
 		return nil
@@ -82,8 +82,9 @@
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{p.certificate},
-		// The standard check compares the name with the dialled host, which is
-		// an IP address here. VerifyConnection checks chain and name instead.
+		// The standard verification compares the certificate names with the dialled
+		// host, which is an IP address here. VerifyConnection verifies the chain and
+		// the names instead.
 		InsecureSkipVerify: true, //nolint:gosec // see above
 		VerifyConnection: func(s tls.ConnectionState) error {
 			if err := p.verifyChain(s); err != nil {
@@ -96,7 +97,7 @@
 
 func (p *Policy) verifyChain(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return merry.Wrap(ErrUnauthorised, merry.AppendMessage("no certificate"))
+		return merry.Wrap(ErrUnauthorised, merry.AppendMessage("peer sent no certificate"))
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
@@ -121,12 +122,12 @@
 	if len(s.PeerCertificates) > 0 {
 		names = s.PeerCertificates[0].DNSNames
 	}
-	return merry.Wrap(ErrUnauthorised, merry.AppendMessagef("certificate names %q, wanted role is one of %q", names, roles))
+	return merry.Wrap(ErrUnauthorised, merry.AppendMessagef("certificate has names %q, required is one of the roles %q", names, roles))
 }
 
-// PeerRoles returns the roles that the peer's certificate names may act in. The
-// owner of a connection compares them with the role that the peer claims in
-// its first message. With plain text all roles are returned.
+// PeerRoles returns the roles that the peer's certificate is authorised for. The owner
+// of a connection must compare them with the role that the peer claims in its first
+// message. For plain text it returns all roles.
 func (p *Policy) PeerRoles(s tls.ConnectionState) []Role {
 	all := []Role{RoleEntry, RoleAgent, RoleOperator}
 	if p.plaintext {
@@ -138,7 +139,7 @@
 	var roles []Role
 	for _, role := range all {
 		for _, name := range s.PeerCertificates[0].DNSNames {
-			if slices.Contains(p.names[role], name) {
+			if slices.Contains(p.allowedNames[role], name) {
 				roles = append(roles, role)
 				break
 			}
--- a/lib/security/policy_test.go
+++ b/lib/security/policy_test.go
@@ -14,8 +14,8 @@
 	"github.com/auburnbend/auburnbend/standin/pki"
 )
 
-// policy returns the policy of a process with a certificate for name.
-func policy(a *pki.Authority, name string) *security.Policy {
+// newPolicy returns the policy of a process whose certificate has the given name.
+func newPolicy(a *pki.Authority, name string) *security.Policy {
 	f, err := a.Write(GinkgoT().TempDir(), name)
 	Expect(err).NotTo(HaveOccurred())
 	p, err := security.New(settings.Transport{
@@ -26,8 +26,8 @@
 	return p
 }
 
-// connect lets client dial a server that accepts the given roles, as a server
-// of the given role, and returns the error of each side.
+// connect connects client to server. The client requires the role as, the server
+// accepts the given roles. It returns the client's roles and the error of each side.
 func connect(server, client *security.Policy, as security.Role, accepts ...security.Role) (roles []security.Role, atServer, atClient error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -50,7 +50,7 @@
 	defer cancel()
 	conn, err := client.Dial(ctx, ln.Addr().String(), as)
 	if err == nil {
-		// TLS 1.3 reports a refusal by the server with the first read.
+		// With TLS 1.3 a rejection by the server shows up at the first read.
 		_, err = conn.Read(make([]byte, 1))
 		_ = conn.Close()
 	}
@@ -67,41 +67,41 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("connects authorised names and tells their roles", func() {
-		roles, atServer, atClient := connect(policy(authority, "entry.x"), policy(authority, "agent.x"), security.RoleEntry, security.RoleEntry, security.RoleAgent)
+	It("connects peers with authorised names and returns their roles", func() {
+		roles, atServer, atClient := connect(newPolicy(authority, "entry.x"), newPolicy(authority, "agent.x"), security.RoleEntry, security.RoleEntry, security.RoleAgent)
 		Expect(atServer).NotTo(HaveOccurred())
 		Expect(atClient).NotTo(HaveOccurred())
 		Expect(roles).To(Equal([]security.Role{security.RoleAgent}))
 	})
 
-	It("refuses a client whose name may not act in the role", func() {
-		_, atServer, atClient := connect(policy(authority, "entry.x"), policy(authority, "agent.x"), security.RoleEntry, security.RoleOperator)
+	It("rejects a client whose name is not authorised for the role", func() {
+		_, atServer, atClient := connect(newPolicy(authority, "entry.x"), newPolicy(authority, "agent.x"), security.RoleEntry, security.RoleOperator)
 		Expect(errors.Is(atServer, security.ErrUnauthorised)).To(BeTrue())
 		Expect(atClient).To(HaveOccurred())
 	})
 
-	It("refuses a server whose name may not act in the role", func() {
-		_, atServer, atClient := connect(policy(authority, "stranger.x"), policy(authority, "agent.x"), security.RoleEntry, security.RoleAgent)
+	It("rejects a server whose name is not authorised for the role", func() {
+		_, atServer, atClient := connect(newPolicy(authority, "stranger.x"), newPolicy(authority, "agent.x"), security.RoleEntry, security.RoleAgent)
 		Expect(errors.Is(atClient, security.ErrUnauthorised)).To(BeTrue())
 		Expect(atServer).To(HaveOccurred())
 	})
 
-	It("refuses authorised names of another authority", func() {
+	It("rejects authorised names in certificates of another authority", func() {
 		other, err := pki.New()
 		Expect(err).NotTo(HaveOccurred())
-		_, atServer, atClient := connect(policy(authority, "entry.x"), policy(other, "agent.x"), security.RoleEntry, security.RoleAgent)
+		_, atServer, atClient := connect(newPolicy(authority, "entry.x"), newPolicy(other, "agent.x"), security.RoleEntry, security.RoleAgent)
 		Expect(errors.Is(atClient, security.ErrUnauthorised)).To(BeTrue())
 		Expect(atServer).To(HaveOccurred())
-		_, atServer, _ = connect(policy(authority, "entry.x"), policy(other, "agent.x"), security.RoleEntry, security.RoleAgent)
+		_, atServer, _ = connect(newPolicy(authority, "entry.x"), newPolicy(other, "agent.x"), security.RoleEntry, security.RoleAgent)
 		Expect(atServer).To(HaveOccurred())
 	})
 
-	It("refuses a client without TLS", func() {
+	It("rejects a client without TLS", func() {
 		plain, err := security.New(settings.Transport{Kind: settings.TransportPlaintext})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(plain.Plaintext()).To(BeTrue())
 		Expect(plain.ServerTLSConfig(security.RoleEntry)).To(BeNil())
-		server := policy(authority, "entry.x")
+		server := newPolicy(authority, "entry.x")
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(ln.Close)
@@ -117,7 +117,7 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("takes plain text only when it is named", func() {
+	It("uses plain text only if the settings say so", func() {
 		_, err := security.New(settings.Transport{})
 		Expect(err).To(MatchError(ContainSubstring("neither tls nor plaintext")))
 	})
--- a/lib/security/role.go
+++ b/lib/security/role.go
@@ -1,13 +1,13 @@
 package security
 
-// Role is what a certificate name may act as.
+// Role is a role that certificate names can be authorised for.
 type Role string
 
 const (
-	// RoleEntry is an entry daemon.
+	// RoleEntry is the role of entry daemons.
 	RoleEntry Role = "entry"
-	// RoleAgent is an agent daemon.
+	// RoleAgent is the role of agent daemons.
 	RoleAgent Role = "agent"
-	// RoleOperator is an operator or one of the operators' tools.
+	// RoleOperator is the role of operators and their tools.
 	RoleOperator Role = "operator"
 )
