--- a/lib/serving/config.go
+++ b/lib/serving/config.go
@@ -1,7 +1,6 @@
-// Package serving holds the live configuration of a deployment in the terms of
-// the product: which route a request takes, which services may run it, and
-// which team a key belongs to. Values are immutable once they are in force and
-// may be shared between goroutines.
+// Package serving defines the live configuration of a deployment: which route a
+// request matches, which services may run it, and which team an API key belongs to.
+// Values are immutable once they are in force and may be shared between goroutines.
 package serving
 
 // Config is one accepted version of the live configuration.
--- a/lib/serving/kind.go
+++ b/lib/serving/kind.go
@@ -1,6 +1,7 @@
 package serving
 
-// RequestKind tells what the system may do with a request of a route.
+// RequestKind determines whether a request may be retried and how its response is
+// delivered.
 type RequestKind uint8
 
 // Kinds of requests.
@@ -9,8 +10,8 @@
 	NonIdempotent RequestKind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Streaming requests are answered by a series of events. They run at most
-	// once unless their route is resumable.
+	// Streaming requests get a response of server-sent events. They run at most once
+	// unless their route is resumable.
 	Streaming
 )
 
--- a/lib/serving/route.go
+++ b/lib/serving/route.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Route sends the requests of one host and path prefix to services.
+// Route maps requests with a host and path prefix to services.
 type Route struct {
 	Name string
-	// Host is matched exactly, Prefix by the longest match.
+	// Host is matched exactly; the longest matching path Prefix wins.
 	Host, Prefix string
 	Kind         RequestKind
-	// Timeout is the longest time that a caller is kept waiting for its final
-	// answer; zero sets no limit.
+	// Timeout limits the time until the final response; zero means no limit.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to the first event, within
-	// which callers are served well.
+	// TargetLatency is the target for the time to the response, or to the first event
+	// of a stream.
 	TargetLatency time.Duration
-	// MaxEventGap is the longest pause between events of a good stream.
+	// MaxEventGap is the target for the longest pause between events of a stream.
 	MaxEventGap time.Duration
-	// Priority ranks routes; 0 is the highest.
+	// Priority orders routes; 0 is the highest.
 	Priority int
 	Targets  []Target
-	// MaxBackendServers bounds the backend servers that one request is sent to.
+	// MaxBackendServers limits the backend servers that one request is sent to.
 	MaxBackendServers int
-	// Public routes need no key.
+	// Public routes require no API key.
 	Public bool
-	// Resumable streams may continue on another backend server after the last
-	// event that was delivered.
+	// Resumable streams may continue on another backend server after the last event
+	// that was delivered.
 	Resumable bool
 }
 
--- a/lib/serving/table.go
+++ b/lib/serving/table.go
@@ -6,25 +6,24 @@
 	"time"
 )
 
-// Table answers lookups in one configuration. It is immutable and safe for
-// concurrent use.
+// Table is an index of one configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	config   *Config
 	hosts    map[string]map[string]*Route
 	teams    map[string]*Team
 	services map[string]*Service
-	// targets are the least target latencies of the routes to each service.
-	targets map[string]time.Duration
+	// minTargets contains the lowest target latency of the routes to each service.
+	minTargets map[string]time.Duration
 }
 
-// NewTable indexes a configuration, which must not change afterwards.
+// NewTable indexes a configuration, which must not be modified afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{
-		config:   c,
-		hosts:    make(map[string]map[string]*Route),
-		teams:    make(map[string]*Team),
-		services: make(map[string]*Service, len(c.Services)),
-		targets:  make(map[string]time.Duration),
+		config:     c,
+		hosts:      make(map[string]map[string]*Route),
+		teams:      make(map[string]*Team),
+		services:   make(map[string]*Service, len(c.Services)),
+		minTargets: make(map[string]time.Duration),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -34,7 +33,7 @@
 			t.hosts[r.Host] = prefixes
 		}
 		prefixes[r.Prefix] = r
-		t.addTarget(r)
+		t.updateMinTarget(r)
 	}
 	for i := range c.Teams {
 		for _, key := range c.Teams[i].APIKeys {
@@ -47,24 +46,25 @@
 	return t
 }
 
-func (t *Table) addTarget(r *Route) {
+func (t *Table) updateMinTarget(r *Route) {
 	for _, target := range r.Targets {
-		least, known := t.targets[target.Service]
+		least, known := t.minTargets[target.Service]
 		if r.TargetLatency > 0 && (!known || r.TargetLatency < least) {
-			t.targets[target.Service] = r.TargetLatency
+			t.minTargets[target.Service] = r.TargetLatency
 		}
 	}
 }
 
-// MinTargetLatency returns the least target latency of the routes to a service; zero
-// if none is declared.
-func (t *Table) MinTargetLatency(service string) time.Duration { return t.targets[service] }
+// MinTargetLatency returns the lowest target latency of the routes to a service, or
+// zero if none is declared.
+func (t *Table) MinTargetLatency(service string) time.Duration { return t.minTargets[service] }
 
-// Config returns the configuration.
+// Config returns the indexed configuration.
 func (t *Table) Config() *Config { return t.config }
 
-// Route returns the route with the longest prefix of path on host, or nil.
-// Prefixes end with a slash, so that only the path's own slashes are tried.
+// Route returns the route of host with the longest matching prefix of path, or nil.
+// Route prefixes end with a slash, so only prefixes of path that end with a slash are
+// looked up.
 func (t *Table) Route(host, path string) *Route {
 	prefixes := t.hosts[host]
 	if prefixes == nil {
@@ -78,14 +78,14 @@
 	return nil
 }
 
-// TeamByKey returns the team that holds a key, or nil.
+// TeamByKey returns the team that owns an API key, or nil.
 func (t *Table) TeamByKey(key string) *Team { return t.teams[key] }
 
-// Service returns a service by name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// PickService returns the name of the service that a request of the route goes to. It
-// follows the declared weights.
+// PickService returns a random target service of the route, weighted by the declared
+// weights. It returns an empty name if the route has no targets.
 func (r *Route) PickService(rng *rand.Rand) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/lib/serving/table_test.go
+++ b/lib/serving/table_test.go
@@ -21,8 +21,8 @@
 	})
 
 	DescribeTable("chooses the longest prefix of the path on the host",
-		// Guards against requests that run at a service which their route does not
-		// name.
+		// Guards against requests running on a service that is not a target of their
+		// route.
 		func(host, path, want string) {
 			route := table.Route(host, path)
 			if want == "" {
@@ -41,15 +41,15 @@
 		Entry("unknown host", "c.example", "/x/", ""),
 	)
 
-	It("knows all keys of a team and no others", func() {
+	It("finds a team by each of its API keys and by no other key", func() {
 		Expect(table.TeamByKey("k2").Name).To(Equal("carvers"))
 		Expect(table.TeamByKey("k3")).To(BeNil())
 		Expect(table.TeamByKey("")).To(BeNil())
 	})
 
-	It("knows the least target of the routes to a service", func() {
-		// Guards against a kind of request that takes all places of an overloaded
-		// service because its target is longer.
+	It("returns the lowest target latency of the routes to a service", func() {
+		// Guards against requests with a longer latency target taking all slots of an
+		// overloaded service.
 		route := func(service string, target time.Duration) serving.Route {
 			return serving.Route{Host: "h", Prefix: "/", TargetLatency: target, Targets: []serving.Target{{Service: service}}}
 		}
@@ -61,8 +61,8 @@
 		Expect(table.MinTargetLatency("other")).To(BeZero())
 	})
 
-	It("follows the declared weights of a split", func() {
-		// Guards against a split that sends requests to a target of weight zero.
+	It("distributes requests by the declared weights", func() {
+		// Guards against sending requests to a target with weight zero.
 		route := serving.Route{Targets: []serving.Target{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}, {Service: "off"}}}
 		rng := rand.New(rand.NewPCG(1, 1))
 		counts := make(map[string]int)
@@ -73,8 +73,8 @@
 		Expect(counts["new"]).To(BeNumerically("~", 1000, 150))
 	})
 
-	DescribeTable("tells which requests may run more than once",
-		// Guards against doubled orders.
+	DescribeTable("reports which requests may run more than once",
+		// Guards against running a non-repeatable request twice.
 		func(route serving.Route, want bool) { Expect(route.Repeatable()).To(Equal(want)) },
 		Entry("not idempotent", serving.Route{Kind: serving.NonIdempotent}, false),
 		Entry("not idempotent although resumable", serving.Route{Kind: serving.NonIdempotent, Resumable: true}, false),
--- a/lib/serving/target.go
+++ b/lib/serving/target.go
@@ -1,8 +1,8 @@
 package serving
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is the share of the requests relative to the other targets.
+	// Weight is the share relative to the weights of the other targets.
 	Weight int
 }
--- a/lib/serving/team.go
+++ b/lib/serving/team.go
@@ -1,11 +1,11 @@
 package serving
 
-// Team is a group of callers with keys of its own.
+// Team is a group of callers with its own API keys.
 type Team struct {
 	Name    string
 	APIKeys []string
-	// Priority ranks teams before the priority of the route; 0 is the highest.
+	// Priority takes precedence over the priority of the route; 0 is the highest.
 	Priority int
-	// HasPriority reports whether a priority was declared.
+	// HasPriority is true if a priority was declared.
 	HasPriority bool
 }
--- a/lib/serving/weights_target.go
+++ b/lib/serving/weights_target.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// FirstVersion is the version that a model has before one is declared.
+// FirstVersion is the version of a model before one is declared.
 const FirstVersion = 1
 
-// WeightsTarget is the model that the engines of a service must hold, and where
-// its weights come from.
+// WeightsTarget is the model that the engines of a service must load, and the origin of
+// its weights.
 type WeightsTarget struct {
 	Service, Model string
 	Origin         *Origin
-	// OriginPieceTime is the time that the origin's link takes for one piece, zero if it
-	// is not known.
+	// OriginPieceTime is the time to transfer one piece over the origin's link, or zero
+	// if its bandwidth is unknown.
 	OriginPieceTime time.Duration
 }
 
-// WeightsTargets returns the first model of each service with engines; none
-// without an origin.
+// WeightsTargets returns a target for each service with engines: its first model. It
+// returns none if the configuration has no origin.
 func (c *Config) WeightsTargets() []WeightsTarget {
 	var origin *Origin
 	for i := range c.Services {
