--- a/lib/msgstream/check.go
+++ b/lib/msgstream/check.go
@@ -8,18 +8,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrMalformed reports bytes that are no message.
+// ErrMalformed means that the data is not a valid message.
 var ErrMalformed = errors.New("malformed message")
 
-// maxDepth bounds the nesting of a message.
+// maxDepth limits the nesting of arrays and maps in a message.
 const maxDepth = 32
 
-// Unmarshal decodes one message that was read whole. The library allocates what a
-// message announces, and follows any nesting, before it looks whether that much is
-// there, so that a few bytes could exhaust the memory; what they announce is
-// checked first.
+// Unmarshal decodes one complete message. It validates all declared lengths and the
+// nesting first: the msgpack library allocates declared lengths and follows any nesting
+// before it checks that the data is present, so a few bytes could exhaust the memory.
+// Errors wrap ErrMalformed.
 func Unmarshal(data []byte, into any) error {
-	if !sound(data) {
+	if !lengthsFit(data) {
 		return merry.Wrap(ErrMalformed)
 	}
 	if err := msgpack.Unmarshal(data, into); err != nil {
@@ -28,13 +28,13 @@
 	return nil
 }
 
-// sound reports whether the lengths in a message fit into it. What follows the
-// message is ignored, as the library does.
-func sound(data []byte) bool {
-	// open counts the values that are missing of each array or map around.
+// lengthsFit reports whether the declared lengths of a message fit into data and its
+// nesting is at most maxDepth. Data after the message is ignored, as in the library.
+func lengthsFit(data []byte) bool {
+	// open contains the number of missing items of each enclosing array or map.
 	open := make([]int, 0, maxDepth)
 	for {
-		size, items := header(data)
+		size, items := parseHeader(data)
 		if size < 0 || size > len(data) || items > len(data)-size {
 			return false
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-// First bytes of values, as the msgpack specification lists them.
+// First bytes of value formats, from the msgpack specification.
 const (
 	fixMap, fixArray, fixString, nilValue = 0x80, 0x90, 0xa0, 0xc0
 	bin8, ext8, float32Value, uint8Value  = 0xc4, 0xc7, 0xca, 0xcc
@@ -68,11 +68,12 @@
 	map16, negative, reserved             = 0xde, 0xe0, 0xc1
 )
 
-// header returns the size of a value in bytes without its items, and the number
-// of items that follow; a negative size if the bytes are none.
-func header(data []byte) (size, items int) {
+// parseHeader returns the size of the first value in bytes, without the items of an
+// array or map, and the number of those items. It returns invalidSize if the data does
+// not start with a valid value.
+func parseHeader(data []byte) (size, items int) {
 	if len(data) == 0 {
-		return noValue, 0
+		return invalidSize, 0
 	}
 	c := int(data[0])
 	switch {
@@ -85,13 +86,13 @@
 	case c < nilValue:
 		return 1 + c - fixString, 0
 	case c == reserved:
-		return noValue, 0
+		return invalidSize, 0
 	case c < bin8:
 		return 1, 0
 	case c < ext8:
-		return counted(data, 1<<(c-bin8)), 0
+		return byteLength(data, 1<<(c-bin8)), 0
 	case c < float32Value:
-		return 1 + counted(data, 1<<(c-ext8)), 0
+		return 1 + byteLength(data, 1<<(c-ext8)), 0
 	case c < uint8Value:
 		return 1 + 4<<(c-float32Value), 0
 	case c < int8Value:
@@ -101,35 +102,39 @@
 	case c < string8:
 		return 2 + 1<<(c-fixExt1), 0
 	case c < array16:
-		return counted(data, 1<<(c-string8)), 0
+		return byteLength(data, 1<<(c-string8)), 0
 	case c < map16:
-		return listed(data, 2<<(c-array16), 1)
+		return itemCount(data, 2<<(c-array16), 1)
 	default:
-		return listed(data, 2<<(c-map16), 2)
+		return itemCount(data, 2<<(c-map16), 2)
 	}
 }
 
-// counted returns the size of a value that announces its bytes in width ones.
-func counted(data []byte, width int) int {
-	if n, ok := number(data, width); ok {
+// byteLength returns the size of a string, binary or extension value whose length field
+// has the given width in bytes.
+func byteLength(data []byte, width int) int {
+	if n, ok := readLength(data, width); ok {
 		return 1 + width + n
 	}
-	return noValue
+	return invalidSize
 }
 
-// listed is the header of a value that announces entries of so many items.
-func listed(data []byte, width, items int) (size, count int) {
-	if n, ok := number(data, width); ok {
+// itemCount returns the header size and the item count of an array or map whose length
+// field has the given width in bytes. items is the number of items per entry.
+func itemCount(data []byte, width, items int) (size, count int) {
+	if n, ok := readLength(data, width); ok {
 		return 1 + width, items * n
 	}
-	return noValue, 0
+	return invalidSize, 0
 }
 
-// noValue is the size of bytes that are no value.
-const noValue = -2
+// invalidSize marks data that is not a valid value. It is -2 because parseHeader adds 1
+// for the type byte of an extension.
+const invalidSize = -2
 
-// number reads the count after the first byte.
-func number(data []byte, width int) (int, bool) {
+// readLength reads the length field after the first byte. It returns false if the data
+// is too short.
+func readLength(data []byte, width int) (int, bool) {
 	if len(data) < 1+width {
 		return 0, false
 	}
--- a/lib/msgstream/decoder.go
+++ b/lib/msgstream/decoder.go
@@ -1,6 +1,6 @@
-// Package msgstream exchanges msgpack messages over a connection: frames of a
-// four-byte big-endian length and a body. A peer in trouble may send anything, also
-// without an end, so that lengths are checked before memory is allocated for them.
+// Package msgstream exchanges msgpack messages over a connection. Each frame consists of
+// a four-byte big-endian length and a body. A faulty peer may send arbitrary data, also
+// without an end, so lengths are validated before memory is allocated for them.
 package msgstream
 
 import (
@@ -13,34 +13,35 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrTooLong reports a message over the limit.
+// ErrTooLong means that a message exceeds the size limit.
 var ErrTooLong = errors.New("message is too long")
 
-// lengthSize is the size of a frame's length in bytes.
+// lengthSize is the size of a frame's length field in bytes.
 const lengthSize = 4
 
-// Decoder reads one message after another. It is not safe for concurrent use.
+// Decoder reads a stream of messages. It is not safe for concurrent use.
 type Decoder struct {
-	source *bufio.Reader
-	limit  int
+	source   *bufio.Reader
+	maxBytes int
 }
 
-// NewDecoder returns a Decoder with a buffer of so many bytes, for messages of at
-// most limit bytes.
-func NewDecoder(source io.Reader, buffer, limit int) *Decoder {
-	return &Decoder{source: bufio.NewReaderSize(source, buffer), limit: limit}
+// NewDecoder returns a Decoder with a read buffer of the given size in bytes, for
+// messages of at most maxBytes bytes.
+func NewDecoder(source io.Reader, buffer, maxBytes int) *Decoder {
+	return &Decoder{source: bufio.NewReaderSize(source, buffer), maxBytes: maxBytes}
 }
 
-// Decode reads the next message. After an error the stream is not to be used any
-// more.
+// Decode reads the next message. It returns io.EOF at the end of the stream, and an
+// error that wraps ErrTooLong or ErrMalformed for invalid messages. After any error the
+// Decoder must not be used any more.
 func (d *Decoder) Decode(into any) error {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(d.source, length[:]); err != nil {
 		return err
 	}
 	size := int(binary.BigEndian.Uint32(length[:]))
-	if size > d.limit {
-		return merry.Wrap(ErrTooLong, merry.AppendMessagef("%d bytes, allowed are %d", size, d.limit))
+	if size > d.maxBytes {
+		return merry.Wrap(ErrTooLong, merry.AppendMessagef("got %d bytes, limit is %d", size, d.maxBytes))
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(d.source, body); err != nil {
@@ -49,7 +50,7 @@
 	return Unmarshal(body, into)
 }
 
-// Encode writes one message with a single write.
+// Encode writes one message with a single call of Write.
 func Encode(to io.Writer, message any) error {
 	body, err := msgpack.Marshal(message)
 	if err != nil {
--- a/lib/msgstream/decoder_test.go
+++ b/lib/msgstream/decoder_test.go
@@ -54,8 +54,8 @@
 		Expect(d.Decode(&message{})).To(MatchError(io.EOF))
 	})
 
-	It("of any content pass the check", func() {
-		// Guards against a check that refuses sound messages.
+	It("of any content are accepted", func() {
+		// Guards against rejecting valid messages.
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			long := rapid.SampledFrom([]int{0, 1, 15, 16, 31, 32, 255, 256, 70_000})
 			m := message{
@@ -79,14 +79,14 @@
 			}
 			cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
 			if msgstream.Unmarshal(data[:cut], &got) == nil {
-				t.Fatal("a part of a message was taken for the whole")
+				t.Fatal("a truncated message was accepted")
 			}
 		})
 	})
 
-	DescribeTable("that announce more than they hold are refused in bounded memory",
-		// Guards against a process that runs out of memory by a few bytes of a peer: the
-		// library allocates what an array announces.
+	DescribeTable("that declare more than they contain are rejected without large allocations",
+		// Guards against a few bytes from a peer exhausting the memory: the library
+		// allocates the declared length of an array.
 		func(data string) {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
@@ -94,7 +94,7 @@
 			runtime.ReadMemStats(&after)
 			Expect(after.TotalAlloc - before.TotalAlloc).To(BeNumerically("<", 1<<20))
 		},
-		Entry("nothing", ""),
+		Entry("no data", ""),
 		Entry("bytes of 4 GB", "\x81\xa1d\xc6\xff\xff\xff\xff"),
 		Entry("an array of 4 billion numbers", "\x81\xa1h\xdd\xff\xff\xff\xff\x01"),
 		Entry("an array of 4 billion parts", "\x81\xa1p\xdd\xff\xff\xff\xff\x81\xa1b\x01"),
@@ -103,7 +103,7 @@
 		Entry("nesting without an end", "\x81\xa1z"+strings.Repeat("\x91", 60_000)),
 	)
 
-	It("without an end are refused at the limit", func() {
+	It("over the size limit are rejected", func() {
 		claim := binary.BigEndian.AppendUint32(nil, 1<<31)
 		d := msgstream.NewDecoder(bytes.NewReader(claim), 1<<10, limit)
 		Expect(d.Decode(&message{})).To(MatchError(msgstream.ErrTooLong))
@@ -115,7 +115,7 @@
 	f.Add([]byte("\x81\xa1h\xdd\xff\xff\xff\xff\x01"))
 	f.Add([]byte("\xdf\x00\x00\x00\x01\xa1p\x91\x82\xa1k\xd9\x01x\xa1b\xd3\x00\x00\x00\x00\x00\x00\x00\x01"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		// Must neither panic nor allocate more than the message holds.
+		// Must neither panic nor allocate more than the message contains.
 		_ = msgstream.Unmarshal(data, &message{})
 	})
 }
