--- a/lib/sse/event.go
+++ b/lib/sse/event.go
@@ -1,15 +1,15 @@
-// Package sse splits a stream of server-sent events into whole events, so that
-// a broken connection never cuts one in two.
+// Package sse splits a stream of server-sent events into complete events, so that a
+// broken connection never leads to a truncated event being passed on.
 package sse
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	// Raw are its bytes with the blank line that ends it. They are valid until
-	// the next call of the reader.
+	// Raw contains the bytes of the event, including the final blank line. It is
+	// valid until the next call of Reader.Next.
 	Raw []byte
-	// ID is its number; HasID tells whether it has one.
+	// ID is the numeric ID. It is valid only if HasID is true.
 	ID    int64
 	HasID bool
-	// HasData tells that it is more than a comment.
+	// HasData is true if the event has a data field and is not just a comment.
 	HasData bool
 }
--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -7,71 +7,71 @@
 	"strconv"
 )
 
-// ErrTooLong reports an event over the limit.
+// ErrTooLong means that an event exceeds 1 MiB.
 var ErrTooLong = errors.New("event is too long")
 
-// ErrTruncated reports a stream that ended within an event.
+// ErrTruncated means that the stream ended within an event.
 var ErrTruncated = errors.New("stream ended within an event")
 
 const (
-	// initialBuffer holds a usual event.
-	initialBuffer = 512
-	// maxEvent bounds one event in bytes.
-	maxEvent = 1 << 20
+	// initialBufferBytes is enough for a typical event.
+	initialBufferBytes = 512
+	maxEventBytes      = 1 << 20
 )
 
 // Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	src io.Reader
 	buf []byte
-	// start and end bound the bytes that were read and not yet returned.
+	// buf[start:end] contains the bytes that were read but not yet returned.
 	start, end int
 	err        error
 }
 
-// NewReader returns a Reader of src.
+// NewReader returns a Reader that reads from src.
 func NewReader(src io.Reader) *Reader {
-	return &Reader{src: src, buf: make([]byte, initialBuffer)}
+	return &Reader{src: src, buf: make([]byte, initialBufferBytes)}
 }
 
-// Next returns the next event. It returns io.EOF after the last one and
-// ErrTruncated if the stream ends within one. Other errors are those of src.
+// Next returns the next event. It returns io.EOF after the last event, ErrTruncated if
+// the stream ends within an event and ErrTooLong for an event over 1 MiB. Other errors
+// are those of src.
 func (r *Reader) Next() (Event, error) {
 	scanned := 0
 	for {
-		if n := eventEnd(r.buf[r.start:r.end], scanned); n > 0 {
+		if n := eventLength(r.buf[r.start:r.end], scanned); n > 0 {
 			raw := r.buf[r.start : r.start+n]
 			r.start += n
-			return parse(raw), nil
+			return parseEvent(raw), nil
 		}
 		scanned = r.end - r.start
 		if r.err != nil {
-			return Event{}, r.ended()
+			return Event{}, r.endError()
 		}
-		if err := r.fill(); err != nil {
+		if err := r.read(); err != nil {
 			return Event{}, err
 		}
 	}
 }
 
-// HasBufferedEvent reports whether Next may return without reading.
-func (r *Reader) HasBufferedEvent() bool { return eventEnd(r.buf[r.start:r.end], 0) > 0 }
+// HasBufferedEvent reports whether Next returns an event without reading from src.
+func (r *Reader) HasBufferedEvent() bool { return eventLength(r.buf[r.start:r.end], 0) > 0 }
 
-func (r *Reader) ended() error {
+func (r *Reader) endError() error {
 	if errors.Is(r.err, io.EOF) && r.end > r.start {
 		return ErrTruncated
 	}
 	return r.err
 }
 
-func (r *Reader) fill() error {
+func (r *Reader) read() error {
 	if r.start > 0 {
 		copy(r.buf, r.buf[r.start:r.end])
 		r.end -= r.start
 		r.start = 0
 	}
 	if r.end == len(r.buf) {
-		if len(r.buf) >= maxEvent {
+		if len(r.buf) >= maxEventBytes {
 			return ErrTooLong
 		}
 		r.buf = append(r.buf, make([]byte, len(r.buf))...)
@@ -82,10 +82,10 @@
 	return nil
 }
 
-// eventEnd returns the length of the first event in b, or 0 if it is not
-// complete. The first from bytes are known to hold no end, except for a line
-// end that the next bytes continue.
-func eventEnd(b []byte, from int) int {
+// eventLength returns the length of the first event in b, or 0 if it is incomplete. The
+// first from bytes were already searched; only a line end at their end may be continued
+// by the bytes that follow.
+func eventLength(b []byte, from int) int {
 	i := max(0, from-3)
 	for {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -103,7 +103,7 @@
 	}
 }
 
-func parse(raw []byte) Event {
+func parseEvent(raw []byte) Event {
 	e := Event{Raw: raw}
 	for line := range bytes.SplitSeq(raw, []byte{'\n'}) {
 		e.HasData = e.HasData || bytes.HasPrefix(line, []byte("data"))
--- a/lib/sse/reader_test.go
+++ b/lib/sse/reader_test.go
@@ -14,8 +14,8 @@
 )
 
 var _ = Describe("Reader", func() {
-	It("returns the same events however the stream is cut into reads", func() {
-		// Guards against events that are cut in two or joined.
+	It("returns the same events regardless of how the stream is split into reads", func() {
+		// Guards against events being split or joined.
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			events := rapid.SliceOfN(rapid.StringMatching(`(id: [0-9]{1,3}\r?\n)?(data: [a-z]{0,40}\r?\n){1,3}\r?\n`), 0, 8).Draw(t, "events")
 			var src io.Reader = strings.NewReader(strings.Join(events, ""))
@@ -33,13 +33,13 @@
 				}
 			}
 			if _, err := r.Next(); !errors.Is(err, io.EOF) {
-				t.Fatalf("got %v at the end", err)
+				t.Fatalf("got %v at the end, want io.EOF", err)
 			}
 		})
 	})
 
 	It("reports a stream that ends within an event", func() {
-		// Guards against a truncated answer that looks complete.
+		// Guards against a truncated response that appears complete.
 		r := sse.NewReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata:"))
 		first, err := r.Next()
 		Expect(err).NotTo(HaveOccurred())
@@ -49,14 +49,14 @@
 		Expect(err).To(MatchError(sse.ErrTruncated))
 	})
 
-	It("passes on the error of a broken connection", func() {
+	It("returns the error of a broken connection", func() {
 		broken := errors.New("reset")
 		r := sse.NewReader(io.MultiReader(strings.NewReader("data: a\n"), iotest.ErrReader(broken)))
 		_, err := r.Next()
 		Expect(err).To(MatchError(broken))
 	})
 
-	It("refuses an event without an end", func() {
+	It("rejects an event over the size limit", func() {
 		r := sse.NewReader(strings.NewReader(strings.Repeat("x", 3<<20)))
 		_, err := r.Next()
 		Expect(err).To(MatchError(sse.ErrTooLong))
