--- a/lib/model/block.go
+++ b/lib/model/block.go
@@ -1,6 +1,6 @@
 package model
 
-// Block identifies the beginning of a prompt under given weights in routing and
-// in cache updates. With 32 bits, two of the 65,536 blocks that an entry keeps
-// rarely collide, and a collision costs one prefill.
+// Block identifies a prompt prefix under given weights, in routing and cache updates.
+// With 32 bits, collisions among the 65,536 blocks that an entry keeps are rare, and a
+// collision only costs one prefill.
 type Block uint32
--- a/lib/model/digest.go
+++ b/lib/model/digest.go
@@ -17,7 +17,7 @@
 // Sum returns the digest of data.
 func Sum(data []byte) Digest { return blake3.Sum256(data) }
 
-// ParseDigest reads the hexadecimal form that String returns.
+// ParseDigest parses the hexadecimal form that String returns.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	b, err := hex.DecodeString(s)
@@ -37,13 +37,13 @@
 // Short returns the first eight hexadecimal digits, for logs and tables.
 func (d Digest) Short() string { return hex.EncodeToString(d[:4]) }
 
-// IsZero reports whether the digest was never set.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// MarshalText encodes the digest in hexadecimal.
+// MarshalText implements encoding.TextMarshaler with the hexadecimal form.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads the hexadecimal form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
 	parsed, err := ParseDigest(string(text))
 	if err != nil {
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// MarshalBinary returns the 32 bytes, or none for a digest that was never set.
-// The msgpack codec prefers it over MarshalText, which would double the size of
-// every digest in a frame; most adapters in a heartbeat are not set.
+// MarshalBinary returns the 32 bytes, or none for an unset digest. The msgpack codec
+// prefers it over MarshalText, which would double the size of every digest in a frame.
+// Unset digests are empty because most heartbeats name no adapter.
 func (d Digest) MarshalBinary() ([]byte, error) {
 	if d.IsZero() {
 		return []byte{}, nil
@@ -63,7 +63,7 @@
 	return d[:], nil
 }
 
-// UnmarshalBinary reads the form that MarshalBinary returns.
+// UnmarshalBinary parses the form that MarshalBinary returns.
 func (d *Digest) UnmarshalBinary(data []byte) error {
 	switch len(data) {
 	case 0:
--- a/lib/model/fingerprint.go
+++ b/lib/model/fingerprint.go
@@ -1,12 +1,12 @@
 package model
 
-// Fingerprint identifies the content of a request of one tenant, whatever id
-// its caller gives it, so that a request that crashes backend servers is
-// recognised when it is sent again.
+// Fingerprint identifies the content of a request of one tenant, regardless of its
+// request ID, so that a request that crashes backend servers is recognised when it is
+// sent again.
 type Fingerprint Digest
 
-// FingerprintOf hashes the tenant, the service and the body. Lengths keep two
-// different splits of the same bytes apart.
+// FingerprintOf hashes the tenant, the service and the body. A zero byte after the
+// tenant and the service keeps different splits of the same bytes apart.
 func FingerprintOf(tenant Tenant, service Service, body []byte) Fingerprint {
 	buf := make([]byte, 0, len(tenant)+len(service)+len(body)+2)
 	buf = append(buf, tenant...)
--- a/lib/model/identity.go
+++ b/lib/model/identity.go
@@ -1,41 +1,41 @@
-// Package model holds the identifiers that all parts of the system share.
+// Package model defines identifiers that are used throughout the system.
 package model
 
-// InstanceID names an instance as its settings do.
+// InstanceID is the ID of an instance from its settings.
 type InstanceID string
 
-// Generation tells two processes apart that run under one InstanceID. It is
-// drawn at random at start; it carries no order.
+// Generation distinguishes successive processes with the same InstanceID. It is a random
+// number drawn at start, so generations are not ordered.
 type Generation uint64
 
-// FailureDomain names a failure domain.
+// FailureDomain is the name of a failure domain.
 type FailureDomain string
 
-// Region names a region.
+// Region is the name of a region.
 type Region string
 
-// RequestID identifies a caller's request across attempts.
+// RequestID identifies a request of a caller across all attempts.
 type RequestID string
 
 // AttemptID identifies one dispatch of a request to one backend server.
 type AttemptID string
 
-// Tenant names a team for limits and metrics.
+// Tenant is the name of a team, used for limits and metrics.
 type Tenant string
 
-// Class names a class of requests, such as interactive or batch.
+// Class is the name of a request class, such as interactive or batch.
 type Class string
 
-// Service names a declared service.
+// Service is the name of a declared service.
 type Service string
 
-// Location says where an instance stands.
+// Location is the location of an instance.
 type Location struct {
 	Region        Region        `msgpack:"r" json:"region"`
 	FailureDomain FailureDomain `msgpack:"d" json:"failure_domain"`
 }
 
-// Identity is one process of the system on one instance.
+// Identity identifies one process of the system on one instance.
 type Identity struct {
 	Instance   InstanceID `msgpack:"i" json:"instance"`
 	Generation Generation `msgpack:"g" json:"generation"`
--- a/lib/model/role.go
+++ b/lib/model/role.go
@@ -1,24 +1,25 @@
 package model
 
-// Role says which part of requests the engine of an instance runs.
+// Role is the part of requests that the engine of an instance runs.
 type Role string
 
 const (
-	// RoleMixed runs whole requests. It is the zero value, so that what names no
-	// role keeps its encoding.
+	// RoleMixed runs complete requests. It is the zero value, so that the encoding of
+	// data without a role does not change.
 	RoleMixed Role = ""
-	// RolePrefill computes prompts only.
+	// RolePrefill processes prompts only.
 	RolePrefill Role = "prefill"
 	// RoleDecode continues streams only.
 	RoleDecode Role = "decode"
 )
 
-// mixed is the name of RoleMixed.
-const mixed = "mixed"
+// mixedName is the name of RoleMixed in String and ParseRole.
+const mixedName = "mixed"
 
-// ParseRole reads a name; it accepts any and leaves it to Valid to refuse.
+// ParseRole parses the name of a role. It accepts any name; use Valid to check the
+// result.
 func ParseRole(name string) Role {
-	if name == mixed {
+	if name == mixedName {
 		return RoleMixed
 	}
 	return Role(name)
@@ -30,7 +31,7 @@
 // String returns the name that operators use.
 func (r Role) String() string {
 	if r == RoleMixed {
-		return mixed
+		return mixedName
 	}
 	return string(r)
 }
