--- a/lib/outcome/reason.go
+++ b/lib/outcome/reason.go
@@ -1,7 +1,7 @@
 package outcome
 
-// Reason says why a request was refused or did not complete. It is sent to
-// callers and used as a metric label, so the set is closed.
+// Reason is the reason why a request was rejected or did not complete. It is sent to
+// callers and used as a metric label, so only the constants below are valid.
 type Reason string
 
 // Reasons for an outcome other than Completed.
