--- a/lib/rendezvous/rendezvous.go
+++ b/lib/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous assigns keys to members by highest random weight, so that
-// all processes with the same members agree without talking to each other, and
-// a change of one member moves only the keys of that member.
+// Package rendezvous assigns keys to members by rendezvous hashing (highest random
+// weight). All processes with the same set of members agree without communication, and
+// if a member is removed, only its keys move.
 //
 // All functions are pure and safe for concurrent use.
 package rendezvous
@@ -12,13 +12,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns the hash of a key or member that Combine takes. Callers that
-// score often keep it.
+// Hash returns the hash of a key or member for Score. Callers that compute many scores
+// should cache it.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Score returns the weight of a member for a key from their hashes. The
-// multipliers are those of the splitmix64 finalizer, which spreads each input
-// bit over the whole word.
+// Score returns the weight of a member for a key, given their hashes. It uses the
+// multipliers of the splitmix64 finalizer, which spreads each input bit over the whole
+// word.
 func Score(key, member uint64) uint64 {
 	x := key ^ (member*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -26,8 +26,8 @@
 	return x ^ (x >> 31)
 }
 
-// Owner returns the member with the highest weight for key, or false when there
-// are no members.
+// Owner returns the member with the highest weight for key, or false if there are no
+// members.
 func Owner[M ~string](key string, members []M) (M, bool) {
 	ranked := Rank(key, members, 1)
 	if len(ranked) == 0 {
@@ -37,8 +37,8 @@
 	return ranked[0], true
 }
 
-// Rank returns up to n members in falling order of their weight for key. The
-// order of members does not matter; equal weights are ordered by name.
+// Rank returns up to n members in descending order of their weight for key. Members with
+// equal weights are ordered by name, so the order of the argument does not matter.
 func Rank[M ~string](key string, members []M, n int) []M {
 	type weighted struct {
 		member M
--- a/lib/rendezvous/rendezvous_test.go
+++ b/lib/rendezvous/rendezvous_test.go
@@ -13,8 +13,8 @@
 var _ = Describe("Owner", func() {
 	members := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 
-	It("moves only the keys of a member that leaves, evenly", func() {
-		// Guards against trackers that change hands without need.
+	It("distributes keys evenly and moves only the keys of a removed member", func() {
+		// Guards against moving trackers to other members unnecessarily.
 		counts := make(map[string]int)
 		without := slices.Delete(slices.Clone(members), 3, 4)
 		for i := range 8000 {
@@ -31,7 +31,7 @@
 		}
 	})
 
-	It("does not depend on the order of members and knows the empty set", func() {
+	It("does not depend on the order of members and accepts an empty set", func() {
 		reversed := slices.Clone(members)
 		slices.Reverse(reversed)
 		Expect(rendezvous.Rank("k", reversed, 8)).To(Equal(rendezvous.Rank("k", members, 8)))
