--- a/lib/listen/dial.go
+++ b/lib/listen/dial.go
@@ -8,12 +8,11 @@
 	"github.com/auburnbend/auburnbend/lib/security"
 )
 
-// dialTimeout bounds the opening of a connection: the largest distance between
-// two processes is a few milliseconds.
+// dialTimeout limits the opening of a connection. The highest latency between two
+// processes is a few milliseconds.
 const dialTimeout = 2 * time.Second
 
-// Dial opens a connection to another process of the system; a nil policy means
-// plain text.
+// Dial opens a connection to an entry or agent. A nil policy means plain text.
 func Dial(ctx context.Context, policy *security.Policy, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/lib/listen/server.go
+++ b/lib/listen/server.go
@@ -1,6 +1,6 @@
-// Package listen accepts connections of the system's own processes: it exchanges
-// Hello messages, checks that the peer may act in its role, and hands each
-// connection to a goroutine of its own.
+// Package listen accepts connections between the system's processes. It exchanges Hello
+// messages, checks that the peer is authorised for its role, and serves each connection
+// on its own goroutine.
 package listen
 
 import (
@@ -16,34 +16,34 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// acceptPause is the wait after a failed accept, for instance when the process
-// has no free file descriptors.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed Accept, for example if the process has no
+// free file descriptors.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
 	Listener net.Listener
-	// Hello returns what this process sends first.
+	// Hello returns the first message that this process sends.
 	Hello func() wire.Hello
-	// Policy says who may connect in which role; nil means plain text.
+	// Policy determines who may connect in which role; nil means plain text.
 	Policy *security.Policy
-	// Serve handles a connection until it fails. It closes the connection when
-	// ctx ends.
+	// Serve handles a connection until it fails or ctx ends. The server closes the
+	// connection when ctx ends and after Serve returns.
 	Serve func(ctx context.Context, conn *wire.Conn, peer wire.Hello)
 	Log   *eventlog.Logger
 }
 
 // Server accepts connections until its context ends.
 type Server struct {
-	cfg   Config
-	tasks sync.WaitGroup
+	cfg         Config
+	connections sync.WaitGroup
 }
 
-// New returns a server that accepts when Run is called.
+// New returns a server that starts accepting connections when Run is called.
 func New(cfg Config) *Server { return &Server{cfg: cfg} }
 
-// Run accepts connections until ctx ends, then closes the listener and waits
-// for the connections to end.
+// Run accepts connections until ctx ends. It then closes the listener and all
+// connections and waits for their goroutines.
 func (s *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = s.cfg.Listener.Close() })
 	defer stop()
@@ -53,17 +53,17 @@
 			break
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.tasks.Go(func() { s.handle(ctx, nc) })
+		s.connections.Go(func() { s.handle(ctx, nc) })
 	}
-	s.tasks.Wait()
+	s.connections.Wait()
 }
 
 func (s *Server) handle(ctx context.Context, nc net.Conn) {
 	remote := nc.RemoteAddr()
-	nc, roles, err := s.secure(nc)
+	nc, roles, err := s.handshake(nc)
 	if err != nil {
 		s.cfg.Log.Log(eventlog.PeerRefused, "remote", remote, "err", err)
 		return
@@ -74,9 +74,9 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	if !mayAct(roles, peer.Role) {
+	if !allowsRole(roles, peer.Role) {
 		s.cfg.Log.Log(eventlog.PeerRefused, "remote", remote, "instance", peer.Identity.Instance, "role", peer.Role)
-		_ = conn.Send(&wire.ConnectionReject{Reason: "certificate does not allow the role"})
+		_ = conn.Send(&wire.ConnectionReject{Reason: "certificate is not authorised for the role"})
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -84,16 +84,16 @@
 	s.cfg.Serve(ctx, conn, peer)
 }
 
-func (s *Server) secure(nc net.Conn) (net.Conn, []security.Role, error) {
+func (s *Server) handshake(nc net.Conn) (net.Conn, []security.Role, error) {
 	if s.cfg.Policy == nil {
 		return nc, []security.Role{security.RoleEntry, security.RoleAgent}, nil
 	}
 	return s.cfg.Policy.ServerHandshake(nc, security.RoleEntry, security.RoleAgent)
 }
 
-// mayAct reports whether the roles of a certificate include the one that the
-// peer names in its Hello.
-func mayAct(roles []security.Role, claimed wire.Role) bool {
+// allowsRole reports whether the roles of a certificate include the role that the peer
+// claims in its Hello.
+func allowsRole(roles []security.Role, claimed wire.Role) bool {
 	switch claimed {
 	case wire.RoleEntry:
 		return slices.Contains(roles, security.RoleEntry)
