--- a/lib/clock/fake.go
+++ b/lib/clock/fake.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Fake is a clock that moves only when it is told to. It is safe for
-// concurrent use.
+// Fake is a Clock that only advances when Advance is called. It is safe for concurrent
+// use.
 type Fake struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-// NewFake returns a clock that stands at start.
+// NewFake returns a clock that is set to start.
 func NewFake(start time.Time) *Fake {
 	return &Fake{now: start}
 }
 
-// Now returns the time that the clock was last set to.
+// Now implements Clock.
 func (f *Fake) Now() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/clock/system.go
+++ b/lib/clock/system.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// System is the operating system's clock, with Go's monotonic reading.
+// System is the system clock, with a monotonic reading.
 type System struct{}
 
-// Now returns the current time.
+// Now implements Clock.
 func (System) Now() time.Time { return time.Now() }
