--- a/lib/sockopt/sockopt.go
+++ b/lib/sockopt/sockopt.go
@@ -1,6 +1,6 @@
-// Package sockopt sets the options of TCP connections that find peers which have
-// gone silent: something between the two ends may lose track of a connection
-// while new ones work.
+// Package sockopt provides TCP socket options that detect silent peers. A device on the
+// network path may lose the state of an established connection while new connections
+// still work.
 package sockopt
 
 import (
@@ -11,23 +11,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedLimit is the time in milliseconds after which a connection with
-// unacknowledged bytes is given up.
-const unacknowledgedLimit = 2000
+// userTimeoutMillis is the TCP_USER_TIMEOUT: the time after which a connection with
+// unacknowledged data is closed.
+const userTimeoutMillis = 2000
 
-// KeepAlive probes an idle connection after a second and gives it up about a
-// second later.
+// KeepAlive probes a connection after 1 s of idle time and closes it about 1 s later if
+// the peer does not respond.
 var KeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2}
 
-// Dialer returns a dialer whose connections do not hang on a silent path.
+// Dialer returns a dialer whose connections fail within about 2 s if the peer or the
+// network path stops responding. The timeout limits the opening of a connection.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAlive, Control: limitUnacknowledged}
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: KeepAlive, Control: setUserTimeout}
 }
 
-func limitUnacknowledged(_, _ string, c syscall.RawConn) error {
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unacknowledgedLimit)
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis)
 	})
 	if err != nil {
 		return err
