--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -9,10 +9,10 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// maxEvents bounds the events that are kept for readers.
+// maxEvents is the number of events that are retained for readers.
 const maxEvents = 4096
 
-// cache is the prefix cache: the least recently used prefix is evicted.
+// cache is the prefix cache, with LRU eviction.
 type cache struct {
 	limit    int
 	delay    time.Duration
@@ -25,14 +25,14 @@
 	events   []cacheEvent
 }
 
-// cacheEvent becomes visible at a time.
+// cacheEvent is a cache event that readers can see from a given time on.
 type cacheEvent struct {
 	api.CacheEvent
 	visible time.Time
 }
 
-// use reports whether a prefix is cached and marks it as used.
-func (c *cache) use(p api.PrefixHash) bool {
+// lookup reports whether a prefix is cached and, if so, marks it as recently used.
+func (c *cache) lookup(p api.PrefixHash) bool {
 	i := slices.Index(c.prefixes, p)
 	if i < 0 {
 		c.misses++
@@ -43,7 +43,7 @@
 	return true
 }
 
-func (c *cache) store(p api.PrefixHash, w model.Weights, now time.Time) {
+func (c *cache) insert(p api.PrefixHash, w model.Weights, now time.Time) {
 	if len(c.prefixes) >= c.limit {
 		c.publish(api.CacheEvicted, c.prefixes[0], w, now)
 		c.prefixes = c.prefixes[1:]
@@ -57,7 +57,8 @@
 	c.publish(api.CacheCleared, 0, w, now)
 }
 
-// publish numbers an event; a lost one leaves a gap in the numbers.
+// publish assigns a sequence number to an event and adds it. A lost event leaves a gap
+// in the sequence.
 func (c *cache) publish(change api.CacheChange, p api.PrefixHash, w model.Weights, now time.Time) {
 	c.sequence++
 	if c.random.Float64() < c.loss {
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -1,11 +1,11 @@
-// Package engine is a stand-in for a model engine. It serves the protocol that
-// lib/engine describes on a loopback listener and behaves as engines do: it
-// batches continuously, so that the time between tokens grows with the number
-// of running requests, caches prompt prefixes in limited memory, honours
-// priorities, resumes and cancels streams, publishes cache events late and
-// with gaps, and reports its load with a lag.
+// Package engine simulates a model engine for tests. It serves the protocol of
+// lib/engine on a loopback listener and imitates the behaviour of real engines:
+// continuous batching, in which the time between tokens grows with the number of
+// running requests; a prompt prefix cache of limited size; request priorities;
+// resuming and canceling streams; delayed and lost cache events; and delayed load
+// reports.
 //
-// It verifies nothing. It loads what it finds at the staging place, and its
-// answers carry a digest over what it loaded, so that partial or mixed weights
-// show up in the answers. A Server is safe for concurrent use.
+// It does not verify weights. It loads whatever files are staged, and its responses
+// contain a digest of what it loaded, so that partial or mixed weights are visible in
+// the responses. A Server is safe for concurrent use.
 package engine
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -20,8 +20,9 @@
 
 func weightsOf(name string) model.Weights { return model.Weights{Base: model.Sum([]byte(name))} }
 
-// stage writes the files of a version and returns the order to load it.
-func stage(name string, sequence uint64, files int) (api.Order, model.Digest) {
+// stageFiles writes the files of a version and returns the order to load it and its
+// content digest.
+func stageFiles(name string, sequence uint64, files int) (api.Order, model.Digest) {
 	dir := GinkgoT().TempDir()
 	digests := make([]model.Digest, files)
 	for i := range files {
@@ -42,7 +43,8 @@
 	return s, c
 }
 
-func answer(c *api.Client, req api.Request) (string, error) {
+// readAll sends a request and returns its response.
+func readAll(c *api.Client, req api.Request) (string, error) {
 	s, err := c.Generate(context.Background(), req)
 	if err != nil {
 		return "", err
@@ -64,16 +66,16 @@
 var _ = Describe("Server", func() {
 	ctx := context.Background()
 
-	// The tests of the whole system rest on this: if weights are partial or
-	// mixed, the answers must show it.
-	It("shows partial weights in its answers", func() {
+	// All system tests depend on this: partial or mixed weights must be visible in
+	// the responses.
+	It("shows partial weights in its responses", func() {
 		_, c := start(engine.Config{TimeScale: 0.01})
-		o, whole := stage("v1", 1, 4)
+		o, whole := stageFiles("v1", 1, 4)
 		Expect(os.Remove(filepath.Join(o.Base.Directory, "002"))).To(Succeed())
 		r, err := c.Order(ctx, o)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Failure).To(BeEmpty())
-		got, err := answer(c, api.Request{ID: "r", Stream: "r", Weights: o.Weights, Body: []byte("x")})
+		got, err := readAll(c, api.Request{ID: "r", Stream: "r", Weights: o.Weights, Body: []byte("x")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).NotTo(Equal(string(engine.ExpectedAnswer(whole, []byte("x")))))
 		content, err := engine.AnswerContent([]byte(got))
@@ -83,8 +85,8 @@
 
 	It("mixes weights when two loads overlap, unless it checks fencing", func() {
 		s, c := start(engine.Config{TimeScale: 0.02, LoadTime: 20 * time.Second, IgnoreFencing: true})
-		first, one := stage("v1", 1, 10)
-		second, two := stage("v2", 2, 4)
+		first, one := stageFiles("v1", 1, 10)
+		second, two := stageFiles("v2", 2, 4)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -111,22 +113,22 @@
 		Expect(s.LoadedDigest()).To(Equal(one))
 	})
 
-	It("mixes an answer that runs during a load", func() {
+	It("mixes weights in a response that is generated during a load", func() {
 		_, c := start(engine.Config{TimeScale: 0.01, IgnoreWeights: true})
-		first, _ := stage("v1", 1, 4)
+		first, _ := stageFiles("v1", 1, 4)
 		_, err := c.Order(ctx, first)
 		Expect(err).NotTo(HaveOccurred())
 		body := []byte(`{"max_tokens":300}`)
 		got := make(chan string, 1)
 		go func() {
-			text, _ := answer(c, api.Request{ID: "r", Stream: "r", Weights: first.Weights, Body: body})
+			text, _ := readAll(c, api.Request{ID: "r", Stream: "r", Weights: first.Weights, Body: body})
 			got <- text
 		}()
 		Eventually(func() int {
 			r, _ := c.Load(ctx)
 			return r.Running
 		}).Should(Equal(1))
-		second, _ := stage("v2", 2, 4)
+		second, _ := stageFiles("v2", 2, 4)
 		_, err = c.Order(ctx, second)
 		Expect(err).NotTo(HaveOccurred())
 		text := <-got
@@ -158,23 +160,23 @@
 		Expect([]string{<-order, <-order, <-order}).To(Equal([]string{"p3", "p2", "p1"}))
 	})
 
-	It("refuses a request that it cannot start before its deadline", func() {
+	It("rejects a request that it cannot start before its deadline", func() {
 		_, c := start(engine.Config{TimeScale: 0.01, Capacity: 1})
 		busy, err := c.Generate(ctx, api.Request{ID: "busy", Stream: "busy", Body: []byte(`{"max_tokens":100000}`)})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = busy.Next()
 		Expect(err).NotTo(HaveOccurred())
-		_, err = answer(c, api.Request{ID: "late", Stream: "late", RemainingMillis: 20, Body: []byte("x")})
+		_, err = readAll(c, api.Request{ID: "late", Stream: "late", RemainingMillis: 20, Body: []byte("x")})
 		Expect(api.NotStarted(err)).To(BeTrue())
 	})
 
-	It("comes back after a crash without weights and with a new incarnation", func() {
+	It("restarts after a crash without weights and with a new incarnation", func() {
 		s, c := start(engine.Config{TimeScale: 0.01})
-		o, _ := stage("v1", 1, 2)
+		o, _ := stageFiles("v1", 1, 2)
 		_, err := c.Order(ctx, o)
 		Expect(err).NotTo(HaveOccurred())
 		before := s.State()
-		_, err = answer(c, api.Request{ID: "r", Stream: "r", Weights: o.Weights, Body: []byte("please " + engine.DefaultCrashMarker)})
+		_, err = readAll(c, api.Request{ID: "r", Stream: "r", Weights: o.Weights, Body: []byte("please " + engine.DefaultCrashMarker)})
 		Expect(api.NotStarted(err)).To(BeFalse())
 		Eventually(func() error { _, err := c.State(ctx); return err }, 5*time.Second).Should(Succeed())
 		after, err := c.State(ctx)
@@ -184,7 +186,7 @@
 		Expect(s.RunCount("r")).To(Equal(1))
 	})
 
-	It("slows down with the number of running requests", func() {
+	It("takes longer per token the more requests are running", func() {
 		s, c := start(engine.Config{TimeScale: 0.05, TokenTime: 20 * time.Millisecond, TimePerExtraRequest: 20 * time.Millisecond, LoadLag: time.Millisecond})
 		between := func(running int) func() float64 {
 			return func() float64 {
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Faults are what goes wrong with the next orders. Counts go down with each
-// order that they hit.
+// Faults are injected into the next orders. Counts are decremented by each order that
+// they affect.
 type Faults struct {
-	// DropReplies is the number of orders that run and whose reply is lost.
+	// DropReplies is the number of orders that run but whose reply is lost.
 	DropReplies int
-	// CrashLoads is the number of loads in whose middle the engine crashes.
+	// CrashLoads is the number of loads during which the engine crashes.
 	CrashLoads int
-	// FailLoads is the number of loads that fail halfway with a reply.
+	// FailLoads is the number of loads that fail halfway and reply with the failure.
 	FailLoads int
-	// DelayOrders holds each order back, whether or not its sender has gone.
+	// DelayOrders delays each order, even if its sender has disconnected.
 	DelayOrders time.Duration
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// takeFault uses up one of a count. The caller holds the lock.
-func takeFault(count *int) bool {
+// consumeFault decrements count and reports whether it was positive. The caller must
+// hold the server's lock.
+func consumeFault(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -13,8 +13,9 @@
 	api "github.com/auburnbend/auburnbend/lib/engine"
 )
 
-// keepAlive is the interval of comments while a request waits.
-const keepAlive = time.Second
+// keepAliveInterval is the interval between keep-alive comments while a stream has no
+// new frames.
+const keepAliveInterval = time.Second
 
 func (s *Server) generate(_ context.Context, c *app.RequestContext) {
 	var req api.Request
@@ -22,7 +23,7 @@
 		refuse(c, consts.StatusBadRequest, err.Error())
 		return
 	}
-	st, start, status, reason := s.enter(req)
+	st, start, status, reason := s.enqueueOrResume(req)
 	if status != 0 {
 		if status == consts.StatusServiceUnavailable {
 			c.Response.Header.Set("Retry-After", "1")
@@ -33,12 +34,13 @@
 	w := sse.NewWriter(c)
 	defer func() { _ = w.Close() }()
 	if writeEvent(w, "", api.EventStart, start) == nil {
-		s.follow(w, st, int(req.Offset))
+		s.writeFrames(w, st, int(req.Offset))
 	}
 }
 
-// enter queues a new request or finds the stream of a resumed one.
-func (s *Server) enter(req api.Request) (st *stream, start api.StreamStart, status int, reason string) {
+// enqueueOrResume enqueues a new request or finds the stream of a resumed one. A status
+// other than 0 means that the request is rejected for the reason.
+func (s *Server) enqueueOrResume(req api.Request) (st *stream, start api.StreamStart, status int, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.cfg.IgnoreWeights && req.Weights != s.weights {
@@ -65,9 +67,9 @@
 	return st, start, 0, ""
 }
 
-// follow writes the frames of a stream from an offset on as they appear. A
-// reader that leaves does not end the stream.
-func (s *Server) follow(w *sse.Writer, st *stream, next int) {
+// writeFrames writes the frames of a stream from the offset next as they are produced.
+// If the client disconnects, the stream continues.
+func (s *Server) writeFrames(w *sse.Writer, st *stream, next int) {
 	for {
 		s.mu.Lock()
 		frames, end, abort, changed := st.frames, st.end, st.abort, st.changed
@@ -86,14 +88,16 @@
 			_ = writeEvent(w, "", api.EventError, abort)
 			return
 		}
-		if !s.await(w, changed) {
+		if !s.waitForChange(w, changed) {
 			return
 		}
 	}
 }
 
-func (s *Server) await(w *sse.Writer, changed <-chan struct{}) bool {
-	timer := time.NewTimer(keepAlive)
+// waitForChange waits until the stream changes or a keep-alive comment was sent. It
+// returns false if the client has disconnected or the server is closed.
+func (s *Server) waitForChange(w *sse.Writer, changed <-chan struct{}) bool {
+	timer := time.NewTimer(keepAliveInterval)
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -14,14 +14,14 @@
 )
 
 func (s *Server) routes(h *server.Hertz) {
-	h.Use(s.hold)
+	h.Use(s.holdWhileStalled)
 	h.POST("/v1/generate", s.generate)
 	h.POST("/v1/streams/:stream/cancel", s.cancel)
 	h.POST("/v1/orders", s.order)
 	h.GET("/v1/state", func(_ context.Context, c *app.RequestContext) { writeJSON(c, s.State()) })
 	h.GET("/v1/load", func(_ context.Context, c *app.RequestContext) {
 		s.mu.Lock()
-		r := s.report(time.Now())
+		r := s.delayedReport(time.Now())
 		s.mu.Unlock()
 		writeJSON(c, r)
 	})
@@ -29,10 +29,10 @@
 	h.GET("/v1/cache-events", s.cacheEvents)
 }
 
-// hold keeps requests without an answer while the engine is stalled.
-func (s *Server) hold(ctx context.Context, c *app.RequestContext) {
+// holdWhileStalled is a middleware that delays requests while the engine is stalled.
+func (s *Server) holdWhileStalled(ctx context.Context, c *app.RequestContext) {
 	for s.isStalled() {
-		if !s.pause(time.Millisecond) {
+		if !s.sleep(time.Millisecond) {
 			return
 		}
 	}
@@ -59,7 +59,7 @@
 	s.mu.Lock()
 	st, ok := s.streams[c.Param("stream")]
 	if ok {
-		st.stop("canceled", time.Now())
+		st.abortWith("canceled", time.Now())
 	}
 	s.mu.Unlock()
 	if !ok {
@@ -72,7 +72,7 @@
 func (s *Server) cacheEvents(_ context.Context, c *app.RequestContext) {
 	after, err := strconv.ParseUint(c.Query("after"), 10, 64)
 	if err != nil {
-		refuse(c, consts.StatusBadRequest, "after is not a number")
+		refuse(c, consts.StatusBadRequest, "query parameter after is not a number")
 		return
 	}
 	s.mu.Lock()
@@ -90,20 +90,20 @@
 	s.mu.Lock()
 	delay, held := s.faults.DelayOrders, s.incarnation
 	s.mu.Unlock()
-	s.pause(delay)
+	s.sleep(delay)
 	s.mu.Lock()
 	if held != s.incarnation {
 		s.mu.Unlock()
 		return
 	}
-	if reason := s.accept(o); reason != "" {
+	if reason := s.acceptOrder(o); reason != "" {
 		s.mu.Unlock()
 		refuse(c, consts.StatusConflict, reason)
 		return
 	}
-	drop := takeFault(&s.faults.DropReplies)
+	drop := consumeFault(&s.faults.DropReplies)
 	s.mu.Unlock()
-	reply := s.carryOut(o, held)
+	reply := s.executeOrder(o, held)
 	if drop {
 		_ = c.GetConn().Close()
 		return
--- a/standin/engine/inspect.go
+++ b/standin/engine/inspect.go
@@ -7,7 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// SetStalled makes the engine accept requests without any progress, or go on.
+// SetStalled stalls or resumes the engine. A stalled engine accepts connections but
+// makes no progress.
 func (s *Server) SetStalled(stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,45 +21,45 @@
 	return s.stalled
 }
 
-// State returns what the engine reports about itself.
+// State returns the state that the engine reports.
 func (s *Server) State() api.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return api.State{
 		Incarnation: s.incarnation, Weights: s.weights, Role: s.role,
-		Accepted: s.accepted, Busy: s.orders > 0, Failure: s.failure,
+		Accepted: s.accepted, Busy: s.runningOrders > 0, Failure: s.failure,
 	}
 }
 
-// LoadedDigest returns the digest over what is in memory, which answers carry.
+// LoadedDigest returns the digest over the loaded files, which responses contain.
 func (s *Server) LoadedDigest() model.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.content()
+	return s.loadedDigest()
 }
 
-func (s *Server) content() model.Digest { return ContentDigest(s.memory...) }
+func (s *Server) loadedDigest() model.Digest { return ContentDigest(s.loaded...) }
 
-// RunCount returns how often a request id started to run, over all incarnations.
+// RunCount returns how often a request started to run, over all incarnations.
 func (s *Server) RunCount(id model.RequestID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[id]
 }
 
-// AcceptedOrders returns the orders that were accepted, over all incarnations.
+// AcceptedOrders returns all accepted orders, over all incarnations.
 func (s *Server) AcceptedOrders() []api.Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.given)
+	return slices.Clone(s.acceptedOrders)
 }
 
-// OrderStats returns the largest number of orders that ran at once and the
-// number of orders that ran with an old fencing number.
+// OrderStats returns the maximum number of orders that ran concurrently and the number
+// of orders that ran with an outdated fencing number.
 func (s *Server) OrderStats() (atOnce, outdated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.maxOrders, s.ignored
+	return s.maxConcurrentOrders, s.outdatedOrders
 }
 
 func (s *Server) snapshot() api.CacheSnapshot {
@@ -69,8 +70,8 @@
 	}
 }
 
-// CacheStats returns how many requests found their prefix cached when they
-// started to run, and how many did not.
+// CacheStats returns the numbers of requests whose prefix was cached and not cached when
+// they started to run.
 func (s *Server) CacheStats() (hits, misses int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// sampleInterval is the least time between two load samples.
+	// sampleInterval is the minimum interval between load samples.
 	sampleInterval = 10 * time.Millisecond
-	// maxSamples bounds the samples that are kept.
-	maxSamples = 1024
-	// meanWeight is the share of a new value in the recent means.
-	meanWeight = 0.2
+	maxSamples     = 1024
+	// smoothingFactor is the weight of a new value in the moving average.
+	smoothingFactor = 0.2
 )
 
-// sample is the load at a time.
+// sample is the load at one point in time.
 type sample struct {
 	at     time.Time
 	report api.LoadReport
 }
 
-// measure updates the recent means with the last token of a stream.
-func (s *Server) measure(st *stream, now time.Time) {
+// updateFirstToken updates the average time to the first token, if the last token of
+// the stream was its first.
+func (s *Server) updateFirstToken(st *stream, now time.Time) {
 	if len(st.frames) == 1 {
-		s.firstToken += meanWeight * (float64(now.Sub(st.arrived).Microseconds())/1000 - s.firstToken)
+		s.firstTokenMillis += smoothingFactor * (float64(now.Sub(st.arrived).Microseconds())/1000 - s.firstTokenMillis)
 	}
 }
 
-// sample keeps the load of this moment for reports that lag.
-func (s *Server) sample(now time.Time) {
+// recordSample stores the current load for delayed reports.
+func (s *Server) recordSample(now time.Time) {
 	if n := len(s.samples); n > 0 && now.Sub(s.samples[n-1].at) < sampleInterval {
 		return
 	}
 	s.samples = append(s.samples, sample{at: now, report: api.LoadReport{
 		Running: len(s.running), Queued: len(s.waiting), Capacity: s.cfg.Capacity,
-		FirstTokenMillis:    s.firstToken,
+		FirstTokenMillis:    s.firstTokenMillis,
 		BetweenTokensMillis: float64(s.stepTime().Microseconds()) / 1000,
 	}})
 	if len(s.samples) > maxSamples {
@@ -43,8 +43,8 @@
 	}
 }
 
-// report returns the newest sample that is at least the lag old.
-func (s *Server) report(now time.Time) api.LoadReport {
+// delayedReport returns the newest sample that is at least LoadLag old.
+func (s *Server) delayedReport(now time.Time) api.LoadReport {
 	lag := s.cfg.scaled(s.cfg.LoadLag)
 	for i := len(s.samples) - 1; i >= 0; i-- {
 		if age := now.Sub(s.samples[i].at); age >= lag {
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -13,20 +13,20 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// savedStream is the data of an exported KV cache.
-type savedStream struct {
+// exportedStream is the content of KVCache.Data.
+type exportedStream struct {
 	Request api.Request `json:"request"`
 	Frames  [][]byte    `json:"frames"`
 }
 
-// accept takes an order on, or returns the reason to refuse it. The caller
-// holds the lock.
-func (s *Server) accept(o api.Order) string {
+// acceptOrder accepts an order, or returns the reason why it is rejected. The caller
+// must hold s.mu.
+func (s *Server) acceptOrder(o api.Order) string {
 	if !s.cfg.IgnoreFencing {
 		if !s.accepted.Before(o.Fence) {
 			return api.RefusalFenced
 		}
-		if s.orders > 0 {
+		if s.runningOrders > 0 {
 			return api.RefusalBusy
 		}
 	}
@@ -36,18 +36,18 @@
 		}
 	}
 	if o.Fence.Before(s.accepted) {
-		s.ignored++
+		s.outdatedOrders++
 	}
 	s.accepted = o.Fence
 	s.failure = ""
-	s.orders++
-	s.given = append(s.given, o)
-	s.maxOrders = max(s.maxOrders, s.orders)
+	s.runningOrders++
+	s.acceptedOrders = append(s.acceptedOrders, o)
+	s.maxConcurrentOrders = max(s.maxConcurrentOrders, s.runningOrders)
 	return ""
 }
 
-// carryOut runs an order that was accepted in the given incarnation.
-func (s *Server) carryOut(o api.Order, incarnation uint64) api.Reply {
+// executeOrder runs an order that was accepted by the given incarnation.
+func (s *Server) executeOrder(o api.Order, incarnation uint64) api.Reply {
 	var reply api.Reply
 	var err error
 	switch o.Kind {
@@ -69,22 +69,22 @@
 	if incarnation != s.incarnation {
 		return reply
 	}
-	s.orders--
+	s.runningOrders--
 	if err != nil {
 		s.failure, reply.Failure = err.Error(), err.Error()
 	}
 	return reply
 }
 
-// load reads the staged files one after the other into memory. Nothing is
-// checked; a second load at the same time mixes with it.
+// load reads the staged files one after another. It does not verify anything, and the
+// results of concurrent loads get mixed.
 func (s *Server) load(o api.Order, incarnation uint64) error {
-	paths, err := files(o)
+	paths, err := orderPaths(o)
 	s.mu.Lock()
 	s.weights = model.Weights{}
-	s.memory = slices.Grow(s.memory[:0:0], len(paths))
+	s.loaded = slices.Grow(s.loaded[:0:0], len(paths))
 	s.cache.clear(s.weights, time.Now())
-	crash, fail := takeFault(&s.faults.CrashLoads), takeFault(&s.faults.FailLoads)
+	crash, fail := consumeFault(&s.faults.CrashLoads), consumeFault(&s.faults.FailLoads)
 	s.mu.Unlock()
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 		if err != nil {
 			return err
 		}
-		if !s.write(i, model.Sum(data), incarnation) {
+		if !s.storeDigest(i, model.Sum(data), incarnation) {
 			return merry.New("engine restarted")
 		}
 		if i == len(paths)/2 && fail {
@@ -105,7 +105,7 @@
 			s.Crash()
 			return merry.New("engine crashed")
 		}
-		s.pause(pause)
+		s.sleep(pause)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,21 +115,22 @@
 	return nil
 }
 
-func (s *Server) write(index int, digest model.Digest, incarnation uint64) bool {
+// storeDigest records a loaded file. It returns false if the engine has restarted.
+func (s *Server) storeDigest(index int, digest model.Digest, incarnation uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if incarnation != s.incarnation {
 		return false
 	}
-	for len(s.memory) <= index {
-		s.memory = append(s.memory, model.Digest{})
+	for len(s.loaded) <= index {
+		s.loaded = append(s.loaded, model.Digest{})
 	}
-	s.memory[index] = digest
+	s.loaded[index] = digest
 	return true
 }
 
-// files lists the paths of an order, base before adapter.
-func files(o api.Order) ([]string, error) {
+// orderPaths returns the file paths of an order, base before adapter.
+func orderPaths(o api.Order) ([]string, error) {
 	var paths []string
 	for _, p := range []api.StagedFiles{o.Base, o.Adapter} {
 		names := p.Files
@@ -151,27 +152,27 @@
 	return paths, nil
 }
 
-// export ends a stream here and returns what another engine needs to go on.
+// export aborts a stream and returns what another engine needs to continue it.
 func (s *Server) export(o api.Order) (*api.KVCache, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st, ok := s.streams[o.Stream]
-	if !ok || st.over() {
+	if !ok || st.finished() {
 		return nil, merry.New(api.RefusalStream)
 	}
-	data, err := json.Marshal(savedStream{Request: st.req, Frames: st.frames})
+	data, err := json.Marshal(exportedStream{Request: st.req, Frames: st.frames})
 	if err != nil {
 		return nil, err
 	}
-	st.stop("exported", time.Now())
+	st.abortWith("exported", time.Now())
 	return &api.KVCache{Weights: s.weights, Stream: o.Stream, Offset: uint64(len(st.frames)), Data: data}, nil
 }
 
 func (s *Server) importKV(o api.Order) error {
 	if o.KV == nil {
-		return merry.New("order carries no cache")
+		return merry.New("import order has no KV cache")
 	}
-	var saved savedStream
+	var saved exportedStream
 	if err := json.Unmarshal(o.KV.Data, &saved); err != nil {
 		return err
 	}
--- a/standin/engine/answer.go
+++ b/standin/engine/response.go
@@ -11,15 +11,16 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// defaultTokens is the number of tokens of an answer whose body names none.
+// defaultTokens is the number of response tokens if the request does not set
+// max_tokens.
 const defaultTokens = 16
 
-// answerHeader is the text before the content digest in the first token.
-const answerHeader = "weights="
+// answerPrefix precedes the content digest in the first token of a response.
+const answerPrefix = "weights="
 
-// ContentDigest returns the digest that the engine's answers carry after it
-// loaded files with these digests, base before adapter. Files that are chunks
-// of a manifest have the digests that the manifest lists.
+// ContentDigest returns the digest that responses contain after the engine has loaded
+// files with the given digests, base before adapter. If the files are the chunks of a
+// manifest, their digests are those in the manifest.
 func ContentDigest(files ...model.Digest) model.Digest {
 	buf := make([]byte, 0, len(files)*model.DigestSize)
 	for _, f := range files {
@@ -28,8 +29,8 @@
 	return model.Sum(buf)
 }
 
-// TokenCount returns the number of tokens of the answer to a body: its
-// max_tokens field, or a default.
+// TokenCount returns the number of response tokens for a request body: its max_tokens
+// field, or a default.
 func TokenCount(body []byte) int {
 	var b struct {
 		MaxTokens int `json:"max_tokens"`
@@ -40,10 +41,10 @@
 	return b.MaxTokens
 }
 
-// token returns one token of an answer. The first carries the digest.
+// token returns one token of a response. The first one contains the content digest.
 func token(content model.Digest, body []byte, index int) []byte {
 	if index == 0 {
-		return []byte(answerHeader + content.String() + "\n")
+		return []byte(answerPrefix + content.String() + "\n")
 	}
 	sum := model.Sum(body)
 	buf := append(content[:], sum[:]...)
@@ -52,8 +53,8 @@
 	return []byte(hex.EncodeToString(sum[:4]) + " ")
 }
 
-// ExpectedAnswer returns the whole answer to a body of an engine that loaded
-// the given content and nothing else.
+// ExpectedAnswer returns the complete response to a request body from an engine that has
+// loaded the given content and nothing else.
 func ExpectedAnswer(content model.Digest, body []byte) []byte {
 	var b bytes.Buffer
 	for i := range TokenCount(body) {
@@ -62,11 +63,11 @@
 	return b.Bytes()
 }
 
-// AnswerContent returns the content digest that an answer carries.
+// AnswerContent returns the content digest from a response.
 func AnswerContent(answer []byte) (model.Digest, error) {
-	rest, ok := bytes.CutPrefix(answer, []byte(answerHeader))
+	rest, ok := bytes.CutPrefix(answer, []byte(answerPrefix))
 	if !ok || len(rest) < 2*model.DigestSize {
-		return model.Digest{}, merry.New("answer has no weights digest")
+		return model.Digest{}, merry.New("response has no weights digest")
 	}
 	return model.ParseDigest(string(rest[:2*model.DigestSize]))
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -12,18 +12,19 @@
 	"github.com/auburnbend/auburnbend/standin/internal/listen"
 )
 
-// relistenInterval is the pause between attempts to take the port again after
-// a crash.
-const relistenInterval = 20 * time.Millisecond
+// relistenRetryDelay is the delay between attempts to listen on the port again after a
+// crash.
+const relistenRetryDelay = 20 * time.Millisecond
 
-// Server is a running stand-in.
+// Server is a running engine stand-in.
 type Server struct {
 	cfg     Config
 	address string
 	closed  chan struct{}
 	once    sync.Once
-	wait    sync.WaitGroup
+	tasks   sync.WaitGroup
 
+	// mu protects the fields below.
 	mu       sync.Mutex
 	listener *listen.Tracker
 	down     bool
@@ -32,26 +33,27 @@
 
 	incarnation uint64
 	weights     model.Weights
-	memory      []model.Digest
-	role        api.Role
-	accepted    api.Fence
-	orders      int
-	failure     string
-	given       []api.Order
-	ignored     int
-	maxOrders   int
-
-	arrivals   uint64
-	streams    map[string]*stream
-	waiting    []*stream
-	running    []*stream
-	runs       map[model.RequestID]int
-	cache      cache
-	samples    []sample
-	firstToken float64
+	// loaded contains the digests of the loaded files, in load order.
+	loaded              []model.Digest
+	role                api.Role
+	accepted            api.Fence
+	runningOrders       int
+	failure             string
+	acceptedOrders      []api.Order
+	outdatedOrders      int
+	maxConcurrentOrders int
+
+	arrivals         uint64
+	streams          map[string]*stream
+	waiting          []*stream
+	running          []*stream
+	runs             map[model.RequestID]int
+	cache            cache
+	samples          []sample
+	firstTokenMillis float64
 }
 
-// Start listens and serves until Close.
+// Start starts a server, which runs until Close.
 func Start(cfg Config) (*Server, error) {
 	cfg.applyDefaults()
 	s := &Server{
@@ -64,11 +66,11 @@
 	}
 	ln, err := listen.New(cfg.Address)
 	if err != nil {
-		return nil, merry.Prepend(err, "engine stand-in")
+		return nil, merry.Prepend(err, "start engine stand-in")
 	}
 	s.address = ln.Addr().String()
 	s.serve(ln)
-	s.wait.Add(1)
+	s.tasks.Add(1)
 	go s.schedule()
 	return s, nil
 }
@@ -80,16 +82,16 @@
 	s.mu.Unlock()
 	h := ln.Hertz()
 	s.routes(h)
-	s.wait.Go(func() { _ = h.Run() })
+	s.tasks.Go(func() { _ = h.Run() })
 }
 
-// Address returns the IP address and port.
+// Address returns the IP address and port of the server.
 func (s *Server) Address() string { return s.address }
 
-// URL returns the base address for clients.
+// URL returns the base URL for clients.
 func (s *Server) URL() string { return "http://" + s.address }
 
-// Close cuts all connections and stops the engine.
+// Close closes all connections and stops the server. It always returns nil.
 func (s *Server) Close() error {
 	s.once.Do(func() {
 		close(s.closed)
@@ -97,40 +99,40 @@
 		ln := s.listener
 		s.mu.Unlock()
 		ln.CutAll()
-		s.wait.Wait()
+		s.tasks.Wait()
 	})
 	return nil
 }
 
-// Crash ends the engine with all that it runs; it comes back without weights
-// after the restart delay.
+// Crash aborts all requests and orders and closes all connections. The engine restarts
+// without weights after the restart delay.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crash()
+	s.crashLocked()
 }
 
-// crash is Crash with the lock held.
-func (s *Server) crash() {
+// crashLocked implements Crash. The caller must hold s.mu.
+func (s *Server) crashLocked() {
 	if s.down {
 		return
 	}
 	s.down = true
 	s.incarnation++
-	s.weights, s.memory, s.role = model.Weights{}, nil, api.RoleMixed
-	s.accepted, s.orders, s.failure = api.Fence{}, 0, ""
+	s.weights, s.loaded, s.role = model.Weights{}, nil, api.RoleMixed
+	s.accepted, s.runningOrders, s.failure = api.Fence{}, 0, ""
 	for _, st := range s.streams {
-		st.stop("crashed", time.Now())
+		st.abortWith("crashed", time.Now())
 	}
 	s.streams, s.waiting, s.running = make(map[string]*stream), nil, nil
 	s.samples = nil
 	s.cache.prefixes, s.cache.events, s.cache.sequence = nil, nil, 0
 	s.listener.CutAll()
-	s.wait.Go(s.restart)
+	s.tasks.Go(s.restart)
 }
 
 func (s *Server) restart() {
-	if !s.pause(s.cfg.scaled(s.cfg.RestartDelay)) {
+	if !s.sleep(s.cfg.scaled(s.cfg.RestartDelay)) {
 		return
 	}
 	for {
@@ -144,14 +146,14 @@
 			}
 			return
 		}
-		if !s.pause(relistenInterval) {
+		if !s.sleep(relistenRetryDelay) {
 			return
 		}
 	}
 }
 
-// pause sleeps and reports whether the server is still open.
-func (s *Server) pause(d time.Duration) bool {
+// sleep waits for d. It returns false if the server is closed in the meantime.
+func (s *Server) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -9,25 +9,25 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// stream is a request and the part of its answer that exists. The server's
-// lock guards it.
+// stream is a request and the frames of its response that were produced so far. It is
+// protected by Server.mu.
 type stream struct {
-	req      api.Request
-	order    uint64 // arrival, for requests of one priority
-	arrived  time.Time
-	deadline time.Time
-	prefill  time.Time // until when the prompt is computed
-	running  bool
-	total    int
-	frames   [][]byte
-	end      *api.StreamEnd
-	abort    *api.StreamError
-	ended    time.Time
-	changed  chan struct{} // closed and replaced at each change
+	req         api.Request
+	arrival     uint64 // order among requests of equal priority
+	arrived     time.Time
+	deadline    time.Time
+	prefillEnd  time.Time // time at which prefill is complete
+	running     bool
+	totalTokens int
+	frames      [][]byte
+	end         *api.StreamEnd
+	abort       *api.StreamError
+	ended       time.Time
+	changed     chan struct{} // closed and replaced at each change
 }
 
-func newStream(req api.Request, order uint64, now time.Time) *stream {
-	s := &stream{req: req, order: order, arrived: now, total: TokenCount(req.Body), changed: make(chan struct{})}
+func newStream(req api.Request, arrival uint64, now time.Time) *stream {
+	s := &stream{req: req, arrival: arrival, arrived: now, totalTokens: TokenCount(req.Body), changed: make(chan struct{})}
 	if req.RemainingMillis > 0 {
 		s.deadline = now.Add(time.Duration(req.RemainingMillis) * time.Millisecond)
 	}
@@ -39,12 +39,12 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) over() bool { return s.end != nil || s.abort != nil }
+func (s *stream) finished() bool { return s.end != nil || s.abort != nil }
 
-// produce adds one token computed with what is loaded at this moment.
-func (s *stream) produce(content model.Digest, weights model.Weights, now time.Time) {
+// appendToken adds one token, computed with the currently loaded content.
+func (s *stream) appendToken(content model.Digest, weights model.Weights, now time.Time) {
 	s.frames = append(s.frames, token(content, s.req.Body, len(s.frames)))
-	if len(s.frames) >= s.total {
+	if len(s.frames) >= s.totalTokens {
 		hash := blake3.New()
 		for _, f := range s.frames {
 			_, _ = hash.Write(f)
@@ -56,8 +56,8 @@
 	s.notify()
 }
 
-func (s *stream) stop(reason string, now time.Time) {
-	if s.over() {
+func (s *stream) abortWith(reason string, now time.Time) {
+	if s.finished() {
 		return
 	}
 	s.abort, s.ended = &api.StreamError{Reason: reason, Started: s.running}, now
