--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -46,8 +46,8 @@
 	client, err := engine.NewClient(engine.Config{Address: server.URL(), StallTimeout: 5 * time.Second})
 	Expect(err).NotTo(HaveOccurred())
 	guard := engine.NewGuard(engine.GuardConfig{PollInterval: time.Millisecond, SettleTime: 20 * time.Millisecond})
-	place, content := stageFiles(name, 4)
-	result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf(name), Base: place})
+	staged, content := stageFiles(name, 4)
+	result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf(name), Base: staged})
 	Expect(result.Err).NotTo(HaveOccurred())
 	return server, client, guard, content
 }
@@ -82,9 +82,9 @@
 		server, client, _, content := startLoaded(standin.Config{}, "v1")
 		s, err := client.Generate(ctx, request("v1", "r1", "draft a report"))
 		Expect(err).NotTo(HaveOccurred())
-		answer, err := readFrames(s, 1000)
+		response, err := readFrames(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
-		Expect(answer).To(Equal(standin.ExpectedAnswer(content, []byte("draft a report"))))
+		Expect(response).To(Equal(standin.ExpectedAnswer(content, []byte("draft a report"))))
 		Expect(server.RunCount("r1")).To(Equal(1))
 	})
 
@@ -140,8 +140,8 @@
 
 		s, err = client.Generate(ctx, request("v1", "r2", body))
 		Expect(err).NotTo(HaveOccurred())
-		place, _ := stageFiles("v2", 4)
-		Expect(runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}).Err).NotTo(HaveOccurred())
+		staged, _ := stageFiles("v2", 4)
+		Expect(runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: staged}).Err).NotTo(HaveOccurred())
 		err = client.Resume(ctx, s)
 		Expect(errors.Is(err, engine.ErrWeightsMismatch)).To(BeTrue())
 		Expect(engine.NotStarted(err)).To(BeFalse())
--- a/lib/engine/guard.go
+++ b/lib/engine/guard.go
@@ -120,9 +120,9 @@
 	case phasePrecheck:
 		g.precheck(now, s)
 	case phaseVerify:
-		g.judge(now, s)
+		g.evaluate(now, s)
 	case phaseResolve:
-		g.resolveLostReply(now, s)
+		g.evaluateLostReply(now, s)
 	}
 }
 
@@ -181,10 +181,10 @@
 	}
 }
 
-// judge derives the result of an order from the state, after a reply or after the
+// evaluate derives the result of an order from the state, after a reply or after the
 // settle time. A restart alone does not mean that the order was lost: if the engine
 // restarted between the precheck and the send, the new incarnation runs the order.
-func (g *Guard) judge(now time.Time, s State) {
+func (g *Guard) evaluate(now time.Time, s State) {
 	switch {
 	case s.Accepted == g.fence && s.Busy:
 		g.nextReadAt = now.Add(g.cfg.PollInterval)
@@ -202,14 +202,14 @@
 	}
 }
 
-// resolveLostReply waits until the engine has accepted the order or the order can no
+// evaluateLostReply waits until the engine has accepted the order or the order can no
 // longer arrive.
-func (g *Guard) resolveLostReply(now time.Time, s State) {
+func (g *Guard) evaluateLostReply(now time.Time, s State) {
 	if s.Accepted != g.fence && now.Before(g.replyLostAt.Add(g.cfg.SettleTime)) {
 		g.nextReadAt = now.Add(g.cfg.PollInterval)
 		return
 	}
-	g.judge(now, s)
+	g.evaluate(now, s)
 }
 
 // verify checks that the state after the order is what the order requested.
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -20,8 +20,8 @@
 	DescribeTable("resolves a lost reply from the engine's state", func(cfg standin.Config) {
 		server, client, guard, _ := startLoaded(cfg, "v1")
 		server.SetFaults(standin.Faults{DropReplies: 1})
-		place, content := stageFiles("v2", 4)
-		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place})
+		staged, content := stageFiles("v2", 4)
+		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: staged})
 		Expect(result.Err).NotTo(HaveOccurred())
 		Expect(server.LoadedDigest()).To(Equal(content))
 		atOnce, outdated := server.OrderStats()
@@ -36,8 +36,8 @@
 	It("reports a crash in the middle of a load", func() {
 		server, client, guard, _ := startLoaded(standin.Config{RestartDelay: time.Second}, "v1")
 		server.SetFaults(standin.Faults{CrashLoads: 1})
-		place, _ := stageFiles("v2", 4)
-		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place})
+		staged, _ := stageFiles("v2", 4)
+		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: staged})
 		Expect(errors.Is(result.Err, engine.ErrOrderLost)).To(BeTrue())
 		Expect(result.State.Weights.IsZero()).To(BeTrue())
 	})
@@ -46,9 +46,9 @@
 	// and against sending an order before the previous one is resolved.
 	It("withdraws an unsent order and resolves a sent one", func() {
 		server, client, guard, _ := startLoaded(standin.Config{LoadTime: 10 * time.Second}, "v1")
-		place, _ := stageFiles("v2", 4)
+		staged, _ := stageFiles("v2", 4)
 		other, content := stageFiles("v3", 4)
-		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}
+		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: staged}
 		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
 		_, err := engine.RunOrder(canceled, clock.System{}, client, guard, load)
@@ -69,8 +69,8 @@
 
 	It("stops an older agent generation with ErrSuperseded", func() {
 		_, client, old, _ := startLoaded(standin.Config{IgnoreFencing: true}, "v1")
-		place, _ := stageFiles("v2", 4)
-		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: place}
+		staged, _ := stageFiles("v2", 4)
+		load := engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: staged}
 		next := engine.NewGuard(engine.GuardConfig{Epoch: old.Fence().Epoch + 1})
 		Expect(runOrder(client, next, load).Err).NotTo(HaveOccurred())
 		Expect(errors.Is(runOrder(client, old, load).Err, engine.ErrSuperseded)).To(BeTrue())
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -16,20 +16,20 @@
 // Stream is a response that is being received. Its methods must be called from one
 // goroutine only. It is closed when the context of Generate or Resume ends.
 type Stream struct {
-	request Request
-	stall   time.Duration
-
-	exchange   *exchange
-	ctx        context.Context
-	reader     *sse.Reader
-	stopWatch  func() bool
-	nextOffset uint64
-	hash       *blake3.Hasher
-	end        *StreamEnd
+	request      Request
+	stallTimeout time.Duration
+
+	exchange         *exchange
+	ctx              context.Context
+	reader           *sse.Reader
+	stopContextWatch func() bool
+	nextOffset       uint64
+	hash             *blake3.Hasher
+	end              *StreamEnd
 }
 
-func newStream(req Request, stall time.Duration) *Stream {
-	return &Stream{request: req, stall: stall, hash: blake3.New()}
+func newStream(req Request, stallTimeout time.Duration) *Stream {
+	return &Stream{request: req, stallTimeout: stallTimeout, hash: blake3.New()}
 }
 
 // Offset returns the offset of the next frame to receive.
@@ -53,7 +53,7 @@
 	}
 	reader.SetMaxBufferSize(maxEventBytes)
 	s.exchange, s.ctx, s.reader = x, ctx, reader
-	s.stopWatch = context.AfterFunc(ctx, x.close)
+	s.stopContextWatch = context.AfterFunc(ctx, x.close)
 	return s.readStart()
 }
 
@@ -88,7 +88,7 @@
 	if s.exchange == nil {
 		return "", nil, mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessage("stream is closed")))
 	}
-	timer := time.AfterFunc(s.stall, s.exchange.close)
+	timer := time.AfterFunc(s.stallTimeout, s.exchange.close)
 	defer timer.Stop()
 	e := sse.NewEvent()
 	defer e.Release()
@@ -157,12 +157,12 @@
 // streamError converts an error event to an error. The event proves that the request
 // did not run only if the engine says so and no frame was received.
 func (s *Stream) streamError(data []byte) error {
-	var a StreamError
-	if err := json.Unmarshal(data, &a); err != nil {
+	var event StreamError
+	if err := json.Unmarshal(data, &event); err != nil {
 		return mayHaveRun(wrapCause(ErrIncomplete, err))
 	}
-	err := &RefusedError{Reason: a.Reason}
-	if !a.Started && s.nextOffset == 0 && !s.request.Resume {
+	err := &RefusedError{Reason: event.Reason}
+	if !event.Started && s.nextOffset == 0 && !s.request.Resume {
 		return notStarted(err)
 	}
 	return mayHaveRun(err)
@@ -174,7 +174,7 @@
 	if s.exchange == nil {
 		return
 	}
-	s.stopWatch()
+	s.stopContextWatch()
 	s.exchange.close()
 	s.exchange = nil
 }
