--- a/lib/telemetry/request_metrics.go
+++ b/lib/telemetry/request_metrics.go
@@ -27,7 +27,7 @@
 // RecordBetweenTokens records the time between two tokens.
 func (r *RequestMetrics) RecordBetweenTokens(d time.Duration) { r.record(r.metrics.betweenTokens, d) }
 
-// RecordTotalTime records the time from arrival to the end of the answer.
+// RecordTotalTime records the time from arrival to the end of the response.
 func (r *RequestMetrics) RecordTotalTime(d time.Duration) { r.record(r.metrics.totalTime, d) }
 
 func (r *RequestMetrics) record(h metric.Float64Histogram, d time.Duration) {
