--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside one backend server: it stands in front of
-// its requests, moves weights to and from its instance, orders its engine to load
-// them, and announces when it leaves.
+// Package agent implements the daemon that runs beside each backend server. It
+// admits and forwards requests to the backend server, transfers weights to and from
+// the instance, orders the model engine to load them, and tells entries when the
+// instance drains.
 package agent
 
 import (
@@ -24,7 +25,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Agent runs beside one backend server.
+// Agent manages one backend server. After Start, its methods are safe for concurrent
+// use.
 type Agent struct {
 	cfg      Config
 	follower *follow.Follower
@@ -35,27 +37,27 @@
 	weights  *backend.Runner
 	cache    cacheReader
 	roles    roles
-	// fetching is since when the wanted version is being fetched.
-	fetching fetchStart
+	// fetchTimer records when the fetch of the wanted version began.
+	fetchTimer fetchTimer
 	// rank is the position of the instance in its pool, or unknownRank.
 	rank atomic.Int64
-	// firstTokens are the times to first token of live requests.
+	// firstTokens measures the time to first token of live requests.
 	firstTokens firstTokens
 	sessions    *sessions
 	stop        context.CancelFunc
 	tasks       sync.WaitGroup
 }
 
-// unknownRank is the rank until an entry of the failure domain has told it.
+// unknownRank is the rank until an entry of the failure domain has sent one.
 const unknownRank = -1
 
-// New returns an agent that Start starts.
+// New returns an agent that does nothing until Start is called.
 func New(cfg Config) (*Agent, error) {
 	a := &Agent{cfg: cfg.applyDefaults(), sessions: newSessions()}
-	a.cfg.Gate.OnChange = a.sessions.beat
-	a.cfg.Gate.OnRefusal = a.refused
+	a.cfg.Gate.OnChange = a.sessions.sendHeartbeats
+	a.cfg.Gate.OnRefusal = a.logRefusal
 	a.rank.Store(unknownRank)
-	a.follower = follow.New(follow.Config{Clock: cfg.Clock, Rand: cfg.Rand, Log: cfg.Log, Heartbeat: a.beat})
+	a.follower = follow.New(follow.Config{Clock: cfg.Clock, Rand: cfg.Rand, Log: cfg.Log, Heartbeat: a.heartbeat})
 	var err error
 	if cfg.BackendKind == settings.BackendPlain {
 		err = a.setUpPlain()
@@ -81,11 +83,11 @@
 	if err != nil {
 		return err
 	}
-	sink, err := weights.NewDirectoryStorage(a.cfg.StagingDir)
+	storage, err := weights.NewDirectoryStorage(a.cfg.StagingDir)
 	if err != nil {
 		return err
 	}
-	chunks := weights.NewStore(weights.StoreConfig{Storage: sink, MaxBytes: a.cfg.StagingBytes})
+	chunks := weights.NewStore(weights.StoreConfig{Storage: storage, MaxBytes: a.cfg.StagingBytes})
 	a.transfer = transfer.New(transfer.Config{
 		Clock:        a.cfg.Clock,
 		Seed:         a.cfg.Rand.Int63(),
@@ -108,7 +110,7 @@
 	if !a.cfg.Backend.Guard.EnforcesFencing {
 		a.cfg.Log.Log(eventlog.FencingIgnored)
 	}
-	a.cfg.Backend.Guard.Epoch = a.startNumber(client)
+	a.cfg.Backend.Guard.Epoch = a.nextEpoch(client)
 	a.weights = backend.NewRunner(backend.RunnerConfig{
 		Machine: a.cfg.Backend,
 		Clock:   a.cfg.Clock,
@@ -116,51 +118,54 @@
 		Engine:  client,
 		Host:    host{a},
 	})
-	a.follower.Watch(host{a}.configured)
+	a.follower.Watch(host{a}.applyConfig)
 	return nil
 }
 
-// startTimeout bounds the wait for a start number; the agent starts without one
-// while the store is down.
-const startTimeout = 3 * time.Second
+// epochTimeout bounds the wait for an epoch. If the store is down, the agent starts
+// without one.
+const epochTimeout = 3 * time.Second
 
-// startNumber takes the number under which this process gives orders: an engine
-// can outlive its agent, and two agents must not use the same numbers.
-func (a *Agent) startNumber(client *engine.Client) uint64 {
+// nextEpoch allocates the fencing epoch of this process's orders, or returns 0 if
+// none can be allocated. An engine can outlive its agent, so two agents must never
+// use the same epoch.
+func (a *Agent) nextEpoch(client *engine.Client) uint64 {
 	if a.cfg.Table == nil {
 		return 0
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), epochTimeout)
 	defer cancel()
 	var floor uint64
 	if state, err := client.State(ctx); err == nil {
 		floor = state.Accepted.Epoch
 	}
-	number, err := backend.NextEpoch(ctx, a.cfg.Table, a.cfg.Identity.Instance, floor)
+	epoch, err := backend.NextEpoch(ctx, a.cfg.Table, a.cfg.Identity.Instance, floor)
 	if err != nil {
 		a.cfg.Log.Log(eventlog.StoreUnavailable, "err", err)
 		return 0
 	}
-	return number
+	return epoch
 }
 
-// refused is called for each request that the gate refuses.
-func (a *Agent) refused(reason outcome.Reason) {
+// logRefusal is called for each request that the gate refuses. It logs only those
+// for weights that the instance does not serve.
+func (a *Agent) logRefusal(reason outcome.Reason) {
 	if reason == outcome.ReasonWeightsMismatch {
 		a.cfg.Log.Log(eventlog.GateMismatch)
 	}
 }
 
-// crashed is called when the engine died while it ran requests.
-func (a *Agent) crashed(incarnation uint64) {
+// handleCrash is called when the engine has crashed or restarted. incarnation is the
+// one that ended.
+func (a *Agent) handleCrash(incarnation uint64) {
 	a.cfg.Log.Log(eventlog.BackendServerCrashed, "incarnation", incarnation)
 	a.gate.ReportCrash(incarnation)
 	a.weights.HandleCrash()
 }
 
-// Start starts all tasks. It returns at once; Close ends them.
+// Start starts the agent's goroutines and returns immediately. Close stops them.
 func (a *Agent) Start() {
-	serving, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	a.stop = stop
 	server := listen.New(listen.Config{
 		Listener: a.cfg.Listener,
@@ -169,23 +174,24 @@
 		Serve:    a.serve,
 		Log:      a.cfg.Log,
 	})
-	a.tasks.Go(func() { server.Run(serving) })
-	a.tasks.Go(func() { a.tick(serving) })
-	a.tasks.Go(func() { a.server.observe(serving) })
+	a.tasks.Go(func() { server.Run(ctx) })
+	a.tasks.Go(func() { a.runTicker(ctx) })
+	a.tasks.Go(func() { a.server.poll(ctx) })
 	if a.weights != nil {
-		a.tasks.Go(func() { a.weights.Run(serving) })
-		a.tasks.Go(func() { a.keepRole(serving) })
+		a.tasks.Go(func() { a.weights.Run(ctx) })
+		a.tasks.Go(func() { a.enforceRole(ctx) })
 		if a.cfg.CacheInterval > 0 {
-			a.tasks.Go(func() { a.followCache(serving) })
+			a.tasks.Go(func() { a.forwardCacheEvents(ctx) })
 		}
 	}
 }
 
-// Drain tells all entries at once that the instance is leaving, finishes what
-// runs and returns nil when nothing is left, or an error when ctx ends first.
+// Drain refuses new requests, notifies all entries immediately, and waits for running
+// attempts to end and their answers to be confirmed or given up. It returns the error
+// of ctx if that ends first.
 func (a *Agent) Drain(ctx context.Context) error {
 	empty := a.gate.Drain()
-	a.sessions.beat()
+	a.sessions.sendHeartbeats()
 	select {
 	case <-empty:
 		return nil
@@ -194,7 +200,7 @@
 	}
 }
 
-// Close ends all tasks at once.
+// Close stops the agent without draining and waits for its goroutines.
 func (a *Agent) Close() error {
 	a.stop()
 	a.tasks.Wait()
@@ -204,11 +210,11 @@
 	return nil
 }
 
-// LiveWeights returns the weights that requests are admitted for now.
+// LiveWeights returns the weights that the agent currently admits requests for.
 func (a *Agent) LiveWeights() []model.Weights { return a.gate.Live() }
 
-// tick drives what depends on time.
-func (a *Agent) tick(ctx context.Context) {
+// runTicker calls the periodic work until ctx ends.
+func (a *Agent) runTicker(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -216,29 +222,30 @@
 		case <-ticker.C:
 			a.gate.Tick()
 			a.follower.Tick()
-			a.yield()
+			a.adjustLinkShare()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// yield lets transfers take less of the link while live requests are slow.
-func (a *Agent) yield() {
+// adjustLinkShare passes on the time to first token, so that transfers use less of the
+// link while live requests are slow.
+func (a *Agent) adjustLinkShare() {
 	if a.transfer != nil {
 		a.transfer.ObserveFirstToken(a.firstTokens.mean(a.cfg.Clock.Now()))
 	}
 }
 
-// tickInterval is the time between two looks at deadlines and announcements.
+// tickInterval is the interval at which deadlines and announcements are checked.
 const tickInterval = 500 * time.Millisecond
 
 func (a *Agent) hello() wire.Hello {
 	return wire.Hello{Role: wire.RoleAgent, Identity: a.cfg.Identity, Pool: a.cfg.Pool}
 }
 
-// beat returns a heartbeat without its configuration fields.
-func (a *Agent) beat() wire.Heartbeat {
+// heartbeat returns a heartbeat in which the configuration fields are not set.
+func (a *Agent) heartbeat() wire.Heartbeat {
 	load := a.server.load()
 	load.Running = max(load.Running, a.gate.Running())
 	return wire.Heartbeat{Draining: a.gate.Draining(), LiveWeights: a.gate.Live(), Load: load, Role: a.roles.current()}
--- a/agent/backend_server.go
+++ b/agent/backend_server.go
@@ -7,11 +7,11 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// backendServer is the engine or plain service of the instance.
+// backendServer is the instance's model engine or plain service.
 type backendServer interface {
 	gate.Backend
-	// observe follows the state of the backend server until ctx ends.
-	observe(ctx context.Context)
-	// load returns the last load report.
+	// poll reads the state and load of the backend server periodically until ctx ends.
+	poll(ctx context.Context)
+	// load returns the last load report with its current age.
 	load() wire.Load
 }
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -8,15 +8,15 @@
 	"github.com/auburnbend/auburnbend/lib/engine"
 )
 
-// cacheReader reads what an engine says about its prefix cache; *engine.Client
-// is one.
+// cacheReader reads the contents of an engine's prefix cache and the changes to it.
+// *engine.Client implements it.
 type cacheReader interface {
 	CacheEvents(ctx context.Context, after uint64) (engine.CacheEventBatch, error)
 	Cache(ctx context.Context) (engine.CacheSnapshot, error)
 }
 
-// followCache passes the engine's cache events on to entries until ctx ends.
-func (a *Agent) followCache(ctx context.Context) {
+// forwardCacheEvents sends the engine's cache events to entries until ctx ends.
+func (a *Agent) forwardCacheEvents(ctx context.Context) {
 	feed := &cachefeed.Feed{}
 	ticker := time.NewTicker(a.cfg.CacheInterval)
 	defer ticker.Stop()
@@ -26,16 +26,16 @@
 		case <-ctx.Done():
 			return
 		}
-		a.readCache(ctx, feed)
-		// The update comes first, so that a snapshot includes it.
+		a.refreshCacheFeed(ctx, feed)
+		// The snapshot must be taken after the update, so that it includes the update.
 		update := feed.NextUpdate()
 		a.sessions.sendCache(update, feed.Snapshot())
 	}
 }
 
-// readCache brings the feed up to date. An engine that does not answer is asked
-// again at the next tick.
-func (a *Agent) readCache(ctx context.Context, feed *cachefeed.Feed) {
+// refreshCacheFeed applies the engine's new cache events to feed. If the engine does
+// not answer, the next tick tries again.
+func (a *Agent) refreshCacheFeed(ctx context.Context, feed *cachefeed.Feed) {
 	batch, err := a.cache.CacheEvents(ctx, feed.After())
 	if err != nil || !feed.Accept(batch) {
 		return
--- a/agent/config.go
+++ b/agent/config.go
@@ -18,55 +18,56 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// defaultCacheInterval keeps cache updates to 1.4 KB/s at an entry with 60 agents:
-// its heartbeats take 4.6 KB/s of the 8 KB/s for control.
+// defaultCacheInterval limits cache updates to 1.4 KB/s at an entry with 60 agents.
+// The entry's limit for control traffic is 8 KB/s, of which heartbeats use 4.6 KB/s.
 const defaultCacheInterval = 3 * time.Second
 
-// Config sets up an Agent.
+// Config configures an Agent.
 type Config struct {
 	Identity model.Identity
 	Pool     string
 	Clock    clock.Clock
 	Rand     *rand.Rand
 	Log      *eventlog.Logger
-	// Metrics takes the measurements of transfers; it is optional.
+	// Metrics receives the measurements of transfers. If nil, they are discarded.
 	Metrics Metrics
-	// Listener accepts connections of entries and of other agents.
+	// Listener accepts connections from entries and from other agents.
 	Listener net.Listener
-	// Dial replaces the way in which connections to peers are opened; tests use
-	// it to inject faults.
+	// Dial opens connections to peers. If nil, listen.Dial is used; tests set Dial to
+	// inject faults.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Policy says who may connect in which role; nil means plain text.
+	// Policy determines which peers may connect in which role. If nil, connections are
+	// plain text.
 	Policy *security.Policy
 
 	// BackendKind and BackendURL describe the backend server.
 	BackendKind settings.BackendKind
 	BackendURL  string
-	// Capacity is the number of requests that run at once.
+	// Capacity is the maximum number of concurrent requests.
 	Capacity int
 
-	// Table keeps the start counter of the instance's orders; without it the
-	// agent counts on from what its engine reports.
+	// Table stores the fencing epoch counter of the instance. If nil, the agent derives
+	// its epoch from the one that the engine reports.
 	Table backing.TableService
 
-	// Origin and WeightStore are the sources of weights; WeightStore is optional.
+	// Origin and WeightStore are the sources of weights. WeightStore is optional.
 	Origin, WeightStore backing.WeightSource
-	// StagingDir is the directory from which the engine loads.
-	StagingDir   string
+	// StagingDir is the directory from which the engine loads weights.
+	StagingDir string
+	// StagingBytes is the maximum size of the staged chunks in bytes.
 	StagingBytes int64
-	// LinkRate is the instance's link rate in bytes per second; 0 means
-	// unlimited.
+	// LinkRate is the instance's link rate in bytes per second; 0 means unlimited.
 	LinkRate    float64
 	UploadSlots int
 	Downloader  distribute.DownloaderConfig
 	Gate        gate.Config
 
-	// CacheInterval is the time between two reads of the engine's cache events,
-	// and the least time between two cache updates on a connection. It is negative
-	// for an agent that sends none.
+	// CacheInterval is the interval at which the engine's cache events are read, and
+	// the minimum time between two cache updates on a connection. 0 means the default;
+	// if negative, the agent sends no cache updates.
 	CacheInterval time.Duration
 
-	// Backend holds the settings of the machine of the instance's weights.
+	// Backend configures the state machine that manages the instance's weights.
 	Backend backend.Config
 }
 
--- a/agent/engine_server.go
+++ b/agent/engine_server.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// cancelTimeout bounds the order to end a stream.
+	// cancelTimeout bounds the call that cancels a stream.
 	cancelTimeout = 2 * time.Second
-	// streamContentType is that of an engine's answer.
+	// streamContentType is the content type of an engine's answers.
 	streamContentType = "text/plain; charset=utf-8"
 )
 
 // engineServer runs requests on a model engine.
 type engineServer struct {
-	client  *engine.Client
-	cfg     Config
-	roles   *roles
-	first   *firstTokens
-	reports loadReader
-	crashed func(incarnation uint64)
+	client      *engine.Client
+	cfg         Config
+	roles       *roles
+	firstTokens *firstTokens
+	reports     loadReader
+	onCrash     func(incarnation uint64)
 
 	mu          sync.Mutex
 	incarnation uint64
@@ -38,24 +38,24 @@
 
 func newEngineServer(client *engine.Client, a *Agent) *engineServer {
 	return &engineServer{
-		client:  client,
-		cfg:     a.cfg,
-		roles:   &a.roles,
-		first:   &a.firstTokens,
-		reports: loadReader{clock: a.cfg.Clock, capacity: a.cfg.Capacity, read: client.Load},
-		crashed: a.crashed,
+		client:      client,
+		cfg:         a.cfg,
+		roles:       &a.roles,
+		firstTokens: &a.firstTokens,
+		reports:     loadReader{clock: a.cfg.Clock, capacity: a.cfg.Capacity, read: client.Load},
+		onCrash:     a.handleCrash,
 	}
 }
 
 func (e *engineServer) Run(ctx context.Context, start wire.RequestStart, emit func([]byte) error) (int, string, error) {
 	if role := e.roles.current(); role != model.RoleMixed {
-		return 0, "", errors.Join(gate.ErrNotStarted, merry.Errorf("engine has the role %s", role))
+		return 0, "", errors.Join(gate.ErrNotStarted, merry.Errorf("engine role is %s, want mixed", role))
 	}
-	first := e.first.start(e.cfg.Clock.Now())
-	defer func() { first(e.cfg.Clock.Now(), false) }()
+	finish := e.firstTokens.start(e.cfg.Clock.Now())
+	defer func() { finish(e.cfg.Clock.Now(), false) }()
 	send := emit
 	emit = func(data []byte) error {
-		first(e.cfg.Clock.Now(), true)
+		finish(e.cfg.Clock.Now(), true)
 		return send(data)
 	}
 	stream, err := e.client.Generate(ctx, engine.Request{
@@ -68,18 +68,18 @@
 		Body:            start.Body,
 	})
 	if err != nil {
-		return 0, "", e.failure(ctx, err)
+		return 0, "", e.classifyError(ctx, err)
 	}
 	defer stream.Close()
 	if err := e.copyStream(ctx, stream, emit); err != nil {
 		e.cancel(string(start.Attempt))
-		return 0, "", e.failure(ctx, err)
+		return 0, "", e.classifyError(ctx, err)
 	}
 	return http.StatusOK, streamContentType, nil
 }
 
-// copyStream passes an answer on. A connection that broke inside an answer is
-// resumed once at the same offset.
+// copyStream passes the frames of an answer to emit. If the connection breaks during
+// the answer, copyStream resumes the stream once at the same offset.
 func (e *engineServer) copyStream(ctx context.Context, stream *engine.Stream, emit func([]byte) error) error {
 	resumed := false
 	for {
@@ -89,7 +89,7 @@
 			return nil
 		case err != nil && !resumed && ctx.Err() == nil:
 			resumed = true
-			if again := e.client.Resume(ctx, stream); again != nil {
+			if resumeErr := e.client.Resume(ctx, stream); resumeErr != nil {
 				return err
 			}
 			continue
@@ -102,61 +102,63 @@
 	}
 }
 
-// cancel ends the engine's work on a stream that nobody reads any more.
+// cancel tells the engine to stop working on a stream that is no longer read.
 func (e *engineServer) cancel(stream string) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	_ = e.client.Cancel(ctx, stream)
 }
 
-// failure says what an error proves. After an error that does not prove that
-// the request did not run, the engine's state tells whether it crashed.
-func (e *engineServer) failure(ctx context.Context, err error) error {
+// classifyError marks err with ErrNotStarted if it proves that the request did not
+// run. Otherwise it reads the engine's state and marks err with ErrBackendCrashed if
+// the engine crashed.
+func (e *engineServer) classifyError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	if engine.NotStarted(err) {
 		return errors.Join(gate.ErrNotStarted, err)
 	}
-	if e.checkCrash(ctx) {
+	if e.detectCrash(ctx) {
 		return errors.Join(gate.ErrBackendCrashed, err)
 	}
 	return err
 }
 
-// checkCrash reports whether the engine died since its state was last read.
-func (e *engineServer) checkCrash(ctx context.Context) bool {
+// detectCrash reports whether the engine is down or has restarted since its state was
+// last read.
+func (e *engineServer) detectCrash(ctx context.Context) bool {
 	state, err := e.client.State(ctx)
 	e.mu.Lock()
-	before := e.incarnation
+	previous := e.incarnation
 	if err == nil {
 		e.incarnation = state.Incarnation
 	}
 	e.mu.Unlock()
-	died := err != nil || before != 0 && state.Incarnation != before
-	if died && before != 0 {
-		e.crashed(before)
+	crashed := err != nil || previous != 0 && state.Incarnation != previous
+	if crashed && previous != 0 {
+		e.onCrash(previous)
 	}
-	return died
+	return crashed
 }
 
-// observe reads the engine's state and load until ctx ends.
-func (e *engineServer) observe(ctx context.Context) { e.reports.observe(ctx, e.checkRestart) }
+// poll reads the engine's state and load periodically until ctx ends.
+func (e *engineServer) poll(ctx context.Context) { e.reports.poll(ctx, e.detectRestart) }
 
-// checkRestart notices a restart that no request ran into. An engine that does
-// not answer is left to the requests: it may only be slow.
-func (e *engineServer) checkRestart(ctx context.Context) {
+// detectRestart detects a restart that affected no request. It ignores an engine that
+// does not answer, which may only be slow; if it is down, requests will detect that.
+func (e *engineServer) detectRestart(ctx context.Context) {
 	state, err := e.client.State(ctx)
 	if err != nil {
 		return
 	}
 	e.mu.Lock()
-	before := e.incarnation
+	previous := e.incarnation
 	e.incarnation = state.Incarnation
 	e.mu.Unlock()
-	e.roles.observe(state.Role)
-	if before != 0 && before != state.Incarnation {
-		e.crashed(before)
+	e.roles.setReported(state.Role)
+	if previous != 0 && previous != state.Incarnation {
+		e.onCrash(previous)
 	}
 }
 
--- a/agent/first_tokens.go
+++ b/agent/first_tokens.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// firstTokenWindow is the time over which times to first token are averaged.
-	// It is longer than a step of the transfers' share, so that none is missed.
+	// firstTokenWindow is the period over which times to first token are averaged. It
+	// is longer than the interval at which the link share of transfers is adjusted, so
+	// that every first token is counted.
 	firstTokenWindow = 2 * time.Second
-	// maxFirstTokens bounds the times that are kept.
+	// maxFirstTokens is the maximum number of times that are kept.
 	maxFirstTokens = 256
 )
 
-// firstTokens measures the time from the start of requests on the engine to
-// their first token. It is safe for concurrent use.
+// firstTokens measures the time from the start of a request on the engine to its
+// first token. It is safe for concurrent use.
 type firstTokens struct {
 	mu      sync.Mutex
 	next    uint64
@@ -24,8 +25,9 @@
 
 type firstToken struct{ at, started time.Time }
 
-// start begins a request. The result is called at its first token, and with
-// false when it ends without one; later calls do nothing.
+// start records the start of a request. The caller calls done at the request's first
+// token, or with token = false if the request ends without one. Further calls of done
+// have no effect.
 func (f *firstTokens) start(now time.Time) (done func(now time.Time, token bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,10 +37,10 @@
 	f.next++
 	id := f.next
 	f.waiting[id] = now
-	return func(at time.Time, token bool) { f.done(id, at, token) }
+	return func(at time.Time, token bool) { f.finish(id, at, token) }
 }
 
-func (f *firstTokens) done(id uint64, now time.Time, token bool) {
+func (f *firstTokens) finish(id uint64, now time.Time, token bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	started, ok := f.waiting[id]
@@ -50,9 +52,9 @@
 	f.recent = f.recent[max(0, len(f.recent)-maxFirstTokens):]
 }
 
-// mean returns the mean time to first token of the window, or 0 without live
-// requests. A request that has waited longer than the mean counts with its wait:
-// on a link that is full no first token comes at all.
+// mean returns the mean time to first token over the window, or 0 if there were no
+// requests. Requests that have already waited longer than the mean are included with
+// their wait so far: on a saturated link no first token arrives at all.
 func (f *firstTokens) mean(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/agent/first_tokens_test.go
+++ b/agent/first_tokens_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("Times to first token", func() {
 	start := time.Unix(1000, 0)
 
-	It("are averaged over the last seconds", func() {
+	It("are averaged over the window", func() {
 		var f firstTokens
 		Expect(f.mean(start)).To(BeZero())
 		f.start(start)(start.Add(100*time.Millisecond), true)
@@ -23,9 +23,9 @@
 		Expect(f.mean(start.Add(time.Minute))).To(BeZero())
 	})
 
-	// Guards against transfers that keep the link because requests which get no
-	// token are not seen.
-	It("include requests that still wait", func() {
+	// Guards against transfers that keep their link share because requests that get no
+	// token at all are not counted.
+	It("include requests that are still waiting", func() {
 		var f firstTokens
 		done := f.start(start)
 		Expect(f.mean(start.Add(5 * time.Second))).To(Equal(5 * time.Second))
@@ -35,7 +35,7 @@
 	})
 
 	// Guards against transfers that delay live requests.
-	It("make transfers yield to live requests and take the link back", func() {
+	It("reduce the link share of transfers while requests are slow and restore it after", func() {
 		c := clock.NewFake(start)
 		a := &Agent{cfg: Config{Clock: c}, transfer: transfer.New(transfer.Config{Clock: c, Seed: 1, DownloadRate: 1 << 20})}
 		DeferCleanup(a.transfer.Close)
@@ -43,14 +43,14 @@
 		done := a.firstTokens.start(c.Now())
 		for range 4 {
 			c.Advance(2 * time.Second)
-			a.yield()
+			a.adjustLinkShare()
 		}
 		slow := a.transfer.Progress().LinkShare
 		Expect(slow).To(BeNumerically("<", full/2))
 		done(c.Now(), true)
 		for range 60 {
 			c.Advance(2 * time.Second)
-			a.yield()
+			a.adjustLinkShare()
 		}
 		Expect(a.transfer.Progress().LinkShare).To(BeNumerically("~", full, 1e-9))
 	})
--- a/agent/host.go
+++ b/agent/host.go
@@ -15,32 +15,33 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// errNotDeclared means that no declared model has a wanted manifest.
-var errNotDeclared = merry.New("manifest is not declared")
+// errNotDeclared means that the manifest to fetch belongs to no model of the current
+// configuration.
+var errNotDeclared = merry.New("manifest belongs to no declared model")
 
-// host does for the machine of the weights what concerns transfers, permits and
+// host implements backend.Host: transfers, load permits, and the admission of
 // requests.
 type host struct{ agent *Agent }
 
 var _ backend.Host = host{}
 
-// configured takes a configuration that has come in force.
-func (h host) configured(view *config.View) {
+// applyConfig applies a new configuration to the agent.
+func (h host) applyConfig(view *config.View) {
 	a := h.agent
 	a.cfg.Metrics.DeclareLabels(view.Config)
-	if most := view.Config.Deployment.TransferShare; most > 0 {
-		a.transfer.SetMaxLinkShare(most)
+	if share := view.Config.Deployment.TransferShare; share > 0 {
+		a.transfer.SetMaxLinkShare(share)
 	}
 	if p, ok := view.Config.FindPlacement(a.cfg.Pool, a.cfg.Identity.Location.FailureDomain); ok {
-		a.roles.declare(p.Role)
-		a.sessions.beat()
+		a.roles.setDeclared(p.Role)
+		a.sessions.sendHeartbeats()
 		h.applyPlacement(view.Config, p)
 	}
 }
 
-// ranked takes the position of the instance in its pool, which may have changed
-// because another instance came or left.
-func (h host) ranked(rank int) {
+// setRank updates the position of the instance in its pool, which changes when other
+// instances join or leave, and applies the placement again if it changed.
+func (h host) setRank(rank int) {
 	a := h.agent
 	if a.rank.Swap(int64(rank)) == int64(rank) {
 		return
@@ -52,8 +53,8 @@
 	}
 }
 
-// applyPlacement wants the placed version if the placement is for this instance. Otherwise
-// what is live stays in place.
+// applyPlacement sets the wanted weights to the placed version, or to none if the
+// placement does not include this instance. In that case the live weights stay live.
 func (h host) applyPlacement(c *config.Config, p config.Placement) {
 	w, ok := c.Weights(p.Model, p.Version)
 	if !ok {
@@ -69,42 +70,44 @@
 // Fetch implements backend.Host.
 func (h host) Fetch(ctx context.Context, w model.Weights) (backend.StagedWeights, error) {
 	t := h.agent.transfer
-	fetched := backend.StagedWeights{Weights: w}
+	staged := backend.StagedWeights{Weights: w}
 	var err error
-	if fetched.Base, err = h.fetch(ctx, w.Base); err != nil || w.Adapter.IsZero() {
-		return fetched, err
+	if staged.Base, err = h.fetch(ctx, w.Base); err != nil || w.Adapter.IsZero() {
+		return staged, err
 	}
 	t.Retain(w.Base)
-	fetched.Adapter, err = h.fetch(ctx, w.Adapter)
-	return fetched, err
+	staged.Adapter, err = h.fetch(ctx, w.Adapter)
+	return staged, err
 }
 
-// fetch brings one set of weights, verifies it and names its files in order.
+// fetch transfers the chunks of one manifest, verifies them, and returns their files
+// in the order of the manifest.
 func (h host) fetch(ctx context.Context, manifest model.Digest) (engine.StagedFiles, error) {
 	t := h.agent.transfer
-	declared, ok := h.declared(manifest)
+	declared, ok := h.findModel(manifest)
 	if !ok {
 		return engine.StagedFiles{}, merry.Wrap(errNotDeclared, merry.AppendMessage(manifest.Short()))
 	}
 	metrics, before := h.agent.cfg.Metrics, t.Progress()
-	defer func() { countBytes(metrics, declared.Name, before, t.Progress()) }()
-	started := h.agent.fetching.since(manifest, h.agent.cfg.Clock.Now())
+	defer func() { recordBytes(metrics, declared.Name, before, t.Progress()) }()
+	started := h.agent.fetchTimer.start(manifest, h.agent.cfg.Clock.Now())
 	if err := t.Fetch(ctx, manifest, declared.ManifestObject); err != nil {
 		return engine.StagedFiles{}, err
 	}
 	if err := t.Verify(manifest); err != nil {
 		return engine.StagedFiles{}, err
 	}
-	h.agent.fetching.done()
+	h.agent.fetchTimer.reset()
 	metrics.RecordTransfer(declared.Name, h.agent.cfg.Clock.Now().Sub(started))
-	place := engine.StagedFiles{Directory: h.agent.cfg.StagingDir}
+	files := engine.StagedFiles{Directory: h.agent.cfg.StagingDir}
 	for _, c := range t.Manifest(manifest).Chunks {
-		place.Files = append(place.Files, weights.ChunkFile(c.Digest))
+		files.Files = append(files.Files, weights.ChunkFile(c.Digest))
 	}
-	return place, nil
+	return files, nil
 }
 
-func (h host) declared(manifest model.Digest) (config.Model, bool) {
+// findModel returns the model of the current configuration that has the manifest.
+func (h host) findModel(manifest model.Digest) (config.Model, bool) {
 	view := h.agent.follower.Current()
 	if view == nil {
 		return config.Model{}, false
@@ -119,7 +122,7 @@
 
 // RequestPermit implements backend.Host.
 func (h host) RequestPermit(ctx context.Context, w model.Weights) (bool, time.Duration, error) {
-	permit, err := h.agent.transfer.RequestPermit(ctx, last(w))
+	permit, err := h.agent.transfer.RequestPermit(ctx, lastManifest(w))
 	return permit.Granted, time.Duration(permit.RetryAfterMillis) * time.Millisecond, err
 }
 
@@ -144,22 +147,23 @@
 	case phase == wire.PhaseLive:
 		log.Log(eventlog.VersionLive, "weights", w)
 	}
-	h.agent.transfer.ReportPhase(last(w), phase)
+	h.agent.transfer.ReportPhase(lastManifest(w), phase)
 }
 
-// OrderDone implements backend.Host. Beside loads the agent orders roles.
+// OrderDone implements backend.Host. Changes of role are the only orders that the
+// agent submits directly.
 func (h host) OrderDone(r engine.Result) {
 	if r.Err != nil {
 		h.agent.cfg.Log.Log(eventlog.RoleNotSet, "role", string(r.Order.Role), "err", r.Err)
 		return
 	}
-	h.agent.roles.observe(r.State.Role)
-	h.agent.sessions.beat()
+	h.agent.roles.setReported(r.State.Role)
+	h.agent.sessions.sendHeartbeats()
 }
 
-// last returns the manifest that is fetched last and stands for the weights in
-// reports.
-func last(w model.Weights) model.Digest {
+// lastManifest returns the manifest that is fetched last. It identifies the weights in
+// permit requests and phase reports.
+func lastManifest(w model.Weights) model.Digest {
 	if w.Adapter.IsZero() {
 		return w.Base
 	}
--- a/agent/load_reader.go
+++ b/agent/load_reader.go
@@ -11,30 +11,31 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// observeInterval is the time between two reads of a backend server's state
-// and load report.
-const observeInterval = 500 * time.Millisecond
+// pollInterval is the interval at which a backend server's state and load report are
+// read.
+const pollInterval = 500 * time.Millisecond
 
-// loadReader reads the load reports of an engine or plain service. It is safe
+// loadReader reads the load reports of a model engine or plain service. It is safe
 // for concurrent use.
 type loadReader struct {
 	clock clock.Clock
-	// capacity is the configured capacity, for servers that report none.
+	// capacity is the configured capacity, used if the server reports none.
 	capacity int
 	read     func(context.Context) (engine.LoadReport, error)
 
 	mu         sync.Mutex
 	report     engine.LoadReport
-	reportedAt time.Time
+	receivedAt time.Time // zero if there is no report
 }
 
-// observe reads until ctx ends. Before each read it calls before, if set.
-func (l *loadReader) observe(ctx context.Context, before func(context.Context)) {
-	ticker := time.NewTicker(observeInterval)
+// poll reads the load report periodically until ctx ends. It calls beforeRead, if not
+// nil, before each read.
+func (l *loadReader) poll(ctx context.Context, beforeRead func(context.Context)) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		if before != nil {
-			before(ctx)
+		if beforeRead != nil {
+			beforeRead(ctx)
 		}
 		l.readOnce(ctx)
 		select {
@@ -45,27 +46,27 @@
 	}
 }
 
-// readOnce keeps the last report when the server does not answer, and drops it
-// when the server reports no load any more.
+// readOnce reads the load report. It keeps the previous report if the server does not
+// answer, and drops it if the server no longer reports its load.
 func (l *loadReader) readOnce(ctx context.Context) {
 	report, err := l.read(ctx)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.report, l.reportedAt = report, l.clock.Now()
+		l.report, l.receivedAt = report, l.clock.Now()
 	case errors.Is(err, engine.ErrNoLoadReport):
-		l.report, l.reportedAt = engine.LoadReport{}, time.Time{}
+		l.report, l.receivedAt = engine.LoadReport{}, time.Time{}
 	}
 }
 
-// load returns the last report, with the age that it has now.
+// load returns the last report with its current age.
 func (l *loadReader) load() wire.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	age := l.report.Age()
-	if !l.reportedAt.IsZero() {
-		age += l.clock.Now().Sub(l.reportedAt)
+	if !l.receivedAt.IsZero() {
+		age += l.clock.Now().Sub(l.receivedAt)
 	}
 	capacity := l.report.Capacity
 	if capacity == 0 {
--- a/agent/plain_server.go
+++ b/agent/plain_server.go
@@ -23,7 +23,7 @@
 }
 
 func (p *plainServer) Run(ctx context.Context, start wire.RequestStart, emit func([]byte) error) (int, string, error) {
-	answer, err := p.client.Call(ctx, engine.PlainRequest{
+	response, err := p.client.Call(ctx, engine.PlainRequest{
 		ID:              start.Request,
 		Service:         start.Service,
 		IdempotencyKey:  start.IdempotencyKey,
@@ -32,24 +32,25 @@
 		Body:            start.Body,
 	})
 	if err != nil {
-		return 0, "", backendError(err)
+		return 0, "", markNotStarted(err)
 	}
-	if len(answer.Body) > 0 {
-		if err := emit(answer.Body); err != nil {
+	if len(response.Body) > 0 {
+		if err := emit(response.Body); err != nil {
 			return 0, "", err
 		}
 	}
-	return answer.Status, answer.ContentType, nil
+	return response.Status, response.ContentType, nil
 }
 
-// observe reads the load of the service until ctx ends. A service that reports
-// none keeps the configured capacity.
-func (p *plainServer) observe(ctx context.Context) { p.reports.observe(ctx, nil) }
+// poll reads the load of the service periodically until ctx ends. For a service that
+// reports no load, the configured capacity applies.
+func (p *plainServer) poll(ctx context.Context) { p.reports.poll(ctx, nil) }
 
 func (p *plainServer) load() wire.Load { return p.reports.load() }
 
-// backendError marks errors that prove that nothing ran.
-func backendError(err error) error {
+// markNotStarted marks err with ErrNotStarted if it proves that the request did not
+// run.
+func markNotStarted(err error) error {
 	if engine.NotStarted(err) {
 		return errors.Join(gate.ErrNotStarted, err)
 	}
--- a/agent/plain_server_test.go
+++ b/agent/plain_server_test.go
@@ -13,8 +13,8 @@
 	"github.com/auburnbend/auburnbend/standin/service"
 )
 
-var _ = Describe("the load of a plain service", func() {
-	observed := func(cfg service.Config) (*plainServer, *clock.Fake, *service.Server) {
+var _ = Describe("The load of a plain service", func() {
+	startPolling := func(cfg service.Config) (*plainServer, *clock.Fake, *service.Server) {
 		server, err := service.Start(cfg)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
@@ -26,7 +26,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			p.observe(ctx)
+			p.poll(ctx)
 		}()
 		DeferCleanup(func() {
 			cancel()
@@ -35,11 +35,11 @@
 		return p, now, server
 	}
 
-	// Guards against routing by calls in flight alone, which misses the work that
-	// other callers give the service.
-	It("is what the service reports, and ages when the reports end", func() {
+	// Guards against routing by the agent's own calls in flight, which do not include
+	// the calls of other clients of the service.
+	It("is the service's report, whose age grows once the service stops reporting", func() {
 		const lag = 50 * time.Millisecond
-		p, now, server := observed(service.Config{Capacity: 4, LoadLag: lag, Delay: time.Minute})
+		p, now, server := startPolling(service.Config{Capacity: 4, LoadLag: lag, Delay: time.Minute})
 		other, err := engine.NewPlainClient(engine.Config{Address: server.URL()})
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -58,10 +58,10 @@
 		Expect(p.load()).To(Equal(wire.Load{Running: 1, Capacity: 4, AgeMillis: 3050}))
 	})
 
-	// Guards against a capacity of 0, which would take the instance out of
-	// routing, for services that report no load.
-	It("is the configured capacity when the service reports none", func() {
-		p, _, _ := observed(service.Config{})
-		Consistently(p.load, 2*observeInterval).Should(Equal(wire.Load{Capacity: 9}))
+	// Guards against a capacity of 0 for services that report no load, which would
+	// exclude the instance from routing.
+	It("includes the configured capacity if the service reports no load", func() {
+		p, _, _ := startPolling(service.Config{})
+		Consistently(p.load, 2*pollInterval).Should(Equal(wire.Load{Capacity: 9}))
 	})
 })
--- a/agent/program.go
+++ b/agent/program.go
@@ -14,12 +14,12 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// Program returns the daemon of a backend server instance.
+// Program returns the agent daemon.
 func Program() daemon.Program[*settings.Agent] {
 	return daemon.Program[*settings.Agent]{
 		Name:    "auburnbend-agent",
-		Short:   "Stands in front of one backend server",
-		Long:    "auburnbend-agent runs beside each backend server. It passes requests on, moves\nweights to and from the instance, and orders the engine to load them.",
+		Short:   "Runs the agent of one backend server",
+		Long:    "auburnbend-agent runs beside each backend server. It forwards requests to it,\ntransfers weights to and from the instance, and orders the engine to load them.",
 		Example: "  auburnbend-agent --config agent.ini --check\n  auburnbend-agent --config agent.ini",
 		Load:    settings.LoadAgent,
 		Check: func(s *settings.Agent) error {
@@ -33,16 +33,16 @@
 	}
 }
 
-// process is an agent with its metrics.
+// process is an agent together with its metrics endpoint.
 type process struct {
 	*Agent
 	metrics *daemon.Metrics
 }
 
-// Failed never delivers: an agent goes on without its backend server.
+// Failed returns nil: an agent keeps running if its backend server is down.
 func (p *process) Failed() <-chan error { return nil }
 
-// Close ends the agent and its metrics endpoint.
+// Close stops the agent and its metrics endpoint.
 func (p *process) Close() error {
 	err := p.Agent.Close()
 	p.metrics.Close()
--- a/agent/roles.go
+++ b/agent/roles.go
@@ -9,34 +9,34 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// roleRetry is the least time between two orders to change the role.
-const roleRetry = 2 * time.Second
+// roleOrderInterval is the minimum time between two orders that change the role.
+const roleOrderInterval = 2 * time.Second
 
-// roles keeps the role that is declared for an engine and the one that it
-// reports. It is safe for concurrent use.
+// roles holds the role that the configuration declares for an engine and the role
+// that the engine reports. It is safe for concurrent use.
 type roles struct {
 	mu       sync.Mutex
 	declared model.Role
-	// reported is empty until the engine's state was read.
-	reported engine.Role
-	ordered  time.Time
+	// reported is empty until the engine's state has been read.
+	reported    engine.Role
+	lastOrderAt time.Time
 }
 
-func (r *roles) declare(role model.Role) {
+func (r *roles) setDeclared(role model.Role) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.declared = role
 }
 
-func (r *roles) observe(role engine.Role) {
+func (r *roles) setReported(role engine.Role) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reported = role
 }
 
-// current returns the role that entries are told. An engine that is to leave
-// the mixed role takes no requests from then on, and one that is to come back
-// takes none until it reports that it is mixed.
+// current returns the role to report to entries. From the time that another role is
+// declared, an engine takes no requests; if the mixed role is declared again, it takes
+// none until it reports that role.
 func (r *roles) current() model.Role {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,27 +46,28 @@
 	return model.ParseRole(string(r.reported))
 }
 
-// due returns the role to order now, if any.
-func (r *roles) due(now time.Time) (role engine.Role, ok bool) {
+// pendingOrder returns the role that the engine should be ordered to take now, if any.
+func (r *roles) pendingOrder(now time.Time) (role engine.Role, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wanted := engine.Role(r.declared.String())
-	if r.reported == "" || r.reported == wanted || now.Sub(r.ordered) < roleRetry {
+	if r.reported == "" || r.reported == wanted || now.Sub(r.lastOrderAt) < roleOrderInterval {
 		return "", false
 	}
 	return wanted, true
 }
 
-func (r *roles) orderedAt(now time.Time) {
+func (r *roles) markOrdered(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ordered = now
+	r.lastOrderAt = now
 }
 
-// keepRole brings the engine to its declared role until ctx ends. The order goes
-// through the guard of the weights' orders once no request runs.
-func (a *Agent) keepRole(ctx context.Context) {
-	ticker := time.NewTicker(observeInterval)
+// enforceRole orders the engine to take its declared role, until ctx ends. It submits
+// the order only while no request runs, and through the runner that also submits
+// loads, so that two orders never overlap.
+func (a *Agent) enforceRole(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -75,13 +76,13 @@
 			return
 		}
 		now := a.cfg.Clock.Now()
-		role, ok := a.roles.due(now)
+		role, ok := a.roles.pendingOrder(now)
 		if !ok || a.gate.Running() > 0 {
 			continue
 		}
-		// A refusal means that another order is outstanding or a load is near.
+		// The order is refused if another order is outstanding or a load is imminent.
 		if a.weights.SubmitOrder(engine.Order{Kind: engine.OrderRole, Role: role}) == nil {
-			a.roles.orderedAt(now)
+			a.roles.markOrdered(now)
 		}
 	}
 }
--- a/agent/roles_test.go
+++ b/agent/roles_test.go
@@ -13,37 +13,38 @@
 var _ = Describe("Roles", func() {
 	now := time.Unix(1000, 0)
 
-	// Guards against requests that reach an engine while its role changes, in
-	// either direction.
-	It("take no requests until the engine reports the declared mixed role", func() {
+	// Guards against requests that reach an engine while its role changes, in either
+	// direction.
+	It("report mixed only if it is both declared and reported by the engine", func() {
 		var r roles
-		r.observe(engine.RoleMixed)
+		r.setReported(engine.RoleMixed)
 		Expect(r.current()).To(Equal(model.RoleMixed))
-		r.declare(model.RolePrefill)
+		r.setDeclared(model.RolePrefill)
 		Expect(r.current()).To(Equal(model.RolePrefill))
-		r.observe(engine.RolePrefill)
-		r.declare(model.RoleMixed)
+		r.setReported(engine.RolePrefill)
+		r.setDeclared(model.RoleMixed)
 		Expect(r.current()).To(Equal(model.RolePrefill))
-		r.observe(engine.RoleMixed)
+		r.setReported(engine.RoleMixed)
 		Expect(r.current()).To(Equal(model.RoleMixed))
 	})
 
-	// Guards against orders on a guess and against a flood of them.
-	It("are ordered when the engine's differs, and again after a pause", func() {
+	// Guards against orders given before the engine's role is known, and against
+	// orders that are repeated too often.
+	It("are ordered if the engine reports another one, and again after the interval", func() {
 		var r roles
-		r.declare(model.RoleDecode)
-		_, due := r.due(now)
+		r.setDeclared(model.RoleDecode)
+		_, due := r.pendingOrder(now)
 		Expect(due).To(BeFalse())
-		r.observe(engine.RoleMixed)
-		role, due := r.due(now)
+		r.setReported(engine.RoleMixed)
+		role, due := r.pendingOrder(now)
 		Expect([]any{role, due}).To(Equal([]any{engine.RoleDecode, true}))
-		r.orderedAt(now)
-		_, due = r.due(now.Add(roleRetry - 1))
+		r.markOrdered(now)
+		_, due = r.pendingOrder(now.Add(roleOrderInterval - 1))
 		Expect(due).To(BeFalse())
-		_, due = r.due(now.Add(roleRetry))
+		_, due = r.pendingOrder(now.Add(roleOrderInterval))
 		Expect(due).To(BeTrue())
-		r.observe(engine.RoleDecode)
-		_, due = r.due(now.Add(time.Hour))
+		r.setReported(engine.RoleDecode)
+		_, due = r.pendingOrder(now.Add(time.Hour))
 		Expect(due).To(BeFalse())
 	})
 })
--- a/agent/session.go
+++ b/agent/session.go
@@ -12,21 +12,22 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// silence is the time without a message after which an entry's connection is
-// closed: entries send a heartbeat at least every idle interval.
-const silence = member.MaxMissedHeartbeats * member.IdleInterval
+// sessionTimeout is the time without a message after which the connection of an entry
+// is closed. Entries send a heartbeat at least once per idle interval.
+const sessionTimeout = member.MaxMissedHeartbeats * member.IdleInterval
 
 // session is the connection of one entry.
 type session struct {
 	agent *Agent
 	conn  *wire.Conn
 	peer  wire.Hello
-	beats chan struct{}
-	// wantsCache is set while the entry waits for a snapshot of the cache.
-	wantsCache atomic.Bool
+	// heartbeatNow triggers a heartbeat outside the regular interval.
+	heartbeatNow chan struct{}
+	// snapshotRequested is true while the entry waits for a snapshot of the cache.
+	snapshotRequested atomic.Bool
 }
 
-// serve handles one connection until it fails.
+// serve handles one connection of an entry or of another agent until it fails.
 func (a *Agent) serve(ctx context.Context, conn *wire.Conn, peer wire.Hello) {
 	if peer.Role == wire.RoleAgent {
 		if a.transfer != nil {
@@ -34,13 +35,14 @@
 		}
 		return
 	}
-	s := &session{agent: a, conn: conn, peer: peer, beats: make(chan struct{}, 1)}
+	s := &session{agent: a, conn: conn, peer: peer, heartbeatNow: make(chan struct{}, 1)}
 	s.run()
 }
 
-func (s *session) wake() {
+// sendHeartbeat triggers a heartbeat and does not wait for it.
+func (s *session) sendHeartbeat() {
 	select {
-	case s.beats <- struct{}{}:
+	case s.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
@@ -56,10 +58,10 @@
 		a.follower.PeerLost(id)
 		a.gate.Disconnect(s.conn)
 	}()
-	beats := heartbeat.Sender{Conn: s.conn, Heartbeat: s.beat, InFlight: a.gate.Running, SendNow: s.beats}
-	go beats.Run()
+	sender := heartbeat.Sender{Conn: s.conn, Heartbeat: s.heartbeat, InFlight: a.gate.Running, SendNow: s.heartbeatNow}
+	go sender.Run()
 	for {
-		if s.conn.SetReadDeadline(time.Now().Add(silence)) != nil {
+		if s.conn.SetReadDeadline(time.Now().Add(sessionTimeout)) != nil {
 			return
 		}
 		m, err := s.conn.Receive()
@@ -79,28 +81,29 @@
 	case *wire.Heartbeat:
 		a.follower.HandleHeartbeat(id, m)
 		if m.Probe {
-			s.wake()
+			s.sendHeartbeat()
 		}
 	case *wire.ConfigFetch:
 		a.follower.HandleFetch(id, m, s.conn.TrySend)
 	case *wire.ConfigDelta:
 		a.follower.HandleDelta(id, m)
 	case *wire.EntryList:
-		// Trackers are per failure domain; an entry of another one names its own.
+		// Trackers are per failure domain. An entry of another domain lists the
+		// entries of its own domain.
 		if a.transfer != nil && s.peer.Identity.Location == a.cfg.Identity.Location {
 			a.transfer.SetEntries(m.Addresses)
-			host{a}.ranked(m.Rank)
+			host{a}.setRank(m.Rank)
 		}
 	case *wire.CacheFetch:
-		s.wantsCache.Store(true)
+		s.snapshotRequested.Store(true)
 	default:
 		a.cfg.Log.Log(eventlog.FrameInvalid, "entry", s.peer.Identity.Instance, "type", m.Type())
 	}
 }
 
-// beat returns a whole heartbeat.
-func (s *session) beat() wire.Heartbeat {
-	beat := s.agent.beat()
-	s.agent.follower.SetConfigFields(&beat)
-	return beat
+// heartbeat returns a heartbeat with all fields but the sequence number.
+func (s *session) heartbeat() wire.Heartbeat {
+	h := s.agent.heartbeat()
+	s.agent.follower.SetConfigFields(&h)
+	return h
 }
--- a/agent/sessions.go
+++ b/agent/sessions.go
@@ -6,48 +6,48 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// sessions holds the connections of entries. It is safe for concurrent use.
+// sessions holds the open connections of entries. It is safe for concurrent use.
 type sessions struct {
-	mu  sync.Mutex
-	now map[*session]struct{}
+	mu   sync.Mutex
+	open map[*session]struct{}
 }
 
-func newSessions() *sessions { return &sessions{now: make(map[*session]struct{})} }
+func newSessions() *sessions { return &sessions{open: make(map[*session]struct{})} }
 
-func (s *sessions) add(one *session) {
+func (s *sessions) add(added *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now[one] = struct{}{}
+	s.open[added] = struct{}{}
 }
 
-func (s *sessions) remove(one *session) {
+func (s *sessions) remove(removed *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.now, one)
+	delete(s.open, removed)
 }
 
-// sendCache sends an update of the prefix cache on all connections, or a
-// snapshot where the entry has asked for one. A full queue drops it: the entry
-// sees the gap in the numbers.
+// sendCache sends an update of the prefix cache on all connections, or a snapshot on
+// those whose entry has requested one. If a send queue is full, the message is
+// dropped; the entry detects the gap in the sequence numbers.
 func (s *sessions) sendCache(update, snapshot *wire.CacheUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for one := range s.now {
+	for entry := range s.open {
 		switch {
-		case one.wantsCache.Swap(false):
-			_ = one.conn.TrySend(snapshot)
+		case entry.snapshotRequested.Swap(false):
+			_ = entry.conn.TrySend(snapshot)
 		case update != nil:
-			_ = one.conn.TrySend(update)
+			_ = entry.conn.TrySend(update)
 		}
 	}
 }
 
-// beat sends a heartbeat out of turn on all connections: a change of what the
-// instance serves should not wait for the next one.
-func (s *sessions) beat() {
+// sendHeartbeats triggers a heartbeat on all connections, so that entries learn of a
+// change in what the instance serves without waiting for the regular heartbeat.
+func (s *sessions) sendHeartbeats() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for one := range s.now {
-		one.wake()
+	for entry := range s.open {
+		entry.sendHeartbeat()
 	}
 }
