--- a/agent/backend/action.go
+++ b/agent/backend/action.go
@@ -6,45 +6,46 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ActionKind says what the owner of a Machine does.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 const (
-	// ActionFetch asks to fetch and verify Weights; the result goes to Fetched.
+	// ActionFetch fetches and verifies Weights. The result goes to HandleFetched.
 	ActionFetch ActionKind = iota
-	// ActionCancelFetch asks to end the fetch of Weights.
+	// ActionCancelFetch cancels the fetch of Weights.
 	ActionCancelFetch
-	// ActionPermit asks whether the instance may leave what it serves for
-	// Weights; the answer goes to Permitted.
+	// ActionPermit requests a permit to replace the live weights with Weights. The
+	// answer goes to HandlePermit.
 	ActionPermit
-	// ActionQuiesce asks to refuse new requests and to wait until none runs;
-	// then Quiesced is called.
+	// ActionQuiesce refuses new requests and waits until none is running.
+	// HandleQuiesced is called then.
 	ActionQuiesce
-	// ActionServe asks to admit requests for Weights, or for none when they
-	// are zero. It also ends a quiesce.
+	// ActionServe admits requests for Weights, or for none if Weights is zero. It also
+	// ends a quiesce.
 	ActionServe
-	// ActionReadState asks for the engine's state, which goes to State.
+	// ActionReadState reads the engine's state. The result goes to HandleState.
 	ActionReadState
-	// ActionOrder asks to send Order; the result goes to Reply.
+	// ActionOrder sends Order to the engine. The result goes to HandleReply.
 	ActionOrder
-	// ActionOrderDone tells the Result of an order that Order gave.
+	// ActionOrderDone reports the Result of an order submitted with SubmitOrder.
 	ActionOrderDone
-	// ActionReport tells that Weights are in Phase.
+	// ActionReport reports the Phase of Weights.
 	ActionReport
 )
 
-// String returns the name that traces show.
+// String returns the name that is shown in traces.
 func (k ActionKind) String() string {
 	return [...]string{"fetch", "cancel_fetch", "permit", "quiesce", "serve", "read_state", "order", "order_done", "report"}[k]
 }
 
-// Action is one thing to do.
+// Action is an operation that the owner of a Machine must carry out. Only the fields
+// that Kind names are set.
 type Action struct {
 	Kind    ActionKind
 	Weights model.Weights
 	Order   engine.Order
 	Phase   wire.Phase
 	Result  engine.Result
-	// Err says why Phase is failed.
+	// Err is the reason for ActionReport with PhaseFailed.
 	Err error
 }
--- a/agent/backend/advance.go
+++ b/agent/backend/advance.go
@@ -6,72 +6,73 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// advance does what follows from the last event: it moves on phases that wait
-// for nothing, carries the order on, and reads the state when it is due.
+// advance runs after each event. It leaves phases whose condition is met, continues
+// the outstanding order, and reads the engine's state if that is due.
 func (m *Machine) advance() {
 	if m.Phase() == wire.PhaseVerified {
-		m.leave()
+		m.requestPermit()
 	}
 	if m.Phase() == wire.PhaseQuiescing && m.quiesced && !m.guard.Outstanding() {
 		m.fire(triggerQuiesced)
 	}
 	if m.guard.Outstanding() {
-		m.order()
+		m.advanceOrder()
 		return
 	}
-	if !m.reading && !m.now.Before(m.nextRead) {
-		m.read()
+	if !m.readPending && !m.now.Before(m.nextReadAt) {
+		m.readState()
 	}
 }
 
-// leave asks for the permit to leave what is served. An instance that serves
-// nothing needs none: no capacity is lost by its load.
-func (m *Machine) leave() {
+// requestPermit requests a permit to replace the live weights. An instance that serves
+// nothing needs no permit, because its load reduces no capacity.
+func (m *Machine) requestPermit() {
 	switch {
 	case m.live.weights.IsZero():
 		m.fire(triggerPermitted)
-	case !m.permitting && !m.now.Before(m.permitAt):
-		m.permitting = true
-		m.act(Action{Kind: ActionPermit, Weights: m.wanted})
+	case !m.permitPending && !m.now.Before(m.nextPermitAt):
+		m.permitPending = true
+		m.emit(Action{Kind: ActionPermit, Weights: m.wanted})
 	}
 }
 
-func (m *Machine) order() {
-	m.guardWake = m.now.Add(m.cfg.StatePollInterval)
+// advanceOrder performs the next step of the outstanding order.
+func (m *Machine) advanceOrder() {
+	m.guardWakeAt = m.now.Add(m.cfg.StatePollInterval)
 	switch step := m.guard.Next(m.now); step.Kind {
 	case engine.StepReadState:
-		if !m.reading {
-			m.read()
+		if !m.readPending {
+			m.readState()
 		}
 	case engine.StepSend:
-		m.act(Action{Kind: ActionOrder, Order: step.Order})
+		m.emit(Action{Kind: ActionOrder, Order: step.Order})
 	case engine.StepWait:
-		m.guardWake = step.Until
+		m.guardWakeAt = step.Until
 	case engine.StepDone:
-		m.nextRead = m.now
+		m.nextReadAt = m.now
 		if step.Result.Order.Kind == engine.OrderLoad {
-			m.loaded(step.Result)
+			m.handleLoadResult(step.Result)
 		} else {
-			m.ordered(step.Result)
+			m.handleOrderResult(step.Result)
 		}
 		m.advance()
 	}
 }
 
-func (m *Machine) read() {
-	m.reading = true
-	m.act(Action{Kind: ActionReadState})
+func (m *Machine) readState() {
+	m.readPending = true
+	m.emit(Action{Kind: ActionReadState})
 }
 
-// loaded judges a load that ended. A version that was loaded although another
-// one is wanted by now is served until the instance leaves it.
-func (m *Machine) loaded(r engine.Result) {
+// handleLoadResult processes the result of a load. If another version is wanted by
+// now, the loaded version is served until it is replaced.
+func (m *Machine) handleLoadResult(r engine.Result) {
 	if r.Err == nil {
-		m.confirm(confirmedBy(r.State))
+		m.setLive(confirmedStateOf(r.State))
 	}
 	switch {
 	case m.wanted != r.Order.Weights:
-		m.fire(triggerEnded)
+		m.fire(triggerLoadSuperseded)
 	case r.Err != nil:
 		m.fail(r.Err)
 	default:
@@ -79,38 +80,39 @@
 	}
 }
 
-// ordered judges another order that ended. It must have left the weights as
-// they were; what is live now stands under its number.
-func (m *Machine) ordered(r engine.Result) {
-	now := confirmedBy(r.State)
+// handleOrderResult processes the result of an order other than a load. The weights
+// stay live only if the order left them unchanged; they are then confirmed under the
+// fence of that order.
+func (m *Machine) handleOrderResult(r engine.Result) {
+	current := confirmedStateOf(r.State)
 	unsent := r.State == (engine.State{})
 	switch {
 	case m.live.weights.IsZero() || unsent:
-	case !r.State.Busy && now.incarnation == m.live.incarnation && now.weights == m.live.weights && r.Err == nil:
-		m.live = now
+	case !r.State.Busy && current.incarnation == m.live.incarnation && current.weights == m.live.weights && r.Err == nil:
+		m.live = current
 	default:
-		m.lose()
+		m.clearLive()
 	}
-	m.act(Action{Kind: ActionOrderDone, Order: r.Order, Result: r})
+	m.emit(Action{Kind: ActionOrderDone, Order: r.Order, Result: r})
 }
 
-// confirm makes weights live.
-func (m *Machine) confirm(c confirmed) {
-	m.live, m.previous, m.candidate, m.missed = c, c, candidate{}, 0
+// setLive marks the weights of a confirmed state as live and serves them.
+func (m *Machine) setLive(c confirmedState) {
+	m.live, m.previous, m.candidate, m.failedReads = c, c, candidate{}, 0
 	m.serve()
 }
 
-// lose ends live. During a quiesce it is asked for again, because serving
-// nothing ends it.
-func (m *Machine) lose() {
+// clearLive marks no weights as live. During a quiesce it requests the quiesce again,
+// because serving nothing ends it.
+func (m *Machine) clearLive() {
 	if m.live.weights == (model.Weights{}) {
 		return
 	}
-	m.live = confirmed{}
+	m.live = confirmedState{}
 	m.serve()
-	m.fire(triggerLost)
+	m.fire(triggerLiveLost)
 	if m.Phase() == wire.PhaseQuiescing {
 		m.quiesced = false
-		m.act(Action{Kind: ActionQuiesce})
+		m.emit(Action{Kind: ActionQuiesce})
 	}
 }
--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -7,49 +7,51 @@
 )
 
 const (
-	// defaultWatch is the interval between two reads of the engine's state.
-	// Half a second is the longest time for which a restart goes unnoticed
-	// when no request runs into it.
-	defaultWatch = 500 * time.Millisecond
-	// defaultRetry is the first wait after a failed fetch or load.
-	defaultRetry = time.Second
-	// defaultMaxRetry bounds the wait, which doubles with each failure.
-	defaultMaxRetry = time.Minute
-	// defaultPermitRetry is the wait for a permit whose answer named no time.
-	defaultPermitRetry = time.Second
-	// defaultMissed is the number of state reads that may fail in a row before
-	// the weights count as not live. A single slow answer proves nothing.
-	defaultMissed = 3
+	// defaultStatePollInterval is the maximum time for which a restart of the engine
+	// that affects no request stays undetected.
+	defaultStatePollInterval   = 500 * time.Millisecond
+	defaultMinBackoff          = time.Second
+	defaultMaxBackoff          = time.Minute
+	defaultPermitRetryInterval = time.Second
+	// defaultMaxFailedReads is greater than 1 because a single slow answer does not
+	// prove that the engine is down.
+	defaultMaxFailedReads = 3
 )
 
-// Config holds the settings of a Machine.
+// Config configures a Machine. Zero values are replaced by defaults.
 type Config struct {
-	Guard               engine.GuardConfig
-	StatePollInterval   time.Duration
-	MinBackoff          time.Duration
-	MaxBackoff          time.Duration
+	Guard engine.GuardConfig
+	// StatePollInterval is the interval at which the engine's state is read.
+	StatePollInterval time.Duration
+	// MinBackoff is the wait after the first failed fetch or load. It doubles with each
+	// further failure up to MaxBackoff.
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
+	// PermitRetryInterval is the wait before a denied permit is requested again if the
+	// answer gives no time.
 	PermitRetryInterval time.Duration
-	// AdoptAfter is how long the engine must report the same weights before an
-	// agent that did not load them counts them as live. An order of an earlier
-	// agent may still be unread within that time.
+	// AdoptAfter is the time for which the engine must report the same weights before
+	// an agent that did not load them considers them live. Within that time, the engine
+	// may still receive an order of a previous agent.
 	AdoptAfter time.Duration
-	// MaxFailedReads is the number of failed state reads in a row that end live.
+	// MaxFailedReads is the number of consecutive failed state reads after which the
+	// weights are no longer considered live.
 	MaxFailedReads int
 }
 
 func (c *Config) applyDefaults() {
-	defaultTo(&c.StatePollInterval, defaultWatch)
-	defaultTo(&c.MinBackoff, defaultRetry)
-	defaultTo(&c.MaxBackoff, defaultMaxRetry)
-	defaultTo(&c.PermitRetryInterval, defaultPermitRetry)
-	defaultTo(&c.Guard.SettleTime, 3*time.Second)
-	defaultTo(&c.AdoptAfter, c.Guard.SettleTime)
+	setDefault(&c.StatePollInterval, defaultStatePollInterval)
+	setDefault(&c.MinBackoff, defaultMinBackoff)
+	setDefault(&c.MaxBackoff, defaultMaxBackoff)
+	setDefault(&c.PermitRetryInterval, defaultPermitRetryInterval)
+	setDefault(&c.Guard.SettleTime, 3*time.Second)
+	setDefault(&c.AdoptAfter, c.Guard.SettleTime)
 	if c.MaxFailedReads <= 0 {
-		c.MaxFailedReads = defaultMissed
+		c.MaxFailedReads = defaultMaxFailedReads
 	}
 }
 
-func defaultTo(d *time.Duration, value time.Duration) {
+func setDefault(d *time.Duration, value time.Duration) {
 	if *d <= 0 {
 		*d = value
 	}
--- a/agent/backend/confirmed.go
+++ b/agent/backend/confirmed.go
@@ -7,20 +7,21 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// confirmed is what the engine reported when its weights were last found to be
-// live. Any difference later means that they no longer are.
-type confirmed struct {
+// confirmedState is the state that the engine reported when its weights were last
+// found to be live. If a later report differs, they are no longer live.
+type confirmedState struct {
 	incarnation uint64
 	accepted    engine.Fence
 	weights     model.Weights
 }
 
-func confirmedBy(s engine.State) confirmed {
-	return confirmed{incarnation: s.Incarnation, accepted: s.Accepted, weights: s.Weights}
+func confirmedStateOf(s engine.State) confirmedState {
+	return confirmedState{incarnation: s.Incarnation, accepted: s.Accepted, weights: s.Weights}
 }
 
-// candidate is a state that may be adopted once it has lasted.
+// candidate is a state that is adopted once the engine has reported it for
+// Config.AdoptAfter.
 type candidate struct {
-	confirmed
+	confirmedState
 	since time.Time
 }
--- a/agent/backend/doc.go
+++ b/agent/backend/doc.go
@@ -1,10 +1,9 @@
-// Package backend is the agent's side of its model engine: a state machine of
-// the weights of one instance, from the request for a version to the engine that
-// serves it.
+// Package backend manages the weights of the agent's model engine. A state machine
+// covers the steps from the request for a version until the engine serves it.
 //
-// Machine is pure: events and the time go in, typed actions come out. It uses
-// engine.Guard, so that one order at most is outstanding, and it counts weights
-// as live only while the engine reports exactly them, in the incarnation and
-// with the order number under which they were confirmed. Runner carries out the
+// Machine is deterministic and performs no I/O: it takes events with their time and
+// returns actions. It uses engine.Guard, so that at most one order is outstanding. It
+// considers weights live only while the engine reports exactly these weights, with the
+// incarnation and the fence under which they were confirmed. Runner carries out the
 // actions.
 package backend
--- a/agent/backend/start_counter_test.go
+++ b/agent/backend/epoch_test.go
@@ -16,30 +16,31 @@
 var _ = Describe("NextStart", func() {
 	ctx := context.Background()
 
-	// Two agents with one number could not tell their orders apart.
-	It("never returns a number twice, also when replies are lost", func() {
+	// Guards against two agents with the same epoch, whose orders the engine could not
+	// tell apart.
+	It("never returns an epoch twice, even if replies are lost", func() {
 		service := table.New()
 		service.Faults.Set(fault.Faults{LoseAfter: 2, LoseBefore: 1})
 		var mu sync.Mutex
-		taken := map[uint64]int{}
-		var all sync.WaitGroup
+		allocated := map[uint64]int{}
+		var agents sync.WaitGroup
 		for range 4 {
-			all.Go(func() {
+			agents.Go(func() {
 				for range 5 {
-					if n, err := backend.NextEpoch(ctx, service, "huye-1", 0); err == nil {
+					if epoch, err := backend.NextEpoch(ctx, service, "huye-1", 0); err == nil {
 						mu.Lock()
-						taken[n]++
+						allocated[epoch]++
 						mu.Unlock()
 					}
 				}
 			})
 		}
-		all.Wait()
-		Expect(taken).NotTo(BeEmpty())
-		Expect(taken).To(HaveEach(1))
+		agents.Wait()
+		Expect(allocated).NotTo(BeEmpty())
+		Expect(allocated).To(HaveEach(1))
 	})
 
-	It("stays above what the engine accepted while the store was down", func() {
+	It("returns an epoch above those that the engine accepted while the store was down", func() {
 		service := table.New()
 		service.Faults.Set(fault.Faults{Down: true})
 		_, err := backend.NextEpoch(ctx, service, "huye-1", 6)
--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -10,12 +10,12 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ErrSwitching means that an order other than a load was refused because the
-// instance is about to load, or another order is outstanding.
-var ErrSwitching = merry.New("instance is switching its weights")
+// ErrSwitching means that SubmitOrder refused an order because a load is imminent or
+// another order is outstanding.
+var ErrSwitching = merry.New("load imminent or another order outstanding")
 
-// SetWanted sets the version that should be live; the zero value wants none and
-// leaves what is live in place.
+// SetWanted sets the version that should become live. If it is zero, the live weights
+// stay as they are.
 func (m *Machine) SetWanted(now time.Time, w model.Weights) {
 	m.now = now
 	if w == m.wanted {
@@ -23,17 +23,17 @@
 	}
 	m.wanted, m.failures = w, 0
 	if m.Phase() == wire.PhaseLoading && m.guard.Withdraw() {
-		// Nothing was sent: a read of state shows the previous weights again.
-		m.nextRead = now
-		m.fire(triggerEnded)
+		// The load was not sent. The next state read confirms the previous weights.
+		m.nextReadAt = now
+		m.fire(triggerLoadSuperseded)
 	} else {
-		m.fire(triggerWant)
+		m.fire(triggerWantedChanged)
 	}
 	m.advance()
 }
 
-// HandleFetched reports that a version is complete and verified, or why it is not. A
-// result of a version that is no longer wanted is ignored.
+// HandleFetched handles the result of a fetch. It ignores the result if the version is
+// no longer wanted.
 func (m *Machine) HandleFetched(now time.Time, f StagedWeights, err error) {
 	m.now = now
 	if m.Phase() != wire.PhaseFetching || f.Weights != m.wanted {
@@ -43,30 +43,30 @@
 	if err != nil {
 		m.fail(err)
 	} else {
-		m.fetched = f
+		m.staged = f
 		m.fire(triggerFetched)
 	}
 	m.advance()
 }
 
-// HandlePermit reports whether the instance may leave what it serves for w, and
-// when to ask again if not.
+// HandlePermit handles the answer to a permit request for w. If the permit is denied,
+// retry is the time after which to request it again; 0 means the default.
 func (m *Machine) HandlePermit(now time.Time, w model.Weights, granted bool, retry time.Duration) {
 	m.now = now
-	if m.Phase() != wire.PhaseVerified || w != m.wanted || !m.permitting {
+	if m.Phase() != wire.PhaseVerified || w != m.wanted || !m.permitPending {
 		return
 	}
-	m.permitting = false
+	m.permitPending = false
 	if granted {
 		m.fire(triggerPermitted)
 	} else {
-		defaultTo(&retry, m.cfg.PermitRetryInterval)
-		m.permitAt = now.Add(retry)
+		setDefault(&retry, m.cfg.PermitRetryInterval)
+		m.nextPermitAt = now.Add(retry)
 	}
 	m.advance()
 }
 
-// HandleQuiesced reports that no request runs and none is admitted.
+// HandleQuiesced handles the end of a quiesce: no request is running or admitted.
 func (m *Machine) HandleQuiesced(now time.Time) {
 	m.now = now
 	if m.Phase() == wire.PhaseQuiescing {
@@ -75,41 +75,41 @@
 	m.advance()
 }
 
-// HandleCrash reports that a request found the engine dead. Nothing is live until
-// its state was read again.
+// HandleCrash handles a crash of the engine. No weights are live until its state has
+// been read again.
 func (m *Machine) HandleCrash(now time.Time) {
 	m.now = now
 	m.candidate = candidate{}
-	m.lose()
-	m.nextRead = now
+	m.clearLive()
+	m.nextReadAt = now
 	m.advance()
 }
 
-// HandleState reports a read of the engine's state.
+// HandleState handles the result of a state read.
 func (m *Machine) HandleState(now time.Time, s engine.State, err error) {
 	m.now = now
-	m.reading = false
-	m.nextRead = now.Add(m.cfg.StatePollInterval)
+	m.readPending = false
+	m.nextReadAt = now.Add(m.cfg.StatePollInterval)
 	outstanding := m.guard.Outstanding()
 	m.guard.OnState(now, s, err)
 	if outstanding {
-		m.compare(s, err)
+		m.checkStateDuringOrder(s, err)
 	} else {
-		m.observe(s, err)
+		m.checkState(s, err)
 	}
 	m.advance()
 }
 
-// HandleReply reports the result of an order.
+// HandleReply handles the engine's reply to an order.
 func (m *Machine) HandleReply(now time.Time, r engine.Reply, err error) {
 	m.now = now
 	m.guard.OnReply(now, r, err)
 	m.advance()
 }
 
-// SubmitOrder gives an order other than a load, such as a change of role or a move of
-// KV cache. Its result comes as ActionOrderDone. It is refused with
-// ErrSwitching while another order is outstanding or a load is near.
+// SubmitOrder submits an order other than a load, such as a change of role or a
+// transfer of KV cache. The result is reported by ActionOrderDone. SubmitOrder returns
+// ErrSwitching if another order is outstanding or a load is imminent.
 func (m *Machine) SubmitOrder(now time.Time, o engine.Order) error {
 	m.now = now
 	phase := m.Phase()
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// Tick lets time pass. Wake tells when it is due.
+// Tick handles the passage of time. NextTick returns when it must be called.
 func (m *Machine) Tick(now time.Time) {
 	m.now = now
 	if m.Phase() == wire.PhaseFailed && !now.Before(m.retryAt) {
--- a/agent/backend/host.go
+++ b/agent/backend/host.go
@@ -9,24 +9,24 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Host does for a Runner what concerns the rest of the agent. Fetch, Permit and
-// Quiesce may block until ctx ends; the others return at once. Methods may be
-// called from several goroutines.
+// Host provides a Runner with the other functions of the agent. Fetch, RequestPermit
+// and Quiesce may block until ctx ends; the other methods must return immediately.
+// Methods are called concurrently.
 type Host interface {
-	// Fetch brings and verifies a version and says where it is staged. It
-	// returns soon after ctx ends; calls do not overlap.
+	// Fetch transfers and verifies a version and returns its files. It must return soon
+	// after ctx ends. Calls do not overlap.
 	Fetch(ctx context.Context, w model.Weights) (StagedWeights, error)
-	// RequestPermit asks whether the instance may leave what it serves for w.
+	// RequestPermit requests a permit to replace the live weights with w. If the permit
+	// is denied, retry is the time after which to request it again.
 	RequestPermit(ctx context.Context, w model.Weights) (granted bool, retry time.Duration, err error)
-	// Quiesce refuses new requests and returns nil when none runs. Requests
-	// stay refused until Serve. It returns soon after ctx ends; calls do not
-	// overlap with each other or with Serve.
+	// Quiesce refuses new requests and returns nil once none is running. Requests stay
+	// refused until Serve is called. Quiesce must return soon after ctx ends. Calls
+	// overlap neither with each other nor with Serve.
 	Quiesce(ctx context.Context) error
-	// Serve admits requests for w, or for none when w is zero. It ends a
-	// quiesce.
+	// Serve admits requests for w, or for none if w is zero. It ends a quiesce.
 	Serve(w model.Weights)
-	// ReportPhase tells the phase of a version; err says why it failed.
+	// ReportPhase reports the phase of a version. err is the reason of PhaseFailed.
 	ReportPhase(w model.Weights, phase wire.Phase, err error)
-	// OrderDone tells the result of an order that Order gave.
+	// OrderDone reports the result of an order submitted with SubmitOrder.
 	OrderDone(r engine.Result)
 }
--- a/agent/backend/machine.go
+++ b/agent/backend/machine.go
@@ -12,9 +12,9 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Machine decides what happens with the weights of one instance. Every event
-// method may add actions, which Actions returns in order. It is not safe for
-// concurrent use.
+// Machine is the state machine of the weights of one instance. Each method that
+// handles an event may add actions, which TakeActions returns in order. Machine is not
+// safe for concurrent use.
 type Machine struct {
 	cfg    Config
 	random *rand.Rand
@@ -22,24 +22,25 @@
 	phases *stateless.StateMachine
 	now    time.Time
 
-	wanted   model.Weights
-	fetched  StagedWeights
+	wanted model.Weights
+	// staged is the version being fetched or loaded, without files until fetched.
+	staged   StagedWeights
 	fetching bool
-	// live is zero when the instance serves nothing.
-	live confirmed
-	// previous is what was live before a load or a loss. A state that still
-	// equals it shows that nothing has changed.
-	previous  confirmed
+	// live is zero if the instance serves nothing.
+	live confirmedState
+	// previous is the last state that was made live. If the engine still reports it,
+	// nothing has changed since.
+	previous  confirmedState
 	candidate candidate
 
-	reading   bool
-	missed    int
-	nextRead  time.Time
-	guardWake time.Time
+	readPending bool
+	failedReads int
+	nextReadAt  time.Time
+	guardWakeAt time.Time
 
-	quiesced   bool
-	permitting bool
-	permitAt   time.Time
+	quiesced      bool
+	permitPending bool
+	nextPermitAt  time.Time
 
 	failures int
 	failure  error
@@ -48,7 +49,8 @@
 	actions []Action
 }
 
-// NewMachine returns a machine that wants nothing and knows nothing about the engine.
+// NewMachine returns a machine without a wanted version and without any information
+// about the engine. random is used for the jitter of the backoff.
 func NewMachine(cfg Config, random *rand.Rand) *Machine {
 	cfg.applyDefaults()
 	m := &Machine{cfg: cfg, random: random, guard: engine.NewGuard(cfg.Guard)}
@@ -61,56 +63,56 @@
 	return m.phases.MustState().(wire.Phase) //nolint:forcetypeassert // the only type of state
 }
 
-// Wanted returns the wanted version; zero when none is.
+// Wanted returns the wanted version, or zero if there is none.
 func (m *Machine) Wanted() model.Weights { return m.wanted }
 
-// Live returns the weights that are served; zero when none are.
+// Live returns the weights that are served, or zero if there are none.
 func (m *Machine) Live() model.Weights { return m.live.weights }
 
-// TakeActions returns what to do, in order, and forgets it.
+// TakeActions returns the actions to carry out, in order, and removes them.
 func (m *Machine) TakeActions() []Action {
 	out := m.actions
 	m.actions = nil
 	return out
 }
 
-// NextTick returns when Tick is due at the latest.
+// NextTick returns the time by which Tick must be called.
 func (m *Machine) NextTick() time.Time {
-	wake := m.now.Add(m.cfg.StatePollInterval)
-	earlier := func(t time.Time) {
-		if t.Before(wake) {
-			wake = t
+	next := m.now.Add(m.cfg.StatePollInterval)
+	atLatest := func(t time.Time) {
+		if t.Before(next) {
+			next = t
 		}
 	}
 	switch m.Phase() {
 	case wire.PhaseFailed:
-		earlier(m.retryAt)
+		atLatest(m.retryAt)
 	case wire.PhaseVerified:
-		if !m.permitting {
-			earlier(m.permitAt)
+		if !m.permitPending {
+			atLatest(m.nextPermitAt)
 		}
 	}
 	if m.guard.Outstanding() {
-		earlier(m.guardWake)
+		atLatest(m.guardWakeAt)
 	}
-	return wake
+	return next
 }
 
-// fire moves the phase. The table permits every trigger that the methods fire
-// in the phases that they check, so an error is a broken invariant.
+// fire triggers a transition. Methods check the phase before they fire a trigger that
+// not every phase permits, so an error is a violated invariant.
 func (m *Machine) fire(t trigger) {
 	if err := m.phases.Fire(t); err != nil {
 		panic(merry.Prependf(err, "phase %s", m.Phase()))
 	}
 }
 
-func (m *Machine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-func (m *Machine) report(phase wire.Phase, err error) {
-	m.act(Action{Kind: ActionReport, Weights: m.wanted, Phase: phase, Err: err})
+func (m *Machine) reportPhase(phase wire.Phase, err error) {
+	m.emit(Action{Kind: ActionReport, Weights: m.wanted, Phase: phase, Err: err})
 }
 
-func (m *Machine) serve() { m.act(Action{Kind: ActionServe, Weights: m.live.weights}) }
+func (m *Machine) serve() { m.emit(Action{Kind: ActionServe, Weights: m.live.weights}) }
 
 func (m *Machine) fail(err error) {
 	m.failure = err
--- a/agent/backend/observe.go
+++ b/agent/backend/observe.go
@@ -7,62 +7,65 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// observe compares a state that was read outside of an order with what is live.
-func (m *Machine) observe(s engine.State, err error) {
+// checkState compares a state that was read while no order was outstanding with the
+// live state.
+func (m *Machine) checkState(s engine.State, err error) {
 	if err != nil {
-		m.missed++
-		// An engine that refuses connections is down; one that is late may be
-		// busy with requests.
-		if errors.Is(err, engine.ErrNotStarted) || m.missed >= m.cfg.MaxFailedReads {
+		m.failedReads++
+		// An engine that refuses connections is down. One that does not answer in
+		// time may only be busy with requests.
+		if errors.Is(err, engine.ErrNotStarted) || m.failedReads >= m.cfg.MaxFailedReads {
 			m.candidate = candidate{}
-			m.lose()
+			m.clearLive()
 		}
 		return
 	}
-	m.missed = 0
-	c := confirmedBy(s)
+	m.failedReads = 0
+	c := confirmedStateOf(s)
 	if !m.live.weights.IsZero() {
 		if !s.Busy && c == m.live {
 			return
 		}
-		m.lose()
+		m.clearLive()
 	}
 	if s.Busy || s.Weights.IsZero() || m.superseded(s) {
 		m.candidate = candidate{}
 		return
 	}
-	if m.candidate.confirmed != c {
-		m.candidate = candidate{confirmed: c, since: m.now}
+	if m.candidate.confirmedState != c {
+		m.candidate = candidate{confirmedState: c, since: m.now}
 	}
 	if c == m.previous || m.now.Sub(m.candidate.since) >= m.cfg.AdoptAfter {
 		m.adopt(c)
 	}
 }
 
-// compare ends live during an order other than a load, which changes the last
-// order number but neither the weights nor the incarnation.
-func (m *Machine) compare(s engine.State, err error) {
+// checkStateDuringOrder clears the live weights if they or the incarnation changed
+// during an order. An order other than a load changes the accepted fence but neither
+// the weights nor the incarnation.
+func (m *Machine) checkStateDuringOrder(s engine.State, err error) {
 	if err == nil && (s.Incarnation != m.live.incarnation || s.Weights != m.live.weights) {
-		m.lose()
+		m.clearLive()
 	}
 }
 
-// adopt makes weights live that this agent did not load just now: those that an
-// engine kept while its agent restarted, or that a failed order left in place.
-// A quiesce goes on unless these are the wanted weights.
-func (m *Machine) adopt(c confirmed) {
+// adopt marks weights as live that were not just loaded by this agent: those that an
+// engine kept while its agent restarted, or that a failed order left in place. During
+// a quiesce only the wanted weights are adopted.
+func (m *Machine) adopt(c confirmedState) {
 	phase := m.Phase()
 	if phase == wire.PhaseQuiescing && c.weights != m.wanted {
 		return
 	}
-	m.confirm(c)
+	m.setLive(c)
 	if c.weights == m.wanted && phase != wire.PhaseLive {
 		m.fire(triggerConfirmed)
 	}
 }
 
-// superseded reports whether another agent generation commands the engine.
+// superseded reports whether the engine has accepted an order of a newer agent
+// generation.
 func (m *Machine) superseded(s engine.State) bool {
-	start := m.guard.Fence().Epoch
-	return start != 0 && s.Accepted.Epoch > start
+	epoch := m.guard.Fence().Epoch
+	return epoch != 0 && s.Accepted.Epoch > epoch
 }
--- a/agent/backend/phases.go
+++ b/agent/backend/phases.go
@@ -8,12 +8,11 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// phases returns the state machine of the wanted version. Actions on entry are
-// those of Machine; a trigger that a phase does not permit is a broken
-// invariant.
+// newPhases returns the state machine of the wanted version's phases. A trigger that
+// a phase neither permits nor ignores is a violated invariant.
 func (m *Machine) newPhases() *stateless.StateMachine {
 	sm := stateless.NewStateMachine(wire.PhaseIdle)
-	want := func(context.Context, ...any) (stateless.State, error) { return m.afterWant(), nil }
+	target := func(context.Context, ...any) (stateless.State, error) { return m.targetPhase(), nil }
 	enter := func(f func()) stateless.ActionFunc {
 		return func(context.Context, ...any) error {
 			f()
@@ -21,51 +20,51 @@
 		}
 	}
 	sm.Configure(wire.PhaseIdle).
-		PermitDynamic(triggerWant, want).
-		Ignore(triggerLost)
+		PermitDynamic(triggerWantedChanged, target).
+		Ignore(triggerLiveLost)
 	sm.Configure(wire.PhaseFetching).
 		OnEntry(enter(m.enterFetching)).OnExit(enter(m.exitFetching)).
-		PermitDynamic(triggerWant, want).
+		PermitDynamic(triggerWantedChanged, target).
 		Permit(triggerFetched, wire.PhaseVerified).
 		Permit(triggerConfirmed, wire.PhaseLive).
 		Permit(triggerFailed, wire.PhaseFailed).
-		Ignore(triggerLost)
+		Ignore(triggerLiveLost)
 	sm.Configure(wire.PhaseVerified).
 		OnEntry(enter(m.enterVerified)).
-		PermitDynamic(triggerWant, want).
+		PermitDynamic(triggerWantedChanged, target).
 		Permit(triggerPermitted, wire.PhaseQuiescing).
 		Permit(triggerConfirmed, wire.PhaseLive).
-		Ignore(triggerLost)
+		Ignore(triggerLiveLost)
 	sm.Configure(wire.PhaseQuiescing).
 		OnEntry(enter(m.enterQuiescing)).OnExit(func(ctx context.Context, _ ...any) error {
 		m.exitQuiescing(ctx)
 		return nil
 	}).
-		PermitDynamic(triggerWant, want).
+		PermitDynamic(triggerWantedChanged, target).
 		Permit(triggerQuiesced, wire.PhaseLoading).
 		Permit(triggerConfirmed, wire.PhaseLive).
-		Ignore(triggerLost)
+		Ignore(triggerLiveLost)
 	sm.Configure(wire.PhaseLoading).
 		OnEntry(enter(m.enterLoading)).
-		Ignore(triggerWant).
+		Ignore(triggerWantedChanged).
 		Permit(triggerConfirmed, wire.PhaseLive).
 		Permit(triggerFailed, wire.PhaseFailed).
-		PermitDynamic(triggerEnded, want)
+		PermitDynamic(triggerLoadSuperseded, target)
 	sm.Configure(wire.PhaseLive).
 		OnEntry(enter(m.enterLive)).
-		PermitDynamic(triggerWant, want).
-		Permit(triggerLost, wire.PhaseFetching)
+		PermitDynamic(triggerWantedChanged, target).
+		Permit(triggerLiveLost, wire.PhaseFetching)
 	sm.Configure(wire.PhaseFailed).
 		OnEntry(enter(m.enterFailed)).
-		PermitDynamic(triggerWant, want).
+		PermitDynamic(triggerWantedChanged, target).
 		Permit(triggerRetry, wire.PhaseFetching).
 		Permit(triggerConfirmed, wire.PhaseLive).
-		Ignore(triggerLost)
+		Ignore(triggerLiveLost)
 	return sm
 }
 
-// afterWant returns the phase for the wanted version outside of a load.
-func (m *Machine) afterWant() wire.Phase {
+// targetPhase returns the phase to enter for the wanted version if no load is running.
+func (m *Machine) targetPhase() wire.Phase {
 	switch {
 	case m.wanted.IsZero():
 		return wire.PhaseIdle
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -11,14 +11,14 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// eventQueue is the number of events that may wait for the loop. Senders block
-// when it is full.
-const eventQueue = 16
+// eventQueueSize is the number of events that may be queued. Senders block if the
+// queue is full.
+const eventQueueSize = 16
 
-// quiesceRetry is the wait after a quiesce that the host refused.
-const quiesceRetry = 100 * time.Millisecond
+// quiesceRetryInterval is the wait before a quiesce that the host refused is repeated.
+const quiesceRetryInterval = 100 * time.Millisecond
 
-// RunnerConfig holds what a Runner works with.
+// RunnerConfig configures a Runner.
 type RunnerConfig struct {
 	Machine Config
 	Clock   clock.Clock
@@ -27,57 +27,60 @@
 	Host    Host
 }
 
-// Runner carries out the actions of a Machine. One goroutine owns the machine;
-// each action that waits has a goroutine of its own. Want, Crashed and Order may
-// be called from any goroutine while Run runs.
+// Runner carries out the actions of a Machine. One goroutine owns the machine; each
+// action that blocks runs in its own goroutine. SetWanted, HandleCrash and SubmitOrder
+// are safe for concurrent use and may block until Run is called.
 type Runner struct {
 	cfg     RunnerConfig
 	machine *Machine
 	events  chan func(*Machine, time.Time)
 	done    chan struct{}
 	tasks   sync.WaitGroup
-	// cancelFetch and endQuiesce end what the machine no longer waits for.
+	// cancelFetch cancels the current fetch.
 	cancelFetch context.CancelFunc
 	// fetchReturned is closed when the last Host.Fetch has returned.
 	fetchReturned chan struct{}
-	// endQuiesce returns once Host.Quiesce has returned: a call that is still
-	// under way would refuse requests after the next Host.Serve.
-	endQuiesce func()
+	// stopQuiesce cancels the current quiesce and waits until Host.Quiesce has
+	// returned. A call that is still running would refuse requests after the next
+	// Host.Serve.
+	stopQuiesce func()
 }
 
-// NewRunner returns a runner for one engine.
+// NewRunner returns a runner for one engine, which does nothing until Run is called.
 func NewRunner(cfg RunnerConfig) *Runner {
-	none := func() {}
+	noop := func() {}
 	returned := make(chan struct{})
 	close(returned)
 	return &Runner{
 		cfg: cfg, machine: NewMachine(cfg.Machine, cfg.Random),
-		events: make(chan func(*Machine, time.Time), eventQueue), done: make(chan struct{}),
-		cancelFetch: none, endQuiesce: none, fetchReturned: returned,
+		events: make(chan func(*Machine, time.Time), eventQueueSize), done: make(chan struct{}),
+		cancelFetch: noop, stopQuiesce: noop, fetchReturned: returned,
 	}
 }
 
-// SetWanted sets the version that should be live; zero wants none.
+// SetWanted sets the version that should become live, or none if w is zero.
 func (r *Runner) SetWanted(w model.Weights) {
 	r.post(func(m *Machine, now time.Time) { m.SetWanted(now, w) })
 }
 
-// HandleCrash reports that a request found the engine dead.
+// HandleCrash reports a crash of the engine.
 func (r *Runner) HandleCrash() { r.post((*Machine).HandleCrash) }
 
-// SubmitOrder gives an order other than a load; the result goes to Host.OrderDone.
+// SubmitOrder submits an order other than a load. The result goes to Host.OrderDone.
+// It returns ErrSwitching if the order is refused, and context.Canceled if the runner
+// has stopped.
 func (r *Runner) SubmitOrder(o engine.Order) error {
-	refused := make(chan error, 1)
-	r.post(func(m *Machine, now time.Time) { refused <- m.SubmitOrder(now, o) })
+	submitted := make(chan error, 1)
+	r.post(func(m *Machine, now time.Time) { submitted <- m.SubmitOrder(now, o) })
 	select {
-	case err := <-refused:
+	case err := <-submitted:
 		return err
 	case <-r.done:
 		return context.Canceled
 	}
 }
 
-// post hands an event to the loop, or drops it when the runner has ended.
+// post queues an event, or drops it if the runner has stopped.
 func (r *Runner) post(event func(*Machine, time.Time)) {
 	select {
 	case r.events <- event:
@@ -85,7 +88,7 @@
 	}
 }
 
-// Run works until ctx ends and waits for what it started.
+// Run handles events until ctx ends, then waits for the goroutines that it started.
 func (r *Runner) Run(ctx context.Context) {
 	defer r.tasks.Wait()
 	defer close(r.done)
@@ -94,12 +97,12 @@
 	for {
 		now := r.cfg.Clock.Now()
 		r.machine.Tick(now)
-		r.carryOut(ctx)
+		r.executeActions(ctx)
 		timer := time.NewTimer(max(r.machine.NextTick().Sub(now), time.Millisecond))
 		select {
 		case event := <-r.events:
 			event(r.machine, r.cfg.Clock.Now())
-			r.carryOut(ctx)
+			r.executeActions(ctx)
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
@@ -109,7 +112,7 @@
 	}
 }
 
-func (r *Runner) carryOut(ctx context.Context) {
+func (r *Runner) executeActions(ctx context.Context) {
 	for _, a := range r.machine.TakeActions() {
 		switch a.Kind {
 		case ActionFetch:
@@ -121,7 +124,7 @@
 		case ActionQuiesce:
 			r.quiesce(ctx)
 		case ActionServe:
-			r.endQuiesce()
+			r.stopQuiesce()
 			r.cfg.Host.Serve(a.Weights)
 		case ActionReadState:
 			r.tasks.Go(func() {
@@ -141,22 +144,22 @@
 	}
 }
 
-// fetch starts a fetch once the one before has returned.
+// fetch starts a fetch, which begins once the previous one has returned.
 func (r *Runner) fetch(ctx context.Context, w model.Weights) {
 	ctx, r.cancelFetch = context.WithCancel(ctx)
 	cancel := r.cancelFetch
-	before, returned := r.fetchReturned, make(chan struct{})
+	previousReturned, returned := r.fetchReturned, make(chan struct{})
 	r.fetchReturned = returned
 	r.tasks.Go(func() {
 		defer cancel()
-		<-before
-		f, err := r.cfg.Host.Fetch(ctx, w)
+		<-previousReturned
+		staged, err := r.cfg.Host.Fetch(ctx, w)
 		close(returned)
 		if ctx.Err() != nil {
-			return // replaced; a newer fetch of the same version may run
+			return // canceled; a newer fetch of the same version may be running
 		}
-		f.Weights = w
-		r.post(func(m *Machine, now time.Time) { m.HandleFetched(now, f, err) })
+		staged.Weights = w
+		r.post(func(m *Machine, now time.Time) { m.HandleFetched(now, staged, err) })
 	})
 }
 
@@ -165,19 +168,18 @@
 	r.post(func(m *Machine, now time.Time) { m.HandlePermit(now, w, granted && err == nil, retry) })
 }
 
-// quiesce waits until no request runs, after an earlier quiesce has returned. A
-// quiesce that was replaced reports nothing: the machine would take its end for
-// that of the newer one.
+// quiesce stops the previous quiesce and starts a new one. A quiesce that was stopped
+// reports nothing, because the machine would mistake its end for that of the new one.
 func (r *Runner) quiesce(ctx context.Context) {
-	r.endQuiesce()
+	r.stopQuiesce()
 	ctx, cancel := context.WithCancel(ctx)
 	returned := make(chan struct{})
-	r.endQuiesce = func() {
+	r.stopQuiesce = func() {
 		cancel()
 		<-returned
 	}
 	r.tasks.Go(func() {
-		err := r.tryQuiesce(ctx)
+		err := r.retryQuiesce(ctx)
 		close(returned)
 		if err != nil {
 			return
@@ -190,16 +192,16 @@
 	})
 }
 
-// tryQuiesce repeats a quiesce that the host refused, for instance because it
-// is busy with another one, until ctx ends.
-func (r *Runner) tryQuiesce(ctx context.Context) error {
+// retryQuiesce repeats a quiesce that the host refused, for example because another
+// one is running, until it succeeds or ctx ends.
+func (r *Runner) retryQuiesce(ctx context.Context) error {
 	for {
 		err := r.cfg.Host.Quiesce(ctx)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
 		select {
-		case <-time.After(quiesceRetry):
+		case <-time.After(quiesceRetryInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/agent/backend/runner_test.go
+++ b/agent/backend/runner_test.go
@@ -21,23 +21,25 @@
 	standin "github.com/auburnbend/auburnbend/standin/engine"
 )
 
-// host stages versions on demand and remembers what is served.
-type host struct {
+// fakeHost stages versions on demand and records which weights are served.
+type fakeHost struct {
 	dir string
 
 	mu       sync.Mutex
 	served   model.Weights
 	content  map[model.Weights]model.Digest
 	failures int
-	// refusing is true from a quiesce to the next serve; calls counts the
-	// quiesces under way and hang makes them wait for their context.
+	// refusing is true from a call of Quiesce to the next call of Serve.
 	refusing bool
-	calls    int
+	// quiesceCalls is the number of running Quiesce calls.
+	quiesceCalls int
+	// overlaps counts calls of Quiesce or Serve during another call of Quiesce.
 	overlaps int
-	hang     bool
+	// blockQuiesce makes Quiesce wait until its context ends.
+	blockQuiesce bool
 }
 
-func (h *host) Fetch(_ context.Context, w model.Weights) (backend.StagedWeights, error) {
+func (h *fakeHost) Fetch(_ context.Context, w model.Weights) (backend.StagedWeights, error) {
 	dir := filepath.Join(h.dir, w.String())
 	digests := make([]model.Digest, 5)
 	for i := range digests {
@@ -53,37 +55,36 @@
 	return backend.StagedWeights{Base: engine.StagedFiles{Directory: dir}}, nil
 }
 
-func (*host) RequestPermit(context.Context, model.Weights) (bool, time.Duration, error) {
+func (*fakeHost) RequestPermit(context.Context, model.Weights) (bool, time.Duration, error) {
 	return true, 0, nil
 }
-func (*host) OrderDone(engine.Result) {}
+func (*fakeHost) OrderDone(engine.Result) {}
 
-// Quiesce refuses requests also when it is called with an ended context, as the
-// gate does.
-func (h *host) Quiesce(ctx context.Context) error {
+// Quiesce refuses requests even if its context has already ended, as the gate does.
+func (h *fakeHost) Quiesce(ctx context.Context) error {
 	h.mu.Lock()
 	h.refusing = true
-	h.calls++
-	h.overlaps += h.calls - 1
-	hang := h.hang
+	h.quiesceCalls++
+	h.overlaps += h.quiesceCalls - 1
+	hang := h.blockQuiesce
 	h.mu.Unlock()
 	if hang {
 		<-ctx.Done()
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.calls--
+	h.quiesceCalls--
 	return ctx.Err()
 }
 
-func (h *host) Serve(w model.Weights) {
+func (h *fakeHost) Serve(w model.Weights) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.served, h.refusing = w, false
-	h.overlaps += h.calls
+	h.overlaps += h.quiesceCalls
 }
 
-func (h *host) ReportPhase(_ model.Weights, phase wire.Phase, _ error) {
+func (h *fakeHost) ReportPhase(_ model.Weights, phase wire.Phase, _ error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if phase == wire.PhaseFailed {
@@ -91,7 +92,7 @@
 	}
 }
 
-func (h *host) serves(w model.Weights, server *standin.Server) func() bool {
+func (h *fakeHost) serves(w model.Weights, server *standin.Server) func() bool {
 	return func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -99,13 +100,13 @@
 	}
 }
 
-// running starts an engine that ignores fencing and a runner beside it.
-func running() (*backend.Runner, *host, *standin.Server) {
+// startRunner starts an engine that ignores fencing and a runner for it.
+func startRunner() (*backend.Runner, *fakeHost, *standin.Server) {
 	server, err := standin.Start(standin.Config{TimeScale: 0.01, IgnoreFencing: true})
 	Expect(err).NotTo(HaveOccurred())
 	client, err := engine.NewClient(engine.Config{Address: server.URL()})
 	Expect(err).NotTo(HaveOccurred())
-	h := &host{dir: GinkgoT().TempDir(), content: make(map[model.Weights]model.Digest)}
+	h := &fakeHost{dir: GinkgoT().TempDir(), content: make(map[model.Weights]model.Digest)}
 	r := backend.NewRunner(backend.RunnerConfig{
 		Machine: backend.Config{
 			Guard:             engine.GuardConfig{PollInterval: time.Millisecond, SettleTime: 30 * time.Millisecond},
@@ -125,18 +126,18 @@
 }
 
 var _ = Describe("Runner with an engine that ignores fencing", func() {
-	// A quiesce that outlived its reason would leave an instance that is live
-	// and refuses everything.
-	It("admits requests again whenever a version changes back", func() {
-		r, h, server := running()
+	// Guards against a quiesce that outlasts the change of version that it belongs to.
+	// The instance would then be live but refuse all requests.
+	It("admits requests again whenever the live version is wanted again", func() {
+		r, h, server := startRunner()
 		r.SetWanted(version("v1"))
 		Eventually(h.serves(version("v1"), server), 10*time.Second).Should(BeTrue())
 		h.mu.Lock()
-		h.hang = true
+		h.blockQuiesce = true
 		h.mu.Unlock()
 		for range 20 {
 			r.SetWanted(version("v2"))
-			Eventually(func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.calls > 0 }, 10*time.Second, time.Millisecond).Should(BeTrue())
+			Eventually(func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.quiesceCalls > 0 }, 10*time.Second, time.Millisecond).Should(BeTrue())
 			r.SetWanted(version("v1"))
 			Eventually(h.serves(version("v1"), server), 10*time.Second, time.Millisecond).Should(BeTrue())
 			Consistently(h.serves(version("v1"), server), 5*time.Millisecond, time.Millisecond).Should(BeTrue())
@@ -146,8 +147,8 @@
 		Expect(h.overlaps).To(Equal(0))
 	})
 
-	DescribeTable("brings the wanted version live in the end", func(faults standin.Faults) {
-		r, h, server := running()
+	DescribeTable("eventually makes the wanted version live", func(faults standin.Faults) {
+		r, h, server := startRunner()
 		server.SetFaults(faults)
 		r.SetWanted(version("v1"))
 		Eventually(h.serves(version("v1"), server), 10*time.Second).Should(BeTrue())
@@ -158,13 +159,13 @@
 		server.Crash()
 		Eventually(h.serves(model.Weights{}, server), 10*time.Second).Should(BeTrue())
 		Eventually(h.serves(version("v3"), server), 10*time.Second).Should(BeTrue())
-		atOnce, outdated := server.OrderStats()
-		Expect(atOnce).To(Equal(1))
+		maxConcurrent, outdated := server.OrderStats()
+		Expect(maxConcurrent).To(Equal(1))
 		Expect(outdated).To(Equal(0))
 	},
 		Entry("without faults", standin.Faults{}),
-		Entry("that loses replies", standin.Faults{DropReplies: 2}),
-		Entry("that crashes during loads", standin.Faults{CrashLoads: 2}),
-		Entry("that fails loads", standin.Faults{FailLoads: 2}),
+		Entry("with lost replies", standin.Faults{DropReplies: 2}),
+		Entry("with crashes during loads", standin.Faults{CrashLoads: 2}),
+		Entry("with failed loads", standin.Faults{FailLoads: 2}),
 	)
 })
--- a/agent/backend/fetched.go
+++ b/agent/backend/staged_weights.go
@@ -5,7 +5,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// StagedWeights is a version that is complete and verified in the staging area.
+// StagedWeights describes a complete and verified version in the staging directory.
+// Adapter is empty for weights without an adapter.
 type StagedWeights struct {
 	Weights model.Weights
 	Base    engine.StagedFiles
--- a/agent/backend/suite_test.go
+++ b/agent/backend/suite_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// init fixes the seed of property tests; -rapid.seed still overrides it. Long
-// runs are needed to reach a lost order after a change of version.
+// init fixes the seed of the property test; -rapid.seed overrides it. Shorter runs do
+// not reach a lost order after a change of version.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "2000")
