--- a/agent/gate/attach.go
+++ b/agent/gate/attach.go
@@ -9,40 +9,40 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Reattach decides on a Reattach. It returns nil when the answer goes on from
-// its next sequence number, and otherwise the message that answers it: a
-// refusal for an attempt that never ran and now never will, or an end without an
-// outcome for one whose answer is gone.
+// Reattach handles a Reattach message. It returns nil if the answer continues at the
+// requested sequence number. Otherwise it returns the message to reply with: a refusal
+// if the attempt never ran and never will, or an end with outcome Unknown if its answer
+// has been dropped.
 func (c *Core) Reattach(now time.Time, m *wire.Reattach) wire.Message {
 	if r, ok := c.records[m.Attempt]; ok {
 		r.detached = false
 		return nil
 	}
 	c.window.expire(now)
-	s, ok := c.window.get(m.Attempt)
+	seen, ok := c.window.get(m.Attempt)
 	if !ok {
-		s = seen{refused: c.window.add(now, m.Attempt, true, outcome.ReasonConnectionLost), reason: outcome.ReasonConnectionLost}
+		seen = seenID{refused: c.window.add(now, m.Attempt, true, outcome.ReasonConnectionLost), reason: outcome.ReasonConnectionLost}
 	}
-	if s.refused {
-		return refusal(m.Attempt, s.reason, 0).Refusal
+	if seen.refused {
+		return refusal(m.Attempt, seen.reason, 0).Refusal
 	}
 	return &wire.ResponseEnd{Attempt: m.Attempt, Outcome: outcome.Unknown, Reason: outcome.ReasonIncomplete}
 }
 
-// Detach records that the connection to the attempt's entry is lost.
+// Detach records that the connection to the attempt's entry was lost.
 func (c *Core) Detach(now time.Time, attempt model.AttemptID) {
 	if r, ok := c.records[attempt]; ok && !r.detached {
 		r.detached, r.detachedAt = true, now
 	}
 }
 
-// Cancel decides on a RequestCancel. It reports whether the backend server's run
-// is to be cancelled. A non-repeatable call always runs to its end.
+// Cancel handles a RequestCancel message. It reports whether the run on the backend
+// server must be canceled. A non-repeatable call always runs to its end.
 func (c *Core) Cancel(now time.Time, attempt model.AttemptID) bool {
 	r, ok := c.records[attempt]
 	if !ok {
 		c.window.expire(now)
-		if _, known := c.window.get(attempt); !known {
+		if _, seen := c.window.get(attempt); !seen {
 			c.window.add(now, attempt, true, outcome.ReasonCanceled)
 		}
 		return false
@@ -57,11 +57,11 @@
 	return true
 }
 
-// Expire returns the repeatable attempts to cancel: their deadline has passed,
-// or no entry came back for them. It forgets answers that nobody fetched.
+// Expire returns the repeatable attempts to cancel, because their deadline has passed
+// or no entry reattached in time. It also drops answers whose retention has ended.
 func (c *Core) Expire(now time.Time) (cancel []model.AttemptID) {
 	c.window.expire(now)
-	c.lost = slices.DeleteFunc(c.lost, func(l lostFinger) bool { return now.Sub(l.at) > lostHold })
+	c.crashed = slices.DeleteFunc(c.crashed, func(r crashedRequest) bool { return now.Sub(r.at) > crashHold })
 	for id, r := range c.records {
 		switch {
 		case !r.running:
@@ -76,35 +76,36 @@
 	return cancel
 }
 
-// CrashReport returns the report about a backend server that died.
+// CrashReport returns the report on a crash of the backend server. It lists the
+// attempts that are running or that failed in the crash.
 func (c *Core) CrashReport(now time.Time, incarnation uint64) *wire.CrashReport {
 	report := &wire.CrashReport{Incarnation: incarnation}
-	known := make(map[model.Fingerprint]struct{})
+	added := make(map[model.Fingerprint]struct{})
 	add := func(f model.Fingerprint) {
-		if _, ok := known[f]; !ok {
-			known[f] = struct{}{}
+		if _, ok := added[f]; !ok {
+			added[f] = struct{}{}
 			report.InFlight = append(report.InFlight, f)
 		}
 	}
-	for _, l := range c.lost {
-		if now.Sub(l.at) <= lostHold {
-			add(l.finger)
+	for _, r := range c.crashed {
+		if now.Sub(r.at) <= crashHold {
+			add(r.fingerprint)
 		}
 	}
-	c.lost = nil
+	c.crashed = nil
 	for _, r := range c.records {
 		if r.running {
-			add(r.finger)
+			add(r.fingerprint)
 		}
 	}
 	return report
 }
 
-// StopAdmitting refuses requests while the weights change.
+// StopAdmitting refuses all requests until ResumeAdmitting is called.
 func (c *Core) StopAdmitting() { c.switching = true }
 
 // ResumeAdmitting ends StopAdmitting.
 func (c *Core) ResumeAdmitting() { c.switching = false }
 
-// Switching reports whether the weights are changing.
+// Switching reports whether StopAdmitting is in effect.
 func (c *Core) Switching() bool { return c.switching }
--- a/agent/gate/backend.go
+++ b/agent/gate/backend.go
@@ -9,30 +9,29 @@
 )
 
 var (
-	// ErrNotStarted means that the backend server certainly did not begin to run
-	// the request, for instance because no connection to it came about. Backend
-	// returns it only before the first emit.
+	// ErrNotStarted means that the backend server definitely did not start the
+	// request, for example because connecting to it failed. Backend.Run returns it only
+	// before the first call of emit.
 	ErrNotStarted = merry.New("backend server did not start the request")
-	// ErrBackendCrashed means that the backend server died while it ran the
-	// request.
+	// ErrBackendCrashed means that the backend server crashed during the request.
 	ErrBackendCrashed = merry.New("backend server crashed")
-	// ErrSwitching means that another switch of the weights is under way.
-	ErrSwitching = merry.New("weights are being switched")
+	// ErrSwitching means that another quiesce is already running.
+	ErrSwitching = merry.New("another quiesce is running")
 )
 
 // Backend runs requests on the backend server.
 type Backend interface {
-	// Run runs one request and passes the pieces of its answer to emit, which
-	// copies them and blocks while the entry does not keep up. Run returns when
-	// the backend server has stopped working on the request, also after ctx has
-	// ended.
+	// Run runs one request and passes its answer in pieces to emit, which copies them
+	// and blocks while the replay buffer is full. Run returns only when the backend
+	// server no longer works on the request, even if ctx ends earlier. status is an
+	// HTTP status.
 	Run(ctx context.Context, start wire.RequestStart, emit func([]byte) error) (status int, contentType string, err error)
 }
 
-// Sender is a connection to an entry. Implementations are comparable; *wire.Conn
-// is one. The owner of a connection that went silent closes it as well as
-// calling Disconnect: a Send that blocks returns then, and the attempt can go on
-// over another connection.
+// Sender is a connection to an entry. Implementations must be comparable; *wire.Conn
+// is one. The owner of a lost connection must close it in addition to calling
+// Gate.Disconnect: a blocked Send then returns, and the attempt can continue on another
+// connection.
 type Sender interface {
 	Send(m wire.Message) error
 }
--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -7,55 +7,58 @@
 )
 
 const (
-	// defaultCapacity is the number of requests that run at once.
-	defaultCapacity = 32
-	// defaultReplayBytes bounds the unconfirmed frames of one attempt.
+	defaultCapacity    = 32
 	defaultReplayBytes = 1 << 20
-	// defaultWindow is the time for which attempt ids are remembered. Entries
-	// trust "never seen" for half of it.
-	defaultWindow = 10 * time.Minute
-	// defaultWindowSize bounds the remembered ids, about 100 bytes each.
-	defaultWindowSize = 128 << 10
-	// defaultReattach is the time that an entry has to come back before a
-	// repeatable attempt is cancelled.
-	defaultReattach = 10 * time.Second
-	// defaultRetain is the time for which the answer of an ended attempt is kept
-	// for an entry that has not confirmed it.
-	defaultRetain = 30 * time.Second
-	// defaultRetryAfter is the advice with a refusal for lack of capacity.
-	defaultRetryAfter = 500 * time.Millisecond
-	// lostHold is the time for which the fingerprints of attempts that failed
-	// with the backend server wait for the crash to be noticed.
-	lostHold = 5 * time.Second
-	// maxFrameData bounds the data of one frame in bytes.
+	// defaultDuplicateWindow is twice the time for which entries rely on the statement
+	// that an attempt was never seen.
+	defaultDuplicateWindow = 10 * time.Minute
+	// defaultMaxWindowIDs limits the window to about 13 MB, at about 100 bytes per id.
+	defaultMaxWindowIDs    = 128 << 10
+	defaultReattachTimeout = 10 * time.Second
+	defaultAnswerRetention = 30 * time.Second
+	defaultRetryAfter      = 500 * time.Millisecond
+	// crashHold is the time for which the fingerprints of attempts that failed in a
+	// crash are kept until the crash is reported.
+	crashHold = 5 * time.Second
+	// maxFrameData is the maximum size of the data of one frame in bytes.
 	maxFrameData = 256 << 10
 )
 
-// Config holds the limits of a gate. Zero values take defaults.
+// Config configures a gate. Zero values are replaced by defaults.
 type Config struct {
-	Capacity        int
-	ReplayBytes     int
+	// Capacity is the maximum number of concurrent requests.
+	Capacity int
+	// ReplayBytes is the maximum size of the unconfirmed frames of one attempt in bytes.
+	ReplayBytes int
+	// DuplicateWindow is the time for which attempt ids are remembered, in order to
+	// recognize duplicates.
 	DuplicateWindow time.Duration
-	MaxWindowIDs    int
+	// MaxWindowIDs is the maximum number of remembered attempt ids.
+	MaxWindowIDs int
+	// ReattachTimeout is the time after the loss of a connection within which an entry
+	// must reattach before its repeatable attempts are canceled.
 	ReattachTimeout time.Duration
+	// AnswerRetention is the time for which the answer of an ended attempt is kept for
+	// an entry that has not confirmed it.
 	AnswerRetention time.Duration
-	RetryAfter      time.Duration
-	// OnChange is called without locks after what the gate admits has changed, so
-	// that entries can be told before their next heartbeat. It may be nil.
+	// RetryAfter is the delay recommended with refusals for lack of capacity.
+	RetryAfter time.Duration
+	// OnChange is called after the set of admitted weights changed, so that entries can
+	// be notified before their next heartbeat. No locks are held. It may be nil.
 	OnChange func()
-	// OnRefusal is called without locks for each refusal. It may be nil.
+	// OnRefusal is called for each refusal. No locks are held. It may be nil.
 	OnRefusal func(outcome.Reason)
 }
 
 func (c Config) applyDefaults() Config {
-	ints := func(v *int, fallback int) {
+	setInt := func(v *int, value int) {
 		if *v <= 0 {
-			*v = fallback
+			*v = value
 		}
 	}
-	times := func(v *time.Duration, fallback time.Duration) {
+	setDuration := func(v *time.Duration, value time.Duration) {
 		if *v <= 0 {
-			*v = fallback
+			*v = value
 		}
 	}
 	if c.OnRefusal == nil {
@@ -64,12 +67,12 @@
 	if c.OnChange == nil {
 		c.OnChange = func() {}
 	}
-	ints(&c.Capacity, defaultCapacity)
-	ints(&c.ReplayBytes, defaultReplayBytes)
-	ints(&c.MaxWindowIDs, defaultWindowSize)
-	times(&c.DuplicateWindow, defaultWindow)
-	times(&c.ReattachTimeout, defaultReattach)
-	times(&c.AnswerRetention, defaultRetain)
-	times(&c.RetryAfter, defaultRetryAfter)
+	setInt(&c.Capacity, defaultCapacity)
+	setInt(&c.ReplayBytes, defaultReplayBytes)
+	setInt(&c.MaxWindowIDs, defaultMaxWindowIDs)
+	setDuration(&c.DuplicateWindow, defaultDuplicateWindow)
+	setDuration(&c.ReattachTimeout, defaultReattachTimeout)
+	setDuration(&c.AnswerRetention, defaultAnswerRetention)
+	setDuration(&c.RetryAfter, defaultRetryAfter)
 	return c
 }
--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -11,28 +11,29 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Core decides for one agent.
+// Core decides on the requests of one agent. It is not safe for concurrent use.
 type Core struct {
 	config     Config
 	quarantine Quarantine
 	live       []model.Weights
 	draining   bool
-	switching  bool
+	// switching is true while no requests are admitted because of a quiesce.
+	switching bool
 
 	records map[model.AttemptID]*record
 	running int
 	window  *window
-	lost    []lostFinger
+	crashed []crashedRequest
 }
 
-// lostFinger is a request that failed together with the backend server.
-type lostFinger struct {
-	finger model.Fingerprint
-	at     time.Time
+// crashedRequest is a request that was running when the backend server crashed.
+type crashedRequest struct {
+	fingerprint model.Fingerprint
+	at          time.Time
 }
 
-// NewCore returns a core that serves no weights yet. A nil quarantine knows no
-// suspects.
+// NewCore returns a core that admits no weights yet. If quarantine is nil, no request
+// is quarantined.
 func NewCore(config Config, quarantine Quarantine) *Core {
 	config = config.applyDefaults()
 	return &Core{
@@ -43,11 +44,11 @@
 	}
 }
 
-// SetLive sets the weights that may be served. A plain service serves the zero
-// Weights.
+// SetLive sets the weights for which requests are admitted. For a plain service these
+// are the zero Weights.
 func (c *Core) SetLive(live []model.Weights) { c.live = slices.Clone(live) }
 
-// Live returns the weights that requests are admitted for now.
+// Live returns the weights for which requests are currently admitted.
 func (c *Core) Live() []model.Weights {
 	if c.switching || c.draining {
 		return nil
@@ -55,32 +56,32 @@
 	return slices.Clone(c.live)
 }
 
-// Running returns the number of attempts on the backend server.
+// Running returns the number of attempts that are running on the backend server.
 func (c *Core) Running() int { return c.running }
 
-// Empty reports whether no attempt runs and every answer is confirmed or given
-// up.
+// Empty reports whether no attempt is running and every answer was confirmed or
+// dropped.
 func (c *Core) Empty() bool { return len(c.records) == 0 }
 
-// Drain refuses all new requests from now on.
+// Drain refuses all further requests.
 func (c *Core) Drain() { c.draining = true }
 
 // Draining reports whether Drain was called.
 func (c *Core) Draining() bool { return c.draining }
 
-// Admit decides on a RequestStart.
+// Admit decides whether to run the attempt of a RequestStart.
 func (c *Core) Admit(now time.Time, start *wire.RequestStart) Admission {
 	c.window.expire(now)
 	if _, ok := c.records[start.Attempt]; ok {
 		return Admission{}
 	}
-	if s, ok := c.window.get(start.Attempt); ok {
-		if s.refused {
-			return refusal(start.Attempt, s.reason, 0)
+	if seen, ok := c.window.get(start.Attempt); ok {
+		if seen.refused {
+			return refusal(start.Attempt, seen.reason, 0)
 		}
 		return Admission{}
 	}
-	if reason, retryAfter := c.check(now, start); reason != outcome.ReasonNone {
+	if reason, retryAfter := c.refusalReason(now, start); reason != outcome.ReasonNone {
 		if !c.window.add(now, start.Attempt, true, reason) {
 			return Admission{}
 		}
@@ -88,19 +89,20 @@
 	}
 	c.window.add(now, start.Attempt, false, outcome.ReasonNone)
 	c.records[start.Attempt] = &record{
-		attempt:    start.Attempt,
-		finger:     start.Fingerprint,
-		repeatable: start.Repeatable,
-		suspect:    start.Suspect,
-		deadline:   now.Add(time.Duration(start.RemainingMillis) * time.Millisecond),
-		hash:       blake3.New(),
-		running:    true,
+		attempt:     start.Attempt,
+		fingerprint: start.Fingerprint,
+		repeatable:  start.Repeatable,
+		suspect:     start.Suspect,
+		deadline:    now.Add(time.Duration(start.RemainingMillis) * time.Millisecond),
+		hash:        blake3.New(),
+		running:     true,
 	}
 	c.running++
 	return Admission{Decision: Admit}
 }
 
-func (c *Core) check(now time.Time, start *wire.RequestStart) (outcome.Reason, time.Duration) {
+// refusalReason returns why a request is refused, or ReasonNone if it is admitted.
+func (c *Core) refusalReason(now time.Time, start *wire.RequestStart) (outcome.Reason, time.Duration) {
 	switch {
 	case start.RemainingMillis <= 0:
 		return outcome.ReasonDeadline, 0
@@ -111,7 +113,7 @@
 	case c.quarantine != nil && c.quarantine.Quarantined(now, start.Fingerprint):
 		return outcome.ReasonQuarantined, 0
 	case start.Suspect && c.runsSuspect():
-		// Entries may pick the same instance for two suspects at the same time.
+		// Two entries may pick this instance for a suspect at the same time.
 		return outcome.ReasonOverloaded, c.config.RetryAfter
 	case c.running >= c.config.Capacity || c.window.full():
 		return outcome.ReasonOverloaded, c.config.RetryAfter
@@ -135,8 +137,8 @@
 	}}
 }
 
-// AppendFrame takes a piece of the answer. It returns false while the replay buffer is
-// full; data is kept and must not change afterwards.
+// AppendFrame adds data to the answer of an attempt. It returns false if the replay
+// buffer is full. It keeps data, which must not be modified afterwards.
 func (c *Core) AppendFrame(now time.Time, attempt model.AttemptID, data []byte) bool {
 	r, ok := c.records[attempt]
 	if !ok || !r.running || r.truncated {
@@ -146,7 +148,7 @@
 		if !r.detached || now.Sub(r.detachedAt) < c.config.ReattachTimeout {
 			return false
 		}
-		// Nobody takes the answer. The call must still reach its end.
+		// No entry receives the answer, but the call must still run to its end.
 		r.truncated = true
 		return true
 	}
@@ -155,7 +157,7 @@
 	return true
 }
 
-// End records that the backend server is done with an attempt, in whatever way.
+// End records that an attempt on the backend server has ended, and its result.
 func (c *Core) End(now time.Time, attempt model.AttemptID, o outcome.Outcome, reason outcome.Reason, status int, contentType string) {
 	r, ok := c.records[attempt]
 	if !ok || !r.running {
@@ -163,14 +165,14 @@
 	}
 	c.running--
 	if reason == outcome.ReasonBackendCrashed {
-		c.lost = append(c.lost, lostFinger{r.finger, now})
+		c.crashed = append(c.crashed, crashedRequest{r.fingerprint, now})
 	}
 	r.finish(now, o, reason, status, contentType)
 }
 
-// MessageAt returns the message of the answer at a sequence number: a frame, the
-// end when sequence is the number of frames, or nil when there is none yet. A
-// sequence number whose frame is gone gets an end that says so.
+// MessageAt returns the message of an answer at a sequence number. This is a frame, the
+// end if sequence is the number of frames, or nil if there is no message yet. If the
+// frame has been dropped, it is an end with ReasonIncomplete.
 func (c *Core) MessageAt(attempt model.AttemptID, sequence uint64) wire.Message {
 	r, ok := c.records[attempt]
 	if !ok {
@@ -179,7 +181,7 @@
 	if data, ok := r.replay.get(sequence); ok {
 		return &wire.ResponseFrame{Attempt: attempt, Sequence: sequence, Data: data}
 	}
-	if sequence < r.replay.base {
+	if sequence < r.replay.firstSequence {
 		return &wire.ResponseEnd{Attempt: attempt, Outcome: outcome.Unknown, Reason: outcome.ReasonIncomplete}
 	}
 	if r.end != nil {
@@ -188,8 +190,8 @@
 	return nil
 }
 
-// Ack frees the replay buffer below next. An ack beyond the last frame confirms
-// the end, and the attempt is forgotten.
+// Ack drops the frames below next from the replay buffer. If next is greater than the
+// number of frames, it confirms the end, and the attempt is removed.
 func (c *Core) Ack(attempt model.AttemptID, next uint64) {
 	r, ok := c.records[attempt]
 	if !ok {
@@ -201,18 +203,18 @@
 	}
 }
 
-// FrameCount returns the number of frames of an attempt so far.
+// FrameCount returns the number of frames that an attempt has produced so far.
 func (c *Core) FrameCount(attempt model.AttemptID) uint64 {
 	if r, ok := c.records[attempt]; ok {
-		return r.replay.next()
+		return r.replay.nextSequence()
 	}
 	return 0
 }
 
-// HasFrames reports whether the attempt has any answer.
+// HasFrames reports whether the attempt has produced any frame.
 func (c *Core) HasFrames(attempt model.AttemptID) bool { return c.FrameCount(attempt) > 0 }
 
-// HasRecord reports whether the attempt's answer is still kept.
+// HasRecord reports whether the attempt is running or its answer is still kept.
 func (c *Core) HasRecord(attempt model.AttemptID) bool {
 	_, ok := c.records[attempt]
 	return ok
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -18,7 +18,7 @@
 	v2 = model.Weights{Base: model.Sum([]byte("v2"))}
 )
 
-func startOf(id model.AttemptID) *wire.RequestStart {
+func requestStart(id model.AttemptID) *wire.RequestStart {
 	return &wire.RequestStart{Attempt: id, Weights: v1, RemainingMillis: 60_000, Fingerprint: model.FingerprintOf("t", "s", []byte(id))}
 }
 
@@ -40,62 +40,63 @@
 		return a.Refusal.Reason
 	}
 
-	It("refuses with the reason that applies", func() {
-		other := startOf("a")
+	It("gives the reason of each refusal", func() {
+		other := requestStart("a")
 		other.Weights = v2
 		Expect(reason(c.Admit(now, other))).To(Equal(outcome.ReasonWeightsMismatch))
-		late := startOf("b")
+		late := requestStart("b")
 		late.RemainingMillis = 0
 		Expect(reason(c.Admit(now, late))).To(Equal(outcome.ReasonDeadline))
 		for _, id := range []model.AttemptID{"c", "d"} {
-			Expect(c.Admit(now, startOf(id)).Decision).To(Equal(Admit))
+			Expect(c.Admit(now, requestStart(id)).Decision).To(Equal(Admit))
 		}
-		Expect(reason(c.Admit(now, startOf("e")))).To(Equal(outcome.ReasonOverloaded))
+		Expect(reason(c.Admit(now, requestStart("e")))).To(Equal(outcome.ReasonOverloaded))
 		c.Drain()
-		Expect(reason(c.Admit(now, startOf("f")))).To(Equal(outcome.ReasonDraining))
+		Expect(reason(c.Admit(now, requestStart("f")))).To(Equal(outcome.ReasonDraining))
 		q := NewCore(Config{}, quarantineAll{})
 		q.SetLive([]model.Weights{v1})
-		Expect(reason(q.Admit(now, startOf("g")))).To(Equal(outcome.ReasonQuarantined))
+		Expect(reason(q.Admit(now, requestStart("g")))).To(Equal(outcome.ReasonQuarantined))
 	})
 
-	// Guards against a run after the refusal that proved there was none, and
-	// against a refusal of an attempt that runs or has run.
-	It("refuses a refused id for good and never answers a duplicate of an admitted one", func() {
+	// Guards against a run of an attempt that was refused before, and against a refusal
+	// of an attempt that is running or has run.
+	It("refuses a refused id permanently and ignores duplicates of an admitted one", func() {
 		c.Drain()
-		c.Admit(now, startOf("a"))
+		c.Admit(now, requestStart("a"))
 		c.draining = false
-		Expect(reason(c.Admit(now, startOf("a")))).To(Equal(outcome.ReasonDraining))
-		Expect(c.Admit(now, startOf("b")).Decision).To(Equal(Admit))
-		Expect(c.Admit(now, startOf("b")).Decision).To(Equal(Ignore))
+		Expect(reason(c.Admit(now, requestStart("a")))).To(Equal(outcome.ReasonDraining))
+		Expect(c.Admit(now, requestStart("b")).Decision).To(Equal(Admit))
+		Expect(c.Admit(now, requestStart("b")).Decision).To(Equal(Ignore))
 		c.End(now, "b", outcome.Completed, "", 200, "")
 		c.Ack("b", 1)
 		Expect(c.HasRecord("b")).To(BeFalse())
-		Expect(c.Admit(now, startOf("b")).Decision).To(Equal(Ignore))
+		Expect(c.Admit(now, requestStart("b")).Decision).To(Equal(Ignore))
 		Expect(c.Reattach(now, &wire.Reattach{Attempt: "b"})).To(BeAssignableToTypeOf(&wire.ResponseEnd{}))
 	})
 
-	It("marks ids that it hears of before their start", func() {
+	It("refuses ids for which a Reattach or RequestCancel arrived before the start", func() {
 		Expect(c.Reattach(now, &wire.Reattach{Attempt: "a"})).To(BeAssignableToTypeOf(&wire.RequestRefused{}))
 		c.Cancel(now, "b")
-		Expect(reason(c.Admit(now, startOf("a")))).To(Equal(outcome.ReasonConnectionLost))
-		Expect(reason(c.Admit(now, startOf("b")))).To(Equal(outcome.ReasonCanceled))
+		Expect(reason(c.Admit(now, requestStart("a")))).To(Equal(outcome.ReasonConnectionLost))
+		Expect(reason(c.Admit(now, requestStart("b")))).To(Equal(outcome.ReasonCanceled))
 	})
 
-	// Guards against a proof that the gate could not keep.
-	It("says nothing when it has no room to remember a refusal", func() {
+	// Guards against a refusal that the gate does not remember. A later copy of the
+	// request could then run although the refusal proved that it did not.
+	It("ignores a request if it has no room to remember the refusal", func() {
 		c.Drain()
 		refused := 0
 		for i := range 100 {
-			if c.Admit(now, startOf(model.AttemptID(fmt.Sprint(i)))).Decision == Refuse {
+			if c.Admit(now, requestStart(model.AttemptID(fmt.Sprint(i)))).Decision == Refuse {
 				refused++
 			}
 		}
 		Expect(refused).To(Equal(64))
-		Expect(reason(c.Admit(now.Add(11*time.Minute), startOf("later")))).To(Equal(outcome.ReasonDraining))
+		Expect(reason(c.Admit(now.Add(11*time.Minute), requestStart("later")))).To(Equal(outcome.ReasonDraining))
 	})
 
-	It("holds frames back until they are confirmed and replays the rest", func() {
-		c.Admit(now, startOf("a"))
+	It("takes no frames while the replay buffer is full, and keeps unconfirmed frames", func() {
+		c.Admit(now, requestStart("a"))
 		Expect(c.AppendFrame(now, "a", []byte("12345678"))).To(BeTrue())
 		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeFalse())
 		c.Ack("a", 1)
@@ -106,13 +107,13 @@
 		Expect(c.MessageAt("a", 2)).To(HaveField("Digest", model.Sum([]byte("12345678abc"))))
 	})
 
-	// Guards against a non-repeatable call that waits for ever, or is cancelled,
-	// because its entry is gone.
-	It("cancels only repeatable attempts whose entry does not come back", func() {
-		repeatable := startOf("a")
+	// Guards against a non-repeatable call that blocks forever or is canceled because
+	// its entry is lost.
+	It("cancels only repeatable attempts whose entry does not reattach", func() {
+		repeatable := requestStart("a")
 		repeatable.Repeatable = true
 		c.Admit(now, repeatable)
-		c.Admit(now, startOf("b"))
+		c.Admit(now, requestStart("b"))
 		c.Detach(now, "a")
 		c.Detach(now, "b")
 		c.AppendFrame(now, "b", []byte("1234567890"))
@@ -125,25 +126,24 @@
 	})
 
 	It("runs one suspect at a time", func() {
-		a, b := startOf("a"), startOf("b")
+		a, b := requestStart("a"), requestStart("b")
 		a.Suspect, b.Suspect = true, true
 		Expect(c.Admit(now, a).Decision).To(Equal(Admit))
 		Expect(reason(c.Admit(now, b))).To(Equal(outcome.ReasonOverloaded))
 	})
 
-	// Guards against attempts that end with the backend server and are left out of
-	// the report because it is written later.
-	It("reports what was in flight when the backend server died", func() {
-		c.Admit(now, startOf("a"))
-		c.Admit(now, startOf("b"))
+	// Guards against a report without the attempts that ended because of the crash
+	// before the report was created.
+	It("reports the attempts that were in flight when the backend server crashed", func() {
+		c.Admit(now, requestStart("a"))
+		c.Admit(now, requestStart("b"))
 		c.End(now, "a", outcome.Unknown, outcome.ReasonBackendCrashed, 0, "")
-		Expect(c.CrashReport(now, 3).InFlight).To(ConsistOf(startOf("a").Fingerprint, startOf("b").Fingerprint))
-		Expect(c.CrashReport(now, 4).InFlight).To(Equal([]model.Fingerprint{startOf("b").Fingerprint}))
+		Expect(c.CrashReport(now, 3).InFlight).To(ConsistOf(requestStart("a").Fingerprint, requestStart("b").Fingerprint))
+		Expect(c.CrashReport(now, 4).InFlight).To(Equal([]model.Fingerprint{requestStart("b").Fingerprint}))
 	})
 })
 
-// BenchmarkAttempt is one admitted attempt with 100 frames of 20 bytes, each
-// confirmed.
+// BenchmarkAttempt measures one admitted attempt with 100 confirmed frames of 20 bytes.
 func BenchmarkAttempt(b *testing.B) {
 	c := NewCore(Config{DuplicateWindow: time.Second}, nil)
 	c.SetLive([]model.Weights{v1})
@@ -153,7 +153,7 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
 		id := model.AttemptID(fmt.Sprint(i))
-		if c.Admit(now, startOf(id)).Decision != Admit {
+		if c.Admit(now, requestStart(id)).Decision != Admit {
 			b.Fatal("not admitted")
 		}
 		for seq := range uint64(100) {
--- a/agent/gate/decision.go
+++ b/agent/gate/decision.go
@@ -2,22 +2,22 @@
 
 import "github.com/auburnbend/auburnbend/lib/wire"
 
-// Decision is what becomes of a RequestStart.
+// Decision is the decision on a RequestStart.
 type Decision uint8
 
 const (
-	// Ignore sends nothing: a copy of the attempt was admitted before, or the
-	// gate cannot prove anything. It is the zero value.
+	// Ignore means to send nothing, because a copy of the attempt was admitted before
+	// or a refusal cannot be remembered. It is the zero value.
 	Ignore Decision = iota
-	// Admit runs the attempt.
+	// Admit means to run the attempt.
 	Admit
-	// Refuse sends the refusal.
+	// Refuse means to send the refusal.
 	Refuse
 )
 
-// Admission is the answer to a RequestStart.
+// Admission is the result of Core.Admit.
 type Admission struct {
 	Decision Decision
-	// Refusal is set for Refuse.
+	// Refusal is set if Decision is Refuse.
 	Refusal *wire.RequestRefused
 }
--- a/agent/gate/quarantine.go
+++ b/agent/gate/quarantine.go
@@ -6,8 +6,9 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Quarantine is the agent's local view of requests that crash backend servers.
+// Quarantine is the agent's view of requests that crash backend servers.
 // poison.Monitor implements it.
 type Quarantine interface {
-	Quarantined(now time.Time, finger model.Fingerprint) bool
+	// Quarantined reports whether requests with this fingerprint must not run.
+	Quarantined(now time.Time, fingerprint model.Fingerprint) bool
 }
--- a/agent/gate/record.go
+++ b/agent/gate/record.go
@@ -10,28 +10,30 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// record is one admitted attempt, until its answer is confirmed or given up.
+// record holds the state of an admitted attempt until its answer is confirmed or
+// dropped.
 type record struct {
-	attempt    model.AttemptID
-	finger     model.Fingerprint
-	repeatable bool
-	suspect    bool
-	deadline   time.Time
-
-	replay  replay
-	hash    *blake3.Hasher
+	attempt     model.AttemptID
+	fingerprint model.Fingerprint
+	repeatable  bool
+	suspect     bool
+	deadline    time.Time
+
+	replay  replayBuffer
+	hash    *blake3.Hasher // over the data of all frames
 	running bool
-	// truncated is set when frames were dropped: the answer cannot complete.
+	// truncated is true if frames were dropped, so that the answer is incomplete.
 	truncated bool
 
-	end     *wire.ResponseEnd
+	end     *wire.ResponseEnd // nil while running
 	endedAt time.Time
 
+	// detached is true while the attempt has no connection to an entry.
 	detached   bool
 	detachedAt time.Time
 }
 
-// finish fixes the end of the answer.
+// finish records the end of the answer.
 func (r *record) finish(now time.Time, o outcome.Outcome, reason outcome.Reason, status int, contentType string) {
 	if r.truncated && (o == outcome.Completed || o == outcome.Failed) {
 		o, reason = outcome.Unknown, outcome.ReasonIncomplete
@@ -42,7 +44,7 @@
 		Reason:      reason,
 		Status:      status,
 		ContentType: contentType,
-		Frames:      r.replay.next(),
+		Frames:      r.replay.nextSequence(),
 	}
 	r.hash.Sum(end.Digest[:0])
 	r.end, r.endedAt, r.running = end, now, false
--- a/agent/gate/replay.go
+++ b/agent/gate/replay.go
@@ -1,34 +1,34 @@
 package gate
 
-// replay keeps the frames of an answer that the entry has not confirmed.
-type replay struct {
-	base   uint64 // sequence number of frames[0]
-	frames [][]byte
-	bytes  int
+// replayBuffer holds the frames of an answer that the entry has not confirmed.
+type replayBuffer struct {
+	firstSequence uint64 // sequence number of frames[0]
+	frames        [][]byte
+	bytes         int
 }
 
-// next returns the sequence number of the next frame to be added.
-func (r *replay) next() uint64 { return r.base + uint64(len(r.frames)) }
+// nextSequence returns the sequence number of the next frame to be added.
+func (r *replayBuffer) nextSequence() uint64 { return r.firstSequence + uint64(len(r.frames)) }
 
-func (r *replay) add(data []byte) {
+func (r *replayBuffer) add(data []byte) {
 	r.frames = append(r.frames, data)
 	r.bytes += len(data)
 }
 
 // ack drops the frames below next.
-func (r *replay) ack(next uint64) {
-	for r.base < next && len(r.frames) > 0 {
+func (r *replayBuffer) ack(next uint64) {
+	for r.firstSequence < next && len(r.frames) > 0 {
 		r.bytes -= len(r.frames[0])
 		r.frames[0] = nil
 		r.frames = r.frames[1:]
-		r.base++
+		r.firstSequence++
 	}
 }
 
-// get returns a frame that is still kept.
-func (r *replay) get(sequence uint64) ([]byte, bool) {
-	if sequence < r.base || sequence >= r.next() {
+// get returns the frame with a sequence number if it is in the buffer.
+func (r *replayBuffer) get(sequence uint64) ([]byte, bool) {
+	if sequence < r.firstSequence || sequence >= r.nextSequence() {
 		return nil, false
 	}
-	return r.frames[sequence-r.base], true
+	return r.frames[sequence-r.firstSequence], true
 }
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -10,46 +10,47 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-func (s *Gate) start(c Sender, m *wire.RequestStart) wire.Message {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.core.Admit(s.clock.Now(), m)
-	switch a.Decision {
+// start handles a RequestStart and returns the reply, if any.
+func (g *Gate) start(c Sender, m *wire.RequestStart) wire.Message {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	admission := g.core.Admit(g.clock.Now(), m)
+	switch admission.Decision {
 	case Refuse:
-		return a.Refusal
+		return admission.Refusal
 	case Ignore:
 		return nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := newRunner(m.Attempt, c, cancel)
-	s.runners[m.Attempt] = r
-	if _, connected := s.conns[c]; !connected {
-		s.detach(r)
+	a := newActiveAttempt(m.Attempt, c, cancel)
+	g.attempts[m.Attempt] = a
+	if _, connected := g.conns[c]; !connected {
+		g.detach(a)
 	}
-	go s.run(ctx, r, *m)
-	go s.write(r)
+	go g.runAttempt(ctx, a, *m)
+	go g.sendAnswer(a)
 	return nil
 }
 
-// run holds the attempt on the backend server. The attempt counts as running
-// until Run has returned, even when it was cancelled long before.
-func (s *Gate) run(ctx context.Context, r *runner, start wire.RequestStart) {
-	defer r.cancel()
-	status, contentType, err := s.backend.Run(ctx, start, func(data []byte) error { return s.emit(ctx, r, data) })
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	o, reason := judge(status, err)
-	if o == outcome.NotRun && s.core.HasFrames(r.attempt) {
+// runAttempt runs an attempt on the backend server. The attempt counts as running
+// until Backend.Run returns, even if it was canceled long before.
+func (g *Gate) runAttempt(ctx context.Context, a *activeAttempt, start wire.RequestStart) {
+	defer a.cancel()
+	status, contentType, err := g.backend.Run(ctx, start, func(data []byte) error { return g.emit(ctx, a, data) })
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	o, reason := classifyResult(status, err)
+	if o == outcome.NotRun && g.core.HasFrames(a.id) {
 		o, reason = outcome.Unknown, outcome.ReasonIncomplete
 	}
-	s.core.End(s.clock.Now(), r.attempt, o, reason, status, contentType)
-	signal(r.wake)
-	s.notifyIdle()
-	s.sweep()
+	g.core.End(g.clock.Now(), a.id, o, reason, status, contentType)
+	notify(a.sendReady)
+	g.notifyIdle()
+	g.removeFinished()
 }
 
-// judge says what a return of the backend means.
-func judge(status int, err error) (outcome.Outcome, outcome.Reason) {
+// classifyResult maps the result of Backend.Run to an outcome and a reason.
+func classifyResult(status int, err error) (outcome.Outcome, outcome.Reason) {
 	switch {
 	case err == nil && status < http.StatusBadRequest:
 		return outcome.Completed, outcome.ReasonNone
@@ -66,13 +67,13 @@
 	}
 }
 
-// emit adds data to the answer and waits while the entry does not keep up.
-func (s *Gate) emit(ctx context.Context, r *runner, data []byte) error {
+// emit adds data to the answer. It blocks while the replay buffer is full.
+func (g *Gate) emit(ctx context.Context, a *activeAttempt, data []byte) error {
 	for piece := range slices.Chunk(data, maxFrameData) {
 		piece = slices.Clone(piece)
-		for !s.tryEmit(r, piece) {
+		for !g.tryAppend(a, piece) {
 			select {
-			case <-r.space:
+			case <-a.bufferSpace:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -81,116 +82,119 @@
 	return nil
 }
 
-func (s *Gate) tryEmit(r *runner, piece []byte) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.core.AppendFrame(s.clock.Now(), r.attempt, piece) {
+func (g *Gate) tryAppend(a *activeAttempt, piece []byte) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.core.AppendFrame(g.clock.Now(), a.id, piece) {
 		return false
 	}
-	signal(r.wake)
+	notify(a.sendReady)
 	return true
 }
 
-// write sends the answer from the cursor on until the record is gone. It is the
-// only sender of the attempt's frames, so they leave in order.
-func (s *Gate) write(r *runner) {
+// sendAnswer sends the messages of an answer from the cursor on until the record is
+// removed. It is the only goroutine that sends them, so they are sent in order.
+func (g *Gate) sendAnswer(a *activeAttempt) {
 	for {
-		m, sender, epoch, gone := s.nextMessage(r)
+		m, sender, epoch, removed := g.nextMessage(a)
 		switch {
-		case gone:
+		case removed:
 			return
 		case m == nil:
-			<-r.wake
+			<-a.sendReady
 			continue
 		}
 		err := sender.Send(m)
-		s.sent(r, epoch, m, err)
+		g.messageSent(a, epoch, m, err)
 	}
 }
 
-func (s *Gate) nextMessage(r *runner) (m wire.Message, sender Sender, epoch uint64, gone bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.runners[r.attempt] != r {
+// nextMessage returns the message to send next, or nil if there is none now. removed is
+// true if the attempt no longer exists.
+func (g *Gate) nextMessage(a *activeAttempt) (m wire.Message, sender Sender, epoch uint64, removed bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.attempts[a.id] != a {
 		return nil, nil, 0, true
 	}
-	if r.sender == nil || r.cursor > s.core.FrameCount(r.attempt) {
+	if a.sender == nil || a.cursor > g.core.FrameCount(a.id) {
 		return nil, nil, 0, false
 	}
-	return s.core.MessageAt(r.attempt, r.cursor), r.sender, r.epoch, false
+	return g.core.MessageAt(a.id, a.cursor), a.sender, a.connEpoch, false
 }
 
-func (s *Gate) sent(r *runner, epoch uint64, m wire.Message, err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if r.epoch != epoch {
+// messageSent advances the cursor after a Send, or detaches the attempt if it failed.
+func (g *Gate) messageSent(a *activeAttempt, epoch uint64, m wire.Message, err error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if a.connEpoch != epoch {
 		return
 	}
 	if err != nil {
-		s.detach(r)
+		g.detach(a)
 		return
 	}
-	r.cursor++
+	a.cursor++
 	if _, end := m.(*wire.ResponseEnd); end {
-		r.cursor = s.core.FrameCount(r.attempt) + 1
+		a.cursor = g.core.FrameCount(a.id) + 1
 	}
 }
 
-// detach records that nobody takes the answer; s.mu is held.
-func (s *Gate) detach(r *runner) {
-	r.sender = nil
-	r.epoch++
-	s.core.Detach(s.clock.Now(), r.attempt)
+// detach removes the connection of an attempt. The caller holds g.mu.
+func (g *Gate) detach(a *activeAttempt) {
+	a.sender = nil
+	a.connEpoch++
+	g.core.Detach(g.clock.Now(), a.id)
 }
 
-func (s *Gate) reattach(c Sender, m *wire.Reattach) wire.Message {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if reply := s.core.Reattach(s.clock.Now(), m); reply != nil {
+func (g *Gate) reattach(c Sender, m *wire.Reattach) wire.Message {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if reply := g.core.Reattach(g.clock.Now(), m); reply != nil {
 		return reply
 	}
-	r := s.runners[m.Attempt]
-	r.sender, r.cursor = c, m.NextSequence
-	r.epoch++
-	if _, connected := s.conns[c]; !connected {
-		s.detach(r)
+	a := g.attempts[m.Attempt]
+	a.sender, a.cursor = c, m.NextSequence
+	a.connEpoch++
+	if _, connected := g.conns[c]; !connected {
+		g.detach(a)
 	}
-	signal(r.wake)
+	notify(a.sendReady)
 	return nil
 }
 
-func (s *Gate) ack(m *wire.ResponseAck) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.core.Ack(m.Attempt, m.NextSequence)
-	if r, ok := s.runners[m.Attempt]; ok {
-		signal(r.space)
-	}
-	s.sweep()
+func (g *Gate) ack(m *wire.ResponseAck) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.core.Ack(m.Attempt, m.NextSequence)
+	if a, ok := g.attempts[m.Attempt]; ok {
+		notify(a.bufferSpace)
+	}
+	g.removeFinished()
 }
 
-func (s *Gate) cancel(m *wire.RequestCancel) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.core.Cancel(s.clock.Now(), m.Attempt) {
-		if r, ok := s.runners[m.Attempt]; ok {
-			r.cancel()
+func (g *Gate) cancel(m *wire.RequestCancel) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.core.Cancel(g.clock.Now(), m.Attempt) {
+		if a, ok := g.attempts[m.Attempt]; ok {
+			a.cancel()
 		}
 	}
-	s.sweep()
+	g.removeFinished()
 }
 
-// sweep ends the writers of attempts whose record is gone, and reports an empty
-// gate; s.mu is held.
-func (s *Gate) sweep() {
-	for id, r := range s.runners {
-		if !s.core.HasRecord(id) {
-			delete(s.runners, id)
-			signal(r.wake)
+// removeFinished stops the senders of attempts whose record was removed, and closes
+// g.empty if the gate is draining and empty. The caller holds g.mu.
+func (g *Gate) removeFinished() {
+	for id, a := range g.attempts {
+		if !g.core.HasRecord(id) {
+			delete(g.attempts, id)
+			notify(a.sendReady)
 		}
 	}
-	if s.core.Draining() && s.core.Empty() && !s.emptyClosed {
-		s.emptyClosed = true
-		close(s.empty)
+	if g.core.Draining() && g.core.Empty() && !g.emptyClosed {
+		g.emptyClosed = true
+		close(g.empty)
 	}
 }
--- a/agent/gate/window.go
+++ b/agent/gate/window.go
@@ -7,32 +7,32 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// seen is what the gate remembers of an attempt id.
-type seen struct {
+// seenID is the information that is kept for an attempt id.
+type seenID struct {
 	at      time.Time
 	refused bool
 	reason  outcome.Reason
 }
 
-// window remembers attempt ids for a time, in bounded memory. Ids leave it in
-// the order in which they came.
+// window remembers attempt ids for a limited time, in bounded memory. Ids expire in
+// the order in which they were added.
 type window struct {
-	keep  time.Duration
-	limit int
-	ids   map[model.AttemptID]seen
-	queue []model.AttemptID
-	head  int
+	retention time.Duration
+	limit     int
+	ids       map[model.AttemptID]seenID
+	queue     []model.AttemptID
+	head      int // index in queue of the oldest id
 }
 
-func newWindow(keep time.Duration, limit int) *window {
-	return &window{keep: keep, limit: limit, ids: make(map[model.AttemptID]seen)}
+func newWindow(retention time.Duration, limit int) *window {
+	return &window{retention: retention, limit: limit, ids: make(map[model.AttemptID]seenID)}
 }
 
-// expire forgets the ids that are older than the window.
+// expire removes the ids that are older than the retention.
 func (w *window) expire(now time.Time) {
 	for w.head < len(w.queue) {
 		id := w.queue[w.head]
-		if now.Sub(w.ids[id].at) <= w.keep {
+		if now.Sub(w.ids[id].at) <= w.retention {
 			break
 		}
 		delete(w.ids, id)
@@ -45,20 +45,21 @@
 	}
 }
 
-func (w *window) get(id model.AttemptID) (seen, bool) {
+func (w *window) get(id model.AttemptID) (seenID, bool) {
 	s, ok := w.ids[id]
 	return s, ok
 }
 
-// full reports whether only refusals are taken in: the last eighth is theirs.
+// full reports whether only refused ids can be added. The last eighth of the window is
+// reserved for them.
 func (w *window) full() bool { return len(w.ids) >= w.limit-w.limit/8 }
 
-// add remembers an id, or returns false when there is no room at all.
+// add adds an id. It returns false if the window is completely full.
 func (w *window) add(now time.Time, id model.AttemptID, refused bool, reason outcome.Reason) bool {
 	if len(w.ids) >= w.limit {
 		return false
 	}
-	w.ids[id] = seen{at: now, refused: refused, reason: reason}
+	w.ids[id] = seenID{at: now, refused: refused, reason: reason}
 	w.queue = append(w.queue, id)
 	return true
 }
