--- a/agent/cachefeed/feed_test.go
+++ b/agent/cachefeed/feed_test.go
@@ -19,21 +19,22 @@
 	other   = model.Weights{Base: model.Sum([]byte("other"))}
 )
 
-func stored(sequence uint64, p engine.PrefixHash) engine.CacheEvent {
+// storedEvent returns the event that a prefix was stored under the current weights.
+func storedEvent(sequence uint64, p engine.PrefixHash) engine.CacheEvent {
 	return engine.CacheEvent{Sequence: sequence, Change: engine.CacheStored, Prefix: p, Weights: current}
 }
 
 var _ = Describe("A feed of cache events", func() {
-	// Guards against hints of one version that draw requests of another.
-	It("names equal text under other weights differently", func() {
+	// Guards against cached blocks of one version that attract requests for another.
+	It("uses different blocks for the same text under different weights", func() {
 		p := engine.HashPrefix([]byte("system prompt"))
 		Expect(p.Block(current)).NotTo(Equal(p.Block(other)))
 		adapted := model.Weights{Base: current.Base, Adapter: other.Base}
 		Expect(p.Block(current)).NotTo(Equal(p.Block(adapted)))
 	})
 
-	// Guards against blocks that stay known after an engine lost them.
-	It("removes what an engine lost in a restart", func() {
+	// Guards against blocks that stay announced after an engine lost them.
+	It("removes the blocks that an engine lost in a restart", func() {
 		f := &cachefeed.Feed{}
 		Expect(f.Accept(engine.CacheEventBatch{Incarnation: 1})).To(BeTrue())
 		f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: 7, Weights: current, Prefixes: []engine.PrefixHash{1, 2}})
@@ -44,26 +45,27 @@
 		Expect(f.NextUpdate()).To(BeNil())
 	})
 
-	// Guards against a stale hint of the entry that sent the request itself.
-	It("removes a block that came and went between two updates", func() {
+	// Guards against a stale block at the entry that sent the request, which assumes
+	// that its prefix is cached.
+	It("removes a block that was stored and evicted between two updates", func() {
 		f := &cachefeed.Feed{}
 		f.Reset(engine.CacheSnapshot{Incarnation: 1})
 		f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{
-			stored(1, 9), {Sequence: 2, Change: engine.CacheEvicted, Prefix: 9, Weights: current},
+			storedEvent(1, 9), {Sequence: 2, Change: engine.CacheEvicted, Prefix: 9, Weights: current},
 		}})
 		Expect(f.NextUpdate().Removed).To(ConsistOf(engine.PrefixHash(9).Block(current)))
 	})
 
-	// Guards against control traffic over what an entry of 60 connections may
-	// spend: 8 KB/s less 2.4 KB/s of idle heartbeats in both directions and one
-	// snapshot per second.
-	It("keeps updates small", func() {
+	// Guards against control traffic above the limit of an entry with 60 connections:
+	// 8 KB/s, less 2.4 KB/s for idle heartbeats in both directions. The rest must
+	// suffice for one snapshot per second and an update on each connection.
+	It("limits the size of updates and snapshots", func() {
 		f := &cachefeed.Feed{}
 		f.Reset(engine.CacheSnapshot{Incarnation: 1})
 		rng := rand.New(rand.NewSource(1))
 		largest := 0
 		for sequence := range uint64(5000) {
-			f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{stored(sequence+1, engine.PrefixHash(rng.Uint64()))}})
+			f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{storedEvent(sequence+1, engine.PrefixHash(rng.Uint64()))}})
 			if sequence%50 != 0 {
 				continue
 			}
@@ -88,27 +90,27 @@
 		Expect(60*largest + len(snapshot)).To(BeNumerically("<=", 8000-2400))
 	})
 
-	// Guards against an entry that believes in blocks which the engine does not
-	// have once all updates have arrived, whatever was lost on the way.
-	It("leads entries to the engine's cache in spite of losses", func() {
+	// Guards against an entry whose view still differs from the engine's cache after
+	// all updates have arrived, if events or earlier updates were lost.
+	It("brings entries to the state of the engine's cache despite losses", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := &cachefeed.Feed{}
 			f.Reset(engine.CacheSnapshot{Incarnation: 1})
 			cached := map[engine.PrefixHash]bool{}
 			known := map[model.Block]bool{}
-			var seen, sequence uint64
+			var lastReceived, sequence uint64
 			gap := false
 			deliver := func(u *wire.CacheUpdate) {
 				switch {
 				case u.Snapshot:
-					known, seen, gap = map[model.Block]bool{}, u.Sequence, false
-				case u.Sequence != seen+1:
+					known, lastReceived, gap = map[model.Block]bool{}, u.Sequence, false
+				case u.Sequence != lastReceived+1:
 					gap = true
 				}
 				if gap {
 					return
 				}
-				seen = u.Sequence
+				lastReceived = u.Sequence
 				for _, b := range u.Removed {
 					delete(known, b)
 				}
@@ -119,21 +121,21 @@
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				p := engine.PrefixHash(rapid.Uint64Range(1, 30).Draw(t, "prefix"))
 				sequence++
-				e := stored(sequence, p)
+				e := storedEvent(sequence, p)
 				if cached[p] {
 					e.Change = engine.CacheEvicted
 				}
 				cached[p] = !cached[p]
 				if rapid.IntRange(0, 9).Draw(t, "engine") > 0 {
 					if f.Accept(engine.CacheEventBatch{Incarnation: 1, Events: []engine.CacheEvent{e}}) {
-						f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: sequence, Weights: current, Prefixes: have(cached)})
+						f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: sequence, Weights: current, Prefixes: cachedPrefixes(cached)})
 					}
 				}
 				if u := f.NextUpdate(); u != nil && rapid.IntRange(0, 9).Draw(t, "network") > 0 {
 					deliver(u)
 				}
 			}
-			f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: sequence, Weights: current, Prefixes: have(cached)})
+			f.Reset(engine.CacheSnapshot{Incarnation: 1, Sequence: sequence, Weights: current, Prefixes: cachedPrefixes(cached)})
 			for u := f.NextUpdate(); u != nil; u = f.NextUpdate() {
 				deliver(u)
 			}
@@ -147,7 +149,8 @@
 	})
 })
 
-func have(cached map[engine.PrefixHash]bool) []engine.PrefixHash {
+// cachedPrefixes returns the prefixes that are in the cache.
+func cachedPrefixes(cached map[engine.PrefixHash]bool) []engine.PrefixHash {
 	var prefixes []engine.PrefixHash
 	for p, ok := range cached {
 		if ok {
