--- a/lib/wire/assign.go
+++ b/lib/wire/assign.go
@@ -4,26 +4,28 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Assignment tells an agent where to take one chunk from.
+// Assignment assigns to an agent the source from which to fetch one chunk.
 type Assignment struct {
+	// Grant identifies the assignment.
 	Grant uint64 `msgpack:"g"`
-	Chunk int    `msgpack:"c"`
-	// Source is the peer address of an agent; it is empty for the origin.
+	// Chunk is the index of the chunk in the manifest.
+	Chunk int `msgpack:"c"`
+	// Source is the peer address of an agent. If empty, the source is the origin.
 	Source string `msgpack:"s"`
 	// DeadlineMillis is the time until the assignment expires, in milliseconds.
 	DeadlineMillis int64 `msgpack:"d"`
 }
 
-// Assign answers an Announce.
+// Assign replies to an Announce. Trackers also send it unrequested.
 type Assign struct {
 	Manifest    model.Digest `msgpack:"m"`
 	Assignments []Assignment `msgpack:"a"`
-	// ReannounceMillis is the time after which to announce again at the latest.
+	// ReannounceMillis is the maximum time until the next Announce, in milliseconds.
 	ReannounceMillis int64 `msgpack:"r"`
-	// Peers are addresses of agents that hold chunks, for use without a tracker.
+	// Peers lists the addresses of agents that hold chunks, for use without a tracker.
 	Peers []string `msgpack:"p"`
-	// Sequence is that of the last Announce on the connection. Assignments are
-	// also pushed, so only this shows that announcements arrive.
+	// Sequence is the sequence number of the last Announce on the connection. It alone
+	// shows that announcements arrive, because an Assign may be unrequested.
 	Sequence uint64 `msgpack:"q"`
 }
 
--- a/lib/wire/attempt_of.go
+++ b/lib/wire/attempt_of.go
@@ -2,8 +2,8 @@
 
 import "github.com/auburnbend/auburnbend/lib/model"
 
-// AttemptOf returns the attempt that an agent's message belongs to; ok is false
-// for messages that concern the whole connection.
+// AttemptOf returns the attempt to which an agent's message belongs. ok is false for
+// messages that do not belong to an attempt.
 func AttemptOf(m Message) (id model.AttemptID, ok bool) {
 	switch m := m.(type) {
 	case *RequestRefused:
--- a/lib/wire/cache_fetch.go
+++ b/lib/wire/cache_fetch.go
@@ -1,6 +1,7 @@
 package wire
 
-// CacheFetch asks an agent for a snapshot, which comes with its next update.
+// CacheFetch requests a snapshot of the prefix cache from an agent. The agent sends it
+// in place of its next CacheUpdate.
 type CacheFetch struct{}
 
 // Type returns TypeCacheFetch.
--- a/lib/wire/chunk_data.go
+++ b/lib/wire/chunk_data.go
@@ -1,6 +1,6 @@
 package wire
 
-// ChunkData answers a ChunkFetch.
+// ChunkData replies to a ChunkFetch with the data of the chunk.
 type ChunkData struct {
 	RequestID uint64 `msgpack:"q"`
 	Data      []byte `msgpack:"d"`
--- a/lib/wire/chunk_fetch.go
+++ b/lib/wire/chunk_fetch.go
@@ -4,8 +4,9 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ChunkFetch asks a peer for one chunk by digest.
+// ChunkFetch requests one chunk from a peer by its digest.
 type ChunkFetch struct {
+	// RequestID identifies the request. The reply repeats it.
 	RequestID uint64       `msgpack:"q"`
 	Chunk     model.Digest `msgpack:"c"`
 }
--- a/lib/wire/chunk_refused.go
+++ b/lib/wire/chunk_refused.go
@@ -1,9 +1,9 @@
 package wire
 
-// ChunkRefused answers a ChunkFetch that the peer does not serve now.
+// ChunkRefused replies to a ChunkFetch that the peer cannot serve now.
 type ChunkRefused struct {
 	RequestID uint64 `msgpack:"q"`
-	// Busy is true when the peer has the chunk but no free upload slot.
+	// Busy means that the peer has the chunk but no free upload slot.
 	Busy bool `msgpack:"b"`
 }
 
--- a/lib/wire/codec.go
+++ b/lib/wire/codec.go
@@ -1,5 +1,6 @@
-// Package wire is the protocol between the system's own processes: frames of a
-// four-byte big-endian length, one byte of type and a msgpack body over TCP.
+// Package wire implements the protocol between entries and agents. Over TCP, optionally
+// with TLS, they exchange frames that consist of the length of the body as four bytes
+// in big-endian order, one byte for the message type, and a body in msgpack.
 package wire
 
 import (
@@ -13,28 +14,31 @@
 	"github.com/auburnbend/auburnbend/lib/msgstream"
 )
 
-// MaxFrameBytes bounds a frame in bytes: one chunk and its envelope.
+// MaxFrameBytes is the maximum size of a frame's body in bytes. It suffices for one
+// chunk and the other fields of its message.
 const MaxFrameBytes = 4<<20 + 64<<10
 
-// headerSize is the length field and the type byte.
+// headerSize is the size of the length field and the type byte in bytes.
 const headerSize = 5
 
-// Append encodes a message as one frame at the end of buf.
+// Append appends a message to buf as one frame. It returns ErrFrameTooLarge if the body
+// is larger than MaxFrameBytes.
 func Append(buf []byte, m Message) ([]byte, error) {
 	body, err := msgpack.Marshal(m)
 	if err != nil {
 		return buf, merry.Wrap(err)
 	}
 	if len(body) > MaxFrameBytes {
-		return buf, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("type %d has %d bytes, allowed are %d", m.Type(), len(body), MaxFrameBytes))
+		return buf, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("message of type %d has %d bytes, limit is %d", m.Type(), len(body), MaxFrameBytes))
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(body)))
 	buf = append(buf, byte(m.Type()))
 	return append(buf, body...), nil
 }
 
-// Read decodes the next frame. The length is checked before memory is
-// allocated, so that a corrupt length cannot exhaust memory.
+// Read decodes the next frame. Frames that are not valid give ErrFrameTooLarge,
+// ErrUnknownType or ErrMalformed. The length is checked before memory is allocated, so
+// that a corrupt length cannot exhaust memory.
 func Read(r *bufio.Reader) (Message, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -42,7 +46,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[:4])
 	if size > MaxFrameBytes {
-		return nil, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("type %d claims %d bytes, allowed are %d", header[4], size, MaxFrameBytes))
+		return nil, merry.Wrap(ErrFrameTooLarge, merry.AppendMessagef("frame of type %d has length %d, limit is %d", header[4], size, MaxFrameBytes))
 	}
 	m := newMessage(Type(header[4]))
 	if m == nil {
--- a/lib/wire/codec_test.go
+++ b/lib/wire/codec_test.go
@@ -12,30 +12,31 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-func frame(size uint32, kind byte, body []byte) []byte {
+// frame encodes a frame with any length, type and body.
+func frame(size uint32, messageType byte, body []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, size)
-	return append(append(b, kind), body...)
+	return append(append(b, messageType), body...)
 }
 
 var _ = Describe("Frames", func() {
 	// Guards against invalid frames that crash the reader, exhaust memory or are
-	// taken for messages.
-	DescribeTable("refuses invalid frames",
+	// accepted as messages.
+	DescribeTable("are rejected if they are invalid",
 		func(input []byte, want error) {
 			_, err := wire.Read(bufio.NewReader(bytes.NewReader(input)))
 			Expect(err).To(MatchError(want))
 		},
-		Entry("length over the limit", frame(wire.MaxFrameBytes+1, byte(wire.TypeHello), nil), wire.ErrFrameTooLarge),
+		Entry("length above the limit", frame(wire.MaxFrameBytes+1, byte(wire.TypeHello), nil), wire.ErrFrameTooLarge),
 		Entry("unknown type", frame(0, 250, nil), wire.ErrUnknownType),
 		Entry("body that is not msgpack", frame(3, byte(wire.TypeHello), []byte{0xc1, 0xc1, 0xc1}), wire.ErrMalformed),
 	)
 
-	It("refuses to send a message over the limit", func() {
+	It("are not encoded if they exceed the size limit", func() {
 		_, err := wire.Append(nil, &wire.ChunkData{Data: make([]byte, wire.MaxFrameBytes)})
 		Expect(err).To(MatchError(wire.ErrFrameTooLarge))
 	})
 
-	It("returns what was sent, frame after frame", func() {
+	It("are decoded to the messages that were encoded, in order", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			sent := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *wire.ResponseFrame {
 				return &wire.ResponseFrame{
@@ -65,12 +66,12 @@
 		})
 	})
 
-	// Guards against a reader that panics on bytes from a damaged or foreign peer.
-	It("survives any input", func() {
+	// Guards against a reader that panics on invalid data.
+	It("are read without a panic, whatever their content", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			body := rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "body")
-			kind := rapid.Byte().Draw(t, "kind")
-			_, _ = wire.Read(bufio.NewReader(bytes.NewReader(frame(uint32(len(body)), kind, body))))
+			messageType := rapid.Byte().Draw(t, "kind")
+			_, _ = wire.Read(bufio.NewReader(bytes.NewReader(frame(uint32(len(body)), messageType, body))))
 		})
 	})
 })
--- a/lib/wire/config_delta.go
+++ b/lib/wire/config_delta.go
@@ -1,6 +1,6 @@
 package wire
 
-// ConfigDelta carries encoded revisions in order; lib/config reads them.
+// ConfigDelta carries encoded revisions in order. Package lib/config decodes them.
 type ConfigDelta struct {
 	Revisions [][]byte `msgpack:"r"`
 }
--- a/lib/wire/config_fetch.go
+++ b/lib/wire/config_fetch.go
@@ -1,6 +1,6 @@
 package wire
 
-// ConfigFetch asks for the configuration after a revision.
+// ConfigFetch requests the revisions of the configuration after the given one.
 type ConfigFetch struct {
 	After uint64 `msgpack:"a"`
 }
--- a/lib/wire/conn.go
+++ b/lib/wire/conn.go
@@ -11,88 +11,89 @@
 )
 
 const (
-	// readBuffer is the size of a connection's read buffer in bytes.
-	readBuffer = 64 << 10
-	// defaultQueue is the number of encoded frames that may wait for the writer.
-	defaultQueue = 256
-	// writeTimeout bounds one write, so that a silent path cannot hold the
+	// bufferSize is the size of a connection's read and write buffers in bytes.
+	bufferSize = 64 << 10
+	// sendQueueSize is the maximum number of encoded frames that wait to be written.
+	sendQueueSize = 256
+	// writeTimeout bounds one write, so that a path that drops packets cannot block the
 	// writer forever.
 	writeTimeout = 10 * time.Second
 )
 
-// Conn sends and receives messages over one connection. Send may be called
-// from any goroutine; Receive belongs to one reader goroutine. Conn owns the
-// underlying connection.
+// Conn sends and receives messages over one connection, which it owns. Its methods are
+// safe for concurrent use, except Receive, which only one goroutine may call.
 type Conn struct {
-	nc     net.Conn
-	reader *bufio.Reader
-	queue  chan outgoing
-	done   chan struct{}
-	once   sync.Once
-	sent   atomic.Int64
-	read   atomic.Int64
-	// active is the time of the last message other than a heartbeat or a cache
-	// hint, in nanoseconds since 1970.
-	active atomic.Int64
+	nc        net.Conn
+	reader    *bufio.Reader
+	queue     chan queuedFrame
+	done      chan struct{}
+	closeOnce sync.Once
+	sent      atomic.Int64
+	received  atomic.Int64
+	// lastData is the time at which the last message other than a heartbeat or a cache
+	// hint was queued, in nanoseconds since the Unix epoch.
+	lastData atomic.Int64
 }
 
-// outgoing is an encoded frame that waits for the writer. A non-nil written is
-// closed once the frame was handed to the operating system.
-type outgoing struct {
+// queuedFrame is an encoded frame that waits to be written. If written is not nil, it
+// is closed once the frame has been passed to the operating system.
+type queuedFrame struct {
 	frame   []byte
 	written chan struct{}
 }
 
-// NewConn takes over nc and starts its writer goroutine.
+// NewConn returns a connection that owns nc, and starts its writer goroutine.
 func NewConn(nc net.Conn) *Conn {
 	c := &Conn{
 		nc:    nc,
-		queue: make(chan outgoing, defaultQueue),
+		queue: make(chan queuedFrame, sendQueueSize),
 		done:  make(chan struct{}),
 	}
-	c.reader = bufio.NewReaderSize(&countingReader{nc: nc, count: &c.read}, readBuffer)
-	go c.write()
+	c.reader = bufio.NewReaderSize(&countingReader{nc: nc, count: &c.received}, bufferSize)
+	go c.writeLoop()
 	return c
 }
 
-// Send queues a message. It blocks while the queue is full, which passes
-// backpressure on to the sender, and returns ErrClosed after Close.
+// Send queues a message. It blocks while the queue is full, as backpressure to the
+// sender. It returns ErrClosed after Close.
 func (c *Conn) Send(m Message) error {
 	frame, err := c.encode(m)
 	if err != nil {
 		return err
 	}
 	select {
-	case c.queue <- outgoing{frame: frame}:
+	case c.queue <- queuedFrame{frame: frame}:
 		return nil
 	case <-c.done:
 		return merry.Wrap(ErrClosed)
 	}
 }
 
-// SendAndFlush queues a message and waits until it was handed to the operating
-// system, so that a sender of large frames keeps one of them in memory.
+// SendAndFlush queues a message and waits until it has been passed to the operating
+// system, so that a sender of large frames holds only one of them in memory. It returns
+// ErrClosed after Close.
 func (c *Conn) SendAndFlush(m Message) error {
 	frame, err := c.encode(m)
 	if err != nil {
 		return err
 	}
-	out := outgoing{frame: frame, written: make(chan struct{})}
+	queued := queuedFrame{frame: frame, written: make(chan struct{})}
 	select {
-	case c.queue <- out:
+	case c.queue <- queued:
 	case <-c.done:
 		return merry.Wrap(ErrClosed)
 	}
 	select {
-	case <-out.written:
+	case <-queued.written:
 		return nil
 	case <-c.done:
 		return merry.Wrap(ErrClosed)
 	}
 }
 
-// TrySend queues a message, or returns ErrQueueFull at once. Heartbeats and
-// hints use it: a late one is worth less than a blocked sender.
+// TrySend queues a message without blocking. It returns ErrQueueFull if the queue is
+// full, and ErrClosed after Close. It is used for heartbeats and hints, which are
+// better lost than blocking the sender.
 func (c *Conn) TrySend(m Message) error {
 	frame, err := c.encode(m)
 	if err != nil {
@@ -104,7 +105,7 @@
 	default:
 	}
 	select {
-	case c.queue <- outgoing{frame: frame}:
+	case c.queue <- queuedFrame{frame: frame}:
 		return nil
 	default:
 		return merry.Wrap(ErrQueueFull)
@@ -112,56 +113,58 @@
 }
 
 func (c *Conn) encode(m Message) ([]byte, error) {
-	if !hint(m.Type()) {
-		c.active.Store(time.Now().UnixNano())
+	if !isHint(m.Type()) {
+		c.lastData.Store(time.Now().UnixNano())
 	}
 	return Append(nil, m)
 }
 
-// hint reports whether a message of this type does not stand for a heartbeat:
-// the peer takes only messages about attempts as signs of life.
-func hint(t Type) bool {
+// isHint reports whether messages of this type do not replace heartbeats. The peer
+// does not count them as a sign that this side is alive.
+func isHint(t Type) bool {
 	return t == TypeHeartbeat || t == TypeCacheUpdate || t == TypeCacheFetch
 }
 
-// LastDataSent returns when a message other than a heartbeat or a cache hint was
-// last queued.
-func (c *Conn) LastDataSent() time.Time { return time.Unix(0, c.active.Load()) }
+// LastDataSent returns the time at which a message other than a heartbeat or a cache
+// hint was last queued.
+func (c *Conn) LastDataSent() time.Time { return time.Unix(0, c.lastData.Load()) }
 
-// Receive returns the next message.
+// Receive returns the next message. It blocks until one arrives or the connection
+// fails.
 func (c *Conn) Receive() (Message, error) { return Read(c.reader) }
 
-// SetReadDeadline bounds Receive; the zero time removes the bound.
+// SetReadDeadline sets the deadline of Receive. The zero time removes it.
 func (c *Conn) SetReadDeadline(t time.Time) error { return c.nc.SetReadDeadline(t) }
 
-// Close ends the connection and unblocks Send and Receive. Queued messages are
+// Close closes the connection and unblocks Send and Receive. Queued messages are
 // dropped.
 func (c *Conn) Close() error {
 	err := error(nil)
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		err = c.nc.Close()
 	})
 	return err
 }
 
-// Done is closed when the connection is closed by this side or its writer fails.
+// Done returns a channel that is closed when this side closes the connection or the
+// writer fails.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// ByteCounts returns the bytes sent and received so far.
-func (c *Conn) ByteCounts() (sent, received int64) { return c.sent.Load(), c.read.Load() }
+// ByteCounts returns the numbers of bytes sent and received so far.
+func (c *Conn) ByteCounts() (sent, received int64) { return c.sent.Load(), c.received.Load() }
 
 // RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() net.Addr { return c.nc.RemoteAddr() }
 
-func (c *Conn) write() {
-	w := bufio.NewWriterSize(c.nc, readBuffer)
+func (c *Conn) writeLoop() {
+	w := bufio.NewWriterSize(c.nc, bufferSize)
 	for {
 		select {
 		case <-c.done:
 			return
-		case frame := <-c.queue:
-			if !c.writeFrames(w, frame) {
+		case next := <-c.queue:
+			if !c.writeBatch(w, next) {
 				_ = c.Close()
 				return
 			}
@@ -169,20 +172,20 @@
 	}
 }
 
-// writeFrames writes one frame and all that are queued behind it, then flushes,
-// so that a burst of frames costs one system call.
-func (c *Conn) writeFrames(w *bufio.Writer, next outgoing) bool {
+// writeBatch writes one frame and all that are queued after it, then flushes, so that
+// a burst of frames needs only one system call. It returns false if a write failed.
+func (c *Conn) writeBatch(w *bufio.Writer, next queuedFrame) bool {
 	if c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
 	}
-	var waiting []chan struct{}
+	var flushed []chan struct{}
 	for {
 		if _, err := w.Write(next.frame); err != nil {
 			return false
 		}
 		c.sent.Add(int64(len(next.frame)))
 		if next.written != nil {
-			waiting = append(waiting, next.written)
+			flushed = append(flushed, next.written)
 		}
 		select {
 		case next = <-c.queue:
@@ -192,7 +195,7 @@
 		if w.Flush() != nil {
 			return false
 		}
-		for _, written := range waiting {
+		for _, written := range flushed {
 			close(written)
 		}
 		return true
--- a/lib/wire/conn_test.go
+++ b/lib/wire/conn_test.go
@@ -18,16 +18,16 @@
 			peer wire.Hello
 			err  error
 		}
-		accepted := make(chan result, 1)
+		agentSide := make(chan result, 1)
 		go func() {
 			conn, peer, err := wire.Handshake(b, wire.Hello{Role: wire.RoleAgent})
-			accepted <- result{conn, peer, err}
+			agentSide <- result{conn, peer, err}
 		}()
 		entry, peer, err := wire.Handshake(a, wire.Hello{Role: wire.RoleEntry, Identity: model.Identity{Instance: "entry-1"}})
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = entry.Close() }()
 		Expect(peer.Role).To(Equal(wire.RoleAgent))
-		agent := <-accepted
+		agent := <-agentSide
 		Expect(agent.err).NotTo(HaveOccurred())
 		defer func() { _ = agent.conn.Close() }()
 		Expect(agent.peer.Identity.Instance).To(Equal(model.InstanceID("entry-1")))
@@ -42,8 +42,8 @@
 		}
 	})
 
-	// Guards against a process that talks to a peer of another protocol version.
-	It("refuses a peer whose first frame is not a Hello", func() {
+	// Guards against communication with a peer that uses another protocol.
+	It("rejects a peer whose first frame is not a Hello", func() {
 		a, b := net.Pipe()
 		go func() {
 			conn := wire.NewConn(b)
--- a/lib/wire/connection_reject.go
+++ b/lib/wire/connection_reject.go
@@ -1,6 +1,7 @@
 package wire
 
-// ConnectionReject says why a Hello was refused, before the connection closes.
+// ConnectionReject gives the reason why a Hello was rejected. The sender then closes
+// the connection.
 type ConnectionReject struct {
 	Reason string `msgpack:"r"`
 }
--- a/lib/wire/counting_reader.go
+++ b/lib/wire/counting_reader.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// countingReader counts the bytes that are read from a connection.
+// countingReader adds the number of bytes read from a connection to count.
 type countingReader struct {
 	nc    net.Conn
 	count *atomic.Int64
--- a/lib/wire/crash_report.go
+++ b/lib/wire/crash_report.go
@@ -4,9 +4,9 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// CrashReport lists what was in flight when a backend server died.
+// CrashReport lists the requests that were in flight when a backend server crashed.
 type CrashReport struct {
-	// Incarnation numbers the starts of the backend server that the agent saw.
+	// Incarnation identifies the start of the backend server that ended in the crash.
 	Incarnation uint64              `msgpack:"n"`
 	InFlight    []model.Fingerprint `msgpack:"f"`
 }
--- a/lib/wire/entry_list.go
+++ b/lib/wire/entry_list.go
@@ -1,11 +1,11 @@
 package wire
 
-// EntryList tells an agent the peer addresses of the entries of its failure
-// domain, from which it picks trackers by rendezvous hashing.
+// EntryList gives an agent the peer addresses of the entries in the sender's failure
+// domain. The agent selects trackers from them by rendezvous hashing.
 type EntryList struct {
 	Addresses []string `msgpack:"a"`
-	// Rank is the position of the agent among the instances of its pool and
-	// failure domain. A placement with N replicas is for ranks 0 to N-1.
+	// Rank is the position of the agent among the instances of its pool and failure
+	// domain. A placement with N replicas applies to ranks 0 to N-1.
 	Rank int `msgpack:"r"`
 }
 
--- a/lib/wire/errors.go
+++ b/lib/wire/errors.go
@@ -3,14 +3,15 @@
 import "github.com/ansel1/merry/v2"
 
 var (
-	// ErrFrameTooLarge means that a frame's length is over MaxFrame.
+	// ErrFrameTooLarge means that a frame's body is larger than MaxFrameBytes.
 	ErrFrameTooLarge = merry.New("frame too large")
-	// ErrUnknownType means that a frame has a type that this version lacks.
+	// ErrUnknownType means that this version does not know the type of a frame.
 	ErrUnknownType = merry.New("unknown frame type")
-	// ErrMalformed means that a frame's body does not decode.
+	// ErrMalformed means that a frame's body cannot be decoded.
 	ErrMalformed = merry.New("malformed frame")
-	// ErrClosed means that the connection was closed by this side.
+	// ErrClosed means that this side has closed the connection or its writer failed.
 	ErrClosed = merry.New("connection closed")
-	// ErrQueueFull means that the peer does not read as fast as this side sends.
+	// ErrQueueFull means that the send queue is full, because the peer reads more
+	// slowly than this side sends.
 	ErrQueueFull = merry.New("send queue full")
 )
--- a/lib/wire/handshake.go
+++ b/lib/wire/handshake.go
@@ -7,14 +7,16 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// handshakeTimeout bounds the exchange of Hello messages.
+// handshakeTimeout bounds the wait for the peer's Hello.
 const handshakeTimeout = 3 * time.Second
 
-// ErrHandshake means that the peer is not one that this process talks to.
-var ErrHandshake = merry.New("handshake refused")
+// ErrHandshake means that the exchange of Hello messages failed: the peer did not send
+// a Hello, uses another protocol version, or rejected the connection.
+var ErrHandshake = merry.New("handshake failed")
 
-// Handshake takes over nc, sends hello and waits for the peer's. It closes nc
-// when it fails. TLS, where configured, is already set up on nc.
+// Handshake sends hello on nc and waits for the Hello of the peer, which it returns
+// together with a Conn that owns nc. It closes nc on failure. If TLS is used, it must
+// already be established on nc.
 func Handshake(nc net.Conn, hello Hello) (*Conn, Hello, error) {
 	conn := NewConn(nc)
 	peer, err := exchangeHello(conn, hello)
@@ -40,12 +42,12 @@
 	switch peer := m.(type) {
 	case *Hello:
 		if peer.Version != ProtocolVersion {
-			return Hello{}, merry.Wrap(ErrHandshake, merry.AppendMessagef("peer speaks version %d, this process %d", peer.Version, ProtocolVersion))
+			return Hello{}, merry.Wrap(ErrHandshake, merry.AppendMessagef("peer has protocol version %d, want %d", peer.Version, ProtocolVersion))
 		}
 		return *peer, conn.SetReadDeadline(time.Time{})
 	case *ConnectionReject:
 		return Hello{}, merry.Wrap(ErrHandshake, merry.AppendMessage(peer.Reason))
 	default:
-		return Hello{}, merry.Wrap(ErrHandshake, merry.AppendMessagef("first frame has type %d", m.Type()))
+		return Hello{}, merry.Wrap(ErrHandshake, merry.AppendMessagef("first frame has type %d, want Hello", m.Type()))
 	}
 }
--- a/lib/wire/hello.go
+++ b/lib/wire/hello.go
@@ -4,25 +4,25 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ProtocolVersion is sent in Hello. Peers with another version are refused.
+// ProtocolVersion is sent in Hello. Peers with another version are rejected.
 const ProtocolVersion = 1
 
-// Role says what the sender of a Hello is.
+// Role is the kind of process that sends a Hello.
 type Role uint8
 
 const (
-	// RoleEntry is an entry daemon.
+	// RoleEntry is the role of an entry.
 	RoleEntry Role = 1
-	// RoleAgent is an agent daemon.
+	// RoleAgent is the role of an agent.
 	RoleAgent Role = 2
 )
 
-// Hello opens a connection in both directions.
+// Hello is the first message on a connection, in both directions.
 type Hello struct {
 	Version  int            `msgpack:"v"`
 	Role     Role           `msgpack:"r"`
 	Identity model.Identity `msgpack:"i"`
-	// Pool names the agent's group of instances; entries leave it empty.
+	// Pool is the name of the agent's group of instances. Entries leave it empty.
 	Pool string `msgpack:"p"`
 }
 
--- a/lib/wire/holder_summary.go
+++ b/lib/wire/holder_summary.go
@@ -4,8 +4,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// HolderSummary tells the tracker of another failure domain which of its agents
-// hold which chunks, so that chunks can be forwarded between domains.
+// HolderSummary informs a tracker of another failure domain which agents of the
+// sender's domain hold which chunks, so that chunks can be transferred between domains.
 type HolderSummary struct {
 	Manifest model.Digest   `msgpack:"m"`
 	Location model.Location `msgpack:"l"`
@@ -15,7 +15,7 @@
 // Holder is one agent in a HolderSummary.
 type Holder struct {
 	Address string `msgpack:"a"`
-	// ChunkBitmap is a bitmap of verified chunks, least significant bit first.
+	// ChunkBitmap is a bitmap of the verified chunks, least significant bit first.
 	ChunkBitmap []byte `msgpack:"h"`
 }
 
--- a/lib/wire/load.go
+++ b/lib/wire/load.go
@@ -1,13 +1,15 @@
 package wire
 
-// Load is an agent's report about its backend server.
+// Load is an agent's report on the load of its backend server.
 type Load struct {
+	// Running and Queued are numbers of requests.
 	Running int `msgpack:"r"`
 	Queued  int `msgpack:"q"`
-	// Capacity is the number of requests that the backend server runs at once.
+	// Capacity is the maximum number of requests that the backend server runs
+	// concurrently.
 	Capacity int `msgpack:"c"`
 	// FirstTokenMillis is the recent time to first token in milliseconds.
 	FirstTokenMillis int `msgpack:"f"`
-	// AgeMillis is the age of the report when it was sent, in milliseconds.
+	// AgeMillis is the age of the report at the time of sending, in milliseconds.
 	AgeMillis int `msgpack:"a"`
 }
--- a/lib/wire/load_permit_fetch.go
+++ b/lib/wire/load_permit_fetch.go
@@ -4,8 +4,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// LoadPermitFetch asks the tracker whether the instance may leave the version
-// that it serves and load another.
+// LoadPermitFetch requests a permit from the tracker to stop serving the live version
+// and load another one.
 type LoadPermitFetch struct {
 	Manifest model.Digest `msgpack:"m"`
 }
--- a/lib/wire/manifest_data.go
+++ b/lib/wire/manifest_data.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ManifestData carries an encoded manifest.
+// ManifestData replies to a ManifestFetch with the encoded manifest.
 type ManifestData struct {
 	Manifest model.Digest `msgpack:"m"`
 	Data     []byte       `msgpack:"d"`
--- a/lib/wire/manifest_fetch.go
+++ b/lib/wire/manifest_fetch.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ManifestFetch asks for an encoded manifest.
+// ManifestFetch requests an encoded manifest.
 type ManifestFetch struct {
 	Manifest model.Digest `msgpack:"m"`
 }
--- a/lib/wire/manifest_refused.go
+++ b/lib/wire/manifest_refused.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ManifestRefused says that the peer does not have the manifest.
+// ManifestRefused replies to a ManifestFetch if the peer does not have the manifest.
 type ManifestRefused struct {
 	Manifest model.Digest `msgpack:"m"`
 }
--- a/lib/wire/message.go
+++ b/lib/wire/message.go
@@ -2,6 +2,6 @@
 
 // Message is the body of a frame.
 type Message interface {
-	// Type returns the frame type of the message.
+	// Type returns the type of the message.
 	Type() Type
 }
--- a/lib/wire/phase.go
+++ b/lib/wire/phase.go
@@ -14,7 +14,7 @@
 	PhaseFailed
 )
 
-// String returns the name that tables and metrics show.
+// String returns the name that is used in tables and metrics.
 func (p Phase) String() string {
 	names := [...]string{"idle", "fetching", "verified", "quiescing", "loading", "live", "failed"}
 	if int(p) < len(names) {
--- a/lib/wire/reattach.go
+++ b/lib/wire/reattach.go
@@ -4,10 +4,11 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Reattach asks for an answer from a sequence number on, over a new connection.
+// Reattach requests the answer of an attempt on a new connection.
 type Reattach struct {
-	Attempt      model.AttemptID `msgpack:"a"`
-	NextSequence uint64          `msgpack:"n"`
+	Attempt model.AttemptID `msgpack:"a"`
+	// NextSequence is the sequence number of the first frame to send.
+	NextSequence uint64 `msgpack:"n"`
 }
 
 // Type returns TypeReattach.
--- a/lib/wire/registry.go
+++ b/lib/wire/registry.go
@@ -1,6 +1,6 @@
 package wire
 
-// newMessage returns an empty message of a type, or nil for an unknown type.
+// newMessage returns an empty message of type t, or nil if the type is unknown.
 func newMessage(t Type) Message {
 	switch t {
 	case TypeHello:
--- a/lib/wire/request_cancel.go
+++ b/lib/wire/request_cancel.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// RequestCancel ends an attempt whose caller has gone.
+// RequestCancel cancels an attempt whose caller has disconnected.
 type RequestCancel struct {
 	Attempt model.AttemptID `msgpack:"a"`
 }
--- a/lib/wire/request_refused.go
+++ b/lib/wire/request_refused.go
@@ -5,7 +5,8 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// RequestRefused proves that the backend server did not run the attempt.
+// RequestRefused refuses an attempt. It proves that the backend server has not run the
+// attempt and will not run it.
 type RequestRefused struct {
 	Attempt          model.AttemptID `msgpack:"a"`
 	Reason           outcome.Reason  `msgpack:"r"`
--- a/lib/wire/request_start.go
+++ b/lib/wire/request_start.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// RequestStart hands one attempt of a request to an agent.
+// RequestStart sends one attempt of a request to an agent.
 type RequestStart struct {
 	Request         model.RequestID   `msgpack:"r"`
 	Attempt         model.AttemptID   `msgpack:"a"`
@@ -13,17 +13,17 @@
 	Service         model.Service     `msgpack:"s"`
 	Weights         model.Weights     `msgpack:"w"`
 	Fingerprint     model.Fingerprint `msgpack:"f"`
-	RemainingMillis int64             `msgpack:"d"` // milliseconds until the deadline
+	RemainingMillis int64             `msgpack:"d"` // time until the deadline
 	Hop             int               `msgpack:"h"`
 	Priority        int               `msgpack:"p"`
-	// Repeatable allows the agent to start the request again on its backend
-	// server after a failure that may have run it.
+	// Repeatable allows the agent to run the request again after a failure, even if
+	// the backend server may already have run it.
 	Repeatable  bool   `msgpack:"e"`
 	ContentType string `msgpack:"y"`
-	// Suspect says that the request was in flight when a backend server crashed.
-	// The agent runs one suspect at a time.
+	// Suspect means that the request was in flight when a backend server crashed. An
+	// agent runs one suspect at a time.
 	Suspect bool `msgpack:"u"`
-	// IdempotencyKey is passed on to plain services that understand it.
+	// IdempotencyKey is passed to plain services, which may support it.
 	IdempotencyKey string `msgpack:"k"`
 	Body           []byte `msgpack:"b"`
 }
--- a/lib/wire/response_ack.go
+++ b/lib/wire/response_ack.go
@@ -4,10 +4,13 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ResponseAck lets the agent free its replay buffer up to Next.
+// ResponseAck confirms the frames of an answer, so that the agent can drop them from
+// its replay buffer.
 type ResponseAck struct {
-	Attempt      model.AttemptID `msgpack:"a"`
-	NextSequence uint64          `msgpack:"n"`
+	Attempt model.AttemptID `msgpack:"a"`
+	// NextSequence is the sequence number after the last confirmed frame. One more than
+	// the number of frames also confirms the ResponseEnd.
+	NextSequence uint64 `msgpack:"n"`
 }
 
 // Type returns TypeResponseAck.
--- a/lib/wire/response_end.go
+++ b/lib/wire/response_end.go
@@ -5,14 +5,14 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// ResponseEnd closes an answer. Without it an answer is incomplete.
+// ResponseEnd ends an answer. An answer without it is incomplete.
 type ResponseEnd struct {
 	Attempt     model.AttemptID `msgpack:"a"`
 	Outcome     outcome.Outcome `msgpack:"o"`
 	Reason      outcome.Reason  `msgpack:"r"`
 	Status      int             `msgpack:"s"` // HTTP status of the backend server
 	ContentType string          `msgpack:"y"`
-	Frames      uint64          `msgpack:"n"`
+	Frames      uint64          `msgpack:"n"` // number of frames
 	Digest      model.Digest    `msgpack:"d"` // over the data of all frames
 }
 
--- a/lib/wire/rollout_fetch.go
+++ b/lib/wire/rollout_fetch.go
@@ -1,6 +1,6 @@
 package wire
 
-// RolloutFetch asks an entry for what its trackers know.
+// RolloutFetch requests a RolloutReport from an entry.
 type RolloutFetch struct{}
 
 // Type returns TypeRolloutFetch.
--- a/lib/wire/rollout_report.go
+++ b/lib/wire/rollout_report.go
@@ -4,12 +4,13 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// RolloutReport lists the instances that a tracker knows.
+// RolloutReport replies to a RolloutFetch with the instances that the entry's trackers
+// know.
 type RolloutReport struct {
 	Instances []InstanceStatus `msgpack:"i"`
 }
 
-// InstanceStatus is one instance in a RolloutReport.
+// InstanceStatus is the status of one instance in a RolloutReport.
 type InstanceStatus struct {
 	Instance model.InstanceID    `msgpack:"i"`
 	Domain   model.FailureDomain `msgpack:"d"`
--- a/lib/wire/suspect_run.go
+++ b/lib/wire/suspect_run.go
@@ -4,12 +4,13 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// SuspectRun is one entry's state of running a suspect. The highest sequence
-// number of an entry's generation counts.
+// SuspectRun states whether an entry is running a suspect or plans to. For each
+// generation of an entry, the one with the highest sequence number applies.
 type SuspectRun struct {
-	Entry      model.InstanceID   `msgpack:"e"`
-	Generation model.Generation   `msgpack:"g"`
-	Sequence   uint64             `msgpack:"s"`
-	Planned    bool               `msgpack:"x"`
-	Running    []model.InstanceID `msgpack:"r"`
+	Entry      model.InstanceID `msgpack:"e"`
+	Generation model.Generation `msgpack:"g"`
+	Sequence   uint64           `msgpack:"s"`
+	Planned    bool             `msgpack:"x"`
+	// Running lists the instances on which the suspect is running.
+	Running []model.InstanceID `msgpack:"r"`
 }
--- a/lib/wire/suspect_update.go
+++ b/lib/wire/suspect_update.go
@@ -4,18 +4,18 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Suspect counts the backend servers that died with a request in flight.
+// Suspect is a request that was in flight when backend servers crashed.
 type Suspect struct {
 	Fingerprint    model.Fingerprint  `msgpack:"f"`
 	CrashedServers []model.InstanceID `msgpack:"c"`
-	// Incidents are the same crashes one by one, so that updates merge in any
-	// order and a success clears exactly the crashes before it.
+	// Incidents lists the same crashes individually, so that updates can be merged in
+	// any order and a success clears exactly the crashes before it.
 	Incidents []Incident `msgpack:"i"`
-	// Runs say which entries run the request or are about to.
+	// Runs lists the entries that are running the request or plan to.
 	Runs []SuspectRun `msgpack:"r"`
 }
 
-// SuspectUpdate passes crash attribution between entries.
+// SuspectUpdate exchanges suspects between entries.
 type SuspectUpdate struct {
 	Suspects []Suspect           `msgpack:"s"`
 	Cleared  []model.Fingerprint `msgpack:"c"`
--- a/lib/wire/transfer_status.go
+++ b/lib/wire/transfer_status.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// TransferStatus tells a tracker how far an instance is.
+// TransferStatus reports the progress of an instance to a tracker.
 type TransferStatus struct {
 	Manifest    model.Digest `msgpack:"m"`
 	Phase       Phase        `msgpack:"p"`
--- a/lib/wire/type.go
+++ b/lib/wire/type.go
@@ -1,9 +1,9 @@
 package wire
 
-// Type is the first byte of a frame and names the message in it.
+// Type is the type of the message in a frame.
 type Type uint8
 
-// Message types. Numbers are part of the protocol: they are never reused.
+// Message types. The numbers are part of the protocol and are never reused.
 const (
 	TypeHello            Type = 1
 	TypeHeartbeat        Type = 2
