--- a/lib/heartbeat/sender.go
+++ b/lib/heartbeat/sender.go
@@ -11,19 +11,19 @@
 // Sender sends heartbeats on a connection until it closes.
 type Sender struct {
 	Conn *wire.Conn
-	// Heartbeat returns the heartbeat to send; Sequence is set by the sender.
+	// Heartbeat returns the heartbeat to send. The sender sets its sequence number.
 	Heartbeat func() wire.Heartbeat
-	// InFlight returns the number of requests in flight on the connection. The
-	// interval is a second with requests and longer without.
+	// InFlight returns the number of requests in flight on the connection, which
+	// determines the interval (see member.SendInterval).
 	InFlight func() int
-	// SendNow asks for a heartbeat out of turn; it may be nil.
+	// SendNow triggers a heartbeat outside the regular interval. It may be nil.
 	SendNow <-chan struct{}
-	// RequestStarted tells that a first request has started. Where it is nil, the sender
-	// looks for requests by itself once in each busy interval.
+	// RequestStarted signals that the number of requests in flight is no longer zero.
+	// If it is nil, the sender checks the number once per busy interval.
 	RequestStarted <-chan struct{}
 }
 
-// Run sends the first heartbeat at once and returns when the connection closes.
+// Run sends the first heartbeat immediately and returns when the connection closes.
 func (s *Sender) Run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -31,15 +31,15 @@
 	var last time.Time
 	for {
 		if time.Since(last) >= s.interval() {
-			beat := s.Heartbeat()
-			beat.Sequence = sequence
+			message := s.Heartbeat()
+			message.Sequence = sequence
 			sequence++
 			last = time.Now()
-			// A full queue means that the peer does not read. Its owner judges
-			// the silence, so the heartbeat is dropped.
-			_ = s.Conn.TrySend(&beat)
+			// If the queue is full, the peer does not read. The heartbeat is dropped;
+			// the owner of the connection detects that the peer is silent.
+			_ = s.Conn.TrySend(&message)
 		}
-		timer.Reset(s.nextLook(time.Since(last)))
+		timer.Reset(s.nextCheck(time.Since(last)))
 		select {
 		case <-timer.C:
 		case <-s.RequestStarted:
@@ -51,10 +51,10 @@
 	}
 }
 
-// nextLook returns the time until the next look. The idle interval has to be met
-// exactly: a heartbeat that is 200 ms late makes a healthy agent unusable until
-// it arrives.
-func (s *Sender) nextLook(sinceLast time.Duration) time.Duration {
+// nextCheck returns the time until Run must check again whether a heartbeat is due. It
+// never exceeds the remaining idle interval: a heartbeat that is 200 ms late makes a
+// healthy agent unusable until it arrives.
+func (s *Sender) nextCheck(sinceLast time.Duration) time.Duration {
 	idle := max(0, member.SendInterval(0)-sinceLast)
 	if s.RequestStarted != nil && s.InFlight() == 0 {
 		return idle
@@ -62,9 +62,10 @@
 	return min(member.SendInterval(1), idle)
 }
 
-// interval returns the time between two heartbeats now. Frames and acks are signs
-// of life too, so a connection that carries them needs none each second: at the
-// planned size 60 busy connections would spend more than an entry's 8 KB/s.
+// interval returns the current interval between two heartbeats. Frames and acks also
+// show that this side is alive, so a connection that carries them uses the idle
+// interval: at the planned size, heartbeats each second on 60 busy connections would
+// exceed an entry's limit of 8 KB/s.
 func (s *Sender) interval() time.Duration {
 	if time.Since(s.Conn.LastDataSent()) < member.SendInterval(1) {
 		return member.SendInterval(0)
