--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -138,7 +138,8 @@
 }
 
 // AppendFrame adds data to the answer of an attempt. It returns false if the replay
-// buffer is full. It keeps data, which must not be modified afterwards.
+// buffer is full. It keeps data, which must not be modified afterwards. Data of an
+// attempt that is unknown, ended or truncated is discarded.
 func (c *Core) AppendFrame(now time.Time, attempt model.AttemptID, data []byte) bool {
 	r, ok := c.records[attempt]
 	if !ok || !r.running || r.truncated {
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -95,7 +95,7 @@
 		Expect(reason(c.Admit(now.Add(11*time.Minute), requestStart("later")))).To(Equal(outcome.ReasonDraining))
 	})
 
-	It("takes no frames while the replay buffer is full, and keeps unconfirmed frames", func() {
+	It("accepts no frames while the replay buffer is full, and keeps unconfirmed frames", func() {
 		c.Admit(now, requestStart("a"))
 		Expect(c.AppendFrame(now, "a", []byte("12345678"))).To(BeTrue())
 		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeFalse())
