--- a/agent/backend/epoch_test.go
+++ b/agent/backend/epoch_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburnbend/auburnbend/standin/table"
 )
 
-var _ = Describe("NextStart", func() {
+var _ = Describe("NextEpoch", func() {
 	ctx := context.Background()
 
 	// Guards against two agents with the same epoch, whose orders the engine could not
