--- a/schema/convert/config.go
+++ b/schema/convert/config.go
@@ -1,5 +1,5 @@
-// Package convert maps the messages of the operators' interface to the types of
-// lib/config and back.
+// Package convert converts between the messages of the operator API and the types of
+// lib/config.
 package convert
 
 import (
@@ -10,7 +10,7 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// ConfigToMessage returns the message of a configuration.
+// ConfigToMessage converts a configuration to its message.
 func ConfigToMessage(c *config.Config) *pb.Config {
 	m := &pb.Config{Deployment: &pb.Deployment{
 		TimeWeight:     c.Deployment.TimeWeight,
@@ -49,8 +49,9 @@
 	return m
 }
 
-// ConfigFromMessage returns the configuration of a message. A digest that does
-// not parse is a fault; everything else is left to Validate.
+// ConfigFromMessage converts a message to a configuration. It returns a violation for
+// each invalid manifest digest and does not validate anything else: see
+// config.Config.Validate.
 func ConfigFromMessage(m *pb.Config) (*config.Config, []config.Violation) {
 	d := m.GetDeployment()
 	c := &config.Config{Deployment: config.Deployment{
@@ -59,11 +60,11 @@
 		TransferShare:  d.GetTransferShare(),
 		ClaimRetention: d.GetClaimRetention().AsDuration(),
 	}}
-	var faults []config.Violation
+	var violations []config.Violation
 	for _, v := range m.GetModels() {
 		digest, err := model.ParseDigest(v.GetManifest())
 		if err != nil {
-			faults = append(faults, config.Violation{
+			violations = append(violations, config.Violation{
 				Path:  "model " + v.GetName() + " " + v.GetVersion() + ": manifest",
 				Value: v.GetManifest(), Allowed: "the digest of a manifest, 64 hexadecimal digits",
 			})
@@ -95,5 +96,5 @@
 			Name: model.Class(v.GetName()), Priority: int(v.GetPriority()), FirstToken: v.GetFirstToken().AsDuration(),
 		})
 	}
-	return c, faults
+	return c, violations
 }
--- a/schema/convert/errors.go
+++ b/schema/convert/errors.go
@@ -13,7 +13,8 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// ErrorToStatus maps an error of lib/config to the status of a call.
+// ErrorToStatus converts an error of lib/config to a gRPC status error. Unknown errors
+// get the code Internal.
 func ErrorToStatus(err error) error {
 	var invalid *config.InvalidError
 	var conflict *config.RevisionConflictError
@@ -46,8 +47,8 @@
 	}
 }
 
-// ErrorFromStatus maps the status of a call back to an error of lib/config.
-// Statuses without a counterpart are returned unchanged.
+// ErrorFromStatus converts a gRPC status error back to an error of lib/config. It
+// returns errors without a counterpart unchanged.
 func ErrorFromStatus(err error) error {
 	s, ok := status.FromError(err)
 	if err == nil || !ok {
@@ -79,7 +80,7 @@
 		if strings.HasPrefix(s.Message(), config.ErrStoreUnavailable.Error()) {
 			return merry.Wrap(config.ErrStoreUnavailable, merry.WithMessage(s.Message()))
 		}
-		// The status comes from the connection and says nothing about the store.
+		// The connection to the entry failed, which says nothing about the store.
 		return merry.Wrap(config.ErrStoreUnavailable, merry.WithMessagef("entry unavailable: %s", s.Message()))
 	default:
 		return err
--- a/schema/convert/errors_test.go
+++ b/schema/convert/errors_test.go
@@ -13,14 +13,13 @@
 )
 
 var _ = Describe("ErrorFromStatus", func() {
-	// Guards against an operator who looks for a fault of the store when a
-	// certificate or an address is wrong.
-	DescribeTable("tells the store from the connection", func(err error, message string) {
+	// Guards against blaming the store when a certificate or an address is wrong.
+	DescribeTable("distinguishes an unavailable store from a failed connection", func(err error, message string) {
 		got := convert.ErrorFromStatus(err)
 		Expect(errors.Is(got, config.ErrStoreUnavailable)).To(BeTrue())
 		Expect(got.Error()).To(Equal(message))
 	},
-		Entry("the entry's answer", convert.ErrorToStatus(config.ErrStoreUnavailable), "configuration store unavailable"),
-		Entry("no entry", status.Error(codes.Unavailable, "connection refused"), "entry unavailable: connection refused"),
+		Entry("status from the entry", convert.ErrorToStatus(config.ErrStoreUnavailable), "configuration store unavailable"),
+		Entry("entry not reachable", status.Error(codes.Unavailable, "connection refused"), "entry unavailable: connection refused"),
 	)
 })
--- a/schema/convert/revision.go
+++ b/schema/convert/revision.go
@@ -6,19 +6,19 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// HeadToMessage returns the message of a revision's number and digest.
+// HeadToMessage converts the number and digest of a revision to a message.
 func HeadToMessage(h config.Head) *pb.Revision {
 	return &pb.Revision{Number: h.Number, Digest: h.Digest.String()}
 }
 
-// HeadFromMessage returns the number and digest of a message; a digest that
-// does not parse is left zero.
+// HeadFromMessage converts a message to the number and digest of a revision. An
+// invalid digest becomes zero.
 func HeadFromMessage(m *pb.Revision) config.Head {
 	digest, _ := model.ParseDigest(m.GetDigest())
 	return config.Head{Number: m.GetNumber(), Digest: digest}
 }
 
-// DifferencesToMessage returns the messages of differences.
+// DifferencesToMessage converts differences to messages.
 func DifferencesToMessage(list []config.Difference) []*pb.Difference {
 	messages := make([]*pb.Difference, 0, len(list))
 	for _, d := range list {
@@ -27,7 +27,7 @@
 	return messages
 }
 
-// DifferencesFromMessage returns the differences of messages.
+// DifferencesFromMessage converts messages to differences.
 func DifferencesFromMessage(messages []*pb.Difference) []config.Difference {
 	list := make([]config.Difference, 0, len(messages))
 	for _, m := range messages {
