--- a/cmd/auburnbend-agent/main.go
+++ b/cmd/auburnbend-agent/main.go
@@ -1,4 +1,4 @@
-// Command auburnbend-agent is the daemon of backend server instances.
+// Command auburnbend-agent is the daemon that runs on instances with a backend server.
 package main
 
 import (
--- a/cmd/auburnbend-entry/main.go
+++ b/cmd/auburnbend-entry/main.go
@@ -1,4 +1,4 @@
-// Command auburnbend-entry is the daemon of entry instances.
+// Command auburnbend-entry is the daemon that runs on entry instances.
 package main
 
 import (
--- a/cmd/auburnbend-gateway/main.go
+++ b/cmd/auburnbend-gateway/main.go
@@ -1,5 +1,4 @@
-// Command auburnbend-gateway is the entry daemon for instances of the users'
-// platform.
+// Command auburnbend-gateway is the entry daemon for instances of the platform.
 package main
 
 import "github.com/auburnbend/auburnbend/internal/node"
@@ -7,9 +6,9 @@
 func main() {
 	node.Main(node.Program{
 		Name:  "auburnbend-gateway",
-		Short: "Takes callers' requests and has them run by backend servers.",
-		Long: "auburnbend-gateway takes callers' requests and has them run by backend servers.\n" +
-			"It learns routes, keys and backend servers from the platform's store.",
+		Short: "Forward callers' requests to backend servers.",
+		Long: "auburnbend-gateway forwards callers' requests to backend servers.\n" +
+			"It reads routes, keys and backend servers from the platform's store.",
 		Example: "  auburnbend-gateway --settings node.yaml --check\n  auburnbend-gateway --metrics-port 7715",
 		Run:     node.RunGateway,
 	})
--- a/cmd/auburnbend-measure/main.go
+++ b/cmd/auburnbend-measure/main.go
@@ -1,5 +1,5 @@
-// Command auburnbend-measure runs the project's experiments, one subcommand
-// each, and prints their figures as JSON lines.
+// Command auburnbend-measure runs the project's measurements, one per subcommand, and
+// prints their results as JSON lines.
 package main
 
 import (
@@ -20,7 +20,7 @@
 func main() {
 	root := &cobra.Command{
 		Use:          "auburnbend-measure",
-		Short:        "Run experiments and print their figures as JSON lines",
+		Short:        "Run measurements and print their results as JSON lines",
 		SilenceUsage: true,
 	}
 	root.AddCommand(
--- a/cmd/auburnbend-replica/main.go
+++ b/cmd/auburnbend-replica/main.go
@@ -1,5 +1,4 @@
-// Command auburnbend-replica is the agent daemon for instances of the users'
-// platform.
+// Command auburnbend-replica is the agent daemon for instances of the platform.
 package main
 
 import "github.com/auburnbend/auburnbend/internal/node"
@@ -7,9 +6,9 @@
 func main() {
 	node.Main(node.Program{
 		Name:  "auburnbend-replica",
-		Short: "Keeps the model engine of its instance on the declared weights.",
+		Short: "Keep the model engine of its instance on the declared weights.",
 		Long: "auburnbend-replica keeps the model engine of its instance on the declared weights.\n" +
-			"It fetches them from peers and the origin, checks them, and orders the engine to load them.",
+			"It fetches them from peers and the origin, verifies them, and orders the engine to load them.",
 		Example: "  auburnbend-replica --settings node.yaml --check\n  auburnbend-replica --metrics-port 7714",
 		Run:     node.RunReplica,
 	})
--- a/cmd/auburnbend-standins/backends.go
+++ b/cmd/auburnbend-standins/backends.go
@@ -7,7 +7,7 @@
 	"github.com/auburnbend/auburnbend/standin/service"
 )
 
-// backends are stand-ins of backend servers.
+// backends are the stand-ins of backend servers that this process serves.
 type backends struct {
 	engines, services []string
 	running           []io.Closer
@@ -15,7 +15,7 @@
 
 func (b *backends) start() error {
 	for _, address := range b.engines {
-		server, err := engine.Start(engine.Config{Address: address, TimeScale: engineScale})
+		server, err := engine.Start(engine.Config{Address: address, TimeScale: engineTimeScale})
 		if err != nil {
 			return err
 		}
@@ -37,5 +37,5 @@
 	}
 }
 
-// engineScale makes the engines answer ten times as fast as those in use.
-const engineScale = 0.1
+// engineTimeScale makes the engines ten times as fast as real ones.
+const engineTimeScale = 0.1
--- a/cmd/auburnbend-standins/main.go
+++ b/cmd/auburnbend-standins/main.go
@@ -1,5 +1,5 @@
-// Command auburnbend-standins serves the stand-ins of the platform on one
-// address, for tests and first trials.
+// Command auburnbend-standins serves stand-ins of the platform on one address, for tests
+// and experiments.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/auburnbend/auburnbend/standin/platform"
 )
 
-// shutdownTimeout bounds the end of running calls.
+// shutdownTimeout limits how long running calls may take after a signal to stop.
 const shutdownTimeout = 3 * time.Second
 
 func main() {
@@ -34,7 +34,7 @@
 	listen := "127.0.0.1:7400"
 	cmd := &cobra.Command{
 		Use:   "auburnbend-standins",
-		Short: "Serve stand-ins of the platform for tests and first trials",
+		Short: "Serve stand-ins of the platform for tests and experiments",
 		Long: `Serve stand-ins of the platform: table service, object store, origin, weight
 store and instance list. Each has its fault switches at <path>/faults. With
 --engine and --service the process also serves stand-ins of backend servers.`,
@@ -51,12 +51,12 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&listen, "listen", listen, "IP address and port; port 0 picks a free one")
-	flags.Int64Var(&cfg.OriginLink, "origin-link", 0, "bytes per second of the origin's link; 0 is unlimited")
-	flags.Int64Var(&cfg.WeightStoreRate, "weight-store-rate", 0, "bytes per second that the weight store admits; 0 is unlimited")
-	flags.StringSliceVar(&servers.engines, "engine", nil, "IP address and port of a model engine to serve as well; repeat it for several")
-	flags.StringSliceVar(&servers.services, "service", nil, "IP address and port of a plain service to serve as well; repeat it for several")
-	flags.DurationVar(&cfg.InstanceLag, "instance-lag", 0, "time after which the instance list shows a change")
+	flags.StringVar(&listen, "listen", listen, "IP address and port to listen on; port 0 chooses a free port")
+	flags.Int64Var(&cfg.OriginLink, "origin-link", 0, "bandwidth of the origin's link in bytes per second; 0 is unlimited")
+	flags.Int64Var(&cfg.WeightStoreRate, "weight-store-rate", 0, "rate limit of the weight store in bytes per second; 0 is unlimited")
+	flags.StringSliceVar(&servers.engines, "engine", nil, "IP address and port of a model engine to serve; may be repeated")
+	flags.StringSliceVar(&servers.services, "service", nil, "IP address and port of a plain service to serve; may be repeated")
+	flags.DurationVar(&cfg.InstanceLag, "instance-lag", 0, "delay until the instance list shows a change")
 	return cmd
 }
 
--- a/cmd/auburnctl/main.go
+++ b/cmd/auburnctl/main.go
@@ -1,4 +1,4 @@
-// Command auburnctl is the operators' command line.
+// Command auburnctl is the command-line client for operators.
 package main
 
 import (
--- a/cmd/internal/eventdoc/main.go
+++ b/cmd/internal/eventdoc/main.go
@@ -1,4 +1,4 @@
-// Command eventdoc writes docs/events.md from the catalogue of events.
+// Command eventdoc generates docs/events.md from the log events in lib/eventlog.
 package main
 
 import (
@@ -10,9 +10,9 @@
 )
 
 func main() {
-	out := flag.String("out", "docs/events.md", "file to write")
+	out := flag.String("out", "docs/events.md", "output file")
 	flag.Parse()
-	if err := os.WriteFile(*out, []byte(eventlog.Markdown()), 0o644); err != nil { //nolint:gosec // a page to read
+	if err := os.WriteFile(*out, []byte(eventlog.Markdown()), 0o644); err != nil { //nolint:gosec // documentation may be readable by all users
 		fmt.Fprintln(os.Stderr, "eventdoc:", err)
 		os.Exit(1)
 	}
