--- a/internal/configsim/config.go
+++ b/internal/configsim/config.go
@@ -1,38 +1,40 @@
-// Package configsim runs the spread of the configuration over a whole
-// deployment in simulated time: store, entries, agents, outages and cuts. Tests
-// and measurements share it.
+// Package configsim simulates the propagation of configuration revisions through
+// a whole deployment: store, entries, agents, store outages and network
+// partitions. Time is simulated. Tests and measurements share it.
 package configsim
 
 import "time"
 
-// Config holds the shape of a simulated deployment.
+// Config describes a simulated deployment. Zero values select defaults, except
+// for the numbers of domains, entries and agents.
 type Config struct {
 	// Domains is the number of failure domains.
-	Domains int
-	// EntriesPerDomain and Agents are numbers per failure domain.
+	Domains          int
 	EntriesPerDomain int
 	AgentsPerDomain  int
-	// LocalPeers and PeersOutside are the connections that each entry opens to
-	// entries of its own and of other domains.
+	// LocalPeers and RemotePeers are the numbers of connections that each entry
+	// opens to entries of its own failure domain and of other domains.
 	LocalPeers  int
 	RemotePeers int
 	// EntriesPerAgent is the number of entries that each agent connects to.
 	EntriesPerAgent int
-	// Heartbeat is the time between two heartbeats of an idle connection.
+	// Heartbeat is the interval of heartbeats on a connection.
 	Heartbeat time.Duration
-	// StoreLatency is the time of a read from an entry in any domain.
+	// StoreLatency is the duration of a read from the store.
 	StoreLatency time.Duration
-	// StoreTimeout is the time after which an entry gives up a read.
+	// StoreTimeout is the time after which an entry abandons a read.
 	StoreTimeout time.Duration
 	// Models is the number of declared models, each with a placement in every
 	// domain.
 	Models int
-	// FixedIntervals polls and retries at fixed intervals, as a baseline.
+	// FixedIntervals makes entries poll and retry the store at fixed intervals, as
+	// a baseline.
 	FixedIntervals bool
-	// FullSnapshots sends the whole configuration in place of deltas, as a
-	// baseline.
+	// FullSnapshots makes nodes send all revisions instead of the missing ones,
+	// as a baseline.
 	FullSnapshots bool
-	Seed          int64
+	// Seed seeds all random choices of the simulation.
+	Seed int64
 }
 
 func (c *Config) applyDefaults() {
@@ -52,7 +54,7 @@
 		c.StoreLatency = 5 * time.Millisecond
 	}
 	if c.Models == 0 {
-		c.Models = typicalModels
+		c.Models = defaultModels
 	}
 	if c.StoreTimeout == 0 {
 		c.StoreTimeout = 2 * time.Second
--- a/internal/configsim/events.go
+++ b/internal/configsim/event_queue.go
@@ -1,22 +1,22 @@
 package configsim
 
-// event runs at a point in simulated time, in nanoseconds since 1970. Order
-// breaks ties, so that a run is the same each time.
+// event is a callback at a point in simulated time, in nanoseconds since the Unix
+// epoch. The sequence number breaks ties, so that runs are deterministic.
 type event struct {
-	at    int64
-	order uint64
-	run   func()
+	at       int64
+	sequence uint64
+	run      func()
 }
 
 func (e *event) before(other *event) bool {
-	return e.at < other.at || e.at == other.at && e.order < other.order
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// events is a binary heap with the next event first. It holds pointers because
-// the race detector is slow at copies of structs.
-type events []*event
+// eventQueue is a binary min-heap ordered by time. It holds pointers because
+// copying structs is slow under the race detector.
+type eventQueue []*event
 
-func (e *events) push(next *event) {
+func (e *eventQueue) push(next *event) {
 	*e = append(*e, next)
 	h := *e
 	i := len(h) - 1
@@ -31,7 +31,7 @@
 	h[i] = next
 }
 
-func (e *events) pop() *event {
+func (e *eventQueue) pop() *event {
 	h := *e
 	first, last := h[0], h[len(h)-1]
 	h[len(h)-1] = nil
--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/fuzz_test.go
@@ -16,38 +16,39 @@
 	"github.com/auburnbend/auburnbend/standin/fault"
 )
 
-// delayedTable loses some commits on the way and delivers them later, and lets
-// another operator act between the read and the write of the first.
+// delayedTable holds back some commits for later delivery, and can run another
+// operation between an operator's read and its commit.
 type delayedTable struct {
 	backing.TableService
-	delay   int
-	held    []backing.Transaction
-	between func()
+	commitsToDelay int
+	delayed        []backing.Transaction
+	beforeCommit   func()
 }
 
 // Commit implements backing.TableService.
 func (d *delayedTable) Commit(ctx context.Context, tx backing.Transaction) error {
-	if between := d.between; between != nil {
-		d.between = nil
-		between()
+	if hook := d.beforeCommit; hook != nil {
+		d.beforeCommit = nil
+		hook()
 	}
-	if d.delay > 0 {
-		d.delay--
-		d.held = append(d.held, tx)
+	if d.commitsToDelay > 0 {
+		d.commitsToDelay--
+		d.delayed = append(d.delayed, tx)
 		return backing.ErrUnknown
 	}
 	return d.TableService.Commit(ctx, tx)
 }
 
-// machine drives a small deployment with several operators.
+// machine is the state machine that rapid drives: a small deployment with
+// several operators.
 type machine struct {
-	sim     *configsim.Sim
-	oracle  *oracle
-	table   *delayedTable
-	stores  []*config.Store
-	unknown []config.Request
-	serial  int
-	archive [][][]byte
+	sim      *configsim.Sim
+	oracle   *oracle
+	table    *delayedTable
+	stores   []*config.Store
+	unknown  []config.Request
+	requests int
+	recorded [][][]byte
 }
 
 func newMachine(t *rapid.T) *machine {
@@ -67,32 +68,32 @@
 }
 
 func (m *machine) request(t *rapid.T) config.Request {
-	m.serial++
+	m.requests++
 	expected := uint64(len(m.oracle.accepted))
 	if expected > 0 && rapid.IntRange(0, 3).Draw(t, "outdated") == 0 {
 		expected--
 	}
 	c := configsim.TypicalConfig(1, 2)
-	c.Tenants[0].MaxQueued = 100 + m.serial
-	return config.Request{Config: c, Expected: expected, Operation: fmt.Sprintf("op-%d", m.serial), Author: "ops"}
+	c.Tenants[0].MaxQueued = 100 + m.requests
+	return config.Request{Config: c, Expected: expected, Operation: fmt.Sprintf("op-%d", m.requests), Author: "ops"}
 }
 
 func (m *machine) submit(t *rapid.T, store *config.Store, req config.Request) {
 	result, err := store.Apply(context.Background(), req)
-	c := claim{expected: req.Expected}
+	r := report{expected: req.Expected}
 	var conflict *config.RevisionConflictError
 	var unknown *config.UnknownOutcomeError
 	switch {
 	case err == nil:
-		c.accepted = !result.Unchanged
+		r.accepted = !result.Unchanged
 	case errors.As(err, &conflict), errors.Is(err, config.ErrOperationReused):
-		c.refused = true
+		r.refused = true
 	case errors.As(err, &unknown):
 		m.unknown = append(m.unknown, req)
 	default:
 		t.Fatal(err)
 	}
-	m.oracle.told(t, req.Operation, c)
+	m.oracle.recordReport(t, req.Operation, r)
 }
 
 func (m *machine) store(t *rapid.T) *config.Store {
@@ -105,19 +106,19 @@
 
 func (m *machine) restart(n *configsim.Node) {
 	m.sim.Restart(n)
-	m.oracle.restarted(n)
-	m.oracle.relax()
+	m.oracle.nodeRestarted(n)
+	m.oracle.relaxStarting()
 }
 
-// settle resolves every unknown outcome; the answer must agree with the truth
-// for good.
-func (m *machine) settle(t *rapid.T) {
+// resolveUnknown settles every operation with an unknown outcome. From then on the
+// reported outcome must stay correct.
+func (m *machine) resolveUnknown(t *rapid.T) {
 	for _, req := range m.unknown {
 		op, err := m.stores[0].Operation(context.Background(), req.Operation, true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.oracle.told(t, req.Operation, claim{
+		m.oracle.recordReport(t, req.Operation, report{
 			expected: req.Expected,
 			accepted: op.State == config.OperationApplied,
 			refused:  op.State == config.OperationAbandoned,
@@ -126,11 +127,11 @@
 	m.unknown = nil
 }
 
-func (m *machine) deliver() {
-	for _, tx := range m.table.held {
+func (m *machine) deliverDelayed() {
+	for _, tx := range m.table.delayed {
 		_ = m.sim.Table.Commit(context.Background(), tx)
 	}
-	m.table.held = nil
+	m.table.delayed = nil
 }
 
 func (m *machine) heal() {
@@ -139,14 +140,14 @@
 	}
 }
 
-// damage flips one bit of one recorded revision.
-func damage(t *rapid.T, encoded [][]byte) [][]byte {
-	damaged := slices.Clone(encoded)
-	i := rapid.IntRange(0, len(damaged)-1).Draw(t, "revision")
-	damaged[i] = slices.Clone(damaged[i])
-	at := rapid.IntRange(0, len(damaged[i])-1).Draw(t, "byte")
-	damaged[i][at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-	return damaged
+// flipBit flips one bit of one recorded revision.
+func flipBit(t *rapid.T, encoded [][]byte) [][]byte {
+	corrupted := slices.Clone(encoded)
+	i := rapid.IntRange(0, len(corrupted)-1).Draw(t, "revision")
+	corrupted[i] = slices.Clone(corrupted[i])
+	at := rapid.IntRange(0, len(corrupted[i])-1).Draw(t, "byte")
+	corrupted[i][at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+	return corrupted
 }
 
 func (m *machine) actions() map[string]func(*rapid.T) {
@@ -154,9 +155,9 @@
 		"apply": func(t *rapid.T) { m.submit(t, m.store(t), m.request(t)) },
 		"race": func(t *rapid.T) {
 			first, second := m.request(t), m.request(t)
-			m.table.between = func() { m.submit(t, m.stores[1], second) }
+			m.table.beforeCommit = func() { m.submit(t, m.stores[1], second) }
 			m.submit(t, m.stores[0], first)
-			m.table.between = nil
+			m.table.beforeCommit = nil
 		},
 		"repeat": func(t *rapid.T) {
 			if len(m.unknown) > 0 {
@@ -164,7 +165,7 @@
 			}
 		},
 		"faults": func(t *rapid.T) {
-			m.table.delay = rapid.IntRange(0, 2).Draw(t, "delay")
+			m.table.commitsToDelay = rapid.IntRange(0, 2).Draw(t, "delay")
 			m.sim.Table.Faults.Set(fault.Faults{
 				Down:       rapid.IntRange(0, 3).Draw(t, "down") == 0,
 				LoseAfter:  rapid.IntRange(0, 4).Draw(t, "lose after"),
@@ -172,12 +173,12 @@
 				StaleBy:    rapid.IntRange(0, 3).Draw(t, "stale by"),
 			})
 		},
-		"deliver": func(*rapid.T) { m.deliver() },
+		"deliver": func(*rapid.T) { m.deliverDelayed() },
 		"cut": func(t *rapid.T) {
 			d := rapid.IntRange(0, 2).Draw(t, "domain")
 			m.sim.StoreUnreachable[d] = rapid.IntRange(0, 2).Draw(t, "from store") > 0
 			m.sim.PeersUnreachable[d] = rapid.IntRange(0, 2).Draw(t, "from peers") > 0
-			m.oracle.relax()
+			m.oracle.relaxStarting()
 		},
 		"restart": func(t *rapid.T) {
 			if rapid.Bool().Draw(t, "heal first") {
@@ -188,17 +189,17 @@
 		"record": func(t *rapid.T) {
 			after := uint64(rapid.IntRange(0, len(m.oracle.accepted)).Draw(t, "after"))
 			if encoded, err := m.node(t).Replica.RevisionsAfter(after); err == nil && len(encoded) > 0 {
-				m.archive = append(m.archive, encoded)
+				m.recorded = append(m.recorded, encoded)
 			}
 		},
 		"lagging peer": func(t *rapid.T) {
-			if len(m.archive) > 0 {
-				m.node(t).ApplyRevisions(rapid.SampledFrom(m.archive).Draw(t, "recorded"))
+			if len(m.recorded) > 0 {
+				m.node(t).ApplyRevisions(rapid.SampledFrom(m.recorded).Draw(t, "recorded"))
 			}
 		},
 		"damaged copy": func(t *rapid.T) {
-			if len(m.archive) > 0 {
-				m.node(t).ApplyRevisions(damage(t, rapid.SampledFrom(m.archive).Draw(t, "recorded")))
+			if len(m.recorded) > 0 {
+				m.node(t).ApplyRevisions(flipBit(t, rapid.SampledFrom(m.recorded).Draw(t, "recorded")))
 			}
 		},
 		"altered merge": func(t *rapid.T) {
@@ -208,7 +209,7 @@
 			if err != nil || len(encoded) == 0 {
 				return
 			}
-			if altered := alter(t, encoded); altered != nil {
+			if altered := alterMerged(t, encoded); altered != nil {
 				for _, other := range m.sim.Nodes {
 					other.ApplyRevisions(altered)
 				}
@@ -217,7 +218,7 @@
 		"foreign merge": func(t *rapid.T) {
 			n := m.node(t)
 			if view := n.Replica.Current(); n.Running && view != nil {
-				n.ApplyRevisions(foreign(t, view))
+				n.ApplyRevisions(foreignMerged(t, view))
 			}
 		},
 		"run": func(t *rapid.T) { m.sim.Run(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond) },
@@ -225,28 +226,29 @@
 	}
 }
 
-// Guards against lost or reverted revisions, wrong answers to operators and two
-// winners of one race, under outages, lost and delayed writes, stale reads,
-// restarts and cuts. Ends with everything healed: all replicas hold the newest
-// revision within 9 s, and every unknown outcome is resolved.
+// Guards against lost or reverted revisions, wrong outcomes reported to operators
+// and two accepted changes for one revision number, under store outages, lost and
+// delayed writes, stale reads, restarts and partitions. At the end all faults are
+// removed: every unknown outcome must be resolved, and all replicas must hold the
+// newest revision within 9 s.
 func TestConfigurationNeverReverts(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
 		t.Repeat(m.actions())
 		m.sim.Table.Faults.Set(fault.Faults{})
-		m.table.delay = 0
+		m.table.commitsToDelay = 0
 		m.heal()
-		m.settle(t)
-		m.deliver()
+		m.resolveUnknown(t)
+		m.deliverDelayed()
 		m.oracle.observe(t)
-		m.oracle.check(t)
-		m.sim.Run(inForceBound)
+		m.oracle.checkReports(t)
+		m.sim.Run(propagationBound)
 		m.oracle.observe(t)
 		for _, n := range m.sim.Nodes {
 			view := n.Replica.Current()
 			if want := len(m.oracle.accepted); want > 0 && (view == nil || view.Head.Number != uint64(want)) {
-				t.Fatalf("replica holds %v after healing, want revision %d", view, want)
+				t.Fatalf("replica holds %v after all faults were removed, want revision %d", view, want)
 			}
 		}
 	})
--- a/internal/configsim/altered_test.go
+++ b/internal/configsim/merged_revisions_test.go
@@ -10,9 +10,10 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// alter changes one part of a merged revision and keeps it decodable, which
-// single damaged bits in compressed data rarely do. It returns nil for others.
-func alter(t *rapid.T, encoded [][]byte) [][]byte {
+// alterMerged changes one field of a merged revision so that it still decodes,
+// which a flipped bit in compressed data rarely does. It returns nil if the first
+// revision is not a merged one.
+func alterMerged(t *rapid.T, encoded [][]byte) [][]byte {
 	revision, err := config.DecodeRevision(encoded[0])
 	if err != nil || !revision.IsMerged() {
 		return nil
@@ -35,10 +36,10 @@
 	return [][]byte{data}
 }
 
-// foreign returns a merged revision of another history that leads from the
-// number in force to a state that was never accepted. Its digests are those of
-// its own history, so that only the digest at its base tells.
-func foreign(t *rapid.T, view *config.View) [][]byte {
+// foreignMerged returns a merged revision of another history. It leads from the
+// number in force to a configuration that was never accepted. Its digests are
+// consistent with its own history, so that only the base digest gives it away.
+func foreignMerged(t *rapid.T, view *config.View) [][]byte {
 	next := view.Config.Canonical()
 	next.Tenants[0].MaxQueued = 9999
 	delta, err := config.NewDelta(view.Config, next)
--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -11,10 +11,11 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// tick is how often a node looks for timed-out fetches and due announcements.
-const tick = 500 * time.Millisecond
+// tickInterval is the interval at which a node checks for fetches that have timed
+// out and announcements that are due.
+const tickInterval = 500 * time.Millisecond
 
-// Node is one entry or agent.
+// Node is one simulated entry or agent.
 type Node struct {
 	sim    *Sim
 	id     config.PeerID
@@ -24,17 +25,18 @@
 	rng    *rand.Rand
 
 	// Running is false while the process is stopped.
-	Running bool
-	Replica *config.Replica
-	peers   *config.Peers
-	store   *config.Store
-	link    *link
-	pace    pace
-	// inForce is when each revision came into force, by number.
-	inForce map[uint64]time.Time
-
-	// SentBytes and Received count the bytes of frames that the spread of the
-	// configuration cost, beyond the regular heartbeats.
+	Running     bool
+	Replica     *config.Replica
+	peers       *config.Peers
+	store       *config.Store
+	storeClient *storeClient
+	schedule    pollSchedule
+	// inForceSince holds the time at which each revision came into force, by
+	// number.
+	inForceSince map[uint64]time.Time
+
+	// SentBytes and ReceivedBytes count the frames that propagate the
+	// configuration. Periodic heartbeats are not included.
 	SentBytes     int64
 	ReceivedBytes int64
 }
@@ -42,54 +44,54 @@
 // IsAgent reports whether the node is an agent.
 func (n *Node) IsAgent() bool { return n.agent }
 
-// Domain returns the failure domain of the node.
+// Domain returns the number of the node's failure domain.
 func (n *Node) Domain() int { return n.domain }
 
 // Connections returns the nodes that this one is connected to.
 func (n *Node) Connections() []*Node { return n.conns }
 
-// start begins a new incarnation with empty state.
+// start starts a new process with a new generation number and empty state.
 func (n *Node) start() {
 	now := n.sim.Now()
 	n.id.Generation++
 	n.Running = true
 	n.Replica = config.NewReplica(config.ReplicaConfig{}, now)
 	n.peers = config.NewPeers(config.PeersConfig{}, n.rng)
-	n.inForce = make(map[uint64]time.Time)
+	n.inForceSince = make(map[uint64]time.Time)
 	generation := n.id.Generation
 	if !n.agent {
-		n.link = &link{TableService: n.sim.Table, sim: n.sim, node: n}
-		n.store = config.NewStore(n.link, config.StoreConfig{Clock: n.sim.clock})
-		n.pace = n.newPace(now)
+		n.storeClient = &storeClient{TableService: n.sim.Table, sim: n.sim, node: n}
+		n.store = config.NewStore(n.storeClient, config.StoreConfig{Clock: n.sim.clock})
+		n.schedule = n.newPollSchedule(now)
 		n.schedulePoll(generation)
 	}
 	for _, other := range n.conns {
 		if !other.Running {
 			continue
 		}
-		n.join(other)
-		other.join(n)
+		n.addPeer(other)
+		other.addPeer(n)
 		n.heartbeat(other)
 		other.heartbeat(n)
 	}
-	n.repeat(generation, time.Duration(n.rng.Int63n(int64(tick))), tick, n.act)
-	n.repeat(generation, time.Duration(n.rng.Int63n(int64(n.sim.cfg.Heartbeat))), n.sim.cfg.Heartbeat, func() {
+	n.schedulePeriodic(generation, time.Duration(n.rng.Int63n(int64(tickInterval))), tickInterval, n.step)
+	n.schedulePeriodic(generation, time.Duration(n.rng.Int63n(int64(n.sim.cfg.Heartbeat))), n.sim.cfg.Heartbeat, func() {
 		for _, other := range n.conns {
 			n.heartbeat(other)
 		}
 	})
 }
 
-func (n *Node) newPace(now time.Time) pace {
+func (n *Node) newPollSchedule(now time.Time) pollSchedule {
 	if n.sim.cfg.FixedIntervals {
-		return &fixedPace{next: now.Add(time.Duration(n.rng.Int63n(int64(fixedInterval))))}
+		return &fixedSchedule{next: now.Add(time.Duration(n.rng.Int63n(int64(fixedInterval))))}
 	}
-	return config.NewPoller(config.PollerConfig{}, n.sim.fleet(), n.rng, now)
+	return config.NewPoller(config.PollerConfig{}, n.sim.fleetSize(), n.rng, now)
 }
 
-func (n *Node) join(other *Node) { n.peers.Add(other.id, other.agent || n.agent) }
+func (n *Node) addPeer(other *Node) { n.peers.Add(other.id, other.agent || n.agent) }
 
-// stop ends the incarnation; its peers notice at once.
+// stop ends the process; its peers notice at once.
 func (n *Node) stop() {
 	n.Running = false
 	for _, other := range n.conns {
@@ -99,65 +101,69 @@
 	}
 }
 
-// repeat runs f periodically while the incarnation lives.
-func (n *Node) repeat(generation model.Generation, first, every time.Duration, f func()) {
+// schedulePeriodic runs f at an interval until the process of the given
+// generation ends.
+func (n *Node) schedulePeriodic(generation model.Generation, first, interval time.Duration, f func()) {
 	n.sim.after(first, func() {
 		if !n.Running || n.id.Generation != generation {
 			return
 		}
 		f()
-		n.repeat(generation, every, every, f)
+		n.schedulePeriodic(generation, interval, interval, f)
 	})
 }
 
 func (n *Node) schedulePoll(generation model.Generation) {
-	n.sim.after(n.pace.Next().Sub(n.sim.Now()), func() {
+	n.sim.after(n.schedule.Next().Sub(n.sim.Now()), func() {
 		if !n.Running || n.id.Generation != generation {
 			return
 		}
-		n.link.took = 0
+		n.storeClient.elapsed = 0
 		poll, err := n.store.Poll(context.Background(), n.Replica.Head())
-		n.sim.after(n.link.took, func() {
+		n.sim.after(n.storeClient.elapsed, func() {
 			if !n.Running || n.id.Generation != generation {
 				return
 			}
 			now := n.sim.Now()
 			if err == nil {
-				n.offer(poll.Revisions)
+				n.applyAndAnnounce(poll.Revisions)
 				if !poll.More {
 					_, _ = n.Replica.ObserveHead(poll.Head, 0, now)
 				}
 			}
-			n.pace.PollDone(err, poll.More, n.sim.fleet(), now)
+			n.schedule.PollDone(err, poll.More, n.sim.fleetSize(), now)
 			n.schedulePoll(generation)
 		})
 	})
 }
 
-// offer applies revisions, notes when they came into force and announces them.
-func (n *Node) offer(encoded [][]byte) {
+// applyAndAnnounce applies revisions, records when they came into force and
+// announces them to peers.
+func (n *Node) applyAndAnnounce(encoded [][]byte) {
 	now := n.sim.Now()
 	_, err := n.Replica.Apply(encoded, now)
 	if err != nil && config.IsDamaged(err) {
 		n.sim.DamagedRevisions++
 	}
-	n.act()
+	n.step()
 }
 
-// ApplyRevisions hands revisions to the node's replica as if a peer had sent them.
+// ApplyRevisions applies encoded revisions as if a peer had sent them. It does
+// nothing while the node is stopped.
 func (n *Node) ApplyRevisions(encoded [][]byte) {
 	if n.Running {
-		n.offer(encoded)
+		n.applyAndAnnounce(encoded)
 	}
 }
 
-// act sends what is due and notes a settled configuration.
-func (n *Node) act() {
+// step records revisions that have come into force, sends the announcements that
+// are due and starts a fetch if a peer has a newer revision.
+func (n *Node) step() {
 	now := n.sim.Now()
 	n.Replica.Tick(now)
 	if view := n.Replica.Current(); view != nil {
-		for number := view.Head.Number; number > 0 && n.inForce[number].IsZero(); number-- {
-			n.inForce[number] = now
+		for number := view.Head.Number; number > 0 && n.inForceSince[number].IsZero(); number-- {
+			n.inForceSince[number] = now
 		}
 	}
 	head := n.Replica.Head()
@@ -189,33 +195,34 @@
 			return
 		}
 		to.peers.ObserveHead(from, head)
-		to.act()
+		to.step()
 	})
 }
 
-// fetch asks a peer for revisions and applies its answer.
+// fetch requests the revisions after a number from a peer and applies the
+// response.
 func (n *Node) fetch(from *Node, id config.PeerID, after uint64) {
-	asker := n.id
-	asked := frameBytes(&wire.ConfigFetch{After: after})
-	n.SentBytes += asked
+	requester := n.id
+	requestBytes := frameBytes(&wire.ConfigFetch{After: after})
+	n.SentBytes += requestBytes
 	n.sim.send(n, from, func() {
-		from.ReceivedBytes += asked
-		from.peers.MarkFetching(asker)
-		request := after
+		from.ReceivedBytes += requestBytes
+		from.peers.MarkFetching(requester)
+		start := after
 		if from.sim.cfg.FullSnapshots {
-			request = 0
+			start = 0
 		}
-		encoded, err := from.Replica.RevisionsAfter(request)
+		encoded, err := from.Replica.RevisionsAfter(start)
 		if err != nil || from.id != id {
 			return
 		}
-		answered := frameBytes(&wire.ConfigDelta{Revisions: encoded})
-		from.SentBytes += answered
+		responseBytes := frameBytes(&wire.ConfigDelta{Revisions: encoded})
+		from.SentBytes += responseBytes
 		n.sim.send(from, n, func() {
-			n.ReceivedBytes += answered
-			if n.id == asker {
+			n.ReceivedBytes += responseBytes
+			if n.id == requester {
 				n.peers.FetchAnswered(id)
-				n.offer(encoded)
+				n.applyAndAnnounce(encoded)
 			}
 		})
 	})
--- a/internal/configsim/changes.go
+++ b/internal/configsim/operator.go
@@ -9,36 +9,38 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Operator makes changes to a configuration of typical size.
+// Operator applies changes to a configuration of typical size. It is not safe
+// for concurrent use.
 type Operator struct {
-	store *config.Store
-	next  *config.Config
-	// AcceptedAt is when each revision was accepted; index 0 is unused.
+	store   *config.Store
+	current *config.Config
+	// AcceptedAt holds the simulated time at which each revision was accepted,
+	// by number; index 0 is unused.
 	AcceptedAt []time.Time
-	// LastRevision is the last accepted revision.
+	// LastRevision is the last accepted revision, encoded.
 	LastRevision []byte
 }
 
-// Typical sizes of a deployment: ten teams, a few models with adapters and a
-// pool in each failure domain.
+// Sizes of a typical configuration. Each model has a pool in each failure domain.
 const (
-	typicalModels  = 12
-	typicalTenants = 10
+	defaultModels = 12
+	tenantCount   = 10
 )
 
 // NewOperator returns an operator of the simulated deployment.
 func (s *Sim) NewOperator() *Operator {
 	return &Operator{
 		store:      config.NewStore(s.Table, config.StoreConfig{Clock: s.clock}),
-		next:       TypicalConfig(s.cfg.Domains, s.cfg.Models),
+		current:    TypicalConfig(s.cfg.Domains, s.cfg.Models),
 		AcceptedAt: make([]time.Time, 1),
 	}
 }
 
-// ApplyChange accepts one revision that alters one value.
+// ApplyChange writes a revision that changes one value to the store. Store faults
+// are returned as errors.
 func (o *Operator) ApplyChange(s *Sim) error {
 	number := uint64(len(o.AcceptedAt))
-	next := *o.next
+	next := *o.current
 	next.Tenants = append([]config.Tenant(nil), next.Tenants...)
 	next.Tenants[int(number)%len(next.Tenants)].MaxQueued = 100 + int(number)
 	result, err := o.store.Apply(context.Background(), config.Request{
@@ -47,22 +49,23 @@
 	if err != nil {
 		return err
 	}
-	o.next, o.LastRevision = &next, result.EncodedRevision
+	o.current, o.LastRevision = &next, result.EncodedRevision
 	o.AcceptedAt = append(o.AcceptedAt, s.Now())
 	return nil
 }
 
-// ApplyChangeAt makes a change through an entry, which takes over the accepted
-// revision at once.
+// ApplyChangeAt applies a change through an entry, which puts the accepted
+// revision in force at once.
 func (o *Operator) ApplyChangeAt(s *Sim, entry *Node) error {
 	err := o.ApplyChange(s)
 	if err == nil {
-		entry.offer([][]byte{o.LastRevision})
+		entry.applyAndAnnounce([][]byte{o.LastRevision})
 	}
 	return err
 }
 
-// TypicalConfig returns a configuration of the size that a deployment has.
+// TypicalConfig returns a configuration of typical size with the given numbers of
+// failure domains and models.
 func TypicalConfig(domains, models int) *config.Config {
 	c := &config.Config{Deployment: config.Deployment{TimeWeight: 0.5, OriginCopies: 2, TransferShare: 0.5, ClaimRetention: 24 * time.Hour}}
 	for i := range models {
@@ -79,7 +82,7 @@
 			Name: model.Service(name), Kind: config.KindModel, Model: name, Version: "v1", Pool: name, Timeout: 30 * time.Second, MaxBodyBytes: 1 << 20,
 		})
 	}
-	for i := range typicalTenants {
+	for i := range tenantCount {
 		c.Tenants = append(c.Tenants, config.Tenant{Name: model.Tenant(fmt.Sprintf("team-%d", i)), Share: 1, MaxQueued: 100, RetryShare: 0.1})
 	}
 	return c
--- a/internal/configsim/oracle_test.go
+++ b/internal/configsim/oracle_test.go
@@ -7,30 +7,33 @@
 	"pgregory.net/rapid"
 )
 
-// claim is what an operator was told about one request.
-type claim struct {
+// report is the outcome reported to an operator for one request.
+type report struct {
 	expected uint64
 	accepted bool
 	refused  bool
 }
 
-// oracle holds what was truly accepted, read from the store's rows whatever the
-// faults, and what operators and replicas were shown.
+// oracle knows which revisions were accepted, which it reads from the store's rows
+// regardless of faults. It compares them with the outcomes reported to operators
+// and the configurations in force at the nodes.
 type oracle struct {
-	sim      *configsim.Sim
-	accepted []config.Change // index is the number minus 1
-	digests  []model.Digest
-	states   []model.Digest
-	claims   map[string]claim
-	shown    map[*configsim.Node]uint64
-	checked  map[*configsim.Node]*config.View
+	sim             *configsim.Sim
+	accepted        []config.Change // index is the revision number minus 1
+	revisionDigests []model.Digest
+	configDigests   []model.Digest
+	reports         map[string]report // by operation
+	// minNumber is the lowest revision number that a node may have in force.
+	minNumber map[*configsim.Node]uint64
+	lastView  map[*configsim.Node]*config.View
 }
 
 func newOracle(s *configsim.Sim) *oracle {
-	return &oracle{sim: s, claims: make(map[string]claim), shown: make(map[*configsim.Node]uint64), checked: make(map[*configsim.Node]*config.View)}
+	return &oracle{sim: s, reports: make(map[string]report), minNumber: make(map[*configsim.Node]uint64), lastView: make(map[*configsim.Node]*config.View)}
 }
 
-// observe checks the store and every replica.
+// observe reads new revisions from the store and checks the store and every
+// replica.
 func (o *oracle) observe(t *rapid.T) {
 	for i := uint64(1); ; i++ {
 		row, ok := o.sim.Table.Peek(config.Table, config.RevisionKey(i))
@@ -44,8 +47,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if int(i) <= len(o.digests) {
-			if r.Digest != o.digests[i-1] {
+		if int(i) <= len(o.revisionDigests) {
+			if r.Digest != o.revisionDigests[i-1] {
 				t.Fatalf("accepted revision %d was replaced", i)
 			}
 			continue
@@ -55,8 +58,8 @@
 			t.Fatal(err)
 		}
 		o.accepted = append(o.accepted, change)
-		o.digests = append(o.digests, r.Digest)
-		o.states = append(o.states, change.Delta.StateDigest)
+		o.revisionDigests = append(o.revisionDigests, r.Digest)
+		o.configDigests = append(o.configDigests, change.Delta.StateDigest)
 	}
 	for _, n := range o.sim.Nodes {
 		o.observeNode(t, n)
@@ -69,40 +72,41 @@
 		return
 	}
 	number := view.Head.Number
-	if number < o.shown[n] {
-		t.Fatalf("revision in force went from %d back to %d", o.shown[n], number)
+	if number < o.minNumber[n] {
+		t.Fatalf("revision in force went from %d back to %d", o.minNumber[n], number)
 	}
-	o.shown[n] = number
-	if view == o.checked[n] {
+	o.minNumber[n] = number
+	if view == o.lastView[n] {
 		return
 	}
-	o.checked[n] = view
-	if number > uint64(len(o.digests)) || view.Head.Digest != o.digests[number-1] {
+	o.lastView[n] = view
+	if number > uint64(len(o.revisionDigests)) || view.Head.Digest != o.revisionDigests[number-1] {
 		t.Fatalf("revision %d in force was never accepted", number)
 	}
 	if !view.Accepted.Equal(o.accepted[number-1].Time()) {
-		t.Fatalf("revision %d in force carries a damaged change", number)
+		t.Fatalf("revision %d in force does not carry the accepted time", number)
 	}
-	if state, _ := view.Config.Digest(); state != o.states[number-1] {
-		t.Fatalf("configuration in force is not that of revision %d", number)
+	if state, _ := view.Config.Digest(); state != o.configDigests[number-1] {
+		t.Fatalf("configuration in force differs from that of accepted revision %d", number)
 	}
 }
 
-// restarted forgets what a node showed and demands what its new process can
-// learn: the highest revision that a reachable process holds.
-func (o *oracle) restarted(n *configsim.Node) { o.shown[n] = o.learnable(n) }
+// nodeRestarted sets the lower bound of a restarted node to what its new process
+// can fetch: the highest revision held by a reachable peer.
+func (o *oracle) nodeRestarted(n *configsim.Node) { o.minNumber[n] = o.reachableHead(n) }
 
-// relax lowers the demand on processes that are still starting when a holder
-// restarts or is cut off before they could fetch from it.
-func (o *oracle) relax() {
+// relaxStarting lowers the bound of nodes that have no configuration yet, in case
+// the peer that held the newest revision restarted or became unreachable before
+// they could fetch from it.
+func (o *oracle) relaxStarting() {
 	for _, n := range o.sim.Nodes {
 		if n.Running && n.Replica.Current() == nil {
-			o.shown[n] = min(o.shown[n], o.learnable(n))
+			o.minNumber[n] = min(o.minNumber[n], o.reachableHead(n))
 		}
 	}
 }
 
-func (o *oracle) learnable(n *configsim.Node) uint64 {
+func (o *oracle) reachableHead(n *configsim.Node) uint64 {
 	var highest uint64
 	for _, other := range n.Connections() {
 		if o.sim.Reachable(n, other) {
@@ -112,20 +116,21 @@
 	return highest
 }
 
-// told notes an operator's answer and checks it against the truth.
-func (o *oracle) told(t *rapid.T, operation string, c claim) {
+// recordReport records the outcome reported for an operation and checks it against
+// the accepted revisions.
+func (o *oracle) recordReport(t *rapid.T, operation string, r report) {
 	o.observe(t)
-	if old, ok := o.claims[operation]; ok {
-		c.accepted = c.accepted || old.accepted
-		c.refused = c.refused || old.refused
+	if old, ok := o.reports[operation]; ok {
+		r.accepted = r.accepted || old.accepted
+		r.refused = r.refused || old.refused
 	}
-	o.claims[operation] = c
-	o.check(t)
+	o.reports[operation] = r
+	o.checkReports(t)
 }
 
-// check demands that no answer turns out wrong, now or later, and that at most
-// one request became the revision after the one it expected.
-func (o *oracle) check(t *rapid.T) {
+// checkReports checks that no reported outcome is wrong, also in hindsight, and
+// that at most one request became the revision after the one it expected.
+func (o *oracle) checkReports(t *rapid.T) {
 	applied := make(map[string]uint64)
 	for i, change := range o.accepted {
 		if at, ok := applied[change.Operation]; ok {
@@ -134,19 +139,19 @@
 		applied[change.Operation] = uint64(i + 1)
 	}
 	winners := make(map[uint64]string)
-	for operation, c := range o.claims {
+	for operation, r := range o.reports {
 		at, ok := applied[operation]
-		if c.accepted && (!ok || at != c.expected+1) {
-			t.Fatalf("operation %s was reported as accepted and is not revision %d", operation, c.expected+1)
+		if r.accepted && (!ok || at != r.expected+1) {
+			t.Fatalf("operation %s was reported as accepted but is not revision %d", operation, r.expected+1)
 		}
-		if c.refused && ok {
-			t.Fatalf("operation %s was reported as refused and became revision %d", operation, at)
+		if r.refused && ok {
+			t.Fatalf("operation %s was reported as refused but became revision %d", operation, at)
 		}
-		if c.accepted {
-			if other, ok := winners[c.expected]; ok {
-				t.Fatalf("operations %s and %s both won revision %d", operation, other, c.expected+1)
+		if r.accepted {
+			if other, ok := winners[r.expected]; ok {
+				t.Fatalf("operations %s and %s were both reported as accepted as revision %d", operation, other, r.expected+1)
 			}
-			winners[c.expected] = operation
+			winners[r.expected] = operation
 		}
 	}
 }
--- a/internal/configsim/scheduler.go
+++ b/internal/configsim/scheduler.go
@@ -6,14 +6,14 @@
 	"github.com/auburnbend/auburnbend/lib/clock"
 )
 
-// scheduler runs events in the order of simulated time.
+// scheduler runs events in the order of their simulated time.
 type scheduler struct {
 	clock *clock.Fake
-	// now is the time of clock. Events read it without the lock of clock, which
-	// costs much under the race detector.
-	now   time.Time
-	queue events
-	order uint64
+	// now equals the time of clock. Events read it without taking the lock of
+	// clock, which is expensive under the race detector.
+	now          time.Time
+	queue        eventQueue
+	lastSequence uint64
 }
 
 func newScheduler(start time.Time) scheduler {
@@ -21,11 +21,11 @@
 }
 
 func (s *scheduler) after(d time.Duration, run func()) {
-	s.order++
-	s.queue.push(&event{at: s.now.Add(max(0, d)).UnixNano(), order: s.order, run: run})
+	s.lastSequence++
+	s.queue.push(&event{at: s.now.Add(max(0, d)).UnixNano(), sequence: s.lastSequence, run: run})
 }
 
-// runUntil runs all events up to a time and leaves the clock there.
+// runUntil runs all events up to and including end and then sets the clock to end.
 func (s *scheduler) runUntil(end time.Time) {
 	for len(s.queue) > 0 && s.queue[0].at <= end.UnixNano() {
 		next := s.queue.pop()
--- a/internal/configsim/sim.go
+++ b/internal/configsim/sim.go
@@ -11,7 +11,7 @@
 	"github.com/auburnbend/auburnbend/standin/table"
 )
 
-// Sim is one simulated deployment. It is not safe for concurrent use.
+// Sim is a simulated deployment. It is not safe for concurrent use.
 type Sim struct {
 	scheduler
 	cfg   Config
@@ -21,19 +21,20 @@
 
 	Table *table.Service
 	Nodes []*Node
-	// StoreState is the condition of the store for polls.
+	// StoreState is the condition of the store as seen by polling entries.
 	StoreState StoreState
-	// StoreUnreachable and CutFromPeers cut failure domains off, by number.
+	// StoreUnreachable and PeersUnreachable partition a failure domain, given by
+	// its number, from the store and from the nodes of other domains.
 	StoreUnreachable []bool
 	PeersUnreachable []bool
-	// DamagedRevisions counts revisions that a replica refused as damaged.
+	// DamagedRevisions counts the times that a replica refused damaged revisions.
 	DamagedRevisions int
 }
 
-// simStart is the start of simulated time.
+// simStart is the simulated time at which a simulation starts.
 var simStart = time.Unix(1_800_000_000, 0)
 
-// New returns a deployment whose nodes all start at once.
+// New returns a deployment whose nodes are connected but not started.
 func New(cfg Config) *Sim {
 	cfg.applyDefaults()
 	s := &Sim{
@@ -46,56 +47,56 @@
 		StoreUnreachable: make([]bool, cfg.Domains),
 		PeersUnreachable: make([]bool, cfg.Domains),
 	}
-	s.build()
+	s.createNodes()
 	return s
 }
 
-// StartAll starts all nodes.
+// StartAll starts all nodes at the same simulated time.
 func (s *Sim) StartAll() {
 	for _, n := range s.Nodes {
-		n.prepare()
+		n.initState()
 	}
 	for _, n := range s.Nodes {
 		n.start()
 	}
 }
 
-// prepare gives a node empty state, so that others can talk to it before it
-// starts.
-func (n *Node) prepare() {
+// initState gives a node empty state, so that other nodes can send to it before
+// it starts.
+func (n *Node) initState() {
 	n.Replica = config.NewReplica(config.ReplicaConfig{}, n.sim.Now())
 	n.peers = config.NewPeers(config.PeersConfig{}, n.rng)
 }
 
-func (s *Sim) build() {
+func (s *Sim) createNodes() {
 	entries := make([][]*Node, s.cfg.Domains)
 	for d := range s.cfg.Domains {
 		for range s.cfg.EntriesPerDomain {
-			entries[d] = append(entries[d], s.add(d, false))
+			entries[d] = append(entries[d], s.addNode(d, false))
 		}
 	}
-	for d, inside := range entries {
-		for i, n := range inside {
-			for k := 1; k <= s.cfg.LocalPeers && k < len(inside); k++ {
-				// Distances of 1, 5, 25 and so on keep the number of processes
-				// between any two entries small.
-				n.connect(inside[(i+pow(5, k-1))%len(inside)])
+	for d, local := range entries {
+		for i, n := range local {
+			for k := 1; k <= s.cfg.LocalPeers && k < len(local); k++ {
+				// Distances of 1, 5, 25 and so on keep the number of hops between
+				// any two entries small.
+				n.connect(local[(i+pow(5, k-1))%len(local)])
 			}
 			for k := 1; k <= s.cfg.RemotePeers && s.cfg.Domains > 1; k++ {
-				outside := entries[(d+1+s.rng.Intn(s.cfg.Domains-1))%s.cfg.Domains]
-				n.connect(outside[s.rng.Intn(len(outside))])
+				remote := entries[(d+1+s.rng.Intn(s.cfg.Domains-1))%s.cfg.Domains]
+				n.connect(remote[s.rng.Intn(len(remote))])
 			}
 		}
 		for i := range s.cfg.AgentsPerDomain {
-			a := s.add(d, true)
-			for k := range min(s.cfg.EntriesPerAgent, len(inside)) {
-				a.connect(inside[(i+k)%len(inside)])
+			a := s.addNode(d, true)
+			for k := range min(s.cfg.EntriesPerAgent, len(local)) {
+				a.connect(local[(i+k)%len(local)])
 			}
 		}
 	}
 }
 
-func (s *Sim) add(domain int, agent bool) *Node {
+func (s *Sim) addNode(domain int, agent bool) *Node {
 	n := &Node{
 		sim:    s,
 		id:     config.PeerID{Instance: instanceName(len(s.Nodes))},
@@ -121,25 +122,26 @@
 	to.conns = append(to.conns, n)
 }
 
-// Now returns the simulated time.
+// Now returns the current simulated time.
 func (s *Sim) Now() time.Time { return s.now }
 
 // Clock returns the clock of the simulation.
 func (s *Sim) Clock() clock.Clock { return s.clock }
 
-// Run advances simulated time.
+// Run advances simulated time by d and runs the events that are due.
 func (s *Sim) Run(d time.Duration) { s.runUntil(s.Now().Add(d)) }
 
-// Restart replaces a node by a new process without state.
+// Restart replaces a node's process by a new one with empty state.
 func (s *Sim) Restart(n *Node) {
 	n.stop()
 	n.start()
 }
 
-// Stop ends a node's process until Restart.
+// Stop ends a node's process; Restart starts a new one.
 func (s *Sim) Stop(n *Node) { n.stop() }
 
-// Reachable reports whether two nodes can exchange messages.
+// Reachable reports whether two nodes are running and not partitioned from each
+// other.
 func (s *Sim) Reachable(a, b *Node) bool {
 	if !a.Running || !b.Running {
 		return false
@@ -147,13 +149,15 @@
 	return a.domain == b.domain || !s.PeersUnreachable[a.domain] && !s.PeersUnreachable[b.domain]
 }
 
-// ReadsBySecond returns the reads per second of simulated time since the start.
+// ReadsBySecond returns the number of reads that reached the store in each second
+// since the start. Seconds without reads are missing.
 func (s *Sim) ReadsBySecond() map[int64]int { return s.reads }
 
-// ElapsedSeconds returns the number of the current second since the start.
+// ElapsedSeconds returns the whole seconds of simulated time since the start.
 func (s *Sim) ElapsedSeconds() int64 { return int64(s.Now().Sub(simStart) / time.Second) }
 
-// PeakReads returns the highest number of reads in any second from one on.
+// PeakReads returns the highest number of reads in any second since the start,
+// from the given one on.
 func (s *Sim) PeakReads(from int64) int {
 	peak := 0
 	for second, n := range s.reads {
@@ -164,14 +168,14 @@
 	return peak
 }
 
-func (s *Sim) countRead() { s.reads[s.ElapsedSeconds()]++ }
+func (s *Sim) recordRead() { s.reads[s.ElapsedSeconds()]++ }
 
-func (s *Sim) fleet() config.FleetSize {
+func (s *Sim) fleetSize() config.FleetSize {
 	return config.FleetSize{Entries: s.cfg.Domains * s.cfg.EntriesPerDomain, DomainEntries: s.cfg.EntriesPerDomain}
 }
 
-// send delivers a message after the latency of the path, or drops it when the
-// receiver cannot be reached at either end of the way.
+// send delivers a message after the latency of the path. The message is lost if the
+// receiver is unreachable when it is sent or when it would arrive.
 func (s *Sim) send(from, to *Node, deliver func()) {
 	if !s.Reachable(from, to) {
 		return
@@ -187,14 +191,14 @@
 	})
 }
 
-// heartbeatBytes returns the size of an announcement. Only agents list the
-// weights that they serve.
+// heartbeatBytes returns the frame size of a heartbeat that announces a revision.
+// Only agents list the weights that they serve.
 func (s *Sim) heartbeatBytes(agent bool) int64 {
-	beat := &wire.Heartbeat{Sequence: 1 << 20, ConfigRevision: 1 << 20, ConfigAgeMillis: 1 << 10}
+	heartbeat := &wire.Heartbeat{Sequence: 1 << 20, ConfigRevision: 1 << 20, ConfigAgeMillis: 1 << 10}
 	if agent {
-		beat.LiveWeights = make([]model.Weights, 1)
+		heartbeat.LiveWeights = make([]model.Weights, 1)
 	}
-	return frameBytes(beat)
+	return frameBytes(heartbeat)
 }
 
 func pow(base, exponent int) int {
--- a/internal/configsim/simulation_test.go
+++ b/internal/configsim/simulation_test.go
@@ -8,20 +8,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// simulation is one spec's run, which uses one processor. All run side by side.
+// simulation is the run of one spec. A simulation is single-threaded; those of all
+// specs run concurrently.
 type simulation struct {
-	run      func(g Gomega, logf func(format string, args ...any))
-	done     chan struct{}
-	finished bool
-	failure  string
-	log      strings.Builder
+	run       func(g Gomega, logf func(format string, args ...any))
+	done      chan struct{}
+	completed bool
+	failure   string
+	log       strings.Builder
 }
 
 func newSimulation(run func(g Gomega, logf func(format string, args ...any))) *simulation {
 	return &simulation{run: run, done: make(chan struct{})}
 }
 
-// start runs the simulation up to its first failed check.
+// start runs the simulation in a goroutine, up to its first failed assertion.
 func (s *simulation) start() {
 	go func() {
 		defer close(s.done)
@@ -30,6 +31,6 @@
 			runtime.Goexit()
 		})
 		s.run(g, func(format string, args ...any) { fmt.Fprintf(&s.log, format, args...) })
-		s.finished = true
+		s.completed = true
 	}()
 }
--- a/internal/configsim/suite_test.go
+++ b/internal/configsim/suite_test.go
@@ -14,8 +14,8 @@
 	RunSpecs(t, "configsim")
 }
 
-// A fixed seed gives every run the same verdict. With 250 runs the
-// oracle found the rules that were broken on trial, listed in the commit.
+// A fixed seed gives every run the same result. 250 checks are enough for the
+// oracle to detect each rule that was broken deliberately as a trial.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261204", "rapid.checks": "250", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
