--- a/internal/requestsim/agent_test.go
+++ b/internal/requestsim/agent_test.go
@@ -10,45 +10,45 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// agent is one agent process with its backend server.
+// agent is an agent process with its backend server.
 type agent struct {
-	w          *world
+	sim        *simulation
 	id         model.InstanceID
 	generation model.Generation
 	core       *gate.Core
 	live       model.Weights
-	serving    []*served // in order of admission
+	attempts   []*servedAttempt // in order of admission
 }
 
-// served is one admitted attempt.
-type served struct {
+// servedAttempt is an admitted attempt.
+type servedAttempt struct {
 	run    *run
-	link   *link
-	cursor uint64
+	link   *link  // nil while detached
+	cursor uint64 // sequence number of the next frame to send
 	ended  bool
 }
 
-func newAgent(w *world, i int, live model.Weights) *agent {
-	a := &agent{w: w, id: model.InstanceID(fmt.Sprintf("agent-%d", i)), live: live}
+func newAgent(sim *simulation, i int, live model.Weights) *agent {
+	a := &agent{sim: sim, id: model.InstanceID(fmt.Sprintf("agent-%d", i)), live: live}
 	a.restart()
 	return a
 }
 
-// restart replaces the process: all it knew is lost, and its runs end.
+// restart replaces the process: its state is lost, and its runs end.
 func (a *agent) restart() {
-	a.generation = model.Generation(a.w.number())
+	a.generation = model.Generation(a.sim.nextSerial())
 	a.core = gate.NewCore(gate.Config{Capacity: 3, ReplayBytes: 64}, nil)
 	a.core.SetLive([]model.Weights{a.live, {}})
-	a.serving = nil
-	for _, l := range a.w.links {
+	a.attempts = nil
+	for _, l := range a.sim.links {
 		if l.agent == a {
-			l.toAgent, l.toEntry, l.silent = nil, nil, true
+			l.toAgent, l.toEntry, l.blackholed = nil, nil, true
 		}
 	}
 }
 
-func (a *agent) find(id model.AttemptID) *served {
-	for _, s := range a.serving {
+func (a *agent) find(id model.AttemptID) *servedAttempt {
+	for _, s := range a.attempts {
 		if s.run.attempt == id {
 			return s
 		}
@@ -59,34 +59,35 @@
 func (a *agent) handle(l *link, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.RequestStart:
-		switch ad := a.core.Admit(a.w.now, m); ad.Decision {
+		switch ad := a.core.Admit(a.sim.now, m); ad.Decision {
 		case gate.Refuse:
 			l.sendToEntry(ad.Refusal)
 		case gate.Admit:
-			r := &run{ask: a.w.owner[m.Attempt], attempt: m.Attempt}
-			r.text = a.w.answerText(r.ask, m.Weights, len(a.w.runs))
-			a.w.runs = append(a.w.runs, r)
-			a.serving = append(a.serving, &served{run: r, link: l})
+			r := &run{submission: a.sim.submissionOf[m.Attempt], attempt: m.Attempt}
+			r.response = a.sim.response(r.submission, m.Weights, len(a.sim.runs))
+			a.sim.runs = append(a.sim.runs, r)
+			a.attempts = append(a.attempts, &servedAttempt{run: r, link: l})
 		}
 	case *wire.Reattach:
-		if reply := a.core.Reattach(a.w.now, m); reply != nil {
+		if reply := a.core.Reattach(a.sim.now, m); reply != nil {
 			l.sendToEntry(reply)
 			return
 		}
 		s := a.find(m.Attempt)
 		s.link, s.cursor = l, m.NextSequence
-		a.pump(s)
+		a.sendFrames(s)
 	case *wire.ResponseAck:
 		a.core.Ack(m.Attempt, m.NextSequence)
 	case *wire.RequestCancel:
-		if a.core.Cancel(a.w.now, m.Attempt) {
+		if a.core.Cancel(a.sim.now, m.Attempt) {
 			a.end(a.find(m.Attempt), outcome.Unknown, outcome.ReasonCanceled, 0)
 		}
 	}
 }
 
-// pump sends what the core has for an attempt.
-func (a *agent) pump(s *served) {
+// sendFrames sends the frames that the core holds for an attempt and that have not
+// been sent yet.
+func (a *agent) sendFrames(s *servedAttempt) {
 	for s.link != nil && s.cursor <= a.core.FrameCount(s.run.attempt) {
 		m := a.core.MessageAt(s.run.attempt, s.cursor)
 		if m == nil {
@@ -97,47 +98,48 @@
 	}
 }
 
-// emit produces a piece of the answer, or its end when all was said.
-func (a *agent) emit(s *served, size int) {
-	rest := s.run.text[s.run.emitted:]
-	if len(rest) == 0 {
+// emit produces up to size bytes of the response, or its end if all bytes were
+// emitted.
+func (a *agent) emit(s *servedAttempt, size int) {
+	remaining := s.run.response[s.run.emitted:]
+	if len(remaining) == 0 {
 		a.end(s, outcome.Completed, outcome.ReasonNone, 200)
 		return
 	}
-	piece := rest[:min(size, len(rest))]
-	if a.core.AppendFrame(a.w.now, s.run.attempt, piece) {
+	piece := remaining[:min(size, len(remaining))]
+	if a.core.AppendFrame(a.sim.now, s.run.attempt, piece) {
 		s.run.emitted += len(piece)
-		a.pump(s)
+		a.sendFrames(s)
 	}
 }
 
-func (a *agent) end(s *served, o outcome.Outcome, reason outcome.Reason, status int) {
+func (a *agent) end(s *servedAttempt, o outcome.Outcome, reason outcome.Reason, status int) {
 	if s.ended {
 		return
 	}
 	s.ended = true
-	a.core.End(a.w.now, s.run.attempt, o, reason, status, "")
-	a.pump(s)
+	a.core.End(a.sim.now, s.run.attempt, o, reason, status, "")
+	a.sendFrames(s)
 }
 
-// crashEngine ends all runs; the agent survives.
+// crashEngine ends all runs; the agent process stays up.
 func (a *agent) crashEngine() {
-	for _, s := range a.serving {
+	for _, s := range a.attempts {
 		a.end(s, outcome.Unknown, outcome.ReasonBackendCrashed, 0)
 	}
-	a.core.CrashReport(a.w.now, 1)
+	a.core.CrashReport(a.sim.now, 1)
 }
 
-// tick does what the shell does once a second.
+// tick does what the gate's shell does once per second.
 func (a *agent) tick() {
-	for _, id := range a.core.Expire(a.w.now) {
+	for _, id := range a.core.Expire(a.sim.now) {
 		a.end(a.find(id), outcome.Unknown, outcome.ReasonCanceled, 0)
 	}
 }
 
-// lose tells the core that a connection is dead.
-func (a *agent) lose(l *link, now time.Time) {
-	for _, s := range a.serving {
+// connectionLost detaches the attempts of a lost connection.
+func (a *agent) connectionLost(l *link, now time.Time) {
+	for _, s := range a.attempts {
 		if s.link == l {
 			s.link = nil
 			a.core.Detach(now, s.run.attempt)
@@ -145,8 +147,9 @@
 	}
 }
 
-// switchTo replaces the weights, as the shell does once nothing runs.
-func (a *agent) switchTo(live model.Weights) {
+// switchWeights replaces the live weights if no request is running, as the gate's
+// shell does.
+func (a *agent) switchWeights(live model.Weights) {
 	if a.core.Running() == 0 {
 		a.live = live
 		a.core.SetLive([]model.Weights{live, {}})
--- a/internal/requestsim/claims_test.go
+++ b/internal/requestsim/claims_test.go
@@ -10,57 +10,57 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-func newLedger(w *world) *claim.Ledger {
-	return claim.New(claim.Config{MaxTries: 2, Backoff: func(context.Context) {}}, w.table, nil)
+func newLedger(sim *simulation) *claim.Ledger {
+	return claim.New(claim.Config{MaxTries: 2, Backoff: func(context.Context) {}}, sim.table, nil)
 }
 
-func (a *ask) claimKey() claim.Key {
-	return claim.Key{Service: "orders", Tenant: "t", IdempotencyKey: a.key}
+func (sub *submission) claimKey() claim.Key {
+	return claim.Key{Service: "orders", Tenant: "t", IdempotencyKey: sub.key}
 }
 
-func (a *ask) fingerprint() model.Fingerprint {
-	return model.FingerprintOf("t", model.Service(a.kind.name), []byte(a.body))
+func (sub *submission) fingerprint() model.Fingerprint {
+	return model.FingerprintOf("t", model.Service(sub.kind.name), []byte(sub.body))
 }
 
-// settle updates the claim once the fate of the request is known, and confirms
-// the answer to the agent.
-func (e *entry) settle(l *live, s attempt.Step) {
-	if l.agent != nil {
-		e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: l.machine.Attempt(), NextSequence: l.machine.NextSequence() + 1})
+// settleClaim acknowledges the whole response to the agent, and completes or
+// releases the claim according to the outcome.
+func (e *entry) settleClaim(r *activeRequest, s attempt.Step) {
+	if r.agent != nil {
+		e.sim.connection(e, r.agent).sendToAgent(&wire.ResponseAck{Attempt: r.machine.Attempt(), NextSequence: r.machine.NextSequence() + 1})
 	}
-	if l.claimID == "" {
+	if r.claimID == "" {
 		return
 	}
 	switch s.Outcome {
 	case outcome.Completed, outcome.Failed:
-		_ = e.ledger.Complete(e.w.ctx, e.w.now, l.ask.claimKey(), l.claimID, claim.Result{Outcome: s.Outcome, Status: s.Status, Body: l.buffer})
+		_ = e.ledger.Complete(e.sim.ctx, e.sim.now, r.submission.claimKey(), r.claimID, claim.Result{Outcome: s.Outcome, Status: s.Status, Body: r.buffer})
 	case outcome.NotRun:
-		err := e.ledger.Release(e.w.ctx, e.w.now, l.ask.claimKey(), l.claimID)
-		e.w.t.Logf("entry %d releases %s of %s: %v", e.id, l.ask.key, l.claimID, err)
+		err := e.ledger.Release(e.sim.ctx, e.sim.now, r.submission.claimKey(), r.claimID)
+		e.sim.t.Logf("entry %d releases key %s claimed by %s: %v", e.id, r.submission.key, r.claimID, err)
 		if err != nil {
-			l.ask.next = append(l.ask.next, l.claimID)
+			r.submission.nextProofs = append(r.submission.nextProofs, r.claimID)
 		}
 	}
 }
 
-func (e *entry) claim(l *live) {
+func (e *entry) claim(r *activeRequest) {
 	var status claim.Status
-	id := e.w.newAttempt(l.ask)
+	id := e.sim.newAttempt(r.submission)
 	defer func() {
-		e.w.t.Logf("entry %d claims %s as %s with proofs %v: %s", e.id, l.ask.key, id, l.ask.proofs, status)
+		e.sim.t.Logf("entry %d claims key %s for %s with proofs %v: %s", e.id, r.submission.key, id, r.submission.proofs, status)
 	}()
-	a := e.ledger.Claim(e.w.ctx, e.w.now, l.ask.claimKey(), claim.Intent{Attempt: id, Fingerprint: l.ask.fingerprint(), Proofs: l.ask.proofs})
-	status = a.Status
-	switch a.Status {
+	decision := e.ledger.Claim(e.sim.ctx, e.sim.now, r.submission.claimKey(), claim.Intent{Attempt: id, Fingerprint: r.submission.fingerprint(), Proofs: r.submission.proofs})
+	status = decision.Status
+	switch decision.Status {
 	case claim.StatusHeld:
-		l.claimID, l.unused = id, id
+		r.claimID, r.undispatched = id, id
 	case claim.StatusEarlierResult:
-		l.pending = nil
-		l.buffer = a.Result.Body
-		l.tell(e.w, a.Result.Outcome, a.Result.Reason)
+		r.pending = nil
+		r.buffer = decision.Result.Body
+		r.respond(e.sim, decision.Result.Outcome, decision.Result.Reason)
 	default:
-		l.pending = nil
-		l.ask.next = a.Proofs
-		l.tell(e.w, a.Outcome, a.Reason)
+		r.pending = nil
+		r.submission.nextProofs = decision.Proofs
+		r.respond(e.sim, decision.Outcome, decision.Reason)
 	}
 }
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -11,199 +11,201 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// entry is one entry process.
+// entry is an entry process.
 type entry struct {
-	w      *world
+	sim    *simulation
 	id     int
 	ledger *claim.Ledger
 	budget *attempt.Budget
-	live   []*live
+	active []*activeRequest
 }
 
-// live is one request at an entry.
-type live struct {
-	ask        *ask
-	machine    *attempt.Machine
-	pending    *attempt.Step // what the entry has yet to do
-	buffer     []byte
-	claimID    model.AttemptID
-	unused     model.AttemptID // claimed and not dispatched yet
-	agent      *agent
-	generation model.Generation
+// activeRequest is a request that an entry has accepted.
+type activeRequest struct {
+	submission   *submission
+	machine      *attempt.Machine
+	pending      *attempt.Step // next step to perform, if any
+	buffer       []byte
+	claimID      model.AttemptID
+	undispatched model.AttemptID // claimed but not dispatched yet
+	agent        *agent
+	generation   model.Generation
 }
 
-func newEntry(w *world, i int) *entry {
-	e := &entry{w: w, id: i, budget: attempt.NewBudget(attempt.BudgetConfig{})}
-	e.ledger = newLedger(w)
+func newEntry(sim *simulation, i int) *entry {
+	e := &entry{sim: sim, id: i, budget: attempt.NewBudget(attempt.BudgetConfig{})}
+	e.ledger = newLedger(sim)
 	return e
 }
 
-func (e *entry) accept(a *ask, timeout time.Duration) {
-	l := &live{ask: a, machine: attempt.New(attempt.Config{}, attempt.Request{
-		ID: model.RequestID(a.body), Tenant: "t", Deadline: e.w.now.Add(timeout),
-		Repeatable: a.kind.repeatable, Buffered: !a.kind.repeatable, Continue: a.kind.continues,
+func (e *entry) accept(sub *submission, timeout time.Duration) {
+	r := &activeRequest{submission: sub, machine: attempt.New(attempt.Config{}, attempt.Request{
+		ID: model.RequestID(sub.body), Tenant: "t", Deadline: e.sim.now.Add(timeout),
+		Repeatable: sub.kind.repeatable, Buffered: !sub.kind.repeatable, Continue: sub.kind.continues,
 	}, e.budget)}
-	e.live = append(e.live, l)
-	e.apply(l, l.machine.Queued(e.w.now), nil)
+	e.active = append(e.active, r)
+	e.applyStep(r, r.machine.Queued(e.sim.now), nil)
 }
 
-func (e *entry) apply(l *live, s attempt.Step, data []byte) {
+func (e *entry) applyStep(r *activeRequest, s attempt.Step, data []byte) {
 	if s.Discard {
-		l.buffer = nil
+		r.buffer = nil
 	}
 	if s.Forward {
-		if l.ask.kind.repeatable {
-			l.ask.received = append(l.ask.received, data[s.SkipBytes:]...)
+		if r.submission.kind.repeatable {
+			r.submission.received = append(r.submission.received, data[s.SkipBytes:]...)
 		} else {
-			l.buffer = append(l.buffer, data[s.SkipBytes:]...)
+			r.buffer = append(r.buffer, data[s.SkipBytes:]...)
 		}
 	}
 	if s.Cancel != "" {
-		e.w.connection(e, l.agent).sendToAgent(&wire.RequestCancel{Attempt: s.Cancel})
+		e.sim.connection(e, r.agent).sendToAgent(&wire.RequestCancel{Attempt: s.Cancel})
 	}
 	switch s.Action {
 	case attempt.ActionDispatch, attempt.ActionReattach:
-		l.pending = &s
+		r.pending = &s
 	case attempt.ActionFinish:
 		if !s.OutcomePending {
-			l.pending = nil
+			r.pending = nil
 		}
-		l.tell(e.w, s.Outcome, s.Reason)
+		r.respond(e.sim, s.Outcome, s.Reason)
 		if !s.OutcomePending {
-			e.settle(l, s)
+			e.settleClaim(r, s)
 		}
 	case attempt.ActionRecord:
-		l.pending = nil
-		e.settle(l, s)
+		r.pending = nil
+		e.settleClaim(r, s)
 	}
 }
 
-func (l *live) tell(w *world, o outcome.Outcome, reason outcome.Reason) {
-	if l.ask.told {
-		panic("told twice")
+func (r *activeRequest) respond(sim *simulation, o outcome.Outcome, reason outcome.Reason) {
+	if r.submission.answered {
+		panic("submission answered twice")
 	}
-	l.ask.told, l.ask.outcome, l.ask.reason = true, o, reason
-	w.t.Logf("caller of %s is told %s (%s)", l.ask.body, o, reason)
-	if o == outcome.Completed && !l.ask.kind.repeatable {
-		l.ask.received = l.buffer
+	r.submission.answered, r.submission.outcome, r.submission.reason = true, o, reason
+	sim.t.Logf("caller of %s gets outcome %s, reason %s", r.submission.body, o, reason)
+	if o == outcome.Completed && !r.submission.kind.repeatable {
+		r.submission.received = r.buffer
 	}
 }
 
-// step does the next thing that the entry has to do for a request. Whatever
-// happens between two steps is what a paused or dying entry meets.
-func (e *entry) step(l *live) {
-	s := *l.pending
+// performStep performs the pending step of a request. Other actions may happen
+// between two steps, as when an entry is paused or crashes.
+func (e *entry) performStep(r *activeRequest) {
+	s := *r.pending
 	if s.Action == attempt.ActionReattach {
-		l.pending = nil
-		e.reattach(l, s)
+		r.pending = nil
+		e.reattach(r, s)
 		return
 	}
-	if l.ask.kind.keyed && l.claimID == "" {
-		e.claim(l)
+	if r.submission.kind.keyed && r.claimID == "" {
+		e.claim(r)
 		return
 	}
-	a := e.choose(s)
+	a := e.chooseAgent(s)
 	if a == nil {
-		e.apply(l, l.machine.NotAdmitted(e.w.now, outcome.ReasonNoBackendServer, 0), nil)
+		e.applyStep(r, r.machine.NotAdmitted(e.sim.now, outcome.ReasonNoBackendServer, 0), nil)
 		return
 	}
-	id := l.unused
-	if l.unused = ""; id == "" {
-		id = e.w.newAttempt(l.ask)
+	id := r.undispatched
+	if r.undispatched = ""; id == "" {
+		id = e.sim.newAttempt(r.submission)
 	}
 	weights := model.Weights{}
-	if l.ask.kind.repeatable {
+	if r.submission.kind.repeatable {
 		weights = a.live
 	}
-	l.pending = nil
-	next := l.machine.Dispatched(e.w.now, attempt.Dispatch{Attempt: id, Instance: a.id, Weights: weights})
+	r.pending = nil
+	next := r.machine.Dispatched(e.sim.now, attempt.Dispatch{Attempt: id, Instance: a.id, Weights: weights})
 	if next.Action == attempt.ActionFinish {
-		e.apply(l, next, nil)
+		e.applyStep(r, next, nil)
 		return
 	}
-	l.agent, l.generation = a, a.generation
+	r.agent, r.generation = a, a.generation
 	if s.Pinned {
-		e.w.continued++
+		e.sim.continuedStreams++
 	}
-	e.w.connection(e, a).sendToAgent(&wire.RequestStart{
-		Attempt: id, Weights: weights, Repeatable: l.ask.kind.repeatable, Body: []byte(l.ask.body),
-		RemainingMillis: l.machine.Remaining(e.w.now).Milliseconds(), Hop: l.machine.Hop(),
+	e.sim.connection(e, a).sendToAgent(&wire.RequestStart{
+		Attempt: id, Weights: weights, Repeatable: r.submission.kind.repeatable, Body: []byte(r.submission.body),
+		RemainingMillis: r.machine.Remaining(e.sim.now).Milliseconds(), Hop: r.machine.Hop(),
 	})
 }
 
-// choose picks an instance. Now and then it ignores the pin of a continued
-// stream, as an entry with a stale view would.
-func (e *entry) choose(s attempt.Step) *agent {
-	s.Pinned = s.Pinned && !e.w.chance("stale view", 4)
-	a := e.w.agents[e.w.pick("instance", len(e.w.agents))]
-	for range e.w.agents {
+// chooseAgent picks an instance. One time in four it ignores that a continued stream
+// is pinned to its weights, as an entry with a stale view would.
+func (e *entry) chooseAgent(s attempt.Step) *agent {
+	s.Pinned = s.Pinned && !e.sim.chance("stale view", 4)
+	a := e.sim.agents[e.sim.draw("instance", len(e.sim.agents))]
+	for range e.sim.agents {
 		if !s.Pinned || a.live == s.Weights {
 			return a
 		}
-		a = e.w.agents[(int(a.id[len(a.id)-1]-'0')+1)%len(e.w.agents)]
+		a = e.sim.agents[(int(a.id[len(a.id)-1]-'0')+1)%len(e.sim.agents)]
 	}
 	return nil
 }
 
-func (e *entry) reattach(l *live, s attempt.Step) {
-	now, id := e.w.now, l.machine.Attempt()
+func (e *entry) reattach(r *activeRequest, s attempt.Step) {
+	now, id := e.sim.now, r.machine.Attempt()
 	switch {
-	case l.agent.generation != l.generation:
-		e.apply(l, l.machine.ServerCrashed(now, id), nil)
-	case e.w.chance("reattach fails", 6):
-		e.apply(l, l.machine.ReattachFailed(now, id), nil)
+	case r.agent.generation != r.generation:
+		e.applyStep(r, r.machine.ServerCrashed(now, id), nil)
+	case e.sim.chance("reattach fails", 6):
+		e.applyStep(r, r.machine.ReattachFailed(now, id), nil)
 	default:
-		e.w.connection(e, l.agent).sendToAgent(&wire.Reattach{Attempt: s.Attempt, NextSequence: s.NextSequence})
-		e.apply(l, l.machine.Reattached(now, id), nil)
+		e.sim.connection(e, r.agent).sendToAgent(&wire.Reattach{Attempt: s.Attempt, NextSequence: s.NextSequence})
+		e.applyStep(r, r.machine.Reattached(now, id), nil)
 	}
 }
 
 func (e *entry) handle(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.RequestRefused:
-		e.each(m.Attempt, func(l *live) {
-			e.apply(l, l.machine.Refused(e.w.now, m.Attempt, m.Reason, time.Duration(m.RetryAfterMillis)*time.Millisecond), nil)
+		e.forEachCandidate(m.Attempt, func(r *activeRequest) {
+			e.applyStep(r, r.machine.Refused(e.sim.now, m.Attempt, m.Reason, time.Duration(m.RetryAfterMillis)*time.Millisecond), nil)
 		})
 	case *wire.ResponseFrame:
-		e.each(m.Attempt, func(l *live) {
-			e.apply(l, l.machine.Frame(e.w.now, m.Attempt, m.Sequence, m.Data), m.Data)
-			e.w.connection(e, l.agent).sendToAgent(&wire.ResponseAck{Attempt: m.Attempt, NextSequence: l.machine.NextSequence()})
+		e.forEachCandidate(m.Attempt, func(r *activeRequest) {
+			e.applyStep(r, r.machine.Frame(e.sim.now, m.Attempt, m.Sequence, m.Data), m.Data)
+			e.sim.connection(e, r.agent).sendToAgent(&wire.ResponseAck{Attempt: m.Attempt, NextSequence: r.machine.NextSequence()})
 		})
 	case *wire.ResponseEnd:
-		e.each(m.Attempt, func(l *live) { e.apply(l, l.machine.End(e.w.now, m), nil) })
+		e.forEachCandidate(m.Attempt, func(r *activeRequest) { e.applyStep(r, r.machine.End(e.sim.now, m), nil) })
 	default:
-		panic(fmt.Sprintf("entry got %T", m))
+		panic(fmt.Sprintf("entry received unexpected message %T", m))
 	}
 }
 
-// each passes a message to every request, as a lookup by a reused or crossed id
-// would at worst: the machines tell which it is for.
-func (e *entry) each(id model.AttemptID, handle func(*live)) {
-	for _, l := range e.live {
-		if l.agent != nil && (l.machine.Attempt() == id || l.ask.attempts[id]) {
-			handle(l)
+// forEachCandidate calls handle for every request that ever had the attempt id. This
+// is the worst case of a lookup by a reused or mixed-up id: the state machines must
+// ignore messages of other attempts.
+func (e *entry) forEachCandidate(id model.AttemptID, handle func(*activeRequest)) {
+	for _, r := range e.active {
+		if r.agent != nil && (r.machine.Attempt() == id || r.submission.attempts[id]) {
+			handle(r)
 		}
 	}
 }
 
-// lose closes a connection at the entry.
-func (e *entry) lose(c *link) {
-	c.closed = true
-	for _, l := range e.live {
-		if l.agent == c.agent {
-			e.apply(l, l.machine.ConnectionLost(e.w.now, l.machine.Attempt()), nil)
+// connectionLost closes a connection at the entry.
+func (e *entry) connectionLost(l *link) {
+	l.closed = true
+	for _, r := range e.active {
+		if r.agent == l.agent {
+			e.applyStep(r, r.machine.ConnectionLost(e.sim.now, r.machine.Attempt()), nil)
 		}
 	}
 }
 
-// die ends the process: callers with no final answer get a connection error.
-func (e *entry) die() {
-	e.w.t.Logf("entry %d dies", e.id)
-	for _, l := range e.live {
-		l.ask.broken = l.ask.broken || !l.ask.told
+// crash ends the process and replaces it: callers without a final answer get a
+// connection error.
+func (e *entry) crash() {
+	e.sim.t.Logf("entry %d crashes", e.id)
+	for _, r := range e.active {
+		r.submission.connectionError = r.submission.connectionError || !r.submission.answered
 	}
-	for _, c := range e.w.links {
-		c.closed = c.closed || c.entry == e
+	for _, l := range e.sim.links {
+		l.closed = l.closed || l.entry == e
 	}
-	*e = *newEntry(e.w, e.id)
+	*e = *newEntry(e.sim, e.id)
 }
--- a/internal/requestsim/faults_test.go
+++ b/internal/requestsim/faults_test.go
@@ -6,20 +6,20 @@
 	"github.com/auburnbend/auburnbend/internal/tabletest"
 )
 
-// swap exchanges two neighbouring messages to an entry.
-func (w *world) swap() {
-	for _, l := range w.busy(false) {
+// swapMessages swaps two adjacent messages to an entry.
+func (sim *simulation) swapMessages() {
+	for _, l := range sim.linksWithMessages(false) {
 		if n := len(l.toEntry); n > 1 {
-			i := w.pick("position", n-1)
+			i := sim.draw("position", n-1)
 			l.toEntry[i], l.toEntry[i+1] = l.toEntry[i+1], l.toEntry[i]
 			return
 		}
 	}
 }
 
-func (w *world) openLink() *link {
+func (sim *simulation) drawOpenLink() *link {
 	var open []*link
-	for _, l := range w.links {
+	for _, l := range sim.links {
 		if !l.closed {
 			open = append(open, l)
 		}
@@ -27,96 +27,97 @@
 	if len(open) == 0 {
 		return nil
 	}
-	return open[w.pick("link", len(open))]
+	return open[sim.draw("link", len(open))]
 }
 
-func (w *world) silence() {
-	if l := w.openLink(); l != nil && w.chance("really", 2) {
-		l.silent = true
+func (sim *simulation) blackholeLink() {
+	if l := sim.drawOpenLink(); l != nil && sim.chance("really", 2) {
+		l.blackholed = true
 		l.toEntry = nil
 	}
 }
 
-func (w *world) closeLink() {
-	if l := w.openLink(); l != nil && w.chance("really", 2) {
-		l.entry.lose(l)
-		if w.chance("agent notices", 2) {
-			l.agent.lose(l, w.now)
+func (sim *simulation) closeLink() {
+	if l := sim.drawOpenLink(); l != nil && sim.chance("really", 2) {
+		l.entry.connectionLost(l)
+		if sim.chance("agent notices", 2) {
+			l.agent.connectionLost(l, sim.now)
 		}
 	}
 }
 
-func (w *world) changeStore() {
-	fault := tabletest.Fault(w.pick("fault", 5))
-	reads := w.chance("reads fail", 2)
-	w.fault = func(write bool) tabletest.Fault {
+func (sim *simulation) changeStoreFault() {
+	fault := tabletest.Fault(sim.draw("fault", 5))
+	reads := sim.chance("reads fail", 2)
+	sim.fault = func(write bool) tabletest.Fault {
 		if write || reads {
 			return fault
 		}
 		return tabletest.NoFault
 	}
-	if w.chance("healthy", 2) {
-		w.fault = nil
+	if sim.chance("healthy", 2) {
+		sim.fault = nil
 	}
 }
 
-// pass lets time go by: deadlines pass, agents give up on entries.
-func (w *world) pass() {
-	w.now = w.now.Add(time.Duration(1+w.pick("tenths", 60)) * 100 * time.Millisecond)
-	for _, a := range w.agents {
+// advanceTime advances the time by up to 6 s, so that deadlines pass and agents
+// cancel attempts that have stayed detached for too long.
+func (sim *simulation) advanceTime() {
+	sim.now = sim.now.Add(time.Duration(1+sim.draw("tenths", 60)) * 100 * time.Millisecond)
+	for _, a := range sim.agents {
 		a.tick()
 	}
-	for _, e := range w.entries {
-		for _, l := range e.live {
-			if !l.ask.told && l.machine.Remaining(w.now) <= 0 && w.chance("timer on time", 2) {
-				e.apply(l, l.machine.DeadlinePassed(w.now), nil)
+	for _, e := range sim.entries {
+		for _, r := range e.active {
+			if !r.submission.answered && r.machine.Remaining(sim.now) <= 0 && sim.chance("timer on time", 2) {
+				e.applyStep(r, r.machine.DeadlinePassed(sim.now), nil)
 			}
 		}
 	}
 }
 
-func (w *world) entryDies() {
-	if w.chance("really", 3) {
-		w.entries[w.pick("entry", entryCount)].die()
+func (sim *simulation) crashEntry() {
+	if sim.chance("really", 3) {
+		sim.entries[sim.draw("entry", entryCount)].crash()
 	}
 }
 
-func (w *world) agentDies() {
-	if w.chance("really", 3) {
-		w.agents[w.pick("agent", agentCount)].restart()
+func (sim *simulation) restartAgent() {
+	if sim.chance("really", 3) {
+		sim.agents[sim.draw("agent", agentCount)].restart()
 	}
 }
 
-func (w *world) engineDies() {
-	if w.chance("really", 2) {
-		w.agents[w.pick("agent", agentCount)].crashEngine()
+func (sim *simulation) crashEngine() {
+	if sim.chance("really", 2) {
+		sim.agents[sim.draw("agent", agentCount)].crashEngine()
 	}
 }
 
-// longPause stops all entries for longer than agents remember attempt ids. The
+// pauseEntries pauses all entries for longer than agents remember attempt ids. The
 // agents miss the heartbeats and close the connections within seconds, so no
-// message arrives as late as that.
-func (w *world) longPause() {
-	if !w.chance("really", 10) {
+// message of before the pause arrives after it.
+func (sim *simulation) pauseEntries() {
+	if !sim.chance("really", 10) {
 		return
 	}
-	w.now = w.now.Add(11 * time.Minute)
-	w.copies = nil
-	for _, l := range w.links {
-		l.toAgent, l.silent = nil, true
-		l.agent.lose(l, w.now)
+	sim.now = sim.now.Add(11 * time.Minute)
+	sim.delayedStarts = nil
+	for _, l := range sim.links {
+		l.toAgent, l.blackholed = nil, true
+		l.agent.connectionLost(l, sim.now)
 	}
-	for _, a := range w.agents {
+	for _, a := range sim.agents {
 		a.tick()
 	}
 }
 
-func (w *world) callerLeaves() {
-	e := w.entries[w.pick("entry", entryCount)]
-	if len(e.live) == 0 || !w.chance("really", 3) {
+func (sim *simulation) cancelRequest() {
+	e := sim.entries[sim.draw("entry", entryCount)]
+	if len(e.active) == 0 || !sim.chance("really", 3) {
 		return
 	}
-	if l := e.live[w.pick("request", len(e.live))]; !l.ask.told {
-		e.apply(l, l.machine.Canceled(w.now), nil)
+	if r := e.active[sim.draw("request", len(e.active))]; !r.submission.answered {
+		e.applyStep(r, r.machine.Canceled(sim.now), nil)
 	}
 }
--- a/internal/requestsim/fuzz_test.go
+++ b/internal/requestsim/fuzz_test.go
@@ -11,123 +11,124 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Guards against wrong, crossed or truncated answers reported complete, runs
-// after not_run, second runs of non-repeatable requests and keys that stay
-// refused.
+// Guards against wrong, mixed-up or truncated responses that are reported as
+// completed, runs of requests that were reported as not_run, second runs of
+// non-repeatable requests, and keys that are refused forever.
 var _ = Describe("requests under faults", func() {
-	It("keeps what callers were told true", func() {
-		var stats tally
+	It("reports to callers only outcomes that are true and stay true", func() {
+		var total stats
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			w := newWorld(t)
-			t.Repeat(w.actions())
-			w.checkKeysUsable()
-			stats.add(w)
+			sim := newSimulation(t)
+			t.Repeat(sim.actions())
+			sim.checkKeysUsable()
+			total.add(sim)
 		})
-		GinkgoWriter.Println(stats)
+		GinkgoWriter.Println(total)
 	})
 })
 
-func (w *world) actions() map[string]func(*rapid.T) {
-	acts := map[string]func(){
-		"submit":        w.submit,
-		"send again":    w.sendAgain,
-		"entry step":    w.entryStep,
-		"entry step 2":  w.entryStep,
-		"to agent":      func() { w.deliver(true) },
-		"to agent 2":    func() { w.deliver(true) },
-		"to entry":      func() { w.deliver(false) },
-		"to entry 2":    func() { w.deliver(false) },
-		"late copy":     w.deliverCopy,
-		"drain queues":  w.deliverMuch,
-		"work":          w.work,
-		"work much":     w.workMuch,
-		"swap":          w.swap,
-		"silence":       w.silence,
-		"close":         w.closeLink,
-		"store":         w.changeStore,
-		"land":          w.table.ApplyDelayed,
-		"time":          w.pass,
-		"sweep":         func() { w.entries[w.pick("entry", entryCount)].ledger.RetryPending(w.ctx, 10) },
-		"entry dies":    w.entryDies,
-		"agent dies":    w.agentDies,
-		"engine dies":   w.engineDies,
-		"work much 2":   w.workMuch,
-		"drain queue 2": w.deliverMuch,
-		"long pause":    w.longPause,
-		"switch":        func() { w.agents[w.pick("agent", agentCount)].switchTo(w.weights[w.pick("weights", 2)]) },
-		"caller leaves": w.callerLeaves,
-	}
-	out := map[string]func(*rapid.T){"": func(t *rapid.T) { w.t = t; w.check() }}
-	for name, act := range acts {
-		out[name] = func(t *rapid.T) { w.t = t; act() }
+func (sim *simulation) actions() map[string]func(*rapid.T) {
+	actions := map[string]func(){
+		"submit":        sim.submit,
+		"send again":    sim.resubmit,
+		"entry step":    sim.stepEntries,
+		"entry step 2":  sim.stepEntries,
+		"to agent":      func() { sim.deliver(true) },
+		"to agent 2":    func() { sim.deliver(true) },
+		"to entry":      func() { sim.deliver(false) },
+		"to entry 2":    func() { sim.deliver(false) },
+		"late copy":     sim.deliverDelayedStart,
+		"drain queues":  sim.deliverMany,
+		"work":          sim.emitOnce,
+		"work much":     sim.emitMany,
+		"swap":          sim.swapMessages,
+		"silence":       sim.blackholeLink,
+		"close":         sim.closeLink,
+		"store":         sim.changeStoreFault,
+		"land":          sim.table.ApplyDelayed,
+		"time":          sim.advanceTime,
+		"sweep":         func() { sim.entries[sim.draw("entry", entryCount)].ledger.RetryPending(sim.ctx, 10) },
+		"entry dies":    sim.crashEntry,
+		"agent dies":    sim.restartAgent,
+		"engine dies":   sim.crashEngine,
+		"work much 2":   sim.emitMany,
+		"drain queue 2": sim.deliverMany,
+		"long pause":    sim.pauseEntries,
+		"switch":        func() { sim.agents[sim.draw("agent", agentCount)].switchWeights(sim.weights[sim.draw("weights", 2)]) },
+		"caller leaves": sim.cancelRequest,
+	}
+	out := map[string]func(*rapid.T){"": func(t *rapid.T) { sim.t = t; sim.check() }}
+	for name, action := range actions {
+		out[name] = func(t *rapid.T) { sim.t = t; action() }
 	}
 	return out
 }
 
-func (w *world) submit() {
-	if len(w.asks) >= maxAsks {
+func (sim *simulation) submit() {
+	if len(sim.submissions) >= maxSubmissions {
 		return
 	}
-	k := kinds[w.pick("kind", len(kinds))]
-	a := &ask{kind: k, body: fmt.Sprintf("%s-%d", k.name, w.number())}
+	k := requestKinds[sim.draw("kind", len(requestKinds))]
+	sub := &submission{kind: k, body: fmt.Sprintf("%s-%d", k.name, sim.nextSerial())}
 	if k.keyed {
-		a.key = a.body
+		sub.key = sub.body
 	}
-	w.send(a)
+	sim.send(sub)
 }
 
-// sendAgain is a caller that has no result and sends the same key, to any entry.
-func (w *world) sendAgain() {
-	var again []*ask
-	for _, a := range w.asks {
-		if a.key != "" && (a.broken || a.told) {
-			again = append(again, a)
+// resubmit sends a request with a key again, to any entry, after an earlier
+// submission was answered or ended with a connection error.
+func (sim *simulation) resubmit() {
+	var candidates []*submission
+	for _, sub := range sim.submissions {
+		if sub.key != "" && (sub.connectionError || sub.answered) {
+			candidates = append(candidates, sub)
 		}
 	}
-	if len(again) == 0 || len(w.asks) >= maxAsks {
+	if len(candidates) == 0 || len(sim.submissions) >= maxSubmissions {
 		return
 	}
-	old := again[w.pick("ask", len(again))]
-	w.send(&ask{kind: old.kind, key: old.key, body: old.body, proofs: w.proofs(old.key)})
+	old := candidates[sim.draw("ask", len(candidates))]
+	sim.send(&submission{kind: old.kind, key: old.key, body: old.body, proofs: sim.proofs(old.key)})
 }
 
-func (w *world) send(a *ask) {
-	a.attempts = make(map[attemptID]bool)
-	w.asks = append(w.asks, a)
-	timeout := time.Duration(1+w.pick("timeout", 30)) * time.Second
-	w.entries[w.pick("entry", entryCount)].accept(a, timeout)
+func (sim *simulation) send(sub *submission) {
+	sub.attempts = make(map[attemptID]bool)
+	sim.submissions = append(sim.submissions, sub)
+	timeout := time.Duration(1+sim.draw("timeout", 30)) * time.Second
+	sim.entries[sim.draw("entry", entryCount)].accept(sub, timeout)
 }
 
-func (w *world) entryStep() {
+func (sim *simulation) stepEntries() {
 	for range 3 {
-		var todo []*live
+		var pending []*activeRequest
 		var owners []*entry
-		for _, e := range w.entries {
-			for _, l := range e.live {
-				if l.pending != nil {
-					todo, owners = append(todo, l), append(owners, e)
+		for _, e := range sim.entries {
+			for _, r := range e.active {
+				if r.pending != nil {
+					pending, owners = append(pending, r), append(owners, e)
 				}
 			}
 		}
-		if len(todo) == 0 {
+		if len(pending) == 0 {
 			return
 		}
-		i := w.pick("request", len(todo))
-		owners[i].step(todo[i])
+		i := sim.draw("request", len(pending))
+		owners[i].performStep(pending[i])
 	}
 }
 
-func (w *world) deliver(toAgent bool) {
-	busy := w.busy(toAgent)
-	if len(busy) == 0 {
+func (sim *simulation) deliver(toAgent bool) {
+	links := sim.linksWithMessages(toAgent)
+	if len(links) == 0 {
 		return
 	}
-	l := busy[w.pick("link", len(busy))]
-	duplicate := w.chance("duplicate", 8)
+	l := links[sim.draw("link", len(links))]
+	duplicate := sim.chance("duplicate", 8)
 	if toAgent {
 		m := l.toAgent[0]
-		if start, ok := m.(*wire.RequestStart); ok && w.chance("late copy", 3) {
-			w.copies = append(w.copies, lateCopy{l, l.agent.generation, start})
+		if start, ok := m.(*wire.RequestStart); ok && sim.chance("late copy", 3) {
+			sim.delayedStarts = append(sim.delayedStarts, delayedStart{l, l.agent.generation, start})
 		}
 		if !duplicate {
 			l.toAgent = l.toAgent[1:]
@@ -142,29 +143,31 @@
 	l.entry.handle(m)
 }
 
-// deliverCopy delivers a RequestStart once more, at any later time.
-func (w *world) deliverCopy() {
-	if len(w.copies) == 0 {
+// deliverDelayedStart delivers a second copy of a RequestStart, at any later time
+// at which the agent process that was meant still runs.
+func (sim *simulation) deliverDelayedStart() {
+	if len(sim.delayedStarts) == 0 {
 		return
 	}
-	c := w.copies[w.pick("copy", len(w.copies))]
+	c := sim.delayedStarts[sim.draw("copy", len(sim.delayedStarts))]
 	if c.generation == c.link.agent.generation {
 		c.link.agent.handle(c.link, c.start)
 	}
 }
 
-// deliverMuch lets the network catch up, so that many requests reach their end.
-func (w *world) deliverMuch() {
+// deliverMany delivers several messages at once, so that many requests reach their
+// end.
+func (sim *simulation) deliverMany() {
 	for range 12 {
-		w.deliver(true)
-		w.deliver(false)
+		sim.deliver(true)
+		sim.deliver(false)
 	}
 }
 
-func (w *world) work() {
-	a := w.agents[w.pick("agent", agentCount)]
-	var active []*served
-	for _, s := range a.serving {
+func (sim *simulation) emitOnce() {
+	a := sim.agents[sim.draw("agent", agentCount)]
+	var active []*servedAttempt
+	for _, s := range a.attempts {
 		if !s.ended {
 			active = append(active, s)
 		}
@@ -172,16 +175,16 @@
 	if len(active) == 0 {
 		return
 	}
-	s := active[w.pick("attempt", len(active))]
-	if w.chance("backend error", 60) {
+	s := active[sim.draw("attempt", len(active))]
+	if sim.chance("backend error", 60) {
 		a.end(s, outcome.Failed, outcome.ReasonBackendError, 500)
 		return
 	}
-	a.emit(s, 1+w.pick("size", 12))
+	a.emit(s, 1+sim.draw("size", 12))
 }
 
-func (w *world) workMuch() {
+func (sim *simulation) emitMany() {
 	for range 16 {
-		w.work()
+		sim.emitOnce()
 	}
 }
--- a/internal/requestsim/oracle_test.go
+++ b/internal/requestsim/oracle_test.go
@@ -8,86 +8,86 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// check states what must hold at any moment.
-func (w *world) check() {
+// check checks the invariants that hold after every action.
+func (sim *simulation) check() {
 	perKey := make(map[string]int)
-	perAsk := make(map[*ask]int)
-	for _, r := range w.runs {
-		perAsk[r.ask]++
-		if r.ask.key != "" {
-			perKey[r.ask.key]++
+	perSubmission := make(map[*submission]int)
+	for _, r := range sim.runs {
+		perSubmission[r.submission]++
+		if r.submission.key != "" {
+			perKey[r.submission.key]++
 		}
 	}
 	for key, n := range perKey {
 		if n > 1 {
-			w.t.Fatalf("key %s ran %d times", key, n)
+			sim.t.Fatalf("key %s ran %d times", key, n)
 		}
 	}
-	for i, a := range w.asks {
-		if n := perAsk[a]; !a.kind.repeatable && n > 1 {
-			w.t.Fatalf("non-repeatable ask %d ran %d times", i, n)
+	for i, sub := range sim.submissions {
+		if n := perSubmission[sub]; !sub.kind.repeatable && n > 1 {
+			sim.t.Fatalf("non-repeatable submission %d ran %d times", i, n)
 		}
-		if len(a.received) > 0 && !w.answered(a, bytes.HasPrefix) {
-			w.t.Fatalf("ask %d (%s) has bytes of several answers: %q", i, a.kind.name, a.received)
+		if len(sub.received) > 0 && !sim.matchesRun(sub, bytes.HasPrefix) {
+			sim.t.Fatalf("submission %d (%s) received bytes that are not a prefix of any one response: %q", i, sub.kind.name, sub.received)
 		}
-		if !a.told {
+		if !sub.answered {
 			continue
 		}
-		if a.outcome == outcome.NotRun && perAsk[a] > 0 {
-			w.t.Fatalf("ask %d (%s) was told not_run (%s) and ran", i, a.kind.name, a.reason)
+		if sub.outcome == outcome.NotRun && perSubmission[sub] > 0 {
+			sim.t.Fatalf("submission %d (%s) was reported as not_run (%s) but ran", i, sub.kind.name, sub.reason)
 		}
-		if a.outcome == outcome.Completed && !w.answered(a, bytes.Equal) {
-			w.t.Fatalf("ask %d (%s) was told completed and has %q", i, a.kind.name, a.received)
+		if sub.outcome == outcome.Completed && !sim.matchesRun(sub, bytes.Equal) {
+			sim.t.Fatalf("submission %d (%s) was reported as completed but received %q", i, sub.kind.name, sub.received)
 		}
 	}
 }
 
-// answered reports whether what the ask holds matches the answer of one run of
-// its own request.
-func (w *world) answered(a *ask, match func(text, received []byte) bool) bool {
-	for _, r := range w.runs {
-		same := r.ask == a || a.key != "" && r.ask.key == a.key
-		if same && match(r.text, a.received) {
+// matchesRun reports whether the received bytes match the response of a run of this
+// submission, or of another submission with the same key.
+func (sim *simulation) matchesRun(sub *submission, match func(response, received []byte) bool) bool {
+	for _, r := range sim.runs {
+		same := r.submission == sub || sub.key != "" && r.submission.key == sub.key
+		if same && match(r.response, sub.received) {
 			return true
 		}
 	}
 	return false
 }
 
-// proofs returns what the caller of a key was given so far.
-func (w *world) proofs(key string) (out []model.AttemptID) {
-	for _, a := range w.asks {
-		if a.key == key {
-			out = append(out, a.next...)
+// proofs returns the proofs that callers of a key were given so far.
+func (sim *simulation) proofs(key string) (out []model.AttemptID) {
+	for _, sub := range sim.submissions {
+		if sub.key == key {
+			out = append(out, sub.nextProofs...)
 		}
 	}
 	return out
 }
 
-// checkKeysUsable heals the store and asks once more for each key whose callers
-// were all told not_run. Such a key must not be refused for ever, even when
-// every entry that handled it is gone.
-func (w *world) checkKeysUsable() {
-	w.fault = nil
-	w.table.ApplyDelayed()
-	last := make(map[string]*ask)
-	open := make(map[string]bool)
-	for _, a := range w.asks {
-		if a.key == "" {
+// checkKeysUsable removes the store's faults and claims each key once more for which
+// not_run was the only outcome reported to callers. Such a key must not be refused
+// forever, even if every entry that handled it is gone.
+func (sim *simulation) checkKeysUsable() {
+	sim.fault = nil
+	sim.table.ApplyDelayed()
+	last := make(map[string]*submission)
+	mayHaveRun := make(map[string]bool)
+	for _, sub := range sim.submissions {
+		if sub.key == "" {
 			continue
 		}
-		last[a.key] = a
-		open[a.key] = open[a.key] || !a.told || a.outcome != outcome.NotRun
+		last[sub.key] = sub
+		mayHaveRun[sub.key] = mayHaveRun[sub.key] || !sub.answered || sub.outcome != outcome.NotRun
 	}
-	for _, a := range w.asks {
-		if a.key == "" || open[a.key] || last[a.key] != a {
+	for _, sub := range sim.submissions {
+		if sub.key == "" || mayHaveRun[sub.key] || last[sub.key] != sub {
 			continue
 		}
-		got := newLedger(w).Claim(w.ctx, w.now, a.claimKey(), claim.Intent{
-			Attempt: model.AttemptID("final-" + a.key), Fingerprint: a.fingerprint(), Proofs: w.proofs(a.key),
+		decision := newLedger(sim).Claim(sim.ctx, sim.now, sub.claimKey(), claim.Intent{
+			Attempt: model.AttemptID("final-" + sub.key), Fingerprint: sub.fingerprint(), Proofs: sim.proofs(sub.key),
 		})
-		if got.Status != claim.StatusHeld {
-			w.t.Fatalf("key %s was only told not_run and is refused: %s", a.key, got.Status)
+		if decision.Status != claim.StatusHeld {
+			sim.t.Fatalf("key %s is refused with %s although only not_run was reported for it", sub.key, decision.Status)
 		}
 	}
 }
--- a/internal/requestsim/suite_test.go
+++ b/internal/requestsim/suite_test.go
@@ -1,6 +1,6 @@
-// Package requestsim checks the request packages together: several entries,
-// agents and callers in simulated time, under the faults that the design names,
-// against an oracle that knows every run.
+// Package requestsim tests the packages of the request path together. It simulates
+// several entries, agents and callers with faults and checks what callers receive
+// against an oracle that knows every run. Time is simulated.
 package requestsim
 
 import (
