--- a/internal/deployment/agent_process.go
+++ b/internal/deployment/agent_process.go
@@ -18,29 +18,32 @@
 	"github.com/auburnbend/auburnbend/standin/service"
 )
 
-// AgentProcess is one running agent and its backend server.
+// AgentProcess is a running agent with its backend server.
 type AgentProcess struct {
 	Identity model.Identity
 	Pool     string
 	Agent    *agent.Agent
-	// Engine is nil for plain services, Service for engines.
+	// Engine is nil if the backend server is a plain service; Service is nil if it
+	// is an engine.
 	Engine  *engine.Server
 	Service *service.Server
 	Metrics *telemetry.Metrics
 
 	deployment *Deployment
 	stopped    atomic.Bool
-	closing    sync.Once
-	listener   *cutListener
+	closeOnce  sync.Once
+	listener   *trackedListener
 }
 
-// StartAgent starts a backend server and its agent.
+// StartAgent starts a backend server and its agent, and adds the agent to the
+// instance list. The backend server is a plain service in OrderPool, otherwise an
+// engine.
 func (d *Deployment) StartAgent(domain model.FailureDomain, name, pool string) error {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	listener := &cutListener{Listener: tcp}
+	listener := &trackedListener{Listener: tcp}
 	p := &AgentProcess{
 		Identity: d.identity(domain, name, tcp), Pool: pool,
 		deployment: d, listener: listener,
@@ -87,15 +90,15 @@
 		return nil
 	}
 	cfg.BackendKind = settings.BackendEngine
-	// Every third engine ignores fencing numbers, as some in use do.
-	ignores := p.Identity.Generation%3 == 0
-	cfg.Backend.Guard.EnforcesFencing = !ignores
-	if cfg.StagingDir, err = p.deployment.stagingOf(string(p.Identity.Instance)); err != nil {
+	// About one engine in three ignores fencing numbers, as some real engines do.
+	ignoreFencing := p.Identity.Generation%3 == 0
+	cfg.Backend.Guard.EnforcesFencing = !ignoreFencing
+	if cfg.StagingDir, err = p.deployment.createStagingDir(string(p.Identity.Instance)); err != nil {
 		return err
 	}
 	p.Engine, err = engine.Start(engine.Config{
 		TimeScale: o.EngineTimeScale, Capacity: engineCapacity, RestartDelay: o.EngineRestartDelay,
-		IgnoreFencing: ignores,
+		IgnoreFencing: ignoreFencing,
 	})
 	if err != nil {
 		return err
@@ -109,10 +112,11 @@
 	return slices.Contains(p.Agent.LiveWeights(), v.Weights)
 }
 
-// Stopped reports whether the agent was told to stop or was killed.
+// Stopped reports whether Stop or Kill was called.
 func (p *AgentProcess) Stopped() bool { return p.stopped.Load() }
 
-// Stop drains the agent as SIGTERM does and returns when it has ended.
+// Stop removes the agent from the instance list, drains it as SIGTERM does and ends
+// it and its backend server. It returns the error of the drain.
 func (p *AgentProcess) Stop(ctx context.Context) error {
 	p.stopped.Store(true)
 	p.deployment.InstanceList.Remove(p.Identity.Instance)
@@ -121,20 +125,20 @@
 	return err
 }
 
-// BlackholeHalf makes half of the entries' connections to this agent go silent for
-// good, so that they miss what it announces next.
-func (p *AgentProcess) BlackholeHalf() { p.listener.silenceHalf() }
+// BlackholeHalf blackholes half of the connections that entries opened to this
+// agent, so that the entries miss its next announcements.
+func (p *AgentProcess) BlackholeHalf() { p.listener.blackholeHalf() }
 
-// Kill ends the instance at once, engine included: all its connections break.
+// Kill ends the agent and its backend server at once: all connections break.
 func (p *AgentProcess) Kill() {
 	p.stopped.Store(true)
 	p.deployment.InstanceList.Remove(p.Identity.Instance)
-	p.listener.cut()
+	p.listener.closeAll()
 	p.close()
 }
 
 func (p *AgentProcess) close() {
-	p.closing.Do(func() {
+	p.closeOnce.Do(func() {
 		_ = p.Agent.Close()
 		if p.Engine != nil {
 			_ = p.Engine.Close()
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// prefixes are those that the share is measured with.
-	prefixes = 40
-	// hitTarget is the share of requests that find their prefix when all
-	// instances are idle and one of them has it.
-	hitTarget = 0.9
+	// prefixCount is the number of prefixes with which the hit share is measured.
+	prefixCount = 40
+	// minHitShare is the least share of requests that must run on the one engine
+	// that has their prefix cached, while all instances are idle.
+	minHitShare = 0.9
 )
 
 var _ = Describe("Cache events", func() {
@@ -34,7 +34,7 @@
 		calls  int
 	)
 
-	start := func(silent bool) {
+	start := func(disableEvents bool) {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(context.Background(), time.Minute)
 		DeferCleanup(cancel)
@@ -42,7 +42,7 @@
 		d, err = deployment.Start(deployment.Options{
 			Domains: []model.FailureDomain{"kigali"}, EntriesPerDomain: 1, AgentsPerDomain: 4,
 			ModelBytes: 1 << 20, ChunkBytes: 64 << 10, TransferWindow: time.Second,
-			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond, DisableCacheEvents: silent,
+			EngineTimeScale: 0.05, EngineRestartDelay: 200 * time.Millisecond, DisableCacheEvents: disableEvents,
 			StagingDir: GinkgoT().TempDir(), Seed: 1,
 		}, eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(GinkgoWriter))))
 		Expect(err).NotTo(HaveOccurred())
@@ -58,7 +58,7 @@
 		return fmt.Appendf(nil, `{"max_tokens":2,"prompt":"%s %d %s %d"}`, kind, prefix, strings.Repeat("crest ", 60), question)
 	}
 
-	// warm makes an engine cache a prefix without the entry knowing.
+	// warm makes an engine cache a prefix with a request that bypasses the entry.
 	warm := func(kind string, prefix int) {
 		agents := d.ModelAgents()
 		c, err := engine.NewClient(engine.Config{Address: agents[prefix%len(agents)].Engine.URL()})
@@ -84,9 +84,9 @@
 		return sum
 	}
 
-	// ask sends a request through the entry and reports whether the engine that
-	// ran it had its prefix.
-	ask := func(kind string, prefix int) bool {
+	// sendAndCheckHit sends a request through the entry and reports whether the
+	// engine that ran it had its prefix cached.
+	sendAndCheckHit := func(kind string, prefix int) bool {
 		before := hits()
 		calls++
 		a := client.Send(ctx, d.Entries[0].URL, deployment.Call{
@@ -96,47 +96,48 @@
 		return a.Outcome == completed && hits() > before
 	}
 
-	share := func() float64 {
+	measureHitShare := func() float64 {
 		found := 0
-		for i := range prefixes {
-			if ask("measured", i) {
+		for i := range prefixCount {
+			if sendAndCheckHit("measured", i) {
 				found++
 			}
 		}
-		return float64(found) / prefixes
+		return float64(found) / prefixCount
 	}
 
 	warmAll := func() {
-		for i := range prefixes {
+		for i := range prefixCount {
 			warm("measured", i)
 		}
 	}
 
-	// Guards against events that do not reach the picker, or that name prefixes
-	// by other numbers than requests do.
-	It("bring requests to the instances that have their prefix", func() {
+	// Guards against cache events that do not reach the picker, and against events
+	// that identify a prefix by another hash than requests do.
+	It("route requests to the instances that have their prefix cached", func() {
 		start(false)
 		warmAll()
-		unknown := func() (count int) {
-			for i := range prefixes {
+		unannounced := func() (count int) {
+			for i := range prefixCount {
 				if !d.Entries[0].Entry.PrefixCached(body("measured", i, 0), d.Versions[0].Weights) {
 					count++
 				}
 			}
 			return count
 		}
-		Eventually(unknown).WithTimeout(settleTime).Should(BeZero())
-		found := share()
+		Eventually(unannounced).WithTimeout(settleTime).Should(BeZero())
+		found := measureHitShare()
 		AddReportEntry("share of hits with cache events", found)
-		Expect(found).To(BeNumerically(">=", hitTarget))
+		Expect(found).To(BeNumerically(">=", minHitShare))
 	})
 
-	// Guards against a comparison in which the prefix is found without events.
-	It("make the difference to routing without them", func() {
+	// Guards against a test that reaches the hit share without cache events, and so
+	// proves nothing about them.
+	It("are needed to reach the hit share", func() {
 		start(true)
 		warmAll()
-		found := share()
+		found := measureHitShare()
 		AddReportEntry("share of hits without cache events", found)
-		Expect(found).To(BeNumerically("<", hitTarget))
+		Expect(found).To(BeNumerically("<", minHitShare))
 	})
 })
--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -16,19 +16,20 @@
 	"github.com/auburnbend/auburnbend/standin/engine"
 )
 
-// Answer is what a caller got.
+// Answer is the result of a call as the caller sees it.
 type Answer struct {
 	RequestID string
 	Outcome   string
 	Reason    string
 	Body      []byte
-	// TimeToFirstByte is the time to the first piece of the answer.
+	// TimeToFirstByte is the time from sending to the first event of a streamed
+	// answer; 0 for other answers.
 	TimeToFirstByte time.Duration
 	// Entry is the index of the entry that answered.
 	Entry int
 }
 
-// Outcomes that a caller sees beside those of the system.
+// Outcomes. The outcome of an answer without an end is outcomeBroken.
 const (
 	outcomeBroken    = "connection_broken"
 	outcomeCompleted = "completed"
@@ -40,25 +41,25 @@
 	http *http.Client
 }
 
-// NewClient returns a client.
 func NewClient() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call is one request of a caller.
+// Call is a request of a caller.
 type Call struct {
 	Service string
 	Tenant  string
-	// RequestID is the caller's id, Key the idempotency key or empty.
+	// RequestID is chosen by the caller. IdempotencyKey may be empty.
 	RequestID, IdempotencyKey string
 	Body                      []byte
 	Stream                    bool
 }
 
-// Send sends a call to an entry and waits for its end.
+// Send sends a call to an entry and waits for the end of its answer. Errors,
+// including the end of ctx, give an answer with the outcome connection_broken.
 func (c *Client) Send(ctx context.Context, url string, call Call) Answer {
 	a := Answer{RequestID: call.RequestID, Outcome: outcomeBroken}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/services/"+call.Service, bytes.NewReader(call.Body))
@@ -90,8 +91,8 @@
 	return a
 }
 
-// readStream reads events until the final one. Without it the answer stays
-// broken.
+// readStream reads events up to the final one. If it is missing, the outcome stays
+// outcomeBroken.
 func readStream(r io.Reader, sent time.Time, a *Answer) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, 1<<20)
@@ -111,9 +112,9 @@
 		}
 		switch event {
 		case caller.EventChunk:
-			var piece string
-			if json.Unmarshal([]byte(data), &piece) == nil {
-				a.Body = append(a.Body, piece...)
+			var chunk string
+			if json.Unmarshal([]byte(data), &chunk) == nil {
+				a.Body = append(a.Body, chunk...)
 			}
 		case caller.EventEnd:
 			var end caller.StreamEnd
@@ -125,13 +126,14 @@
 	}
 }
 
-// DraftBody returns the body of a request for a draft.
+// DraftBody returns the body of a request for a draft of the given number of tokens,
+// with a random prompt.
 func DraftBody(rng *rand.Rand, tokens int) []byte {
 	return fmt.Appendf(nil, `{"max_tokens":%d,"prompt":"%s %016x"}`, tokens, strings.Repeat("blazon ", 1+rng.Intn(8)), rng.Uint64())
 }
 
-// VersionOfAnswer returns the version that gave a whole answer to body, or false when
-// the answer is that of no published version.
+// VersionOfAnswer returns the published version whose complete answer to body equals
+// answer, or false if there is none.
 func (d *Deployment) VersionOfAnswer(answer, body []byte) (Version, bool) {
 	for _, v := range d.Versions {
 		if bytes.Equal(answer, engine.ExpectedAnswer(v.ContentDigest, body)) {
--- a/internal/deployment/declare.go
+++ b/internal/deployment/configuration.go
@@ -13,7 +13,8 @@
 	"github.com/auburnbend/auburnbend/standin/engine"
 )
 
-// Publish makes a new version, puts it at the origin and returns it.
+// Publish creates a version with random weights and uploads its weights and manifest
+// to the origin.
 func (d *Deployment) Publish(name string) (Version, error) {
 	data := make([]byte, d.Options.ModelBytes)
 	d.rand.Read(data)
@@ -29,15 +30,15 @@
 	digest := model.Sum(encoded)
 	d.Origin.Put(object, data)
 	d.Origin.Put(manifestObject(name), encoded)
-	files := make([]model.Digest, 0, len(m.Chunks))
+	chunks := make([]model.Digest, 0, len(m.Chunks))
 	for _, c := range m.Chunks {
-		files = append(files, c.Digest)
+		chunks = append(chunks, c.Digest)
 	}
 	v := Version{
 		Name:          name,
 		Digest:        digest,
 		Weights:       model.Weights{Base: digest},
-		ContentDigest: engine.ContentDigest(files...),
+		ContentDigest: engine.ContentDigest(chunks...),
 	}
 	d.Versions = append(d.Versions, v)
 	return v, nil
@@ -45,7 +46,7 @@
 
 func manifestObject(version string) string { return "manifests/" + version }
 
-// ConfigFor returns the configuration that places a version in all domains.
+// ConfigFor returns a configuration that places a version in all failure domains.
 func (d *Deployment) ConfigFor(placed string) *config.Config {
 	c := &config.Config{
 		Deployment: config.Deployment{TimeWeight: 1, OriginCopies: len(d.Options.Domains), TransferShare: 0.8, ClaimRetention: 24 * time.Hour},
@@ -76,8 +77,8 @@
 	return c
 }
 
-// PublishAndPlace publishes a version and places it in all failure domains through the
-// operators' interface.
+// PublishAndPlace publishes a version and places it in all failure domains through
+// the operator interface. It does not wait until the version is live.
 func (d *Deployment) PublishAndPlace(ctx context.Context, name string) (Version, error) {
 	v, err := d.Publish(name)
 	if err != nil {
@@ -98,7 +99,8 @@
 	return v, err
 }
 
-// NewOperatorClient returns a client of the operators' interface.
+// NewOperatorClient returns a client of the operator interface of all entries. The
+// caller closes it.
 func (d *Deployment) NewOperatorClient() (*operator.Client, error) {
 	var addresses []string
 	for _, e := range d.Entries {
@@ -107,7 +109,8 @@
 	return operator.New(operator.Config{Addresses: addresses, Plaintext: true})
 }
 
-// ApplyConfigWithoutModel applies a configuration without a model.
+// ApplyConfigWithoutModel applies a first configuration without placements and
+// model services.
 func (d *Deployment) ApplyConfigWithoutModel(ctx context.Context) error {
 	client, err := d.NewOperatorClient()
 	if err != nil {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment runs a whole deployment in one process on loopback: the
-// stand-ins of the platform, of engines and of plain services, and the real
-// entries and agents. The demo and the tests of the whole path use it.
+// Package deployment runs a whole deployment in one process on loopback: real
+// entries and agents, and stand-ins for the platform, the engines and the plain
+// services. The demo, measurements and end-to-end tests use it.
 package deployment
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/auburnbend/auburnbend/standin/table"
 )
 
-// Deployment is a running deployment. Its methods are called by one goroutine.
+// Deployment is a running deployment. Its methods must not be called concurrently.
 type Deployment struct {
 	Options      Options
 	Table        *table.Service
@@ -26,17 +26,18 @@
 	InstanceList *instances.List
 	Entries      []*EntryProcess
 	Agents       []*AgentProcess
-	// ReplicasPerDomain is the number of instances of each failure domain that Place asks
-	// for; 0 means all.
+	// ReplicasPerDomain is the number of replicas that ConfigFor declares for each
+	// failure domain; 0 means all instances.
 	ReplicasPerDomain int
-	// Versions are the published versions of the model in order.
+	// Versions are the published versions of the model, oldest first.
 	Versions []Version
 
 	rand *rand.Rand
 	log  *eventlog.Logger
 }
 
-// Start starts the stand-ins, entries and agents.
+// Start starts the stand-ins, entries and agents. On an error it closes what it has
+// started.
 func Start(o Options, log *eventlog.Logger) (*Deployment, error) {
 	d := &Deployment{
 		Options:      o,
@@ -74,19 +75,19 @@
 	return nil
 }
 
-// Close stops everything at once.
+// Close ends all entries, agents and backend servers without draining them.
 func (d *Deployment) Close() {
-	var ends sync.WaitGroup
+	var closing sync.WaitGroup
 	for _, a := range d.Agents {
-		ends.Go(a.close)
+		closing.Go(a.close)
 	}
 	for _, e := range d.Entries {
-		ends.Go(e.close)
+		closing.Go(e.close)
 	}
-	ends.Wait()
+	closing.Wait()
 }
 
-func (d *Deployment) stagingOf(instance string) (string, error) {
+func (d *Deployment) createStagingDir(instance string) (string, error) {
 	path := filepath.Join(d.Options.StagingDir, instance)
 	return path, os.MkdirAll(path, 0o750)
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -19,8 +19,8 @@
 
 const (
 	completed = "completed"
-	// settleTime bounds the wait for a state that the deployment reaches by
-	// itself; it decides no bound of the product.
+	// settleTime is the timeout of waits for a state that the deployment reaches by
+	// itself. It is not a bound on the behaviour of the system.
 	settleTime = 20 * time.Second
 )
 
@@ -85,8 +85,8 @@
 		}
 	})
 
-	// Guards against parts that work alone but not together: the whole path from
-	// a declared version to a whole answer of one digest.
+	// Guards against components that work separately but not together, from the
+	// declaration of a version to complete answers from that version only.
 	It("answers callers through every entry from the placed version", func() {
 		rollOut("v2")
 		for i := range d.Entries {
@@ -99,8 +99,9 @@
 		}
 	})
 
-	// long starts answers that take a while and returns their ends.
-	long := func(count int, url func(int) string) <-chan deployment.Answer {
+	// startLongDrafts sends requests with long answers, waits until each has started
+	// to run and returns a channel with the answers.
+	startLongDrafts := func(count int, url func(int) string) <-chan deployment.Answer {
 		answers := make(chan deployment.Answer, count)
 		for i := range count {
 			go func() {
@@ -118,7 +119,7 @@
 
 	// Guards against requests that are cut off by a graceful shutdown.
 	It("cuts off no request when agents are stopped", func() {
-		answers := long(24, func(i int) string { return d.Entries[i%len(d.Entries)].URL })
+		answers := startLongDrafts(24, func(i int) string { return d.Entries[i%len(d.Entries)].URL })
 		Expect(d.ModelAgents()[0].Stop(ctx)).To(Succeed())
 		Expect(d.ModelAgents()[3].Stop(ctx)).To(Succeed())
 		for range cap(answers) {
@@ -126,20 +127,21 @@
 		}
 	})
 
-	// Guards against an HTTP library that ends connections at a limit of its own.
+	// Guards against an HTTP library that closes connections at a shutdown timeout of
+	// its own.
 	It("cuts off no request when an entry is stopped", func() {
-		answers := long(8, func(int) string { return d.Entries[0].URL })
+		answers := startLongDrafts(8, func(int) string { return d.Entries[0].URL })
 		Expect(d.Entries[0].Stop(ctx)).To(Succeed())
 		for range cap(answers) {
 			Expect((<-answers).Outcome).To(Equal(completed))
 		}
 	})
 
-	// Guards against backend servers that are judged by a broken path, and
-	// against streams that stay open for ever on a connection that lost its state.
-	It("succeeds over new connections within 5 s when all open ones go silent", func() {
+	// Guards against backend servers that are ejected because of a broken network
+	// path, and against streams that stay open forever on a blackholed connection.
+	It("succeeds over new connections within 5 s when all open ones are blackholed", func() {
 		body := deployment.DraftBody(rng, 8)
-		silenced := time.Now()
+		blackholed := time.Now()
 		for _, e := range d.Entries {
 			e.BlackholeConnections()
 		}
@@ -148,15 +150,15 @@
 			a = draft(0, body)
 			return a.Outcome
 		}).WithTimeout(settleTime).WithPolling(50 * time.Millisecond).Should(Equal(completed))
-		Expect(time.Since(silenced)).To(BeNumerically("<", 5*time.Second))
+		Expect(time.Since(blackholed)).To(BeNumerically("<", 5*time.Second))
 		_, whole := d.VersionOfAnswer(a.Body, body)
 		Expect(whole).To(BeTrue())
 		Eventually(func() int { return d.Entries[0].Entry.UsableAgents() }).
 			WithTimeout(settleTime).Should(Equal(len(d.Agents)))
 	})
 
-	// Guards against one request that takes down backend server after backend
-	// server while its caller sends it again under new ids to other entries.
+	// Guards against a request that crashes one backend server after another while
+	// its caller retries it with new ids at other entries.
 	It("loses at most two backend servers to a request that crashes them", func() {
 		body := []byte(`{"max_tokens":5,"prompt":"` + engine.DefaultCrashMarker + `"}`)
 		for i := range 12 {
@@ -174,8 +176,8 @@
 			WithTimeout(settleTime).Should(Equal(completed))
 	})
 
-	// Guards against orders that run without a record while the store is down,
-	// and against an outage that stops what does not need the store.
+	// Guards against orders that run without a stored claim while the table service
+	// is down, and against an outage that affects requests without a key.
 	It("refuses keyed orders and serves drafts while the table service is down", func() {
 		d.Table.Faults.Set(fault.Faults{Down: true})
 		a := order(0, "outage")
@@ -188,9 +190,9 @@
 		Expect(d.OrderRuns("outage")).To(Equal(1))
 	})
 
-	// Guards against a second run when the reply to a claim is lost or the caller
-	// asks again at another entry.
-	It("runs an order once whatever its callers and the store do", func() {
+	// Guards against a second run when the reply to a claim is lost, or when callers
+	// send the same key to several entries.
+	It("runs an order at most once when replies are lost and callers send it to several entries", func() {
 		for i := range 8 {
 			key := fmt.Sprintf("plate-%d", i)
 			d.Table.Faults.Set(fault.Faults{LoseAfter: i % 3})
@@ -213,9 +215,9 @@
 			WithTimeout(settleTime).Should(Equal(completed))
 	})
 
-	// Guards against placements that take more instances than declared, and
-	// against replicas that are not replaced.
-	It("brings a version to the declared number of instances and replaces one that dies", func() {
+	// Guards against placements that use more instances than declared, and against
+	// lost replicas that are not replaced.
+	It("serves a version on the declared number of instances and replaces one that is killed", func() {
 		d.ReplicasPerDomain = 2
 		v2, err := d.PublishAndPlace(ctx, "v2")
 		Expect(err).NotTo(HaveOccurred())
@@ -231,8 +233,8 @@
 		Eventually(live).WithTimeout(settleTime).Should(Equal(4))
 	})
 
-	// Guards against an entry whose death takes its failure domain with it.
-	It("goes on through the other entries when one dies", func() {
+	// Guards against an entry whose loss makes its failure domain unavailable.
+	It("continues through the other entries when one is killed", func() {
 		d.Entries[0].Kill()
 		rollOut("v2")
 		Expect(draft(1, deployment.DraftBody(rng, 5)).Outcome).To(Equal(completed))
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -15,32 +15,34 @@
 	"github.com/auburnbend/auburnbend/lib/telemetry"
 )
 
-// EntryProcess is one running entry.
+// EntryProcess is a running entry.
 type EntryProcess struct {
 	Entry *entry.Entry
-	URL   string
-	// OperatorAddress is the address of the operators' interface.
+	// URL is the base URL for callers.
+	URL string
+	// OperatorAddress is the address of the operator interface.
 	OperatorAddress string
 	Metrics         *telemetry.Metrics
 
 	identity   model.Identity
 	deployment *Deployment
-	peers      *cutListener
-	closing    sync.Once
+	peers      *trackedListener
+	closeOnce  sync.Once
 }
 
-// BlackholeConnections makes all open connections to agents and other entries go silent for
-// good; new ones work.
-func (p *EntryProcess) BlackholeConnections() { p.peers.silence() }
+// BlackholeConnections blackholes all open connections to agents and other entries;
+// new ones work.
+func (p *EntryProcess) BlackholeConnections() { p.peers.blackholeAll() }
 
 // Kill ends the entry at once: all its connections break.
 func (p *EntryProcess) Kill() {
 	p.deployment.InstanceList.Remove(p.identity.Instance)
-	p.peers.cut()
+	p.peers.closeAll()
 	p.close()
 }
 
-// Stop drains the entry as SIGTERM does.
+// Stop removes the entry from the instance list, drains it as SIGTERM does and ends
+// it. It returns the error of the drain.
 func (p *EntryProcess) Stop(ctx context.Context) error {
 	p.deployment.InstanceList.Remove(p.identity.Instance)
 	err := p.Entry.Drain(ctx)
@@ -49,7 +51,7 @@
 }
 
 func (p *EntryProcess) close() {
-	p.closing.Do(func() { _ = p.Entry.Close() })
+	p.closeOnce.Do(func() { _ = p.Entry.Close() })
 }
 
 func (d *Deployment) startEntry(domain model.FailureDomain, index int) error {
@@ -61,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	peers := &cutListener{Listener: tcp}
+	peers := &trackedListener{Listener: tcp}
 	operators, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
--- a/internal/deployment/options.go
+++ b/internal/deployment/options.go
@@ -8,32 +8,36 @@
 
 // Options describes a deployment on loopback.
 type Options struct {
-	// Domains names the failure domains; each is a region of its own.
+	// Domains lists the failure domains. Each is a region of its own.
 	Domains []model.FailureDomain
-	// EntriesPerDomain and Agents are the instances of each failure domain.
+	// EntriesPerDomain and AgentsPerDomain are the numbers of entries and of agents
+	// of model engines in each failure domain.
 	EntriesPerDomain, AgentsPerDomain int
-	// ServicesPerDomain is the number of plain-service instances of each failure domain.
+	// ServicesPerDomain is the number of plain services, each with its agent, in each
+	// failure domain.
 	ServicesPerDomain int
 	// ModelBytes and ChunkBytes are the sizes of a version and of its chunks.
 	ModelBytes int64
 	ChunkBytes int
-	// TransferWindow is the time in which the origin's link carries four copies and an
-	// instance's link two.
+	// TransferWindow is the time in which the origin's link can carry four copies of
+	// a version and an instance's link two. It sets the rates of the links.
 	TransferWindow time.Duration
-	// InstanceListLag is the delay of the instance list.
+	// InstanceListLag is the delay after which changes of the instance list become
+	// visible.
 	InstanceListLag time.Duration
-	// EngineTimeScale multiplies the times of the engine stand-ins.
+	// EngineTimeScale is the factor applied to the times of the engine stand-ins.
 	EngineTimeScale float64
-	// EngineRestartDelay is the time from a crash of an engine to its return.
+	// EngineRestartDelay is the time from the crash of an engine to its restart.
 	EngineRestartDelay time.Duration
-	// DisableCacheEvents keeps agents from passing the cache events of engines on.
+	// DisableCacheEvents keeps agents from forwarding the cache events of engines.
 	DisableCacheEvents bool
-	// StagingDir holds the staging areas.
+	// StagingDir holds a staging directory for each agent of a model engine.
 	StagingDir string
-	Seed       int64
+	// Seed seeds all random choices of the deployment.
+	Seed int64
 }
 
-// Names of what the deployment declares.
+// Names in the declared configuration.
 const (
 	ModelPool    = "drafting"
 	OrderPool    = "orders"
@@ -51,10 +55,12 @@
 	balancerLag    = 300 * time.Millisecond
 )
 
+// originRate returns the rate of the origin's link in bytes per second.
 func (o Options) originRate() int64 {
 	return int64(originCopies * float64(o.ModelBytes) / o.TransferWindow.Seconds())
 }
 
+// linkRate returns the rate of an instance's link in bytes per second.
 func (o Options) linkRate() float64 {
 	return instanceCopies * float64(o.ModelBytes) / o.TransferWindow.Seconds()
 }
--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -9,7 +9,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// CountServing returns the number of running model agents that serve a version.
+// CountServing returns the number of agents of model engines that have not been
+// stopped and serve a version.
 func (d *Deployment) CountServing(v Version) int {
 	live := 0
 	for _, a := range d.Agents {
@@ -20,7 +21,8 @@
 	return live
 }
 
-// CountRunning returns the number of model agents that have not been stopped.
+// CountRunning returns the number of agents of model engines that have not been
+// stopped.
 func (d *Deployment) CountRunning() int {
 	running := 0
 	for _, a := range d.Agents {
@@ -31,8 +33,8 @@
 	return running
 }
 
-// WaitLive waits until all running model agents serve a version. Progress is
-// called about every tick.
+// WaitLive waits until all running agents of model engines serve a version, or ctx
+// ends. It checks and calls progress, if not nil, once per tick.
 func (d *Deployment) WaitLive(ctx context.Context, v Version, tick time.Duration, progress func(live, of int)) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -47,7 +49,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return errors.Join(ctx.Err(), fmt.Errorf("%d of %d instances serve %s", live, of, v.Name))
+			return errors.Join(ctx.Err(), fmt.Errorf("%d of %d instances serve version %s", live, of, v.Name))
 		}
 	}
 }
@@ -63,7 +65,7 @@
 	return found
 }
 
-// DraftRuns returns how often a request started to run on any engine.
+// DraftRuns returns how often a request started to run, summed over all engines.
 func (d *Deployment) DraftRuns(request string) int {
 	runs := 0
 	for _, a := range d.ModelAgents() {
@@ -72,7 +74,8 @@
 	return runs
 }
 
-// OrderRuns returns how often the order with a key ran on any plain service.
+// OrderRuns returns how often the order with an idempotency key ran, summed over all
+// plain services.
 func (d *Deployment) OrderRuns(key string) int {
 	runs := 0
 	for _, a := range d.Agents {
@@ -83,7 +86,8 @@
 	return runs
 }
 
-// AttemptsSentTo returns the attempts that all entries have placed on an agent.
+// AttemptsSentTo returns the number of attempts that all entries together have sent
+// to an agent.
 func (d *Deployment) AttemptsSentTo(a *AgentProcess) int {
 	sent := 0
 	for _, e := range d.Entries {
--- a/internal/deployment/role_test.go
+++ b/internal/deployment/role_test.go
@@ -18,9 +18,9 @@
 )
 
 var _ = Describe("Roles", func() {
-	// Guards against a role that is declared and not ordered, and against
-	// requests that go to engines which are not mixed.
-	It("are ordered from the configuration and decide where requests go", func() {
+	// Guards against a declared role that is not applied to the engines, and against
+	// requests that are routed to engines whose role is not mixed.
+	It("are applied from the configuration and determine where requests run", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		DeferCleanup(cancel)
 		d, err := deployment.Start(deployment.Options{
@@ -46,7 +46,7 @@
 				RequestID: fmt.Sprintf("draft-%d", calls), Body: deployment.DraftBody(rng, 2), Stream: true,
 			}).Outcome
 		}
-		local := func() (runs int) {
+		kigaliRuns := func() (runs int) {
 			for _, a := range d.ModelAgents() {
 				if a.Identity.Location.FailureDomain != "kigali" {
 					continue
@@ -82,22 +82,23 @@
 		Eventually(roles).WithTimeout(settleTime).Should(Equal(
 			[]engine.Role{engine.RolePrefill, engine.RolePrefill, engine.RoleMixed, engine.RoleMixed}))
 		Eventually(draft).WithTimeout(settleTime).Should(Equal(completed))
-		before := local()
+		before := kigaliRuns()
 		for range 20 {
 			Expect(draft()).To(Equal(completed))
 		}
-		Expect(local()).To(Equal(before))
+		Expect(kigaliRuns()).To(Equal(before))
 
 		declare(model.RoleMixed)
 		Eventually(func() int {
 			Expect(draft()).To(Equal(completed))
-			return local()
+			return kigaliRuns()
 		}).WithTimeout(settleTime).Should(BeNumerically(">", before))
-		// The first instance that is mixed again takes requests; the others follow.
+		// Requests run as soon as the first instance has the mixed role again; the
+		// others follow.
 		Eventually(roles).WithTimeout(settleTime).Should(HaveEach(engine.RoleMixed))
 		for _, a := range d.ModelAgents() {
-			atOnce, outdated := a.Engine.OrderStats()
-			Expect([]int{atOnce, outdated}).To(Equal([]int{1, 0}))
+			maxConcurrent, outdated := a.Engine.OrderStats()
+			Expect([]int{maxConcurrent, outdated}).To(Equal([]int{1, 0}))
 		}
 	})
 })
--- a/internal/deployment/transfer_metrics_test.go
+++ b/internal/deployment/transfer_metrics_test.go
@@ -19,8 +19,8 @@
 var transferred = regexp.MustCompile(`auburnbend_transfer_bytes_total\{model="crest",source="([a-z_]+)"\} ([0-9.e+]+)`)
 
 var _ = Describe("Transfer metrics", func() {
-	// Guards against transfers that operators can't see, and against bytes that
-	// are counted twice or under no model.
+	// Guards against transfers that are missing in the metrics, and against bytes that
+	// are counted twice or without a model.
 	It("count the time and bytes of a version at each agent", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		DeferCleanup(cancel)
--- a/internal/deployment/version.go
+++ b/internal/deployment/version.go
@@ -4,12 +4,12 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Version is one published version of the model.
+// Version is a published version of the model.
 type Version struct {
 	Name    string
 	Digest  model.Digest
 	Weights model.Weights
-	// ContentDigest is the digest that answers of an engine with exactly this version
-	// carry.
+	// ContentDigest is the digest in the answers of an engine that has loaded exactly
+	// this version.
 	ContentDigest model.Digest
 }
