--- a/internal/processes/binaries_test.go
+++ b/internal/processes/binaries_test.go
@@ -5,7 +5,7 @@
 	"github.com/onsi/gomega/gexec"
 )
 
-// binaries are the paths of the programs under test.
+// binaries holds the paths of the built programs.
 type binaries struct {
 	entry, agent, standins, ctl string
 }
--- a/internal/processes/ctl_test.go
+++ b/internal/processes/ctl_test.go
@@ -12,17 +12,18 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// Exit codes of auburnctl that its help lists.
+// Exit codes of auburnctl, as its help text lists them.
 const (
-	codeConflict    = 4
-	codeUnknown     = 5
-	codeUnavailable = 6
+	exitConflict    = 4
+	exitUnknown     = 5
+	exitUnavailable = 6
 )
 
-// operatorName stands in the certificate of the operator.
+// operatorName is the name in the operator's certificate.
 const operatorName = "ops.test"
 
-// ctl runs auburnctl against all entries and returns its exit code and output.
+// ctl runs auburnctl with the addresses of all entries and returns its exit code and
+// its output on stdout and stderr.
 func (f *fleet) ctl(arguments ...string) (int, string) {
 	session := f.startCtl(arguments...)
 	Eventually(session).WithTimeout(2 * settleTime).Should(gexec.Exit())
@@ -40,33 +41,34 @@
 		files := f.certificate(operatorName)
 		flags = append(flags, "--ca", files.CA, "--cert", files.Certificate, "--key", files.Key, "--server-name", "entry.test")
 	}
-	session, err := gexec.Start(exec.Command(built.ctl, append(flags, arguments...)...), GinkgoWriter, GinkgoWriter)
+	session, err := gexec.Start(exec.Command(programs.ctl, append(flags, arguments...)...), GinkgoWriter, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
 	return session
 }
 
-// must expects success and returns the output.
-func (f *fleet) must(arguments ...string) string {
+// mustCtl runs auburnctl, expects success and returns the output.
+func (f *fleet) mustCtl(arguments ...string) string {
 	code, out := f.ctl(arguments...)
 	ExpectWithOffset(1, code).To(BeZero(), out)
 	return out
 }
 
-// apply makes a declaration file the next revision.
+// apply applies a declaration file and expects it to become the revision after the
+// expected one.
 func (f *fleet) apply(file string, expected int) {
-	out := f.must("config", "apply", file, "--expect", strconv.Itoa(expected))
+	out := f.mustCtl("config", "apply", file, "--expect", strconv.Itoa(expected))
 	ExpectWithOffset(1, out).To(ContainSubstring("accepted as revision %d,", expected+1))
 }
 
-// awaitRollout waits until auburnctl calls the rollout of a version complete
-// and all running model agents serve it.
+// awaitRollout waits until auburnctl reports the rollout of a version as complete
+// and all running agents of model engines serve it.
 func (f *fleet) awaitRollout(v version) {
-	f.must("rollout", "status", "--version", v.name, "--until-complete", "--interval", "200ms")
+	f.mustCtl("rollout", "status", "--version", v.name, "--until-complete", "--interval", "200ms")
 	f.awaitLive(v)
 }
 
-// awaitLive waits until the running model agents, and no others, serve exactly
-// one version.
+// awaitLive waits until exactly the running agents of model engines are live with v
+// as their only version.
 func (f *fleet) awaitLive(v version) {
 	var want []string
 	for _, a := range f.agents {
@@ -87,6 +89,6 @@
 
 func (f *fleet) instances() []*pb.Instance {
 	m := &pb.InstancesResponse{}
-	Expect(protojson.Unmarshal([]byte(f.must("instances", "-o", "json")), m)).To(Succeed())
+	Expect(protojson.Unmarshal([]byte(f.mustCtl("instances", "-o", "json")), m)).To(Succeed())
 	return m.GetInstances()
 }
--- a/internal/processes/daemon_test.go
+++ b/internal/processes/daemon_test.go
@@ -14,21 +14,21 @@
 	"github.com/auburnbend/auburnbend/lib/eventlog"
 )
 
-// settleTime bounds the wait for a state that the system reaches by itself; it
-// decides no bound of the product.
+// settleTime is the timeout of waits for a state that the system reaches by itself.
+// It is not a bound on the behaviour of the system.
 const settleTime = 20 * time.Second
 
-// daemon is one process of the system.
+// daemon is a running entry or agent process.
 type daemon struct {
 	instance backing.Instance
-	pool     string
-	// callers, operators and metrics are listen addresses; agents have only the
-	// last.
+	pool     string // empty for entries
+	// callers, operators and metrics are listen addresses. Agents have only
+	// metrics.
 	callers, operators, metrics string
 	session                     *gexec.Session
 }
 
-// start runs a program; the test ends it by its id.
+// start starts a program and kills it at the end of the test if it is still running.
 func start(binary string, arguments ...string) *gexec.Session {
 	session, err := gexec.Start(exec.Command(binary, arguments...), GinkgoWriter, GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
@@ -36,20 +36,21 @@
 	return session
 }
 
-// events counts the log lines with the number of an event.
+// events returns the number of log lines of an event.
 func (d *daemon) events(e eventlog.Event) int {
 	line := regexp.MustCompile(`\bevent=` + strconv.Itoa(e.Number) + `\b`)
 	return len(line.FindAll(d.session.Err.Contents(), -1))
 }
 
-// awaitStart waits until all listeners are open.
+// awaitStart waits until the process logs that it has started; all its listeners are
+// open then.
 func (d *daemon) awaitStart() {
 	Eventually(func() int { return d.events(eventlog.ProcessStarted) }).
 		WithTimeout(settleTime).Should(Equal(1), string(d.instance.ID))
 }
 
-// awaitStop expects the end of a process that was told to stop and has finished
-// its work.
+// awaitStop waits for the end of a process that received SIGTERM and expects a
+// graceful exit that is logged once.
 func (d *daemon) awaitStop() {
 	Eventually(d.session).WithTimeout(settleTime).Should(gexec.Exit(0), string(d.instance.ID))
 	Expect(d.events(eventlog.ProcessStarted)).To(Equal(1), string(d.instance.ID))
--- a/internal/processes/doc.go
+++ b/internal/processes/doc.go
@@ -1,4 +1,4 @@
-// Package processes tests the system as operators run it: its tests build the
-// daemons and auburnctl, start each as a process of its own on loopback, and
-// look at nothing but exit codes, answers and log events.
+// Package processes holds end-to-end tests of the system as operators run it. They
+// build the daemons and auburnctl, start each as a separate process on loopback, and
+// check only exit codes, responses, metrics and log events.
 package processes
--- a/internal/processes/examples_test.go
+++ b/internal/processes/examples_test.go
@@ -18,40 +18,40 @@
 	"github.com/auburnbend/auburnbend/lib/weights"
 )
 
-const docs = "../../docs"
+const docsDir = "../../docs"
 
-var _ = Describe("The pages", func() {
-	tour := func(pattern string) []string {
-		files, err := filepath.Glob(filepath.Join(docs, "examples/tour", pattern))
+var _ = Describe("The documentation", func() {
+	tourFiles := func(pattern string) []string {
+		files, err := filepath.Glob(filepath.Join(docsDir, "examples/tour", pattern))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).NotTo(BeEmpty())
 		return files
 	}
 
-	// Guards against a tour whose files the programs refuse.
-	It("have a tour with valid settings and the digests of its weights", func() {
-		for _, file := range tour("entry-*.ini") {
+	// Guards against files of the tour that the programs reject.
+	It("has a tour with valid settings and the right manifest digests", func() {
+		for _, file := range tourFiles("entry-*.ini") {
 			_, err := settings.LoadEntry(file)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		for _, file := range tour("agent-*.ini") {
+		for _, file := range tourFiles("agent-*.ini") {
 			_, err := settings.LoadAgent(file)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		for _, file := range tour("deployment-*.ini") {
+		for _, file := range tourFiles("deployment-*.ini") {
 			text, err := os.ReadFile(file)
 			Expect(err).NotTo(HaveOccurred())
 			declared, err := config.Parse(text)
 			Expect(err).NotTo(HaveOccurred())
 			for _, m := range declared.Models {
-				Expect(m.Manifest).To(Equal(tourManifest(m.Version)), file)
+				Expect(m.Manifest).To(Equal(tourManifestDigest(m.Version)), file)
 			}
 		}
 	})
 
-	// Guards against an operations page that names events that do not exist.
-	It("name events of the catalogue", func() {
-		text, err := os.ReadFile(filepath.Join(docs, "OPERATIONS.md"))
+	// Guards against an operations page that mentions events that do not exist.
+	It("mentions only events of the catalogue", func() {
+		text, err := os.ReadFile(filepath.Join(docsDir, "OPERATIONS.md"))
 		Expect(err).NotTo(HaveOccurred())
 		known := make(map[int]bool)
 		for _, e := range eventlog.Catalogue() {
@@ -65,9 +65,10 @@
 	})
 })
 
-// tourManifest returns the digest of the manifest that the tour makes of the
-// lines from the number of the version to 200000.
-func tourManifest(version string) model.Digest {
+// tourManifestDigest returns the digest of the manifest that the tour creates for a
+// version. Its weights file holds the numbers from that of the version to 200000, one
+// per line.
+func tourManifestDigest(version string) model.Digest {
 	first, err := strconv.Atoi(version[1:])
 	Expect(err).NotTo(HaveOccurred())
 	var data bytes.Buffer
--- a/internal/processes/fleet_test.go
+++ b/internal/processes/fleet_test.go
@@ -27,7 +27,7 @@
 	dir     string
 	domains []string
 	ports   *ports
-	// authority signs certificates; nil means plain text.
+	// authority signs certificates; nil means plaintext.
 	authority    *pki.Authority
 	certificates map[string]pki.Files
 	platform     platformClient
@@ -35,25 +35,25 @@
 	agents       []*daemon
 	versions     []version
 	callers      *deployment.Client
-	sent         int
+	sent         int // requests so far
 }
 
-// newFleet starts the stand-ins and, in each failure domain, an entry, model
-// agents and an agent of a plain service, and registers them.
-func newFleet(authority *pki.Authority, runners int, domains ...string) *fleet {
+// newFleet starts the stand-ins and, in each failure domain, an entry, agents of
+// model engines and the agent of a plain service, and adds them to the instance list.
+func newFleet(authority *pki.Authority, engines int, domains ...string) *fleet {
 	f := &fleet{
 		dir: GinkgoT().TempDir(), domains: domains, ports: newPorts(),
 		authority: authority, certificates: make(map[string]pki.Files),
 		callers: deployment.NewClient(),
 	}
 	DeferCleanup(f.callers.Close)
-	backends := f.startStandins(len(domains)*runners, len(domains))
+	backends := f.startStandins(len(domains)*engines, len(domains))
 	for i, domain := range domains {
 		f.startEntry(domain)
-		for n := range runners {
-			f.startAgent(domain, draftPool, n, backends[i*runners+n])
+		for n := range engines {
+			f.startAgent(domain, draftPool, n, backends[i*engines+n])
 		}
-		f.startAgent(domain, orderPool, 0, backends[len(domains)*runners+i])
+		f.startAgent(domain, orderPool, 0, backends[len(domains)*engines+i])
 	}
 	for _, d := range f.all() {
 		d.awaitStart()
@@ -62,11 +62,12 @@
 	return f
 }
 
-// startStandins returns the addresses of the engines, then of the services.
+// startStandins starts the stand-ins in one process. It returns the addresses of the
+// engines, followed by those of the services.
 func (f *fleet) startStandins(engines, services int) []string {
 	var backends []string
-	// The pace of the origin makes a rollout last long enough to kill an agent
-	// in the middle of it.
+	// The rate of the origin's link makes a rollout last long enough to kill an
+	// agent during it.
 	arguments := []string{"--listen", "127.0.0.1:0", "--origin-link", fmt.Sprint(modelBytes / 2)}
 	for i := range engines + services {
 		kind := "--engine"
@@ -76,7 +77,7 @@
 		backends = append(backends, f.ports.take())
 		arguments = append(arguments, kind, backends[i])
 	}
-	session := start(built.standins, arguments...)
+	session := start(programs.standins, arguments...)
 	Eventually(session.Out).WithTimeout(settleTime).Should(gbytes.Say(`listening on \S+\n`))
 	f.platform.url = string(regexp.MustCompile(`http://\S+`).Find(session.Out.Contents()))
 	return backends
@@ -95,14 +96,14 @@
 func (f *fleet) startEntry(domain string) {
 	d := f.daemon(backing.RoleEntry, domain, "entry")
 	d.callers, d.operators = f.ports.take(), f.ports.take()
-	d.session = start(built.entry, "--config", f.settingsFile(d, ""))
+	d.session = start(programs.entry, "--config", f.settingsFile(d, ""))
 	f.entries = append(f.entries, d)
 }
 
 func (f *fleet) startAgent(domain, pool string, n int, backend string) {
 	d := f.daemon(backing.RoleAgent, domain, fmt.Sprintf("%s-%d", pool, n))
 	d.pool = pool
-	d.session = start(built.agent, "--config", f.settingsFile(d, backend))
+	d.session = start(programs.agent, "--config", f.settingsFile(d, backend))
 	f.agents = append(f.agents, d)
 }
 
@@ -114,11 +115,11 @@
 			return a
 		}
 	}
-	Fail("no agent " + id)
+	Fail("the fleet has no agent " + id)
 	return nil
 }
 
-// draft sends a streamed request to an entry.
+// draft sends a streamed request to an entry and returns its body and the answer.
 func (f *fleet) draft(entry, tokens int) ([]byte, deployment.Answer) {
 	f.sent++
 	id := fmt.Sprintf("draft-%d", f.sent)
@@ -128,7 +129,8 @@
 	})
 }
 
-// order sends a request that must not be repeated to an entry.
+// order sends a non-repeatable request with an idempotency key to an entry and
+// returns its body and the answer.
 func (f *fleet) order(entry int, key string) ([]byte, deployment.Answer) {
 	f.sent++
 	body := []byte(`{"plate":"` + key + `"}`)
@@ -137,8 +139,8 @@
 	})
 }
 
-// expectDrafts sends a draft to each entry and checks that each answer is whole
-// and from one version.
+// expectDrafts sends a draft request to each entry and expects complete answers from
+// the version v only.
 func (f *fleet) expectDrafts(v version) {
 	for i := range f.entries {
 		body, a := f.draft(i, 20)
@@ -147,7 +149,7 @@
 	}
 }
 
-// metricsOf returns the text that a daemon serves to operators.
+// metricsOf returns the metrics page of a daemon.
 func (f *fleet) metricsOf(d *daemon) string {
 	response, err := httpGet("http://" + d.metrics + "/metrics")
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/processes/http_test.go
+++ b/internal/processes/http_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// httpTimeout bounds a call that is answered at once.
+// httpTimeout is the timeout of a request that the server answers immediately.
 const httpTimeout = 5 * time.Second
 
-// httpGet opens a connection of its own, as a balancer's check does.
+// httpGet sends a GET request on a new connection, as the health check of a load
+// balancer does. The caller closes the body.
 func httpGet(url string) (*http.Response, error) {
 	client := http.Client{Timeout: httpTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return client.Get(url)
--- a/internal/processes/plaintext_test.go
+++ b/internal/processes/plaintext_test.go
@@ -16,8 +16,9 @@
 	"github.com/auburnbend/auburnbend/standin/service"
 )
 
-// The specs build on each other: each takes the fleet as the one before left it.
-var _ = Describe("Separate processes over plain text", Ordered, func() {
+// The specs depend on each other: each continues with the fleet as the previous one
+// left it.
+var _ = Describe("Separate processes over plaintext", Ordered, func() {
 	var f *fleet
 	var v1, v2 version
 	revision := 0
@@ -27,13 +28,14 @@
 		v1 = f.publish("v1", 1)
 	})
 
-	// Guards against daemons that work in one process only: settings, listeners,
-	// the clients of the platform and the operators' interface take part here.
+	// Guards against daemons that work only when they share one process. Separate
+	// processes need settings files, listeners, platform clients and the operator
+	// interface.
 	It("roll out a version that an operator declares", func() {
 		f.apply(f.declaration("v1", 1), revision)
 		revision++
 		f.awaitRollout(v1)
-		Expect(f.must("config", "status")).To(ContainSubstring("in force at the entry: revision 1,"))
+		Expect(f.mustCtl("config", "status")).To(ContainSubstring("in force at the entry: revision 1,"))
 	})
 
 	It("answer a streamed draft and a keyed order at each entry", func() {
@@ -49,15 +51,16 @@
 			body, a := f.order(i, key)
 			Expect(a.Outcome).To(Equal("completed"), a.Reason)
 			Expect(string(a.Body)).To(Equal(string(service.ExpectedAnswer("/orders", key, body))))
-			// The stand-in counts runs: an order that ran twice differs.
-			_, again := f.order((i+1)%len(f.entries), key)
-			Expect(again.Outcome).To(Equal("completed"), again.Reason)
-			Expect(string(again.Body)).To(Equal(string(a.Body)))
+			// The answer of the stand-in contains the number of runs, so that of a
+			// second run would differ.
+			_, repeated := f.order((i+1)%len(f.entries), key)
+			Expect(repeated.Outcome).To(Equal("completed"), repeated.Reason)
+			Expect(string(repeated.Body)).To(Equal(string(a.Body)))
 		}
 	})
 
-	// Guards against instruments that a daemon serves but never feeds.
-	It("serve their measurements as text", func() {
+	// Guards against metrics that a daemon exposes but never updates.
+	It("expose their metrics as text", func() {
 		for _, d := range f.all() {
 			text := f.metricsOf(d)
 			switch d.pool {
@@ -71,9 +74,9 @@
 		}
 	})
 
-	// Guards against two operators of whom both believe that their change is in
-	// force.
-	It("accept one of two changes that were made from the same revision", func() {
+	// Guards against reporting success to both of two operators who change the same
+	// revision.
+	It("accept one of two concurrent changes of the same revision", func() {
 		var sessions []*gexec.Session
 		for share := 2; share <= 3; share++ {
 			sessions = append(sessions, f.startCtl("config", "apply", f.declaration("v1", share), "--expect", strconv.Itoa(revision)))
@@ -83,41 +86,42 @@
 			Eventually(s).WithTimeout(settleTime).Should(gexec.Exit())
 			codes = append(codes, s.ExitCode())
 		}
-		Expect(codes).To(ConsistOf(0, codeConflict))
+		Expect(codes).To(ConsistOf(0, exitConflict))
 		revision++
 	})
 
-	// Guards against a guess at the outcome of a change while the store is down,
-	// and against an outage that stops what does not need the store.
+	// Guards against reporting an outcome that auburnctl cannot know while the table
+	// service is down, and against an outage that affects requests without a key.
 	It("report an unknown outcome while the table service is down", func() {
 		f.platform.tableFaults(fault.Faults{Down: true})
 		code, out := f.ctl("config", "apply", f.declaration("v1", 9), "--expect", strconv.Itoa(revision), "--operation", "during-outage")
-		Expect(code).To(Equal(codeUnknown), out)
+		Expect(code).To(Equal(exitUnknown), out)
 		Expect(out).To(ContainSubstring("auburnctl operation status during-outage"))
 		code, out = f.ctl("operation", "status", "during-outage")
-		Expect(code).To(Equal(codeUnavailable), out)
+		Expect(code).To(Equal(exitUnavailable), out)
 		_, a := f.order(0, "during-outage")
 		Expect(a.Outcome).To(Equal("not_run"))
 		f.expectDrafts(v1)
 
 		f.platform.tableFaults(fault.Faults{})
-		Expect(f.must("operation", "status", "during-outage")).To(ContainSubstring("not found"))
-		Expect(f.must("operation", "status", "during-outage", "--settle")).To(ContainSubstring("abandoned"))
-		// The reply is lost after the write took effect: the outcome is read back.
+		Expect(f.mustCtl("operation", "status", "during-outage")).To(ContainSubstring("not found"))
+		Expect(f.mustCtl("operation", "status", "during-outage", "--settle")).To(ContainSubstring("abandoned"))
+		// The reply is lost after the write took effect: auburnctl must read the
+		// outcome back.
 		f.platform.tableFaults(fault.Faults{LoseAfter: 1})
 		f.apply(f.declaration("v1", 5), revision)
 		revision++
-		Expect(f.must("config", "get")).To(ContainSubstring("share = 5"))
+		Expect(f.mustCtl("config", "get")).To(ContainSubstring("share = 5"))
 	})
 
-	// Guards against a rollout that waits for an instance that is gone, and
-	// against answers from partial weights in the middle of it.
-	It("complete a rollout in which an agent is killed", func() {
+	// Guards against a rollout that waits for a lost instance, and against answers
+	// from partially loaded weights during the rollout.
+	It("complete a rollout during which an agent is killed", func() {
 		v2 = f.publish("v2", 2)
 		killed := f.agent("huye-crest-0")
 		f.apply(f.declaration("v2", 5), revision)
 		revision++
-		Eventually(func() string { return f.must("rollout", "status", "--version", "v2") }).
+		Eventually(func() string { return f.mustCtl("rollout", "status", "--version", "v2") }).
 			WithTimeout(settleTime).WithPolling(0).Should(ContainSubstring("fetching:"))
 		killed.session.Kill()
 		Eventually(killed.session).WithTimeout(settleTime).Should(gexec.Exit(128 + int(syscall.SIGKILL)))
@@ -133,7 +137,7 @@
 		f.expectDrafts(v2)
 	})
 
-	// Guards against a graceful shutdown that cuts off what is running.
+	// Guards against a graceful shutdown that cuts off running requests.
 	It("finish a running request before a stopped agent exits", func() {
 		type result struct {
 			body   []byte
@@ -157,7 +161,7 @@
 		stopped := f.agent(busy)
 		stopped.session.Terminate()
 		Eventually(func() int { return stopped.events(eventlog.ProcessStopping) }).WithTimeout(settleTime).Should(Equal(1))
-		Expect(results).NotTo(Receive(), "the request ended before the agent was told to stop")
+		Expect(results).NotTo(Receive(), "the request ended before the agent received SIGTERM")
 		var r result
 		Eventually(results).WithTimeout(settleTime).Should(Receive(&r))
 		Expect(r.answer.Outcome).To(Equal("completed"), r.answer.Reason)
@@ -165,19 +169,20 @@
 		stopped.awaitStop()
 	})
 
-	It("go back to an earlier revision as a new one", func() {
-		Expect(f.must("config", "rollback", "1", "--expect", strconv.Itoa(revision))).
+	It("roll back to an earlier revision by a new revision", func() {
+		Expect(f.mustCtl("config", "rollback", "1", "--expect", strconv.Itoa(revision))).
 			To(ContainSubstring("accepted as revision %d,", revision+1))
 		revision++
 		f.awaitRollout(v1)
-		Eventually(func() string { return f.must("config", "status") }).WithTimeout(settleTime).
+		Eventually(func() string { return f.mustCtl("config", "status") }).WithTimeout(settleTime).
 			Should(MatchRegexp(`(?m)^huye +%d +%d `, revision, revision))
 		f.expectDrafts(v1)
-		Expect(f.must("config", "history")).To(MatchRegexp(`(?s)\n%d .*\n%d .*\n1 `, revision, revision-1))
+		Expect(f.mustCtl("config", "history")).To(MatchRegexp(`(?s)\n%d .*\n%d .*\n1 `, revision, revision-1))
 	})
 
-	// Guards against an entry that leaves before the balancer has noticed.
-	It("serve on at a stopped entry until the balancer has noticed", func() {
+	// Guards against a stopped entry that exits before the load balancer has taken it
+	// out of service.
+	It("keep serving callers at a stopped entry for the time that the load balancer needs", func() {
 		stopped := f.entries[0]
 		stopped.session.Terminate()
 		Eventually(func() (int, error) {
@@ -192,11 +197,11 @@
 		stopped.awaitStop()
 		f.entries = f.entries[1:]
 		f.expectDrafts(v1)
-		Expect(f.must("config", "get")).To(ContainSubstring("version = v1"))
+		Expect(f.mustCtl("config", "get")).To(ContainSubstring("version = v1"))
 	})
 
-	// Guards against processes that hang at their end or report it twice.
-	It("stop when they are told to", func() {
+	// Guards against processes that hang during shutdown or log it twice.
+	It("stop on SIGTERM", func() {
 		for _, d := range f.all() {
 			if d.running() {
 				d.session.Terminate()
--- a/internal/processes/platform_test.go
+++ b/internal/processes/platform_test.go
@@ -12,7 +12,7 @@
 	standin "github.com/auburnbend/auburnbend/standin/platform"
 )
 
-// platformClient changes the stand-ins of the platform over HTTP.
+// platformClient controls the stand-ins of the platform over HTTP.
 type platformClient struct{ url string }
 
 func (p platformClient) put(path string, body []byte) {
@@ -36,7 +36,7 @@
 
 func (p platformClient) tableFaults(f fault.Faults) { p.putJSON(standin.TablePath+"/faults", f) }
 
-// origin puts an object at the origin.
-func (p platformClient) origin(name string, data []byte) {
+// putObject uploads an object to the origin.
+func (p platformClient) putObject(name string, data []byte) {
 	p.put(standin.OriginPath+"/objects/"+name, data)
 }
--- a/internal/processes/ports_test.go
+++ b/internal/processes/ports_test.go
@@ -8,15 +8,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// Ports are taken below the range from which the system picks the local ports
-// of outgoing connections (32768 on Linux), so that none is in use again
-// between the probe and the start of its process.
+// Ports are taken below the range of ephemeral ports (from 32768 on Linux), so that
+// no outgoing connection takes a port between the probe and the start of the process
+// that listens on it.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 )
 
-// ports hands out free loopback addresses.
+// ports allocates free loopback addresses.
 type ports struct{ next int }
 
 func newPorts() *ports {
@@ -34,6 +34,6 @@
 			return address
 		}
 	}
-	Expect("a free port").To(BeEmpty())
+	Expect("no free port found").To(BeEmpty())
 	return ""
 }
--- a/internal/processes/settings_test.go
+++ b/internal/processes/settings_test.go
@@ -12,8 +12,8 @@
 	"github.com/auburnbend/auburnbend/standin/pki"
 )
 
-// settingsFile writes the settings of a daemon and returns their path. Backend
-// is empty for entries.
+// settingsFile writes the settings file of a daemon and returns its path. The backend
+// address is empty for entries.
 func (f *fleet) settingsFile(d *daemon, backend string) string {
 	var b strings.Builder
 	section := func(name string, lines ...string) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// certificate returns the files of a name. They are written once: a daemon may
-// be reading them.
+// certificate returns the certificate files of a name. They are written only once,
+// because a daemon may be reading them.
 func (f *fleet) certificate(name string) pki.Files {
 	files, ok := f.certificates[name]
 	if !ok {
@@ -71,8 +71,8 @@
 	return files
 }
 
-// declaration returns a declaration file with all published versions, of which
-// one is placed.
+// declaration writes a declaration file that lists all published versions, places
+// one of them in all failure domains and sets the tenant's share. It returns the path.
 func (f *fleet) declaration(placed string, share int) string {
 	var b strings.Builder
 	b.WriteString("[deployment]\ntime_weight = 1\norigin_copies = 3\n")
--- a/internal/processes/suite_test.go
+++ b/internal/processes/suite_test.go
@@ -13,10 +13,10 @@
 	RunSpecs(t, "processes")
 }
 
-// built are the paths of the programs.
-var built binaries
+// programs is set before the suite runs.
+var programs binaries
 
 var _ = BeforeSuite(func() {
-	built = build()
+	programs = build()
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
--- a/internal/processes/tls_test.go
+++ b/internal/processes/tls_test.go
@@ -16,10 +16,11 @@
 	"github.com/auburnbend/auburnbend/standin/pki"
 )
 
-// entryName stands in the certificates of entries.
+// entryName is the name in the certificates of entries.
 const entryName = "entry.test"
 
-// The specs build on each other: each takes the fleet as the one before left it.
+// The specs depend on each other: each continues with the fleet as the previous one
+// left it.
 var _ = Describe("Separate processes over TLS", Ordered, func() {
 	var f *fleet
 	var v1 version
@@ -31,8 +32,8 @@
 		v1 = f.publish("v1", 1)
 	})
 
-	// Guards against connections that only work in plain text: operator to
-	// entry, entry to entry, entry to agent, agent to entry and agent to agent.
+	// Guards against connections that work only in plaintext: operator to entry,
+	// entry to entry, entry to agent, agent to entry and agent to agent.
 	It("roll out a version and answer callers", func() {
 		f.apply(f.declaration("v1", 1), 0)
 		f.awaitRollout(v1)
@@ -48,49 +49,50 @@
 		}
 	})
 
-	// Guards against orders to a backend server from anyone who reaches the port
-	// of its agent.
-	It("refuse a connection without an authorised name at an agent", func() {
-		stranger, err := pki.New()
+	// Guards against an agent that accepts requests from anyone who can reach its
+	// port.
+	It("refuse a connection to an agent without the certificate of an entry", func() {
+		otherAuthority, err := pki.New()
 		Expect(err).NotTo(HaveOccurred())
-		foreign, err := stranger.Write(GinkgoT().TempDir(), entryName)
+		untrusted, err := otherAuthority.Write(GinkgoT().TempDir(), entryName)
 		Expect(err).NotTo(HaveOccurred())
-		// It accepts the agent, so that only the agent's check can refuse.
-		foreign.CA = f.certificate(entryName).CA
+		// The client trusts the agent's authority, so that only the agent's check can
+		// fail.
+		untrusted.CA = f.certificate(entryName).CA
 		refused := map[string]func(address string) net.Conn{
-			"a name that is not authorised":             f.connect(f.certificate("stranger.test")),
-			"the name of an operator":                   f.connect(f.certificate(operatorName)),
-			"a certificate of another authority":        f.connect(foreign),
-			"the name of an agent in the role of entry": f.connect(f.certificate("agent.test")),
-			"plain text": func(address string) net.Conn {
+			"a name that is not authorised":                  f.connect(f.certificate("stranger.test")),
+			"the name of an operator":                        f.connect(f.certificate(operatorName)),
+			"a certificate of another authority":             f.connect(untrusted),
+			"the name of an agent with the role of an entry": f.connect(f.certificate("agent.test")),
+			"plaintext": func(address string) net.Conn {
 				conn, err := net.Dial("tcp", address)
 				Expect(err).NotTo(HaveOccurred())
 				return conn
 			},
 		}
 		agent := f.agents[0]
-		for what, connect := range refused {
-			By(what)
+		for name, connect := range refused {
+			By(name)
 			before := agent.events(eventlog.PeerRefused)
-			Expect(f.greet(connect(agent.instance.Address))).NotTo(Succeed())
+			Expect(f.handshake(connect(agent.instance.Address))).NotTo(Succeed())
 			Eventually(func() int { return agent.events(eventlog.PeerRefused) }).
 				WithTimeout(settleTime).Should(Equal(before + 1))
 		}
 		By("the name of an entry")
 		before := agent.events(eventlog.PeerRefused)
-		Expect(f.greet(f.connect(f.certificate(entryName))(agent.instance.Address))).To(Succeed())
+		Expect(f.handshake(f.connect(f.certificate(entryName))(agent.instance.Address))).To(Succeed())
 		Expect(agent.events(eventlog.PeerRefused)).To(Equal(before))
 	})
 
-	It("refuse an operator without an authorised name", func() {
+	It("refuse an operator whose name is not authorised", func() {
 		own := f.certificates[operatorName]
 		DeferCleanup(func() { f.certificates[operatorName] = own })
 		f.certificates[operatorName] = f.certificate("stranger.test")
 		code, out := f.ctl("config", "get")
-		Expect(code).To(Equal(codeUnavailable), out)
+		Expect(code).To(Equal(exitUnavailable), out)
 	})
 
-	It("stop when they are told to", func() {
+	It("stop on SIGTERM", func() {
 		for _, d := range f.all() {
 			d.session.Terminate()
 		}
@@ -100,7 +102,7 @@
 	})
 })
 
-// connect returns a function that opens a connection with a certificate.
+// connect returns a function that opens a TLS connection with a certificate.
 func (f *fleet) connect(files pki.Files) func(address string) net.Conn {
 	return func(address string) net.Conn {
 		policy, err := security.New(settings.Transport{
@@ -114,9 +116,9 @@
 	}
 }
 
-// greet opens the protocol as an entry does and waits for a message that an
-// agent sends only to an entry that it accepts.
-func (f *fleet) greet(nc net.Conn) error {
+// handshake performs the protocol handshake as an entry and waits for a heartbeat,
+// which an agent sends only to an entry that it accepts.
+func (f *fleet) handshake(nc net.Conn) error {
 	Expect(nc.SetDeadline(time.Now().Add(settleTime))).To(Succeed())
 	conn, _, err := wire.Handshake(nc, wire.Hello{
 		Role:     wire.RoleEntry,
@@ -132,7 +134,7 @@
 		if err != nil {
 			return err
 		}
-		if _, beat := m.(*wire.Heartbeat); beat {
+		if _, ok := m.(*wire.Heartbeat); ok {
 			return nil
 		}
 	}
--- a/internal/processes/version_test.go
+++ b/internal/processes/version_test.go
@@ -14,18 +14,19 @@
 
 const (
 	modelBytes = 1 << 20
-	// chunkSize divides the model into 16 chunks, so that agents exchange some.
+	// chunkSize divides the weights into 16 chunks, so that agents fetch some from
+	// each other.
 	chunkSize     = 64 << 10
 	chunkSizeText = "64KiB"
 )
 
-// version is one published version of the model.
+// version is a published version of the model.
 type version struct {
 	name string
-	// declared are the keys that auburnctl prints for the declaration file.
+	// declared holds the lines that auburnctl prints for the declaration file.
 	declared string
 	weights  model.Weights
-	// content is the digest in the answers of an engine with this version.
+	// content is the digest in the answers of an engine that has loaded this version.
 	content model.Digest
 }
 
@@ -33,8 +34,8 @@
 
 func (v version) manifestObject() string { return "manifests/crest-" + v.name }
 
-// publish makes the manifest of random weights with auburnctl and puts both at
-// the origin.
+// publish creates random weights and, with auburnctl, their manifest, and uploads
+// both to the origin.
 func (f *fleet) publish(name string, seed int64) version {
 	v := version{name: name}
 	data := make([]byte, modelBytes)
@@ -42,11 +43,11 @@
 	file := filepath.Join(f.dir, name+".weights")
 	Expect(os.WriteFile(file, data, 0o600)).To(Succeed())
 	out := filepath.Join(f.dir, name+".manifest")
-	v.declared = f.must("manifest", "create", file, "--object", v.object(), "--out", out, "--chunk-size", chunkSizeText)
+	v.declared = f.mustCtl("manifest", "create", file, "--object", v.object(), "--out", out, "--chunk-size", chunkSizeText)
 	encoded, err := os.ReadFile(out)
 	Expect(err).NotTo(HaveOccurred())
-	f.platform.origin(v.object(), data)
-	f.platform.origin(v.manifestObject(), encoded)
+	f.platform.putObject(v.object(), data)
+	f.platform.putObject(v.manifestObject(), encoded)
 	m, err := weights.BuildBytes(data, v.object(), model.Digest{}, chunkSize)
 	Expect(err).NotTo(HaveOccurred())
 	var chunks []model.Digest
