--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -1,5 +1,5 @@
-// Package agenttest is an agent for tests of entries: it speaks lib/wire over a
-// loopback listener and answers attempts as the test says.
+// Package agenttest provides a fake agent for tests of entries. It speaks the protocol
+// of lib/wire on a loopback listener and leaves the responses to the test.
 package agenttest
 
 import (
@@ -12,46 +12,49 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// queue bounds the messages that wait for the test.
-const queue = 256
+// queueLength is the number of messages and connections that each channel buffers.
+const queueLength = 256
 
 // Agent is a fake agent. Its methods are safe for concurrent use.
 type Agent struct {
-	// RequestStarts delivers the attempts that entries send, Others all messages but
-	// those and heartbeats.
+	// RequestStarts delivers RequestStart messages. OtherMessages delivers all other
+	// messages except Heartbeat, EntryList and ConfigFetch. When a channel is full,
+	// the connection is not read any further.
 	RequestStarts chan Received
 	OtherMessages chan Received
 	// Conns delivers each new connection after its handshake.
 	Conns chan *wire.Conn
 
-	mu       sync.Mutex
-	hello    wire.Hello
-	beat     wire.Heartbeat
-	listener net.Listener
-	// open holds nil for connections whose handshake is under way.
-	open map[net.Conn]*wire.Conn
+	mu                sync.Mutex
+	hello             wire.Hello
+	heartbeatTemplate wire.Heartbeat
+	listener          net.Listener
+	// conns holds all open connections; the value is nil during the handshake.
+	conns map[net.Conn]*wire.Conn
 }
 
-// Received is a message of an entry.
+// Received is a message from an entry.
 type Received struct {
 	Conn    *wire.Conn
 	Message wire.Message
 }
 
-// Start starts an agent of a pool that serves the given weights.
+// Start starts an agent of a pool that serves the given weights, on a free loopback
+// port.
 func Start(identity model.Identity, pool string, live ...model.Weights) (*Agent, error) {
 	a := &Agent{
-		RequestStarts: make(chan Received, queue),
-		OtherMessages: make(chan Received, queue),
-		Conns:         make(chan *wire.Conn, queue),
-		hello:         wire.Hello{Role: wire.RoleAgent, Identity: identity, Pool: pool},
-		beat:          wire.Heartbeat{LiveWeights: live, Load: wire.Load{Capacity: 4}},
-		open:          make(map[net.Conn]*wire.Conn),
+		RequestStarts:     make(chan Received, queueLength),
+		OtherMessages:     make(chan Received, queueLength),
+		Conns:             make(chan *wire.Conn, queueLength),
+		hello:             wire.Hello{Role: wire.RoleAgent, Identity: identity, Pool: pool},
+		heartbeatTemplate: wire.Heartbeat{LiveWeights: live, Load: wire.Load{Capacity: 4}},
+		conns:             make(map[net.Conn]*wire.Conn),
 	}
 	return a, a.Listen("127.0.0.1:0")
 }
 
-// Listen accepts connections at an address again after Stop.
+// Listen starts to accept connections at an address. It is also called after Stop to
+// bring the agent back.
 func (a *Agent) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -64,7 +67,7 @@
 	return nil
 }
 
-// Stop refuses connections and closes those that are open.
+// Stop closes the listener and all open connections.
 func (a *Agent) Stop() {
 	a.mu.Lock()
 	_ = a.listener.Close()
@@ -76,47 +79,47 @@
 func (a *Agent) CloseConns() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for nc := range a.open {
+	for nc := range a.conns {
 		_ = nc.Close()
 	}
 }
 
-// SetGeneration makes the agent another generation from the next connection on.
+// SetGeneration changes the agent's generation number from the next connection on.
 func (a *Agent) SetGeneration(g model.Generation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.hello.Identity.Generation = g
 }
 
-// SetInstance gives the agent another name from the next connection on.
+// SetInstance changes the agent's instance name from the next connection on.
 func (a *Agent) SetInstance(id model.InstanceID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.hello.Identity.Instance = id
 }
 
-// SetLoad changes the load in heartbeats. A fleet that shows it has handled all
-// that was sent before.
+// SetLoad changes the load in heartbeats. An entry's fleet that shows the new load has
+// handled all messages that were sent before.
 func (a *Agent) SetLoad(l wire.Load) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.beat.Load = l
+	a.heartbeatTemplate.Load = l
 }
 
 func (a *Agent) heartbeat() wire.Heartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.beat
+	return a.heartbeatTemplate
 }
 
-// Identity returns the identity with the address of the listener.
+// Identity returns the agent's identity with the address of the listener.
 func (a *Agent) Identity() model.Identity {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.hello.Identity
 }
 
-// Instance returns the agent's line in the platform's list.
+// Instance returns the agent's record for the platform's instance list.
 func (a *Agent) Instance() backing.Instance {
 	i := a.Identity()
 	return backing.Instance{ID: i.Instance, Role: backing.RoleAgent, Location: i.Location, Address: i.Address}
@@ -126,7 +129,7 @@
 func (a *Agent) Broadcast(m wire.Message) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, c := range a.open {
+	for _, c := range a.conns {
 		if c != nil {
 			_ = c.Send(m)
 		}
@@ -146,12 +149,12 @@
 func (a *Agent) serve(nc net.Conn) {
 	a.mu.Lock()
 	hello := a.hello
-	a.open[nc] = nil
+	a.conns[nc] = nil
 	a.mu.Unlock()
 	defer func() {
 		_ = nc.Close()
 		a.mu.Lock()
-		delete(a.open, nc)
+		delete(a.conns, nc)
 		a.mu.Unlock()
 	}()
 	conn, _, err := wire.Handshake(nc, hello)
@@ -160,10 +163,10 @@
 	}
 	defer func() { _ = conn.Close() }()
 	a.mu.Lock()
-	a.open[nc] = conn
+	a.conns[nc] = conn
 	a.mu.Unlock()
-	beats := heartbeat.Sender{Conn: conn, Heartbeat: a.heartbeat, InFlight: func() int { return 1 }}
-	go beats.Run()
+	sender := heartbeat.Sender{Conn: conn, Heartbeat: a.heartbeat, InFlight: func() int { return 1 }}
+	go sender.Run()
 	a.Conns <- conn
 	for {
 		m, err := conn.Receive()
@@ -180,7 +183,7 @@
 	}
 }
 
-// Attempt returns the attempt of a RequestStart.
+// Attempt returns the attempt id of a RequestStart, or "" for other messages.
 func (r Received) Attempt() model.AttemptID {
 	if start, ok := r.Message.(*wire.RequestStart); ok {
 		return start.Attempt
@@ -188,12 +191,13 @@
 	return ""
 }
 
-// SendFrame sends one piece of an answer.
+// SendFrame sends one frame of the response to a RequestStart.
 func (r Received) SendFrame(sequence uint64, data string) {
 	_ = r.Conn.Send(&wire.ResponseFrame{Attempt: r.Attempt(), Sequence: sequence, Data: []byte(data)})
 }
 
-// SendEnd closes an answer that consists of the given number of frames.
-func (r Received) SendEnd(frames uint64, whole string) {
-	_ = r.Conn.Send(CompletedEnd(r.Attempt(), frames, whole))
+// SendEnd sends the end of a completed response. Body is the data of all frames
+// together.
+func (r Received) SendEnd(frames uint64, body string) {
+	_ = r.Conn.Send(CompletedEnd(r.Attempt(), frames, body))
 }
--- a/internal/agenttest/end.go
+++ b/internal/agenttest/end.go
@@ -8,10 +8,11 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// CompletedEnd returns the end of a whole answer.
-func CompletedEnd(attempt model.AttemptID, frames uint64, whole string) *wire.ResponseEnd {
+// CompletedEnd returns the end of a completed response that consists of the given
+// number of frames and has the given body.
+func CompletedEnd(attempt model.AttemptID, frames uint64, body string) *wire.ResponseEnd {
 	return &wire.ResponseEnd{
 		Attempt: attempt, Outcome: outcome.Completed, Status: http.StatusOK,
-		ContentType: "text/plain", Frames: frames, Digest: model.Sum([]byte(whole)),
+		ContentType: "text/plain", Frames: frames, Digest: model.Sum([]byte(body)),
 	}
 }
--- a/internal/agenttest/fleet.go
+++ b/internal/agenttest/fleet.go
@@ -16,8 +16,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// FleetConfig returns the settings of the fleet of an entry at a location, with
-// short intervals.
+// FleetConfig returns the configuration of the agent fleet of an entry at a location,
+// with short intervals for tests.
 func FleetConfig(location model.Location, list backing.InstanceList) fleet.Config {
 	identity := model.Identity{Instance: "entry", Generation: 1, Location: location, Address: "127.0.0.1:1"}
 	return fleet.Config{
