--- a/internal/tabletest/table.go
+++ b/internal/tabletest/table.go
@@ -1,6 +1,6 @@
-// Package tabletest is an in-memory backing.TableService for tests, with the
-// faults that the platform's one has: outages, replies lost before or after the
-// write took effect, and writes that take effect late.
+// Package tabletest provides an in-memory backing.TableService for tests. It injects
+// the faults that the platform's table service can have: outages, requests and replies
+// that are lost, and writes that take effect late.
 package tabletest
 
 import (
@@ -12,64 +12,66 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// Fault is what happens to one call.
+// Fault is the fault injected into one call. A read with any fault fails with
+// backing.ErrUnavailable.
 type Fault uint8
 
 const (
-	// NoFault answers as the platform does on a good day.
+	// NoFault executes the call.
 	NoFault Fault = iota
-	// Unavailable refuses a write as not applied and leaves a read unanswered.
+	// Unavailable fails a write with backing.ErrNotApplied.
 	Unavailable
-	// LostRequest loses a write before it takes effect.
+	// LostRequest fails a write with backing.ErrUnknown before it takes effect.
 	LostRequest
-	// LostReply loses the reply of a write that took effect.
+	// LostReply fails a write with backing.ErrUnknown after it took effect.
 	LostReply
-	// DelayedWrite loses the reply; the write takes effect at the next Land, if its
-	// conditions hold then.
+	// DelayedWrite fails a write with backing.ErrUnknown; it takes effect at the next
+	// ApplyDelayed, if its conditions hold then.
 	DelayedWrite
 )
 
-// Table is the table service. It is safe for concurrent use.
+// Table is an in-memory table service. It is safe for concurrent use once Fault is
+// set.
 type Table struct {
-	// Fault, when set, says what happens to each call.
+	// Fault, if set, returns the fault for each call.
 	Fault func(write bool) Fault
 
 	mu      sync.Mutex
 	rows    map[string]backing.Row
 	version uint64
-	late    []backing.Transaction
+	delayed []backing.Transaction
 	commits int
 }
 
 // New returns an empty table service.
 func New() *Table { return &Table{rows: make(map[string]backing.Row)} }
 
-func id(table, key string) string { return table + "\x00" + key }
+func rowID(table, key string) string { return table + "\x00" + key }
 
-func (t *Table) fault(write bool) Fault {
+func (t *Table) faultFor(write bool) Fault {
 	if t.Fault == nil {
 		return NoFault
 	}
 	return t.Fault(write)
 }
 
-// Get returns a row.
+// Get implements backing.TableService.
 func (t *Table) Get(_ context.Context, table, key string) (backing.Row, error) {
-	if t.fault(false) != NoFault {
+	if t.faultFor(false) != NoFault {
 		return backing.Row{}, backing.ErrUnavailable
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	row, ok := t.rows[id(table, key)]
+	row, ok := t.rows[rowID(table, key)]
 	if !ok {
 		return backing.Row{}, backing.ErrNotFound
 	}
 	return row, nil
 }
 
-// Scan returns rows in key order.
+// Scan implements backing.TableService.
 func (t *Table) Scan(_ context.Context, table, prefix, after string, limit int) ([]backing.Row, error) {
-	if t.fault(false) != NoFault {
+	if t.faultFor(false) != NoFault {
 		return nil, backing.ErrUnavailable
 	}
 	t.mu.Lock()
@@ -84,9 +86,9 @@
 	return rows[:min(limit, len(rows))], nil
 }
 
-// Commit applies all writes or none.
+// Commit implements backing.TableService.
 func (t *Table) Commit(_ context.Context, tx backing.Transaction) error {
-	f := t.fault(true)
+	f := t.faultFor(true)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.commits++
@@ -99,31 +101,32 @@
 		_ = t.apply(tx)
 		return backing.ErrUnknown
 	case DelayedWrite:
-		t.late = append(t.late, tx)
+		t.delayed = append(t.delayed, tx)
 		return backing.ErrUnknown
 	default:
 		return t.apply(tx)
 	}
 }
 
-// ApplyDelayed lets all late writes take effect.
+// ApplyDelayed applies the delayed transactions whose conditions hold, in the order of
+// their commits.
 func (t *Table) ApplyDelayed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, tx := range t.late {
+	for _, tx := range t.delayed {
 		_ = t.apply(tx)
 	}
-	t.late = nil
+	t.delayed = nil
 }
 
-// Commits returns the number of transactions so far, whatever their outcome.
+// Commits returns the number of calls of Commit so far, including failed ones.
 func (t *Table) Commits() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.commits
 }
 
-// Rows returns the number of rows.
+// Rows returns the number of rows in all tables.
 func (t *Table) Rows() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +135,7 @@
 
 func (t *Table) apply(tx backing.Transaction) error {
 	for i, w := range tx.Writes {
-		row, exists := t.rows[id(w.Table, w.Key)]
+		row, exists := t.rows[rowID(w.Table, w.Key)]
 		if w.Condition == backing.IfAbsent && exists ||
 			w.Condition == backing.IfVersion && (!exists || row.Version != w.Version) {
 			return &backing.ConflictError{Index: i}
@@ -140,11 +143,11 @@
 	}
 	for _, w := range tx.Writes {
 		if w.Delete {
-			delete(t.rows, id(w.Table, w.Key))
+			delete(t.rows, rowID(w.Table, w.Key))
 			continue
 		}
 		t.version++
-		t.rows[id(w.Table, w.Key)] = backing.Row{Table: w.Table, Key: w.Key, Version: t.version, Value: w.Value}
+		t.rows[rowID(w.Table, w.Key)] = backing.Row{Table: w.Table, Key: w.Key, Version: t.version, Value: w.Value}
 	}
 	return nil
 }
