--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs a whole deployment on loopback: it brings a version to all
-// instances, sends live requests while a second version replaces it and
-// instances are lost, and checks what callers were told against what ran.
+// Package demo runs a whole deployment on loopback. It rolls out a version to all
+// instances, sends requests while a second version replaces the first and instances
+// are lost, and compares the reported outcomes with the requests that ran.
 package demo
 
 import (
@@ -19,28 +19,31 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ErrPropertyViolated means that a property did not hold.
-var ErrPropertyViolated = merry.New("a property did not hold")
+// ErrPropertyViolated means that answers or outcomes were wrong, that an order ran
+// more than once, or that no draft or no order completed.
+var ErrPropertyViolated = merry.New("a checked property was violated")
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the interval at which the progress of a rollout is checked.
 const progressInterval = 500 * time.Millisecond
 
 var domains = []model.FailureDomain{"kigali", "huye", "musanze"}
 
-// demo is one run.
-type demo struct {
-	options Options
-	out     io.Writer
-	d       *deployment.Deployment
-	tally   *tally
-	rng     *rand.Rand
-	started time.Time
-	// rollouts are the times in which versions reached all instances.
+// scenario is the state of one run of the demo.
+type scenario struct {
+	options    Options
+	out        io.Writer
+	deployment *deployment.Deployment
+	results    *results
+	rng        *rand.Rand
+	started    time.Time
+	// rollouts holds the duration of each rollout.
 	rollouts []time.Duration
 	killed   int
 }
 
-// Run runs the demo and returns ErrBroken when a property did not hold.
+// Run runs the demo and writes its progress and a summary to out. It returns
+// ErrPropertyViolated if a check fails, and an error if the demo does not end within
+// o.MaxTime.
 func Run(ctx context.Context, o Options, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, o.MaxTime)
 	defer cancel()
@@ -53,9 +56,9 @@
 	if o.ShowEvents {
 		logger = eventlog.New(log.NewLogfmtLogger(log.NewSyncWriter(out)), "ts", log.DefaultTimestampUTC)
 	}
-	run := &demo{options: o, out: out, tally: newTally(), rng: rand.New(rand.NewSource(o.Seed)), started: time.Now()}
-	run.print("starting %d failure domains with %d entries, %d model runners and 1 order runner each", len(domains), o.Entries, o.Agents)
-	run.d, err = deployment.Start(deployment.Options{
+	s := &scenario{options: o, out: out, results: newResults(), rng: rand.New(rand.NewSource(o.Seed)), started: time.Now()}
+	s.print("starting %d failure domains with %d entries, %d model engines and 1 plain service each", len(domains), o.Entries, o.Agents)
+	s.deployment, err = deployment.Start(deployment.Options{
 		Domains: domains, EntriesPerDomain: o.Entries, AgentsPerDomain: o.Agents, ServicesPerDomain: 1,
 		ModelBytes: int64(o.ModelMiB) << 20, ChunkBytes: o.ChunkKiB << 10, TransferWindow: o.Window,
 		InstanceListLag: 200 * time.Millisecond, EngineTimeScale: 0.1, EngineRestartDelay: time.Second,
@@ -64,82 +67,84 @@
 	if err != nil {
 		return err
 	}
-	defer run.d.Close()
-	if err := run.scenario(ctx); err != nil {
+	defer s.deployment.Close()
+	if err := s.run(ctx); err != nil {
 		return err
 	}
-	return run.summary()
+	return s.summary()
 }
 
-func (r *demo) print(format string, args ...any) {
-	fmt.Fprintf(r.out, "%6.1fs  %s\n", time.Since(r.started).Seconds(), fmt.Sprintf(format, args...))
+func (s *scenario) print(format string, args ...any) {
+	fmt.Fprintf(s.out, "%6.1fs  %s\n", time.Since(s.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// scenario brings out two versions, the second under live requests and losses.
-func (r *demo) scenario(ctx context.Context) error {
-	if err := r.rollOut(ctx, "v1"); err != nil {
+// run rolls out two versions, the second while requests are sent and instances are
+// lost.
+func (s *scenario) run(ctx context.Context) error {
+	if err := s.rollOut(ctx, "v1"); err != nil {
 		return err
 	}
-	load := newLoad(r.d, r.tally, r.options.Callers, r.options.Seed)
+	load := newLoadGenerator(s.deployment, s.results, s.options.Callers, s.options.Seed)
 	load.start(ctx)
 	defer load.stop()
-	r.print("callers send drafts and orders through %d entries", len(r.d.Entries))
-	losses := make(chan struct{})
+	s.print("callers send drafts and orders through %d entries", len(s.deployment.Entries))
+	killsDone := make(chan struct{})
 	go func() {
-		defer close(losses)
-		r.lose(ctx)
+		defer close(killsDone)
+		s.stopAndKill(ctx)
 	}()
-	err := r.rollOut(ctx, "v2")
-	<-losses
+	err := s.rollOut(ctx, "v2")
+	<-killsDone
 	return err
 }
 
 // rollOut publishes and places a version and waits until all running instances
 // serve it.
-func (r *demo) rollOut(ctx context.Context, name string) error {
-	begun := time.Now()
-	v, err := r.d.PublishAndPlace(ctx, name)
+func (s *scenario) rollOut(ctx context.Context, name string) error {
+	started := time.Now()
+	v, err := s.deployment.PublishAndPlace(ctx, name)
 	if err != nil {
 		return err
 	}
-	r.print("version %s accepted through the operators' interface", name)
+	s.print("version %s accepted through the operator interface", name)
 	last := -1
-	err = r.d.WaitLive(ctx, v, progressInterval, func(live, of int) {
+	err = s.deployment.WaitLive(ctx, v, progressInterval, func(live, of int) {
 		if live != last {
-			r.print("version %s: %d of %d instances live, %.2f copies from the origin", name, live, of, r.copies())
+			s.print("version %s: live on %d of %d instances, %.2f copies read from the origin", name, live, of, s.originCopies())
 			last = live
 		}
 	})
-	r.rollouts = append(r.rollouts, time.Since(begun))
+	s.rollouts = append(s.rollouts, time.Since(started))
 	return err
 }
 
-// copies returns the bytes read from the origin in copies of one version.
-func (r *demo) copies() float64 {
-	return float64(r.d.Origin.Stats().Bytes) / float64(int64(r.options.ModelMiB)<<20)
+// originCopies returns the bytes read from the origin so far, as a multiple of the
+// size of a version.
+func (s *scenario) originCopies() float64 {
+	return float64(s.deployment.Origin.Stats().Bytes) / float64(int64(s.options.ModelMiB)<<20)
 }
 
-// lose stops one instance gracefully and kills others while the second version
-// is on its way.
-func (r *demo) lose(ctx context.Context) {
-	runners := r.d.ModelAgents()
-	kills := int(r.options.KillShare * float64(len(runners)))
-	order := r.rng.Perm(len(runners))
+// stopAndKill stops one instance gracefully, then kills the configured share of the
+// instances. It does nothing if the share leaves no instance to stop.
+func (s *scenario) stopAndKill(ctx context.Context) {
+	agents := s.deployment.ModelAgents()
+	kills := int(s.options.KillShare * float64(len(agents)))
+	order := s.rng.Perm(len(agents))
 	if len(order) == 0 || kills >= len(order) {
 		return
 	}
-	r.print("SIGTERM to %s", runners[order[0]].Identity.Instance)
-	if err := runners[order[0]].Stop(ctx); err != nil {
-		r.print("drain of %s did not finish: %v", runners[order[0]].Identity.Instance, err)
+	s.print("stopping %s as with SIGTERM", agents[order[0]].Identity.Instance)
+	if err := agents[order[0]].Stop(ctx); err != nil {
+		s.print("drain of %s did not finish: %v", agents[order[0]].Identity.Instance, err)
 	}
 	for _, i := range order[1 : 1+kills] {
 		select {
-		case <-time.After(time.Duration(r.rng.Int63n(int64(r.options.Window)/4 + 1))):
+		case <-time.After(time.Duration(s.rng.Int63n(int64(s.options.Window)/4 + 1))):
 		case <-ctx.Done():
 			return
 		}
-		r.print("killing %s", runners[i].Identity.Instance)
-		runners[i].Kill()
-		r.killed++
+		s.print("killing %s", agents[i].Identity.Instance)
+		agents[i].Kill()
+		s.killed++
 	}
 }
--- a/internal/demo/summary.go
+++ b/internal/demo/summary.go
@@ -9,65 +9,64 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// summary prints what happened and checks the properties.
-func (r *demo) summary() error {
-	t := r.tally
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	twice, ranAfterNotRun := r.checkOrders()
-	ranAfterNotRun += r.checkDrafts()
-	r.print("summary")
+// summary prints the results and returns ErrPropertyViolated if a check fails.
+func (s *scenario) summary() error {
+	r := s.results
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	duplicates, ranAfterNotRun := s.checkOrders()
+	ranAfterNotRun += s.checkDrafts()
+	s.print("summary")
 	row := func(name string, format string, args ...any) {
-		fmt.Fprintf(r.out, "         %-34s %s\n", name, fmt.Sprintf(format, args...))
+		fmt.Fprintf(s.out, "         %-34s %s\n", name, fmt.Sprintf(format, args...))
 	}
-	row("instances", "%d, of which 1 was stopped and %d were killed", len(r.d.ModelAgents()), r.killed)
-	for i, d := range r.rollouts {
-		row(fmt.Sprintf("time of rollout %d", i+1), "%s", d.Round(time.Millisecond))
+	row("instances", "%d, of which 1 was stopped and %d were killed", len(s.deployment.ModelAgents()), s.killed)
+	for i, d := range s.rollouts {
+		row(fmt.Sprintf("duration of rollout %d", i+1), "%s", d.Round(time.Millisecond))
 	}
-	row("origin bytes", "%.2f copies for %d versions in %d failure domains", r.copies(), len(r.d.Versions), len(domains))
-	row("drafts by outcome", "%s", counts(t.drafts))
-	row("completed drafts by version", "%s", counts(t.byVersion))
-	row("orders by outcome", "%s", counts(t.orders))
-	row("time to first token", "%s", quantiles(t.firstByte))
-	row("answers wrong, crossed or mixed", "%d", t.wrong)
-	row("orders that ran twice", "%d", twice)
-	row("runs after not_run", "%d", ranAfterNotRun)
-	if t.wrong+twice+ranAfterNotRun > 0 {
+	row("read from the origin", "%.2f copies for %d versions in %d failure domains", s.originCopies(), len(s.deployment.Versions), len(domains))
+	row("drafts by outcome", "%s", formatCounts(r.drafts))
+	row("completed drafts by version", "%s", formatCounts(r.byVersion))
+	row("orders by outcome", "%s", formatCounts(r.orders))
+	row("time to first token", "%s", formatQuantiles(r.timesToFirstByte))
+	row("wrong or mixed-version answers", "%d", r.wrongAnswers)
+	row("orders that ran more than once", "%d", duplicates)
+	row("requests run despite not_run", "%d", ranAfterNotRun)
+	if r.wrongAnswers+duplicates+ranAfterNotRun > 0 {
 		return merry.Wrap(ErrPropertyViolated)
 	}
-	if t.drafts["completed"] == 0 || t.orders["completed"] == 0 {
-		return merry.Wrap(ErrPropertyViolated, merry.AppendMessage("no request completed"))
+	if r.drafts["completed"] == 0 || r.orders["completed"] == 0 {
+		return merry.Wrap(ErrPropertyViolated, merry.AppendMessage("no draft or no order completed"))
 	}
 	return nil
 }
 
-// checkOrders counts keys that ran twice, and keys that ran although every
-// answer said that they did not.
-func (r *demo) checkOrders() (twice, afterNotRun int) {
-	for key, never := range r.tally.orderKeys {
-		runs := r.d.OrderRuns(key)
+// checkOrders counts the keys that ran more than once, and the keys that ran although
+// all their answers were not_run.
+func (s *scenario) checkOrders() (duplicates, afterNotRun int) {
+	for key, onlyNotRun := range s.results.orderKeys {
+		runs := s.deployment.OrderRuns(key)
 		if runs > 1 {
-			twice++
+			duplicates++
 		}
-		if runs > 0 && never {
+		if runs > 0 && onlyNotRun {
 			afterNotRun++
 		}
 	}
-	return twice, afterNotRun
+	return duplicates, afterNotRun
 }
 
-// checkDrafts counts requests that ran although the answer said that they did
-// not.
-func (r *demo) checkDrafts() (afterNotRun int) {
-	for _, id := range r.tally.notRun {
-		if r.d.DraftRuns(id) > 0 {
+// checkDrafts counts the drafts that ran although their answer was not_run.
+func (s *scenario) checkDrafts() (afterNotRun int) {
+	for _, id := range s.results.notRun {
+		if s.deployment.DraftRuns(id) > 0 {
 			afterNotRun++
 		}
 	}
 	return afterNotRun
 }
 
-func counts(m map[string]int) string {
+func formatCounts(m map[string]int) string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
@@ -80,13 +79,13 @@
 	return strings.Join(parts, ", ")
 }
 
-func quantiles(all []time.Duration) string {
-	if len(all) == 0 {
+func formatQuantiles(durations []time.Duration) string {
+	if len(durations) == 0 {
 		return "-"
 	}
-	slices.Sort(all)
+	slices.Sort(durations)
 	at := func(q float64) time.Duration {
-		return all[int(q*float64(len(all)-1))].Round(100 * time.Microsecond)
+		return durations[int(q*float64(len(durations)-1))].Round(100 * time.Microsecond)
 	}
-	return fmt.Sprintf("median %s, 95 in 100 %s, 99 in 100 %s", at(0.5), at(0.95), at(0.99))
+	return fmt.Sprintf("p50 %s, p95 %s, p99 %s", at(0.5), at(0.95), at(0.99))
 }
