--- a/standin/fault/faults.go
+++ b/standin/fault/faults.go
@@ -1,31 +1,29 @@
-// Package fault holds the fault switches that the stand-ins of the platform
-// share.
+// Package fault injects faults into the stand-ins of the platform's services.
 package fault
 
 import "time"
 
-// Faults says how a stand-in misbehaves. The zero value is a healthy service.
+// Faults are the faults injected into a stand-in. The zero value injects none.
 type Faults struct {
-	// Down refuses every call before it has an effect, like a closed port.
+	// Down fails every call before it takes effect, as if the port were closed.
 	Down bool `json:"down"`
-	// Stall leaves every call without an answer until its context ends.
+	// Stall blocks every call until its context is done.
 	Stall bool `json:"stall"`
-	// Delay is added to every call.
+	// Delay delays every call.
 	Delay time.Duration `json:"delay"`
-	// LoseAfter is the number of coming writes that take effect and whose
-	// replies are lost.
+	// LoseAfter is the number of next writes that take effect but whose reply is lost.
 	LoseAfter int `json:"lose_after"`
-	// LoseBefore is the number of coming writes that are lost on the way, so
-	// that they have no effect and no reply.
+	// LoseBefore is the number of next writes that are lost before they take effect.
+	// They get no reply. They come before the writes counted by LoseAfter.
 	LoseBefore int `json:"lose_before"`
-	// StaleBy makes reads show the state before the last StaleBy writes.
+	// StaleBy makes reads return the state before the last StaleBy writes.
 	StaleBy int `json:"stale_by"`
-	// CorruptEvery flips one bit in every n-th read of bytes; 0 means never.
+	// CorruptEvery flips one bit in every CorruptEvery-th read of object bytes; 0
+	// disables it.
 	CorruptEvery int `json:"corrupt_every"`
-	// CutAfter ends a stream of bytes early after that many bytes; 0 means
-	// never.
+	// CutAfter aborts a byte stream after that many bytes; 0 disables it.
 	CutAfter int64 `json:"cut_after"`
-	// StallAfter stops a stream of bytes after that many bytes without closing
-	// it; 0 means never.
+	// StallAfter blocks a byte stream after that many bytes, without closing it; 0
+	// disables it.
 	StallAfter int64 `json:"stall_after"`
 }
--- a/standin/instances/handler.go
+++ b/standin/instances/handler.go
@@ -9,17 +9,21 @@
 	"github.com/auburnbend/auburnbend/standin/reply"
 )
 
-// Handler serves the list over HTTP: GET /instances, PUT /instances with one
-// backing.Instance, DELETE /instances/{id}, and GET and PUT of /faults.
+// Handler returns the HTTP handler of the list:
+//
+//	GET    /instances        the visible instances
+//	PUT    /instances        adds or replaces one backing.Instance
+//	DELETE /instances/{id}   removes an instance
+//	GET, PUT /faults         fault.Faults
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /instances", func(w http.ResponseWriter, r *http.Request) {
-		listed, err := l.List(r.Context())
+		visible, err := l.List(r.Context())
 		if err != nil {
 			reply.Error(w, err)
 			return
 		}
-		reply.JSON(w, listed)
+		reply.JSON(w, visible)
 	})
 	mux.HandleFunc("PUT /instances", func(w http.ResponseWriter, r *http.Request) {
 		var instance backing.Instance
--- a/standin/instances/list.go
+++ b/standin/instances/list.go
@@ -1,4 +1,4 @@
-// Package instances is the stand-in of the platform's list of instances.
+// Package instances is a stand-in for the platform's instance list.
 package instances
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/auburnbend/auburnbend/standin/fault"
 )
 
-// Config holds the behaviour of a List.
+// Config configures a List.
 type Config struct {
-	// Lag is the time after which a change is shown.
+	// Lag is the time until a change becomes visible.
 	Lag time.Duration
-	// Clock is used for the lag.
+	// Clock is the clock for Lag. It defaults to the system clock.
 	Clock clock.Clock
 }
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// change is one instance set or removed.
+// change adds, replaces or removes one instance.
 type change struct {
 	at       time.Time
 	instance backing.Instance
@@ -37,74 +37,79 @@
 
 // List implements backing.InstanceList. It is safe for concurrent use.
 type List struct {
-	// Faults are the fault switches of the list.
-	Faults fault.Switch
-
-	cfg     Config
-	mu      sync.Mutex
-	pending []change
-	order   []model.InstanceID
-	shown   map[model.InstanceID]backing.Instance
+	// Faults injects faults into the list.
+	Faults fault.Injector
+
+	cfg Config
+
+	// mu protects the fields below.
+	mu sync.Mutex
+	// pendingChanges are the changes that are not yet visible, the oldest first.
+	pendingChanges []change
+	// ids contains the IDs of all instances that have ever been visible, in the order
+	// in which they first appeared.
+	ids     []model.InstanceID
+	visible map[model.InstanceID]backing.Instance
 }
 
 // New returns an empty list.
 func New(cfg Config) *List {
 	cfg.applyDefaults()
-	return &List{cfg: cfg, shown: make(map[model.InstanceID]backing.Instance)}
+	return &List{cfg: cfg, visible: make(map[model.InstanceID]backing.Instance)}
 }
 
-// Set adds or replaces an instance; List shows it after the lag.
-func (l *List) Set(instance backing.Instance) { l.add(change{instance: instance}) }
+// Set adds or replaces an instance, which becomes visible after the lag.
+func (l *List) Set(instance backing.Instance) { l.queueChange(change{instance: instance}) }
 
-// Remove takes an instance off the list after the lag.
+// Remove removes an instance after the lag.
 func (l *List) Remove(id model.InstanceID) {
-	l.add(change{instance: backing.Instance{ID: id}, removed: true})
+	l.queueChange(change{instance: backing.Instance{ID: id}, removed: true})
 }
 
 // List implements backing.InstanceList.
 func (l *List) List(ctx context.Context) ([]backing.Instance, error) {
-	down, err := l.Faults.Enter(ctx)
+	down, err := l.Faults.BeforeCall(ctx)
 	if down || err != nil {
 		return nil, merry.Wrap(backing.ErrUnavailable, merry.WithCause(err))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.show()
-	listed := make([]backing.Instance, 0, len(l.shown))
-	for _, id := range l.order {
-		if instance, ok := l.shown[id]; ok {
-			listed = append(listed, instance)
+	l.applyDueChanges()
+	instances := make([]backing.Instance, 0, len(l.visible))
+	for _, id := range l.ids {
+		if instance, ok := l.visible[id]; ok {
+			instances = append(instances, instance)
 		}
 	}
-	return listed, nil
+	return instances, nil
 }
 
-func (l *List) add(c change) {
+func (l *List) queueChange(c change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.at = l.cfg.Clock.Now()
-	l.pending = append(l.pending, c)
+	l.pendingChanges = append(l.pendingChanges, c)
 }
 
-// show applies the changes that are older than the lag.
-func (l *List) show() {
+// applyDueChanges makes changes visible whose lag has passed. The caller must hold l.mu.
+func (l *List) applyDueChanges() {
 	now := l.cfg.Clock.Now()
-	for len(l.pending) > 0 && now.Sub(l.pending[0].at) >= l.cfg.Lag {
-		c := l.pending[0]
-		l.pending = l.pending[1:]
+	for len(l.pendingChanges) > 0 && now.Sub(l.pendingChanges[0].at) >= l.cfg.Lag {
+		c := l.pendingChanges[0]
+		l.pendingChanges = l.pendingChanges[1:]
 		if c.removed {
-			delete(l.shown, c.instance.ID)
+			delete(l.visible, c.instance.ID)
 			continue
 		}
-		if !l.known(c.instance.ID) {
-			l.order = append(l.order, c.instance.ID)
+		if !l.hasID(c.instance.ID) {
+			l.ids = append(l.ids, c.instance.ID)
 		}
-		l.shown[c.instance.ID] = c.instance
+		l.visible[c.instance.ID] = c.instance
 	}
 }
 
-func (l *List) known(id model.InstanceID) bool {
-	for _, existing := range l.order {
+func (l *List) hasID(id model.InstanceID) bool {
+	for _, existing := range l.ids {
 		if existing == id {
 			return true
 		}
--- a/standin/internal/listen/quiet.go
+++ b/standin/internal/listen/log.go
@@ -2,6 +2,6 @@
 
 import "github.com/cloudwego/hertz/pkg/common/hlog"
 
-// init silences the HTTP library's own log: cut connections are part of what
-// the stand-ins do.
+// init turns off the HTTP library's own log, because stand-ins abort connections on
+// purpose.
 func init() { hlog.SetLevel(hlog.LevelFatal) }
--- a/standin/internal/listen/tracker.go
+++ b/standin/internal/listen/tracker.go
@@ -1,5 +1,5 @@
-// Package listen provides the listener of the stand-ins. It keeps its
-// connections so that a crash can cut them all.
+// Package listen provides the listener of the HTTP stand-ins. It tracks its connections,
+// so that a simulated crash can close them all.
 package listen
 
 import (
@@ -11,16 +11,18 @@
 	"github.com/cloudwego/hertz/pkg/network/standard"
 )
 
-// Tracker is a listener that can close all connections that it accepted.
+// Tracker is a listener that can close all connections that it has accepted. It is safe
+// for concurrent use.
 type Tracker struct {
 	net.Listener
 
+	// mu protects the fields below.
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-// New listens on a loopback address.
+// New listens on a TCP address.
 func New(address string) (*Tracker, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -29,7 +31,7 @@
 	return &Tracker{Listener: ln, conns: make(map[net.Conn]struct{})}, nil
 }
 
-// Accept waits for a connection and keeps it.
+// Accept waits for the next connection and tracks it. After CutAll it returns an error.
 func (t *Tracker) Accept() (net.Conn, error) {
 	nc, err := t.Listener.Accept()
 	if err != nil {
@@ -46,7 +48,7 @@
 	return c, nil
 }
 
-// CutAll closes the listener and all connections.
+// CutAll closes the listener and all its connections.
 func (t *Tracker) CutAll() {
 	_ = t.Close()
 	t.mu.Lock()
@@ -61,24 +63,25 @@
 	}
 }
 
-func (t *Tracker) forget(c net.Conn) {
+func (t *Tracker) remove(c net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.conns, c)
 }
 
+// conn removes itself from its tracker when closed.
 type conn struct {
 	net.Conn
 	tracker *Tracker
 }
 
 func (c *conn) Close() error {
-	c.tracker.forget(c)
+	c.tracker.remove(c)
 	return c.Conn.Close()
 }
 
-// Hertz returns a server over the listener; the caller adds routes and calls
-// Run in a goroutine, which ends with CutAll.
+// Hertz returns an HTTP server on the listener. The caller registers routes and calls
+// Run, which blocks until CutAll.
 func (t *Tracker) Hertz(opts ...config.Option) *server.Hertz {
 	return server.New(append([]config.Option{
 		server.WithListener(t),
--- a/standin/object/handler.go
+++ b/standin/object/handler.go
@@ -7,11 +7,14 @@
 	"github.com/auburnbend/auburnbend/standin/reply"
 )
 
-// maxObject bounds an object in bytes.
-const maxObject = 64 << 20
+// maxObjectBytes is the maximum size of an object.
+const maxObjectBytes = 64 << 20
 
-// Handler serves the object store over HTTP: GET and PUT of
-// /objects/{name...}, where PUT never overwrites, and GET and PUT of /faults.
+// Handler returns the HTTP handler of the object store:
+//
+//	GET /objects/{name...}   the bytes of an object
+//	PUT /objects/{name...}   stores an object unless it exists
+//	GET, PUT /faults         fault.Faults
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /objects/{name...}", func(w http.ResponseWriter, r *http.Request) {
@@ -23,7 +26,7 @@
 		_, _ = w.Write(data)
 	})
 	mux.HandleFunc("PUT /objects/{name...}", func(w http.ResponseWriter, r *http.Request) {
-		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
+		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObjectBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/standin/object/service.go
+++ b/standin/object/service.go
@@ -1,4 +1,4 @@
-// Package object is the stand-in of the platform's object store.
+// Package object is a stand-in for the platform's object store.
 package object
 
 import (
@@ -11,24 +11,26 @@
 	"github.com/auburnbend/auburnbend/standin/fault"
 )
 
-// Service is an in-memory object store. It implements backing.ObjectStore and
-// is safe for concurrent use.
+// Service is an in-memory object store that implements backing.ObjectStore. It is safe
+// for concurrent use.
 type Service struct {
-	// Faults are the fault switches of the service.
-	Faults fault.Switch
+	// Faults injects faults into the service.
+	Faults fault.Injector
 
-	mu      sync.Mutex
-	names   []string
-	objects map[string][]byte
+	// mu protects the fields below.
+	mu sync.Mutex
+	// putOrder contains the names of all objects, the oldest first.
+	putOrder []string
+	objects  map[string][]byte
 }
 
 // New returns an empty store.
 func New() *Service { return &Service{objects: make(map[string][]byte)} }
 
-// Get implements backing.ObjectStore. With StaleBy set, the objects that were
-// stored last are not seen yet.
+// Get implements backing.ObjectStore. If the fault StaleBy is set, it does not find the
+// objects that were stored last.
 func (s *Service) Get(ctx context.Context, name string) ([]byte, error) {
-	down, err := s.Faults.Enter(ctx)
+	down, err := s.Faults.BeforeCall(ctx)
 	if down || err != nil {
 		return nil, merry.Wrap(backing.ErrUnavailable, merry.WithCause(err))
 	}
@@ -36,14 +38,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	data, ok := s.objects[name]
-	for _, hidden := range s.names[len(s.names)-min(max(0, stale), len(s.names)):] {
+	for _, hidden := range s.putOrder[len(s.putOrder)-min(max(0, stale), len(s.putOrder)):] {
 		ok = ok && hidden != name
 	}
 	if !ok {
 		return nil, merry.Wrap(backing.ErrNotFound)
 	}
 	data = append([]byte(nil), data...)
-	if len(data) > 0 && s.Faults.CorruptNext() {
+	if len(data) > 0 && s.Faults.ShouldCorrupt() {
 		data[len(data)/2] ^= 1
 	}
 	return data, nil
@@ -51,14 +53,14 @@
 
 // PutIfAbsent implements backing.ObjectStore.
 func (s *Service) PutIfAbsent(ctx context.Context, name string, data []byte) error {
-	down, err := s.Faults.Enter(ctx)
+	down, err := s.Faults.BeforeCall(ctx)
 	if down {
 		return merry.Wrap(backing.ErrNotApplied)
 	}
 	if err != nil {
 		return merry.Wrap(backing.ErrUnknown, merry.WithCause(err))
 	}
-	loss := s.Faults.NextWrite()
+	loss := s.Faults.NextWriteLoss()
 	if loss == fault.LossBefore {
 		return merry.Wrap(backing.ErrUnknown)
 	}
@@ -76,6 +78,6 @@
 		return merry.Wrap(backing.ErrExists)
 	}
 	s.objects[name] = append([]byte(nil), data...)
-	s.names = append(s.names, name)
+	s.putOrder = append(s.putOrder, name)
 	return nil
 }
--- a/standin/origin/config.go
+++ b/standin/origin/config.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// defaultBurst is how long a rate-limited source can be read at any speed
-	// before it throttles, as a share of its rate.
+	// defaultBurst is the default of Config.Burst.
 	defaultBurst = time.Second
 )
 
-// Config holds the limits of a source.
+// Config configures a Source. A rate of 0 is unlimited.
 type Config struct {
-	// BytesPerSecond throttles reads with a retry time; 0 means unlimited.
+	// BytesPerSecond is the rate of bytes above which requests are refused with
+	// *backing.ThrottledError.
 	BytesPerSecond int64
-	// RequestsPerSecond throttles requests with a retry time; 0 means unlimited.
+	// RequestsPerSecond is the rate of requests above which requests are refused with
+	// *backing.ThrottledError.
 	RequestsPerSecond int64
-	// Burst is the time over which both limits may be used in advance.
+	// Burst is the burst size of both limits, expressed as a time at the full rate.
 	Burst time.Duration
-	// LinkBytesPerSecond paces the bytes of all readers together, like the link
-	// of the source; 0 means unlimited.
+	// LinkBytesPerSecond is the bandwidth of the source's simulated link, which all
+	// readers share. Reads above it are delayed instead of refused.
 	LinkBytesPerSecond int64
-	// Clock is used for the limits.
+	// Clock is the clock for the limits. It defaults to the system clock.
 	Clock clock.Clock
 }
 
--- a/standin/origin/flush_writer.go
+++ b/standin/origin/flush_writer.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// flushWriter sends every piece at once, so that a cut or stalled stream
-// delivers what comes before the fault.
+// flushWriter flushes after every write, so that the client receives all bytes before the
+// point where a fault cuts or stalls the stream.
 type flushWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
--- a/standin/origin/handler.go
+++ b/standin/origin/handler.go
@@ -12,9 +12,14 @@
 	"github.com/auburnbend/auburnbend/standin/reply"
 )
 
-// Handler serves the source over HTTP: GET and PUT of /objects/{name...}, where
-// GET takes one range of the form bytes=first-last, GET /stats, and GET and PUT
-// of /faults. A throttled request gets 429 and Retry-After.
+// Handler returns the HTTP handler of the source:
+//
+//	GET /objects/{name...}   the bytes of an object, or one Range bytes=first-last
+//	PUT /objects/{name...}   stores or replaces an object
+//	GET /stats               Stats
+//	GET, PUT /faults         fault.Faults
+//
+// It replies to a throttled request with status 429 and Retry-After.
 func (s *Source) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /objects/{name...}", s.serveRange)
@@ -64,11 +69,12 @@
 	}
 }
 
-// parseRange reads one range with both ends given and cuts it at the size.
+// parseRange parses a Range header of the form bytes=first-last for an object of size
+// bytes. It limits last to the end of the object.
 func parseRange(header string, size int64) (first, last int64, err error) {
 	from, to, ok := strings.Cut(strings.TrimPrefix(header, "bytes="), "-")
 	if !ok {
-		return 0, 0, merry.Errorf("range %q, allowed is bytes=first-last", header)
+		return 0, 0, merry.Errorf("range %q, want bytes=first-last", header)
 	}
 	first, err = strconv.ParseInt(from, 10, 64)
 	if err != nil {
@@ -79,7 +85,7 @@
 		return 0, 0, merry.Wrap(err)
 	}
 	if first < 0 || first >= size || last < first {
-		return 0, 0, merry.Errorf("range %q of %d bytes", header, size)
+		return 0, 0, merry.Errorf("range %q not satisfiable for object of %d bytes", header, size)
 	}
 	return first, min(last, size-1), nil
 }
--- a/standin/origin/stats.go
+++ b/standin/origin/stats.go
@@ -1,11 +1,11 @@
 package origin
 
-// Stats counts what was read from a source.
+// Stats counts the reads from a source.
 type Stats struct {
-	// Requests counts admitted range requests.
+	// Requests is the number of admitted range requests.
 	Requests int64 `json:"requests"`
-	// Throttled counts refused range requests.
+	// Throttled is the number of range requests refused by a rate limit.
 	Throttled int64 `json:"throttled"`
-	// Bytes counts the bytes that readers took.
+	// Bytes is the number of bytes read.
 	Bytes int64 `json:"bytes"`
 }
--- a/standin/platform/config.go
+++ b/standin/platform/config.go
@@ -6,16 +6,18 @@
 	"github.com/auburnbend/auburnbend/lib/clock"
 )
 
-// Config holds the behaviour of all stand-ins of the platform.
+// Config configures the stand-ins of a Platform.
 type Config struct {
-	// OriginLink paces the origin in bytes per second; 0 means unlimited.
+	// OriginLink is the bandwidth of the origin's link in bytes per second; 0 means
+	// unlimited.
 	OriginLink int64
-	// WeightStoreRate throttles the weight store in bytes per second; 0 means
+	// WeightStoreRate is the rate limit of the weight store in bytes per second; 0 means
 	// unlimited.
 	WeightStoreRate int64
-	// InstanceLag is the time after which the instance list shows a change.
+	// InstanceLag is the time until a change of the instance list becomes visible.
 	InstanceLag time.Duration
-	Clock       clock.Clock
+	// Clock is the clock of all stand-ins. It defaults to the system clock.
+	Clock clock.Clock
 }
 
 func (c *Config) applyDefaults() {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform bundles the stand-ins of the whole platform behind one HTTP
+// Package platform combines the stand-ins of all platform services behind one HTTP
 // handler.
 package platform
 
@@ -11,7 +11,7 @@
 	"github.com/auburnbend/auburnbend/standin/table"
 )
 
-// Paths of the stand-ins below the base URL.
+// Paths of the stand-ins, relative to the base URL.
 const (
 	TablePath       = "/table"
 	ObjectPath      = "/object"
@@ -20,7 +20,7 @@
 	InstancePath    = "/instance-list"
 )
 
-// Platform holds one stand-in of each kind. It is safe for concurrent use.
+// Platform contains a stand-in for each platform service. It is safe for concurrent use.
 type Platform struct {
 	Table       *table.Service
 	Objects     *object.Service
@@ -29,7 +29,7 @@
 	Instances   *instances.List
 }
 
-// New returns an empty platform.
+// New returns a platform without rows, objects and instances.
 func New(cfg Config) *Platform {
 	cfg.applyDefaults()
 	return &Platform{
@@ -41,7 +41,7 @@
 	}
 }
 
-// Handler serves every stand-in below its path.
+// Handler returns the HTTP handler that serves each stand-in under its path.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for path, handler := range map[string]http.Handler{
--- a/standin/reply/reply.go
+++ b/standin/reply/reply.go
@@ -1,5 +1,4 @@
-// Package reply writes the HTTP answers that the stand-ins of the platform
-// share.
+// Package reply writes the HTTP responses of the stand-ins of the platform's services.
 package reply
 
 import (
@@ -13,26 +12,27 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// NotAppliedHeader marks an answer that proves that a write had no effect.
+// NotAppliedHeader is the header of an error response whose write had no effect.
 const NotAppliedHeader = "X-Not-Applied"
 
-// Conflict is the body of a 409 answer to a commit.
+// Conflict is the body of the 409 response to a commit.
 type Conflict struct {
+	// Index is the position of the write whose condition did not hold.
 	Index int `json:"index"`
 }
 
-// JSON writes a value with status 200.
+// JSON writes v as JSON with status 200.
 func JSON(w http.ResponseWriter, v any) { JSONStatus(w, http.StatusOK, v) }
 
-// JSONStatus writes a value with a status.
+// JSONStatus writes v as JSON with the given status.
 func JSONStatus(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Error answers a failed call. An unknown outcome closes the connection without
-// an answer, as a lost reply does.
+// Error writes the response to a call that failed with err. For backing.ErrUnknown it
+// panics with http.ErrAbortHandler, which closes the connection without a response.
 func Error(w http.ResponseWriter, err error) {
 	var throttled *backing.ThrottledError
 	switch {
--- a/standin/service/config.go
+++ b/standin/service/config.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Config holds the behaviour of the stand-in.
+// Config configures a Server.
 type Config struct {
-	// Address is the loopback listen address; port 0 takes a free port.
+	// Address is the loopback listen address; port 0 selects a free port. It defaults to
+	// 127.0.0.1:0.
 	Address string
-	// Delay is the time that a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
-	// Capacity is reported with the load. A service without a capacity reports
-	// no load and answers 404.
+	// Capacity is the capacity in load reports. If it is 0, the service has no load
+	// reports and replies 404.
 	Capacity int
-	// LoadLag is the least age of a load report.
+	// LoadLag is the minimum age of a load report.
 	LoadLag time.Duration
 }
 
--- a/standin/service/faults.go
+++ b/standin/service/faults.go
@@ -2,29 +2,34 @@
 
 import "time"
 
-// Faults are what goes wrong with the next calls. Counts go down with each
-// call that they hit, in the order of the fields.
+// Faults are injected into the next calls. Counts are decremented by each call that they
+// affect. A call is affected by the first field with a positive count, and by Delay.
 type Faults struct {
-	// Refuse answers 503 with Retry-After before the call runs.
+	// Refuse is the number of calls refused with status 503 and Retry-After, without
+	// running.
 	Refuse int
-	// Fail answers 500 after the call ran.
+	// Fail is the number of calls that run and then reply with status 500.
 	Fail int
-	// DropReply closes the connection after the call ran.
+	// DropReply is the number of calls that run and then close the connection without a
+	// reply.
 	DropReply int
-	// CutReply closes the connection in the middle of the reply.
+	// CutReply is the number of calls that run and then close the connection halfway
+	// through the body of the reply.
 	CutReply int
-	// Delay is added to each call.
+	// Delay is added to the duration of each call that runs.
 	Delay time.Duration
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-func take(count *int) bool {
+// consumeFault decrements count and reports whether it was positive. The caller must
+// hold the server's lock.
+func consumeFault(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
--- a/standin/service/load.go
+++ b/standin/service/load.go
@@ -10,36 +10,37 @@
 	"github.com/auburnbend/auburnbend/lib/engine"
 )
 
-// maxChanges bounds the kept changes of the load.
-const maxChanges = 1024
+// maxLoadChanges is the number of load changes above which the older half is discarded.
+const maxLoadChanges = 1024
 
-// change is the number of running calls from a time on.
-type change struct {
+// loadChange is a change of the number of running calls.
+type loadChange struct {
 	at      time.Time
 	running int
 }
 
-// setRunning notes a change of the load. The caller holds mu.
+// setRunning sets the number of running calls and records the change. The caller must
+// hold s.mu.
 func (s *Server) setRunning(running int) {
 	s.running = running
-	s.changes = append(s.changes, change{at: time.Now(), running: running})
-	if len(s.changes) > maxChanges {
-		s.changes = append([]change(nil), s.changes[maxChanges/2:]...)
+	s.loadChanges = append(s.loadChanges, loadChange{at: time.Now(), running: running})
+	if len(s.loadChanges) > maxLoadChanges {
+		s.loadChanges = append([]loadChange(nil), s.loadChanges[maxLoadChanges/2:]...)
 	}
 }
 
-// load answers with the load as it was the lag ago.
-func (s *Server) load(_ context.Context, c *app.RequestContext) {
+// handleLoad replies with the load at the time LoadLag ago.
+func (s *Server) handleLoad(_ context.Context, c *app.RequestContext) {
 	if s.cfg.Capacity == 0 {
 		c.AbortWithStatus(consts.StatusNotFound)
 		return
 	}
 	report := engine.LoadReport{Capacity: s.cfg.Capacity, AgeMillis: s.cfg.LoadLag.Milliseconds()}
-	then := time.Now().Add(-s.cfg.LoadLag)
+	asOf := time.Now().Add(-s.cfg.LoadLag)
 	s.mu.Lock()
-	for _, past := range s.changes {
-		if !past.at.After(then) {
-			report.Running = past.running
+	for _, change := range s.loadChanges {
+		if !change.at.After(asOf) {
+			report.Running = change.running
 		}
 	}
 	s.mu.Unlock()
--- a/standin/service/server.go
+++ b/standin/service/server.go
@@ -17,141 +17,146 @@
 	"github.com/auburnbend/auburnbend/standin/internal/listen"
 )
 
-// Server is a running stand-in.
+// Server is a running stand-in for a plain service.
 type Server struct {
 	cfg    Config
 	ln     *listen.Tracker
 	closed chan struct{}
 	once   sync.Once
-	wait   sync.WaitGroup
+	tasks  sync.WaitGroup
 
+	// mu protects the fields below.
 	mu      sync.Mutex
 	faults  Faults
 	runs    map[string]int
 	running int
-	// changes are the past values of running, the oldest first.
-	changes []change
+	// loadChanges are the latest values of running, the oldest first.
+	loadChanges []loadChange
 }
 
-// Start listens and serves until Close.
+// Start starts a server, which runs until Close.
 func Start(cfg Config) (*Server, error) {
 	cfg.applyDefaults()
 	ln, err := listen.New(cfg.Address)
 	if err != nil {
-		return nil, merry.Prepend(err, "service stand-in")
+		return nil, merry.Prepend(err, "start service stand-in")
 	}
 	s := &Server{cfg: cfg, ln: ln, closed: make(chan struct{}), runs: make(map[string]int)}
 	h := ln.Hertz()
-	h.GET("/v1/load", s.load)
-	h.POST("/*path", s.call)
-	s.wait.Go(func() { _ = h.Run() })
+	h.GET("/v1/load", s.handleLoad)
+	h.POST("/*path", s.handleCall)
+	s.tasks.Go(func() { _ = h.Run() })
 	return s, nil
 }
 
-// Address returns the IP address and port.
+// Address returns the IP address and port of the server.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// URL returns the base address for clients.
+// URL returns the base URL for clients.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Close cuts all connections and stops the service.
+// Close closes all connections and stops the server. It always returns nil.
 func (s *Server) Close() error {
 	s.once.Do(func() {
 		close(s.closed)
 		s.ln.CutAll()
-		s.wait.Wait()
+		s.tasks.Wait()
 	})
 	return nil
 }
 
-// Runs returns how often a call ran that has the given idempotency key or,
-// for calls without a key, the given body.
+// Runs returns the number of runs of calls with the given idempotency key or, for calls
+// without a key, with the given body.
 func (s *Server) Runs(keyOrBody string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[keyOrBody]
 }
 
-// Running returns the number of calls that run now.
+// Running returns the number of running calls.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running
 }
 
-// verdict is what happens to one call.
-type verdict struct {
-	refuse, fail, drop, cut bool
-	delay                   time.Duration
-	run                     int
+// callPlan is the planned handling of one call.
+type callPlan struct {
+	refuse, fail, drop, truncate bool
+	delay                        time.Duration
+	// runNumber is the number of runs of the call's key or body, including this one.
+	runNumber int
 }
 
-// decide uses up faults and counts the run.
-func (s *Server) decide(name string) verdict {
+// planCall consumes the faults for one call. Unless the call is refused, it counts the
+// run under runKey.
+func (s *Server) planCall(runKey string) callPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := verdict{delay: s.cfg.Delay + s.faults.Delay}
-	if take(&s.faults.Refuse) {
-		v.refuse = true
-		return v
+	plan := callPlan{delay: s.cfg.Delay + s.faults.Delay}
+	if consumeFault(&s.faults.Refuse) {
+		plan.refuse = true
+		return plan
 	}
 	switch {
-	case take(&s.faults.Fail):
-		v.fail = true
-	case take(&s.faults.DropReply):
-		v.drop = true
-	case take(&s.faults.CutReply):
-		v.cut = true
+	case consumeFault(&s.faults.Fail):
+		plan.fail = true
+	case consumeFault(&s.faults.DropReply):
+		plan.drop = true
+	case consumeFault(&s.faults.CutReply):
+		plan.truncate = true
 	}
-	s.runs[name]++
+	s.runs[runKey]++
 	s.setRunning(s.running + 1)
-	v.run = s.runs[name]
-	return v
+	plan.runNumber = s.runs[runKey]
+	return plan
 }
 
-func (s *Server) call(_ context.Context, c *app.RequestContext) {
+func (s *Server) handleCall(_ context.Context, c *app.RequestContext) {
 	body := append([]byte(nil), c.Request.Body()...)
 	key := string(c.GetHeader(engine.HeaderIdempotencyKey))
 	path := string(c.Path())
-	name := key
-	if name == "" {
-		name = string(body)
+	runKey := key
+	if runKey == "" {
+		runKey = string(body)
 	}
-	v := s.decide(name)
-	if v.refuse {
+	plan := s.planCall(runKey)
+	if plan.refuse {
 		c.Response.Header.Set("Retry-After", "1")
 		c.Data(consts.StatusServiceUnavailable, consts.MIMEApplicationJSON, []byte(`{"reason":"busy"}`))
 		return
 	}
-	s.pause(v.delay)
+	s.sleep(plan.delay)
 	s.mu.Lock()
 	s.setRunning(s.running - 1)
 	s.mu.Unlock()
-	if v.drop {
+	if plan.drop {
 		_ = c.GetConn().Close()
 		return
 	}
-	if v.fail {
+	if plan.fail {
 		c.Data(consts.StatusInternalServerError, consts.MIMEApplicationJSON, []byte(`{"error":"failed"}`))
 		return
 	}
-	answer := Answer{Path: path, Key: key, Digest: model.Sum(body), Run: v.run}
-	data, _ := json.Marshal(answer) //nolint:errchkjson // always encodes
-	if v.cut {
-		cutReply(c.GetConn(), data)
+	response := Response{Path: path, Key: key, Digest: model.Sum(body), Run: plan.runNumber}
+	data, _ := json.Marshal(response) //nolint:errchkjson // always encodes
+	if plan.truncate {
+		writeTruncated(c.GetConn(), data)
 		return
 	}
 	c.Data(consts.StatusOK, consts.MIMEApplicationJSON, data)
 }
 
-// cutReply announces the whole answer, writes half of it and closes.
-func cutReply(conn net.Conn, data []byte) {
-	head := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(data)) + "\r\n\r\n"
-	_, _ = conn.Write(append([]byte(head), data[:len(data)/2]...))
+// writeTruncated writes response headers with the full Content-Length and half of the
+// body, and closes the connection.
+func writeTruncated(conn net.Conn, data []byte) {
+	header := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(data)) + "\r\n\r\n"
+	_, _ = conn.Write(append([]byte(header), data[:len(data)/2]...))
 	_ = conn.Close()
 }
 
-func (s *Server) pause(d time.Duration) {
+// sleep waits for d or until the server is closed.
+func (s *Server) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/standin/table/handler.go
+++ b/standin/table/handler.go
@@ -10,14 +10,14 @@
 	"github.com/auburnbend/auburnbend/standin/reply"
 )
 
-// maxTransaction bounds the body of a commit in bytes.
-const maxTransaction = 16 << 20
+// maxCommitBytes is the maximum size of the body of a commit.
+const maxCommitBytes = 16 << 20
 
-// Handler serves the table service over HTTP:
+// Handler returns the HTTP handler of the table service:
 //
-//	GET  /row?table=&key=                      one row
-//	GET  /rows?table=&prefix=&after=&limit=    a scan
-//	POST /commit                               a backing.Transaction
+//	GET  /row?table=&key=                      one backing.Row
+//	GET  /rows?table=&prefix=&after=&limit=    a list of backing.Row
+//	POST /commit                               applies a backing.Transaction
 //	GET  /stats                                Stats
 //	GET, PUT /faults                           fault.Faults
 func (s *Service) Handler() http.Handler {
@@ -44,7 +44,7 @@
 	q := r.URL.Query()
 	limit, err := strconv.Atoi(q.Get("limit"))
 	if err != nil || limit < 1 {
-		http.Error(w, "limit is not a positive number", http.StatusBadRequest)
+		http.Error(w, "query parameter limit is not a positive number", http.StatusBadRequest)
 		return
 	}
 	found, err := s.Scan(r.Context(), q.Get("table"), q.Get("prefix"), q.Get("after"), limit)
@@ -57,7 +57,7 @@
 
 func (s *Service) serveCommit(w http.ResponseWriter, r *http.Request) {
 	var tx backing.Transaction
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTransaction)).Decode(&tx); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommitBytes)).Decode(&tx); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/standin/table/rows.go
+++ b/standin/table/rows.go
@@ -6,58 +6,61 @@
 	"strings"
 )
 
-// maxHistory is the number of old states kept per row for stale reads.
-const maxHistory = 64
+// maxRowStates is the number of latest states kept per row, for stale reads.
+const maxRowStates = 64
 
-// cell is the state of a row since the transaction with its sequence number.
-type cell struct {
+// rowState is the state of a row from the transaction with the given sequence number on.
+type rowState struct {
 	sequence uint64
 	version  uint64
 	value    []byte
 	deleted  bool
 }
 
-// rows holds one table: the keys in order and the recent states of each.
-type rows struct {
-	keys  []string
-	cells map[string][]cell
+// tableRows contains the rows of one table. It is not safe for concurrent use.
+type tableRows struct {
+	// keys contains the keys of all rows, including deleted ones, in ascending order.
+	keys []string
+	// states contains the latest states of each row, the oldest first.
+	states map[string][]rowState
 }
 
-func newRows() *rows { return &rows{cells: make(map[string][]cell)} }
+func newTableRows() *tableRows { return &tableRows{states: make(map[string][]rowState)} }
 
-// at returns the state of a row after the transaction with the given sequence
-// number, or false if the row did not exist.
-func (r *rows) at(key string, sequence uint64) (cell, bool) {
-	states := r.cells[key]
+// stateAt returns the state of a row after the transaction with the given sequence number.
+// It returns false if the row did not exist then.
+func (r *tableRows) stateAt(key string, sequence uint64) (rowState, bool) {
+	states := r.states[key]
 	for i := len(states) - 1; i >= 0; i-- {
 		if states[i].sequence <= sequence {
 			return states[i], !states[i].deleted
 		}
 	}
-	return cell{}, false
+	return rowState{}, false
 }
 
-// put adds a state. Versions keep growing over a deletion, so that a condition
-// on an old version never holds again.
-func (r *rows) put(key string, c cell) {
-	states, known := r.cells[key]
-	if !known {
+// addState adds a state with the next version of the row. Versions keep increasing across
+// deletions, so that a condition on an old version never holds again.
+func (r *tableRows) addState(key string, state rowState) {
+	states, exists := r.states[key]
+	if !exists {
 		i, _ := slices.BinarySearch(r.keys, key)
 		r.keys = slices.Insert(r.keys, i, key)
 	}
-	c.version = 1
+	state.version = 1
 	if len(states) > 0 {
-		c.version = states[len(states)-1].version + 1
+		state.version = states[len(states)-1].version + 1
 	}
-	states = append(states, c)
-	if len(states) > maxHistory {
-		states = slices.Clone(states[len(states)-maxHistory:])
+	states = append(states, state)
+	if len(states) > maxRowStates {
+		states = slices.Clone(states[len(states)-maxRowStates:])
 	}
-	r.cells[key] = states
+	r.states[key] = states
 }
 
-// keysFrom returns the keys with a prefix that follow after.
-func (r *rows) keysFrom(prefix, after string) []string {
+// keysFrom returns, in ascending order, the keys that start with prefix and are greater
+// than after. An empty after means from the beginning.
+func (r *tableRows) keysFrom(prefix, after string) []string {
 	start := sort.SearchStrings(r.keys, prefix)
 	if after != "" {
 		next := sort.Search(len(r.keys), func(i int) bool { return r.keys[i] > after })
--- a/standin/table/service.go
+++ b/standin/table/service.go
@@ -1,4 +1,4 @@
-// Package table is the stand-in of the platform's transactional table service.
+// Package table is a stand-in for the platform's transactional table service.
 package table
 
 import (
@@ -11,33 +11,34 @@
 	"github.com/auburnbend/auburnbend/standin/fault"
 )
 
-// Service is an in-memory table service. It implements backing.TableService
-// and is safe for concurrent use.
+// Service is an in-memory table service that implements backing.TableService. It is safe
+// for concurrent use.
 type Service struct {
-	// Faults are the fault switches of the service.
-	Faults fault.Switch
+	// Faults injects faults into the service.
+	Faults fault.Injector
 
+	// mu protects the fields below.
 	mu sync.Mutex
-	// sequence numbers the applied transactions.
+	// sequence is the number of applied transactions.
 	sequence uint64
-	tables   map[string]*rows
+	tables   map[string]*tableRows
 	stats    Stats
 }
 
 // New returns an empty service.
-func New() *Service { return &Service{tables: make(map[string]*rows)} }
+func New() *Service { return &Service{tables: make(map[string]*tableRows)} }
 
 // Get implements backing.TableService.
 func (s *Service) Get(ctx context.Context, table, key string) (backing.Row, error) {
-	at, err := s.enterRead(ctx)
+	sequence, err := s.beginRead(ctx)
 	if err != nil {
 		return backing.Row{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t := s.tables[table]; t != nil {
-		if c, ok := t.at(key, at); ok {
-			return row(table, key, c), nil
+		if state, ok := t.stateAt(key, sequence); ok {
+			return toRow(table, key, state), nil
 		}
 	}
 	return backing.Row{}, merry.Wrap(backing.ErrNotFound)
@@ -45,7 +46,7 @@
 
 // Scan implements backing.TableService.
 func (s *Service) Scan(ctx context.Context, table, prefix, after string, limit int) ([]backing.Row, error) {
-	at, err := s.enterRead(ctx)
+	sequence, err := s.beginRead(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -60,8 +61,8 @@
 		if len(found) >= limit {
 			break
 		}
-		if c, ok := t.at(key, at); ok {
-			found = append(found, row(table, key, c))
+		if state, ok := t.stateAt(key, sequence); ok {
+			found = append(found, toRow(table, key, state))
 		}
 	}
 	return found, nil
@@ -69,14 +70,14 @@
 
 // Commit implements backing.TableService.
 func (s *Service) Commit(ctx context.Context, tx backing.Transaction) error {
-	down, err := s.Faults.Enter(ctx)
+	down, err := s.Faults.BeforeCall(ctx)
 	if down {
 		return merry.Wrap(backing.ErrNotApplied)
 	}
 	if err != nil {
 		return merry.Wrap(backing.ErrUnknown, merry.WithCause(err))
 	}
-	loss := s.Faults.NextWrite()
+	loss := s.Faults.NextWriteLoss()
 	if loss == fault.LossBefore {
 		return merry.Wrap(backing.ErrUnknown)
 	}
@@ -87,16 +88,17 @@
 	return err
 }
 
-// Stats returns the number of calls so far.
+// Stats returns the counters.
 func (s *Service) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// enterRead returns the sequence number whose state a read shows.
-func (s *Service) enterRead(ctx context.Context) (uint64, error) {
-	down, err := s.Faults.Enter(ctx)
+// beginRead applies the faults to a read and counts it. It returns the sequence number of
+// the transaction whose state the read returns.
+func (s *Service) beginRead(ctx context.Context) (uint64, error) {
+	down, err := s.Faults.BeforeCall(ctx)
 	if down || err != nil {
 		return 0, merry.Wrap(backing.ErrUnavailable, merry.WithCause(err))
 	}
@@ -112,7 +114,7 @@
 	defer s.mu.Unlock()
 	s.stats.Commits++
 	for i, w := range tx.Writes {
-		if !s.holds(w) {
+		if !s.conditionHolds(w) {
 			return merry.Wrap(&backing.ConflictError{Index: i})
 		}
 	}
@@ -120,20 +122,22 @@
 	for _, w := range tx.Writes {
 		t := s.tables[w.Table]
 		if t == nil {
-			t = newRows()
+			t = newTableRows()
 			s.tables[w.Table] = t
 		}
-		t.put(w.Key, cell{sequence: s.sequence, value: append([]byte(nil), w.Value...), deleted: w.Delete})
+		t.addState(w.Key, rowState{sequence: s.sequence, value: append([]byte(nil), w.Value...), deleted: w.Delete})
 		s.stats.Writes++
 	}
 	return nil
 }
 
-func (s *Service) holds(w backing.Write) bool {
-	var current cell
+// conditionHolds reports whether the condition of a write holds in the current state. The
+// caller must hold s.mu.
+func (s *Service) conditionHolds(w backing.Write) bool {
+	var current rowState
 	exists := false
 	if t := s.tables[w.Table]; t != nil {
-		current, exists = t.at(w.Key, s.sequence)
+		current, exists = t.stateAt(w.Key, s.sequence)
 	}
 	switch w.Condition {
 	case backing.IfAbsent:
@@ -145,12 +149,13 @@
 	}
 }
 
-func row(table, key string, c cell) backing.Row {
-	return backing.Row{Table: table, Key: key, Version: c.version, Value: append([]byte(nil), c.value...)}
+func toRow(table, key string, state rowState) backing.Row {
+	return backing.Row{Table: table, Key: key, Version: state.version, Value: append([]byte(nil), state.value...)}
 }
 
-// Peek returns the true state of a row whatever faults are set, for tests that
-// compare what clients were told with what happened.
+// Peek returns the current state of a row regardless of injected faults, for tests that
+// compare the replies to clients with the actual state. It returns false if the row does
+// not exist.
 func (s *Service) Peek(table, key string) (backing.Row, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,6 +163,6 @@
 	if t == nil {
 		return backing.Row{}, false
 	}
-	c, ok := t.at(key, s.sequence)
-	return row(table, key, c), ok
+	state, ok := t.stateAt(key, s.sequence)
+	return toRow(table, key, state), ok
 }
--- a/standin/table/stats.go
+++ b/standin/table/stats.go
@@ -1,11 +1,11 @@
 package table
 
-// Stats counts the calls that reached the service.
+// Stats counts the calls that were not stopped by an injected fault.
 type Stats struct {
-	// Reads counts Get and Scan calls.
+	// Reads is the number of Get and Scan calls.
 	Reads int64 `json:"reads"`
-	// Commits counts transactions, whether applied or not.
+	// Commits is the number of transactions, whether applied or not.
 	Commits int64 `json:"commits"`
-	// Writes counts the rows written by applied transactions.
+	// Writes is the number of rows written or deleted by applied transactions.
 	Writes int64 `json:"writes"`
 }
