--- a/lib/placement/history.go
+++ b/lib/placement/history.go
@@ -18,25 +18,25 @@
 }
 
 // set records a new value. now must not decrease between calls.
-func (c *history) set(value int, now time.Time) {
+func (h *history) set(value int, now time.Time) {
 	drop := 0
 	// Keep the last point before the retained period: it holds the value at its
 	// beginning.
-	for drop+1 < len(c.points) && now.Sub(c.points[drop+1].at) > historyRetention {
+	for drop+1 < len(h.points) && now.Sub(h.points[drop+1].at) > historyRetention {
 		drop++
 	}
 	if drop > 0 {
-		c.points = append(c.points[:0], c.points[drop:]...)
+		h.points = append(h.points[:0], h.points[drop:]...)
 	}
-	c.points = append(c.points, point{now, value})
+	h.points = append(h.points, point{now, value})
 }
 
 // valueAt returns the value at a moment, or zero if that is before the oldest
 // recorded value.
-func (c *history) valueAt(moment time.Time) int {
-	for i := len(c.points) - 1; i >= 0; i-- {
-		if !c.points[i].at.After(moment) {
-			return c.points[i].value
+func (h *history) valueAt(moment time.Time) int {
+	for i := len(h.points) - 1; i >= 0; i-- {
+		if !h.points[i].at.After(moment) {
+			return h.points[i].value
 		}
 	}
 	return 0
--- a/lib/placement/lease_table_test.go
+++ b/lib/placement/lease_table_test.go
@@ -13,16 +13,16 @@
 
 var _ = Describe("LeaseTable", func() {
 	var (
-		now time.Time
-		p   *placement.Picker
-		g   *placement.LeaseTable
-		dir *directory.Directory
+		now   time.Time
+		p     *placement.Picker
+		table *placement.LeaseTable
+		dir   *directory.Directory
 	)
-	id := func(entry string, start, number uint64) placement.LeaseID {
-		return placement.LeaseID{Entry: entry, Incarnation: start, Number: number}
+	id := func(entry string, incarnation, number uint64) placement.LeaseID {
+		return placement.LeaseID{Entry: entry, Incarnation: incarnation, Number: number}
 	}
-	grant := func(l placement.LeaseID) *placement.Lease {
-		lease, refusal := g.Grant(l, placement.Request{
+	grant := func(leaseID placement.LeaseID) *placement.Lease {
+		lease, refusal := table.Grant(leaseID, placement.Request{
 			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, OutputTokens: 100, Remaining: 6 * time.Second,
 		}, now)
 		Expect(refusal).To(BeNil())
@@ -38,7 +38,7 @@
 			})
 		}
 		p = placement.New(placement.Config{Domain: "north", Regions: map[string]string{"north": "n"}}, dir, rand.New(rand.NewPCG(1, 1)))
-		g = placement.NewLeaseTable(p)
+		table = placement.NewLeaseTable(p)
 	})
 
 	It("counts leases as load of their servers until they end", func() {
@@ -46,7 +46,7 @@
 		first := grant(id("e1", 1, 1))
 		Expect(grant(id("e2", 1, 1)).Server.ID).NotTo(Equal(first.Server.ID))
 		Expect(grant(id("e2", 1, 2)).Occupancy).To(Equal(1))
-		g.Done(id("e1", 1, 1), placement.Answered, now)
+		table.Done(id("e1", 1, 1), placement.Answered, now)
 		Expect(grant(id("e3", 1, 1)).Server.ID).To(Equal(first.Server.ID))
 	})
 
@@ -57,20 +57,20 @@
 		grant(id("e2", 7, 1))
 		now = now.Add(time.Second)
 		grant(id("e1", 1, 3))
-		g.Reconcile("e1", 1, []uint64{2}, now)
-		Expect(g.Len()).To(Equal(3), "the lease that was granted just now stays")
-		g.Reconcile("e2", 8, nil, now)
-		Expect(g.Len()).To(Equal(2))
+		table.Reconcile("e1", 1, []uint64{2}, now)
+		Expect(table.Len()).To(Equal(3), "the lease that was granted just now stays")
+		table.Reconcile("e2", 8, nil, now)
+		Expect(table.Len()).To(Equal(2))
 	})
 
 	It("ends leases at the deadline of their requests", func() {
 		grant(id("e1", 1, 1))
 		now = now.Add(5 * time.Second)
-		g.Expire(now)
-		Expect(g.Len()).To(Equal(1))
+		table.Expire(now)
+		Expect(table.Len()).To(Equal(1))
 		now = now.Add(2 * time.Second)
-		g.Expire(now)
-		Expect(g.Len()).To(BeZero())
+		table.Expire(now)
+		Expect(table.Len()).To(BeZero())
 	})
 
 	It("ejects a server only after failures of two entries", func() {
@@ -80,7 +80,7 @@
 			for {
 				l := grant(id(entry, 1, n))
 				if l.Server.ID == "a" {
-					g.Done(id(entry, 1, n), placement.Unreachable, now)
+					table.Done(id(entry, 1, n), placement.Unreachable, now)
 					return
 				}
 				n += 100
--- a/lib/placement/pause_test.go
+++ b/lib/placement/pause_test.go
@@ -20,7 +20,7 @@
 		return &directory.Server{ID: id, StartUnixMilli: start, Service: "desk", Address: id, Domain: "north", Slots: 4}
 	}
 	key := func(id string) directory.Key { return directory.Key{ID: id, StartUnixMilli: 1} }
-	demand := placement.Request{Service: "desk", Domain: "north", LatencyTarget: time.Second}
+	req := placement.Request{Service: "desk", Domain: "north", LatencyTarget: time.Second}
 	setUp := func(servers ...string) {
 		d = directory.New()
 		for _, id := range servers {
@@ -34,7 +34,7 @@
 		p.Pause(key("a"), now.Add(2*time.Second), now)
 		Expect(p.Pause(key("a"), now.Add(time.Second), now)).To(BeFalse())
 		for range 20 {
-			l, refusal := p.Pick(demand, now.Add(1900*time.Millisecond))
+			l, refusal := p.Pick(req, now.Add(1900*time.Millisecond))
 			Expect(refusal).To(BeNil())
 			Expect(l.Server.ID).To(Equal("b"))
 			p.Done(l, placement.Rejected, now)
@@ -49,12 +49,12 @@
 		// together.
 		setUp("a", "b")
 		p.Pause(key("a"), now.Add(3*time.Second), now)
-		Expect(p.RefuseIfPaused(&demand, now)).To(BeNil())
+		Expect(p.RefuseIfPaused(&req, now)).To(BeNil())
 		p.Pause(key("b"), now.Add(2*time.Second), now)
-		Expect(p.RefuseIfPaused(&demand, now)).NotTo(BeNil())
+		Expect(p.RefuseIfPaused(&req, now)).NotTo(BeNil())
 		waits := make(map[time.Duration]bool)
 		for range 20 {
-			_, refusal := p.Pick(demand, now)
+			_, refusal := p.Pick(req, now)
 			Expect(refusal.Reason).To(Equal(placement.Paused))
 			Expect(refusal.RetryAfter).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<=", 2500*time.Millisecond)))
 			Expect(refusal.ExcludedServers).To(ConsistOf("a: paused for 3000 ms", "b: paused for 2000 ms"))
@@ -66,7 +66,7 @@
 	It("do not apply to requests of other entries", func() {
 		setUp("a")
 		p.Pause(key("a"), now.Add(3*time.Second), now)
-		other := demand
+		other := req
 		other.Entry = "entry-2"
 		_, refusal := p.Pick(other, now)
 		Expect(refusal).To(BeNil())
@@ -79,7 +79,7 @@
 		at := now.Add(1500 * time.Millisecond)
 		running := make(map[string]int)
 		for range 12 {
-			l, refusal := p.Pick(demand, at)
+			l, refusal := p.Pick(req, at)
 			Expect(refusal).To(BeNil())
 			running[l.Server.ID]++
 		}
@@ -92,7 +92,7 @@
 		setUp("a")
 		p.Pause(key("a"), now.Add(time.Hour), now)
 		d.Put(listing("a", 2))
-		_, refusal := p.Pick(demand, now)
+		_, refusal := p.Pick(req, now)
 		Expect(refusal).To(BeNil())
 	})
 
@@ -127,7 +127,7 @@
 					// A late row of the same incarnation.
 					d.Put(listing(id, starts[id]))
 				default:
-					l, refusal := p.Pick(demand, at)
+					l, refusal := p.Pick(req, at)
 					available := false
 					for id, b := range starts {
 						k := directory.Key{ID: id, StartUnixMilli: b}
--- a/lib/placement/picker.go
+++ b/lib/placement/picker.go
@@ -78,7 +78,7 @@
 	var best *candidate
 	for _, s := range p.candidates(available, now) {
 		e := s.predict(req, now)
-		if s.expires(req, e, now) {
+		if s.mayMissVersionDeadline(req, e, now) {
 			reason = NoWeights
 			continue
 		}
@@ -93,9 +93,9 @@
 	return best.server, best.estimate, nil
 }
 
-// expires reports whether the request might still wait on the server when the
-// server's weights must no longer serve.
-func (s *server) expires(req *Request, e estimate, now time.Time) bool {
+// mayMissVersionDeadline reports whether the request might still wait on the server
+// when the server's weights must no longer serve.
+func (s *server) mayMissVersionDeadline(req *Request, e estimate, now time.Time) bool {
 	if req.NextVersion == 0 || s.listing.Weights[req.Model].Version >= req.NextVersion {
 		return false
 	}
@@ -151,7 +151,7 @@
 // same one. Remote servers that report to this entry are preferred: of the others,
 // only its own requests are known.
 func (p *Picker) candidates(available []*server, now time.Time) []*server {
-	var local, reported, silent []*server
+	var local, reported, unreported []*server
 	for _, s := range available {
 		switch {
 		case p.config.Regions[s.listing.Domain] == p.config.Regions[p.config.Domain]:
@@ -160,12 +160,12 @@
 		case s.hasReport(now):
 			reported = append(reported, s)
 		default:
-			silent = append(silent, s)
+			unreported = append(unreported, s)
 		}
 	}
 	remote := reported
 	if len(remote) == 0 {
-		remote = silent
+		remote = unreported
 	}
 	if len(remote) > remoteChoices {
 		p.rng.Shuffle(len(remote), func(i, j int) { remote[i], remote[j] = remote[j], remote[i] })
@@ -187,8 +187,8 @@
 }
 
 // checkLatency refuses a request whose first response is predicted to miss its
-// latency target. The prediction uses a usual prompt instead of the request's own,
-// so that long prompts are refused no more often than short ones.
+// latency target. The prediction uses a prompt of mean length instead of the
+// request's own, so that long prompts are refused no more often than short ones.
 func (p *Picker) checkLatency(req *Request, s *server, e estimate, now time.Time) *Refusal {
 	if req.LatencyTarget <= 0 || req.MayHaveRun {
 		return nil
@@ -197,12 +197,12 @@
 		// On a server that is less than half full, the wait cannot be long.
 		return nil
 	}
-	usual := e.firstResponse - e.wait
+	own := e.firstResponse - e.wait
 	if req.Engine != nil {
-		usual = prefillTime(req.Engine, req.Engine.MeanPromptTokens, 1) + passTime(req.Engine, s.slots())
+		own = prefillTime(req.Engine, req.Engine.MeanPromptTokens, 1) + passTime(req.Engine, s.slots())
 	}
 	limit := scale(req.LatencyTarget, p.config.TargetShare)
-	predicted := e.wait + usual
+	predicted := e.wait + own
 	if predicted <= limit {
 		return nil
 	}
--- a/lib/placement/picker_reports.go
+++ b/lib/placement/picker_reports.go
@@ -22,12 +22,12 @@
 }
 
 // UpdateCounts records the counts of requests that a server adds to its responses.
-// They do not include its slowdown, and whether it accepts requests.
-func (p *Picker) UpdateCounts(key directory.Key, running, waiting int, now time.Time) {
+// They include neither its slowdown nor whether it accepts requests.
+func (p *Picker) UpdateCounts(key directory.Key, running, queued int, now time.Time) {
 	s := p.server(key)
-	s.load.Running, s.load.Queued = running, waiting
+	s.load.Running, s.load.Queued = running, queued
 	s.reportedAt = now
-	s.otherRequests = max(0, running+waiting-s.usage.Running)
+	s.otherRequests = max(0, running+queued-s.usage.Running)
 }
 
 // HasLoadReports reports whether there are current load reports of at least half of
--- a/lib/placement/picker_test.go
+++ b/lib/placement/picker_test.go
@@ -37,14 +37,14 @@
 		dir.Put(s)
 		return s.Key()
 	}
-	demand := func() placement.Request {
+	request := func() placement.Request {
 		return placement.Request{
 			Service: "drafts", Engine: engine, Model: "m", PromptTokens: 1000, OutputTokens: 100,
 			LatencyTarget: 400 * time.Millisecond, Remaining: 6 * time.Second,
 		}
 	}
-	pick := func(d placement.Request) *placement.Lease {
-		lease, refusal := p.Pick(d, now)
+	pick := func(req placement.Request) *placement.Lease {
+		lease, refusal := p.Pick(req, now)
 		Expect(refusal).To(BeNil())
 		return lease
 	}
@@ -60,12 +60,12 @@
 		add("far", "south", nil)
 		counts := make(map[string]int)
 		for range 3 {
-			counts[pick(demand()).Server.ID]++
+			counts[pick(request()).Server.ID]++
 		}
 		Expect(counts["a"]).To(BeNumerically(">=", 1))
 		Expect(counts["b"]).To(BeNumerically(">=", 1))
 		for range 10 {
-			counts[pick(demand()).Server.ID]++
+			counts[pick(request()).Server.ID]++
 		}
 		Expect(counts["far"]).To(BeNumerically(">", 1))
 	})
@@ -80,29 +80,29 @@
 		p.Report(loading, placement.Load{Closed: true}, now)
 		tried := add("tried", "north", func(s *directory.Server) { s.Weights["m"] = directory.Weights{Version: 2, Complete: true} })
 		add("old", "north", nil)
-		d := demand()
-		d.MinVersion, d.Exclude = 2, []directory.Key{tried}
-		_, refusal := p.Pick(d, now)
+		req := request()
+		req.MinVersion, req.Exclude = 2, []directory.Key{tried}
+		_, refusal := p.Pick(req, now)
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
-		d.MinVersion = 0
-		Expect(pick(d).Server.ID).To(Equal("old"))
+		req.MinVersion = 0
+		Expect(pick(req).Server.ID).To(Equal("old"))
 	})
 
 	It("does not use weights that may become too old while the request waits", func() {
 		// Guards against a request that begins on older weights after their deadline: it
 		// had waited 620 ms on its server.
 		key := add("a", "north", nil)
-		d := demand()
-		d.NextVersion, d.NextVersionAt = 2, now.Add(750*time.Millisecond)
-		pick(d)
+		req := request()
+		req.NextVersion, req.NextVersionAt = 2, now.Add(750*time.Millisecond)
+		pick(req)
 		p.Report(key, placement.Load{Running: 15, PrefillTokens: 8000}, now)
-		d.LatencyTarget = 2 * time.Second
-		_, refusal := p.Pick(d, now)
+		req.LatencyTarget = 2 * time.Second
+		_, refusal := p.Pick(req, now)
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Reason).To(Equal(placement.NoWeights))
-		d.NextVersion = 1
-		pick(d)
+		req.NextVersion = 1
+		pick(req)
 	})
 
 	It("does not use a mismatched server until its listing changes", func() {
@@ -113,7 +113,7 @@
 		add("good", "north", nil)
 		p.Report(key, placement.Load{Running: 0}, now)
 		for range 3 {
-			lease := pick(demand())
+			lease := pick(request())
 			if lease.Server.ID != "old" {
 				continue
 			}
@@ -121,25 +121,25 @@
 			break
 		}
 		for range 5 {
-			Expect(pick(demand()).Server.ID).To(Equal("good"))
+			Expect(pick(request()).Server.ID).To(Equal("good"))
 		}
 		add("old", "north", nil)
-		Expect(pick(demand()).Server.ID).To(Equal("old"))
+		Expect(pick(request()).Server.ID).To(Equal("old"))
 		p.MarkSuperseded(key)
-		Expect(pick(demand()).Server.ID).To(Equal("good"))
+		Expect(pick(request()).Server.ID).To(Equal("good"))
 	})
 
 	It("refuses with the longest accepted retry delay while no weights may serve", func() {
 		// Guards against callers that retry during the same outage and are refused again:
-		// this cost 0.028 of the worth of the day on umurage-crest scale-1.
+		// on umurage-crest scale-1 this cost 0.028 of the day's worth.
 		add("old", "north", nil)
-		d := demand()
-		d.MinVersion = 2
-		_, refusal := p.Pick(d, now)
+		req := request()
+		req.MinVersion = 2
+		_, refusal := p.Pick(req, now)
 		Expect(refusal.Reason).To(Equal(placement.NoWeights))
 		Expect(refusal.RetryAfter).To(Equal(2 * time.Second))
-		d.Remaining = 600 * time.Millisecond
-		_, refusal = p.Pick(d, now)
+		req.Remaining = 600 * time.Millisecond
+		_, refusal = p.Pick(req, now)
 		Expect(refusal.RetryAfter).To(Equal(200 * time.Millisecond))
 	})
 
@@ -147,13 +147,13 @@
 		// Guards against a request that begins after the deadline because the prediction
 		// was too low: waits of 620 ms were seen where none were predicted.
 		add("a", "north", nil)
-		d := demand()
-		d.NextVersion, d.NextVersionAt = 2, now.Add(690*time.Millisecond)
-		_, refusal := p.Pick(d, now)
+		req := request()
+		req.NextVersion, req.NextVersionAt = 2, now.Add(690*time.Millisecond)
+		_, refusal := p.Pick(req, now)
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Reason).To(Equal(placement.NoWeights))
-		d.NextVersionAt = now.Add(710 * time.Millisecond)
-		pick(d)
+		req.NextVersionAt = now.Add(710 * time.Millisecond)
+		pick(req)
 	})
 
 	It("keeps a server closed when a response reports its load", func() {
@@ -162,7 +162,7 @@
 		key := add("a", "north", nil)
 		p.Report(key, placement.Load{Closed: true}, now)
 		p.UpdateCounts(key, 1, 0, now)
-		_, refusal := p.Pick(demand(), now)
+		_, refusal := p.Pick(request(), now)
 		Expect(refusal).NotTo(BeNil())
 	})
 
@@ -173,7 +173,7 @@
 		add("b", "north", nil)
 		placed, refused := 0, 0
 		for range 60 {
-			lease, refusal := p.Pick(demand(), now)
+			lease, refusal := p.Pick(request(), now)
 			if refusal != nil {
 				refused++
 				Expect(refusal.Reason).To(Equal(placement.Overloaded))
@@ -184,7 +184,7 @@
 			// Servers that are less than half full accept any request; the busier ones meet
 			// the target.
 			if lease.Occupancy >= engine.Slots/2 {
-				Expect(lease.Predicted).To(BeNumerically("<", demand().LatencyTarget))
+				Expect(lease.Predicted).To(BeNumerically("<", request().LatencyTarget))
 			}
 		}
 		Expect(placed).To(BeNumerically(">", 8))
@@ -195,7 +195,7 @@
 		// Guards against starvation of the largest requests of a class.
 		key := add("a", "north", nil)
 		p.Report(key, placement.Load{Running: 15}, now)
-		long := demand()
+		long := request()
 		long.PromptTokens = 3800
 		_, refusedLong := p.Pick(long, now)
 		Expect(refusedLong).To(BeNil())
@@ -204,11 +204,11 @@
 	It("places a stream that has begun regardless of its target", func() {
 		key := add("a", "north", nil)
 		p.Report(key, placement.Load{Running: 16, Queued: 30}, now)
-		_, refusal := p.Pick(demand(), now)
+		_, refusal := p.Pick(request(), now)
 		Expect(refusal).NotTo(BeNil())
-		d := demand()
-		d.MayHaveRun = true
-		pick(d)
+		req := request()
+		req.MayHaveRun = true
+		pick(req)
 	})
 
 	It("counts requests that are newer than a report", func() {
@@ -217,12 +217,12 @@
 		a := add("a", "north", nil)
 		b := add("b", "north", nil)
 		for range 6 {
-			pick(demand())
+			pick(request())
 		}
 		now = now.Add(50 * time.Millisecond)
 		p.Report(a, placement.Load{Age: 80 * time.Millisecond}, now)
 		p.Report(b, placement.Load{Age: 80 * time.Millisecond}, now)
-		Expect(pick(demand()).Occupancy).To(Equal(3))
+		Expect(pick(request()).Occupancy).To(Equal(3))
 	})
 
 	It("prefers remote engines whose load it knows", func() {
@@ -237,16 +237,16 @@
 		now = now.Add(time.Second)
 		for range 10 {
 			now = now.Add(150 * time.Millisecond)
-			Expect(pick(demand()).Server.ID).To(HavePrefix("known"))
+			Expect(pick(request()).Server.ID).To(HavePrefix("known"))
 		}
 	})
 
 	It("counts requests of other entries", func() {
 		a := add("a", "north", nil)
-		pick(demand())
+		pick(request())
 		now = now.Add(time.Second)
 		p.Report(a, placement.Load{Running: 9}, now)
-		Expect(pick(demand()).Occupancy).To(Equal(9))
+		Expect(pick(request()).Occupancy).To(Equal(9))
 	})
 
 	It("leaves an engine that has just opened to the entries of its region", func() {
@@ -255,15 +255,15 @@
 		far := add("far", "south", nil)
 		p.Report(far, placement.Load{Closed: true}, now)
 		p.Report(far, placement.Load{}, now)
-		_, refusal := p.Pick(demand(), now)
+		_, refusal := p.Pick(request(), now)
 		Expect(refusal).NotTo(BeNil())
 		now = now.Add(time.Second)
 		p.Report(far, placement.Load{}, now)
-		pick(demand())
-		_, refusal = p.Pick(demand(), now)
+		pick(request())
+		_, refusal = p.Pick(request(), now)
 		Expect(refusal).NotTo(BeNil())
 		now = now.Add(100 * time.Millisecond)
-		pick(demand())
+		pick(request())
 	})
 
 	It("prefers a server at its declared speed to a slow one", func() {
@@ -271,7 +271,7 @@
 		add("b", "north", nil)
 		p.Report(a, placement.Load{Slowdown: 3.5}, now)
 		for range 3 {
-			Expect(pick(demand()).Server.ID).To(Equal("b"))
+			Expect(pick(request()).Server.ID).To(Equal("b"))
 		}
 	})
 
@@ -281,23 +281,23 @@
 		add("b", "north", nil)
 		failed := ""
 		for range 2 {
-			lease := pick(demand())
+			lease := pick(request())
 			for failed != "" && lease.Server.ID != failed {
 				p.Done(lease, placement.Cancelled, now)
-				hold := pick(demand())
-				lease = pick(demand())
+				hold := pick(request())
+				lease = pick(request())
 				defer p.Done(hold, placement.Cancelled, now)
 			}
 			failed = lease.Server.ID
 			p.Done(lease, placement.Failed, now)
 		}
 		for range 6 {
-			Expect(pick(demand()).Server.ID).NotTo(Equal(failed))
+			Expect(pick(request()).Server.ID).NotTo(Equal(failed))
 		}
 		now = now.Add(5 * time.Second)
 		seen := make(map[string]bool)
 		for range 6 {
-			seen[pick(demand()).Server.ID] = true
+			seen[pick(request()).Server.ID] = true
 		}
 		Expect(seen).To(HaveKey(failed))
 	})
@@ -307,14 +307,14 @@
 		// no error.
 		silent := add("a", "north", nil)
 		other := add("b", "north", nil)
-		d := demand()
-		d.Exclude = []directory.Key{other}
+		req := request()
+		req.Exclude = []directory.Key{other}
 		for range 2 {
-			p.Done(pick(d), placement.Cancelled, now.Add(3*time.Second))
+			p.Done(pick(req), placement.Cancelled, now.Add(3*time.Second))
 		}
 		now = now.Add(3 * time.Second)
 		for range 6 {
-			Expect(pick(demand()).Server.ID).NotTo(Equal(silent.ID))
+			Expect(pick(request()).Server.ID).NotTo(Equal(silent.ID))
 		}
 	})
 
@@ -325,16 +325,16 @@
 			add(fmt.Sprint("s", i), "north", nil)
 		}
 		for range 3 {
-			p.Done(pick(demand()), placement.Unreachable, now)
+			p.Done(pick(request()), placement.Unreachable, now)
 		}
-		pick(demand())
+		pick(request())
 	})
 
 	It("leaves no usage when requests end", func() {
 		// Guards against servers that seem busy forever.
 		add("a", "north", nil)
 		for _, result := range []placement.Result{placement.Answered, placement.Cancelled, placement.Rejected, placement.Mismatched, placement.Unreachable, placement.Failed} {
-			lease := pick(demand())
+			lease := pick(request())
 			p.ResponseStarted(lease, now)
 			usage := p.Done(lease, result, now)
 			Expect(usage).To(Equal(placement.Usage{}))
--- a/lib/placement/predict.go
+++ b/lib/placement/predict.go
@@ -37,10 +37,10 @@
 	if ahead := occupancy + 1 - s.slots(); ahead > 0 {
 		wait = response * time.Duration(ahead) / time.Duration(s.slots())
 	}
-	// Servers slow down when they are nearly full, so that the less busy one of two
-	// servers with free slots is preferred.
-	crowding := response * time.Duration(occupancy) / time.Duration(4*s.slots())
-	return estimate{firstResponse: response + wait + crowding, wait: wait + crowding}
+	// Servers slow down as they fill up. The added time also makes the less busy one of
+	// two servers with free slots preferred.
+	contention := response * time.Duration(occupancy) / time.Duration(4*s.slots())
+	return estimate{firstResponse: response + wait + contention, wait: wait + contention}
 }
 
 // predictEngine models the passes of an engine: a request waits for a slot, for the
@@ -71,9 +71,9 @@
 	if e.PrefillChunkTokens > 0 && req.PromptTokens > e.PrefillChunkTokens {
 		own += time.Duration((req.PromptTokens-1)/e.PrefillChunkTokens) * pass
 	}
-	pace := s.slowdown(now)
-	wait = scale(wait, pace)
-	return estimate{firstResponse: wait + scale(own+passTime(e, busy+1), pace), wait: wait}
+	slowdown := s.slowdown(now)
+	wait = scale(wait, slowdown)
+	return estimate{firstResponse: wait + scale(own+passTime(e, busy+1), slowdown), wait: wait}
 }
 
 // prefillAhead estimates the prompt tokens that are processed before a new prompt,
--- a/lib/placement/request.go
+++ b/lib/placement/request.go
@@ -41,8 +41,8 @@
 	MayHaveRun bool
 }
 
-func (d *Request) excludes(k directory.Key) bool {
-	for _, e := range d.Exclude {
+func (r *Request) excludes(k directory.Key) bool {
+	for _, e := range r.Exclude {
 		if e == k {
 			return true
 		}
