--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -58,7 +58,7 @@
 	Unreadable bool
 }
 
-// Apply applies changes in order. recovered is that of Replace.
+// Apply applies changes in order. recovered has the same meaning as in Replace.
 func (d *Directory) Apply(changes []Change, recovered bool, now time.Time) {
 	deleted := make(map[string]bool)
 	for _, c := range changes {
@@ -90,8 +90,8 @@
 	d.invalidate()
 }
 
-// Update changes a listed server according to another source than its row. It does
-// not add a server, so that one whose row is gone stays unlisted.
+// Update replaces a listed server with one that also reflects other sources than its
+// row. It does not add a server, so that one whose row is gone stays unlisted.
 func (d *Directory) Update(s *Server) {
 	if d.servers[s.ID] == nil {
 		return
@@ -100,7 +100,8 @@
 	d.invalidate()
 }
 
-// Remove records that the row of a server is deleted. recovered is that of Replace.
+// Remove records that the row of a server is deleted. recovered has the same meaning
+// as in Replace.
 func (d *Directory) Remove(id string, recovered bool, now time.Time) {
 	d.Apply([]Change{{ID: id}}, recovered, now)
 }
--- a/lib/directory/directory_test.go
+++ b/lib/directory/directory_test.go
@@ -66,19 +66,19 @@
 	})
 
 	Describe("after an outage for this instance only", func() {
-		in := func(id, domain string, revision int64) *directory.Server {
+		serverIn := func(id, domain string, revision int64) *directory.Server {
 			return &directory.Server{ID: id, Service: "orders", Address: id, Domain: domain, Revision: revision}
 		}
 		BeforeEach(func() {
 			d = directory.New()
-			d.Replace([]*directory.Server{in("a", "north", 1), in("b", "north", 2), in("c", "south", 3), in("d", "south", 4), in("e", "west", 5)}, false, start)
+			d.Replace([]*directory.Server{serverIn("a", "north", 1), serverIn("b", "north", 2), serverIn("c", "south", 3), serverIn("d", "south", 4), serverIn("e", "west", 5)}, false, start)
 		})
 
 		It("drops the servers that stopped meanwhile", func() {
 			// Guards against requests to a server that stopped while the entry was cut off:
 			// its row was taken for an expired one for two seconds after the entry was
 			// reconnected.
-			d.Replace([]*directory.Server{in("b", "north", 2), in("c", "south", 3), in("d", "south", 4), in("e", "west", 5)}, true, start)
+			d.Replace([]*directory.Server{serverIn("b", "north", 2), serverIn("c", "south", 3), serverIn("d", "south", 4), serverIn("e", "west", 5)}, true, start)
 			Expect(ids()).To(ConsistOf("b", "c", "d", "e"))
 			d.Apply([]directory.Change{{ID: "c"}}, true, start)
 			Expect(ids()).To(ConsistOf("b", "d", "e"))
@@ -92,19 +92,19 @@
 		It("keeps the servers of a failure domain whose rows were all deleted or rewritten", func() {
 			// Guards against an empty service right after an outage during which the store
 			// was unavailable for one failure domain.
-			d.Replace([]*directory.Server{in("b", "north", 9), in("c", "south", 3), in("d", "south", 4), in("e", "west", 5)}, true, start)
+			d.Replace([]*directory.Server{serverIn("b", "north", 9), serverIn("c", "south", 3), serverIn("d", "south", 4), serverIn("e", "west", 5)}, true, start)
 			Expect(ids()).To(ConsistOf("a", "b", "c", "d", "e"))
 			d.Apply([]directory.Change{{ID: "c"}, {ID: "d"}}, true, start)
 			Expect(ids()).To(ConsistOf("a", "b", "c", "d", "e"))
 		})
 
 		It("never uses a server longer than the bound after it stopped", func() {
-			// Tries stop times around the end of the cut.
+			// Tries stop times around the end of the outage.
 			const bound = 2 * time.Second
 			for offset := -300; offset <= 300; offset += 5 {
 				stopped := start.Add(time.Duration(offset) * time.Millisecond)
 				d = directory.New()
-				d.Replace([]*directory.Server{in("a", "north", 1), in("b", "north", 2)}, false, start.Add(-time.Minute))
+				d.Replace([]*directory.Server{serverIn("a", "north", 1), serverIn("b", "north", 2)}, false, start.Add(-time.Minute))
 				// The entry learns of it when it is reconnected, or half a second after the
 				// change.
 				learned, recovered := start.Add(time.Second), true
@@ -117,7 +117,7 @@
 					at = learned
 				}
 				d.Expire(at)
-				Expect(ids()).To(ConsistOf("b"), "stopped %d ms after the end of the cut", offset)
+				Expect(ids()).To(ConsistOf("b"), "stopped %d ms after the end of the outage", offset)
 			}
 		})
 	})
--- a/lib/directory/draining.go
+++ b/lib/directory/draining.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// DrainEvidence returns how an incarnation became known to be draining. It reports
-// false if it is not.
+// DrainEvidence returns how an incarnation became known to be draining. It returns
+// false if it is not known to be.
 func (d *Directory) DrainEvidence(k Key) (Evidence, bool) {
 	e, known := d.draining[k]
 	return e, known
@@ -55,10 +55,10 @@
 
 // DrainingSince returns at most limit incarnations that became known to be draining
 // at the given time or later.
-func (d *Directory) DrainingSince(moment time.Time, limit int) []Key {
+func (d *Directory) DrainingSince(since time.Time, limit int) []Key {
 	var keys []Key
 	for k, e := range d.draining {
-		if !e.At.Before(moment) && len(keys) < limit {
+		if !e.At.Before(since) && len(keys) < limit {
 			keys = append(keys, k)
 		}
 	}
