--- a/lib/poison/attributor_test.go
+++ b/lib/poison/attributor_test.go
@@ -39,7 +39,7 @@
 		Expect(a.Pending(now.Add(pendingWindow + 1))).To(BeEmpty())
 	})
 
-	It("takes an end back if the server is seen alive later", func() {
+	It("withdraws a recorded end if the server is seen alive later", func() {
 		a := NewAttributor()
 		a.Interrupted(now, "a", fp(1))
 		a.Ended(now, "a")
--- a/lib/poison/decide.go
+++ b/lib/poison/decide.go
@@ -7,7 +7,7 @@
 )
 
 // Verdict decides whether a fingerprint may run on an instance now. For a suspect,
-// it also announces that this entry intends to run it.
+// it also announces that this entry plans to run it.
 func (m *Monitor) Verdict(now time.Time, fingerprint model.Fingerprint, instance model.InstanceID) Verdict {
 	s, ok := m.suspects[fingerprint]
 	if !ok {
@@ -28,15 +28,15 @@
 	case m.isRunning(now, fingerprint, s):
 		return Verdict{Decision: Hold, Until: now.Add(m.config.RecheckDelay)}
 	}
-	if s.intendsSince.IsZero() {
-		s.intendsSince = now
+	if s.plannedSince.IsZero() {
+		s.plannedSince = now
 		return Verdict{Decision: Hold, Until: now.Add(m.config.Settle), Update: m.ownUpdate(now, fingerprint)}
 	}
-	if settled := later(s.intendsSince, s.lastNewCrash).Add(m.config.Settle); now.Before(settled) {
+	if settled := later(s.plannedSince, s.lastNewCrash).Add(m.config.Settle); now.Before(settled) {
 		return Verdict{Decision: Hold, Until: settled}
 	}
 	for id, r := range s.runs {
-		if r.intends && id.before(m.self) && now.Sub(r.seen) <= m.config.RunTTL {
+		if r.planned && id.before(m.self) && now.Sub(r.receivedAt) <= m.config.RunTTL {
 			return Verdict{Decision: Hold, Until: now.Add(m.config.RecheckDelay)}
 		}
 	}
@@ -69,7 +69,7 @@
 		return true
 	}
 	for _, r := range s.runs {
-		if len(r.running) > 0 && now.Sub(r.seen) <= m.config.RunTTL {
+		if len(r.running) > 0 && now.Sub(r.receivedAt) <= m.config.RunTTL {
 			return true
 		}
 	}
@@ -89,7 +89,7 @@
 			return true
 		}
 		for _, r := range s.runs {
-			if contains(r.running, instance) && now.Sub(r.seen) <= m.config.RunTTL {
+			if contains(r.running, instance) && now.Sub(r.receivedAt) <= m.config.RunTTL {
 				return true
 			}
 		}
--- a/lib/poison/monitor.go
+++ b/lib/poison/monitor.go
@@ -57,7 +57,7 @@
 	switch {
 	case o == outcome.Completed || o == outcome.Failed:
 		if s != nil && s.clear() {
-			s.intendsSince = time.Time{}
+			s.plannedSince = time.Time{}
 		} else {
 			m.knownGood.add(now, fingerprint)
 		}
@@ -94,10 +94,10 @@
 // because its request has ended.
 func (m *Monitor) Withdraw(now time.Time, fingerprint model.Fingerprint) *wire.SuspectUpdate {
 	s, ok := m.suspects[fingerprint]
-	if !ok || s.intendsSince.IsZero() {
+	if !ok || s.plannedSince.IsZero() {
 		return nil
 	}
-	s.intendsSince = time.Time{}
+	s.plannedSince = time.Time{}
 	return m.ownUpdate(now, fingerprint)
 }
 
@@ -168,7 +168,7 @@
 			continue
 		}
 		running := slices.Clone(r.Running)
-		s.runs[id] = &run{sequence: r.Sequence, intends: r.Planned, running: running, seen: now}
+		s.runs[id] = &run{sequence: r.Sequence, planned: r.Planned, running: running, receivedAt: now}
 		changed = true
 	}
 	return changed
@@ -182,8 +182,8 @@
 	}
 	var own []model.Fingerprint
 	for fingerprint, s := range m.suspects {
-		if !s.intendsSince.IsZero() && now.Sub(s.intendsSince) > m.config.RunTTL {
-			s.intendsSince = time.Time{} // Its request has ended.
+		if !s.plannedSince.IsZero() && now.Sub(s.plannedSince) > m.config.RunTTL {
+			s.plannedSince = time.Time{} // Its request has ended.
 		}
 		if !s.expire(now, m.config) {
 			delete(m.suspects, fingerprint)
@@ -191,7 +191,7 @@
 		}
 		before := s.ownRun.sequence
 		m.refreshOwn(now, fingerprint, s)
-		if s.ownRun.intends || len(s.ownRun.running) > 0 {
+		if s.ownRun.planned || len(s.ownRun.running) > 0 {
 			s.ownRun.sequence++
 		}
 		if s.ownRun.sequence != before {
@@ -214,16 +214,16 @@
 // number of crashes, or nil if there are none. If there are more than limit, it
 // returns those with the most recent new crash.
 func (m *Monitor) TopSuspects(now time.Time, crashes, limit int) *wire.SuspectUpdate {
-	var likely []model.Fingerprint
+	var top []model.Fingerprint
 	for fingerprint, s := range m.suspects {
 		if crashed, _ := s.crashedInstances(now, m.config.TTL); len(crashed) >= crashes {
-			likely = append(likely, fingerprint)
+			top = append(top, fingerprint)
 		}
 	}
-	slices.SortFunc(likely, func(a, b model.Fingerprint) int {
+	slices.SortFunc(top, func(a, b model.Fingerprint) int {
 		return m.suspects[b].lastNewCrash.Compare(m.suspects[a].lastNewCrash)
 	})
-	return m.updateFor(now, likely[:min(len(likely), limit)])
+	return m.updateFor(now, top[:min(len(top), limit)])
 }
 
 // Crashes returns the number of different instances that crashed while they ran the
--- a/lib/poison/monitor_test.go
+++ b/lib/poison/monitor_test.go
@@ -29,9 +29,9 @@
 	return model.FingerprintOf("t", "s", []byte(fmt.Sprint(i)))
 }
 
-func report(incarnation uint64, fingers ...int) wire.CrashReport {
+func report(incarnation uint64, contents ...int) wire.CrashReport {
 	r := wire.CrashReport{Incarnation: incarnation}
-	for _, f := range fingers {
+	for _, f := range contents {
 		r.InFlight = append(r.InFlight, fp(f))
 	}
 	return r
@@ -46,7 +46,7 @@
 			lines = append(lines, fmt.Sprint(id, in.cleared))
 		}
 		for id, r := range s.runs {
-			lines = append(lines, fmt.Sprint(id, r.sequence, r.intends, r.running))
+			lines = append(lines, fmt.Sprint(id, r.sequence, r.planned, r.running))
 		}
 		slices.Sort(lines)
 		out[f] = fmt.Sprint(lines)
--- a/lib/poison/poison.go
+++ b/lib/poison/poison.go
@@ -4,7 +4,7 @@
 // A request is identified by its fingerprint, which does not depend on the ID that
 // its caller gives it. All requests that were in flight when a backend server
 // crashed are suspects. A suspect is run again on a backend server that runs no
-// other suspect. Its own success clears it, even one shortly before the crash; the
+// other suspect. A response to it clears it, even one shortly before the crash; the
 // crash of a second backend server quarantines it until the crashes are older than
 // Config.TTL.
 //
@@ -26,7 +26,7 @@
 // within half of Config.Settle, at most max(2, d) backend servers are lost in all.
 // For a caller that waits for its response before it sends the request again, d is 1
 // and the bound is 2. Once a suspect is known, entries take turns: each announces
-// that it intends to run the suspect, waits for Config.Settle, and gives way to an
+// that it plans to run the suspect, waits for Config.Settle, and gives way to an
 // entry that runs it already or has a lower name. An entry that has the fingerprint
 // in flight answers an update with that fact, which holds back the others until the
 // run has ended. When entries cannot reach each other for longer than Config.Settle,
@@ -38,5 +38,5 @@
 //
 // Where nothing reports crashes, an Attributor attributes them: a connection that
 // ended before the response counts once its server has ended as well. If the same
-// incarnation is later seen alive, the crash is taken back.
+// incarnation is later seen alive, the crash is withdrawn.
 package poison
--- a/lib/poison/run.go
+++ b/lib/poison/run.go
@@ -12,7 +12,7 @@
 	generation model.Generation
 }
 
-// before reports whether e has precedence over other if both intend to run the same
+// before reports whether e has precedence over other if both plan to run the same
 // suspect.
 func (e entryID) before(other entryID) bool {
 	if e.instance != other.instance {
@@ -23,8 +23,8 @@
 
 // run is the last announcement of one entry about a suspect.
 type run struct {
-	sequence uint64
-	intends  bool
-	running  []model.InstanceID
-	seen     time.Time // when it was received
+	sequence   uint64
+	planned    bool
+	running    []model.InstanceID
+	receivedAt time.Time
 }
--- a/lib/poison/suspect.go
+++ b/lib/poison/suspect.go
@@ -13,9 +13,9 @@
 
 	// lastNewCrash is when this entry last learned of a new crash.
 	lastNewCrash time.Time
-	// intendsSince is when this entry announced its intention to run the suspect; zero
-	// if it has none.
-	intendsSince time.Time
+	// plannedSince is when this entry announced that it plans to run the suspect; zero
+	// if it does not.
+	plannedSince time.Time
 	// ownRun is this entry's last announcement.
 	ownRun run
 }
@@ -93,7 +93,7 @@
 		}
 	}
 	for id, r := range s.runs {
-		if now.Sub(r.seen) > c.RunTTL {
+		if now.Sub(r.receivedAt) > c.RunTTL {
 			delete(s.runs, id)
 		}
 	}
--- a/lib/poison/update.go
+++ b/lib/poison/update.go
@@ -31,9 +31,9 @@
 	fewest := -1
 	for fingerprint, s := range m.suspects {
 		crashed, _ := s.crashedInstances(now, m.config.TTL)
-		weight := len(crashed)
-		if fewest < 0 || weight < fewest || weight == fewest && s.lastNewCrash.Before(oldest) {
-			victim, oldest, fewest = fingerprint, s.lastNewCrash, weight
+		crashes := len(crashed)
+		if fewest < 0 || crashes < fewest || crashes == fewest && s.lastNewCrash.Before(oldest) {
+			victim, oldest, fewest = fingerprint, s.lastNewCrash, crashes
 		}
 	}
 	delete(m.suspects, victim)
@@ -75,14 +75,14 @@
 	for id, r := range s.runs {
 		out.Runs = append(out.Runs, wire.SuspectRun{
 			Entry: id.instance, Generation: id.generation, Sequence: r.sequence,
-			Planned: r.intends, Running: slices.Clone(r.running),
+			Planned: r.planned, Running: slices.Clone(r.running),
 		})
 	}
 	m.refreshOwn(now, fingerprint, s)
 	if s.ownRun.sequence > 0 {
 		out.Runs = append(out.Runs, wire.SuspectRun{
 			Entry: m.self.instance, Generation: m.self.generation, Sequence: s.ownRun.sequence,
-			Planned: s.ownRun.intends, Running: slices.Clone(s.ownRun.running),
+			Planned: s.ownRun.planned, Running: slices.Clone(s.ownRun.running),
 		})
 	}
 	return out
@@ -98,8 +98,8 @@
 		running = a.instances()
 		slices.Sort(running)
 	}
-	intends := !s.intendsSince.IsZero()
-	if intends != s.ownRun.intends || !slices.Equal(running, s.ownRun.running) {
-		s.ownRun = run{sequence: s.ownRun.sequence + 1, intends: intends, running: running}
+	planned := !s.plannedSince.IsZero()
+	if planned != s.ownRun.planned || !slices.Equal(running, s.ownRun.running) {
+		s.ownRun = run{sequence: s.ownRun.sequence + 1, planned: planned, running: running}
 	}
 }
