--- a/replica/fetch_version.go
+++ b/replica/fetch_version.go
@@ -41,7 +41,7 @@
 		f.cancel()
 	}
 	fetchCtx, cancel := context.WithCancel(ctx)
-	f := &runningFetch{target: t, cancel: cancel, suspect: r.suspectVersion == t.version}
+	f := &runningFetch{target: t, cancel: cancel, manifestFromOrigin: r.badManifestVersion == t.version}
 	r.fetching = f
 	go r.runFetch(fetchCtx, f, len(state.Weights) == 0)
 }
@@ -79,7 +79,7 @@
 			"origin_bytes", r.stats.OriginBytes.Load(), "peer_bytes", r.stats.PeerBytes.Load())
 	} else if ctx.Err() == nil {
 		if errors.Is(err, errFetchIncomplete) {
-			r.suspectVersion = f.version
+			r.badManifestVersion = f.version
 		}
 		r.config.Log.Log(eventlog.FetchFailed, "model", f.model, "version", f.version, "err", err)
 	}
@@ -95,7 +95,7 @@
 // fetchVersion returns the complete set of pieces of a version.
 func (r *Replica) fetchVersion(ctx context.Context, f *runningFetch, checkStaged bool) (*pieceSet, error) {
 	peers, _ := r.listPeers()
-	m, err := r.manifest(ctx, f.target, peers, f.suspect)
+	m, err := r.manifest(ctx, f.target, peers, f.manifestFromOrigin)
 	if err != nil {
 		return nil, err
 	}
@@ -238,8 +238,8 @@
 	if r.Phase() != PhaseServing || t.model != model || t.version != version {
 		return
 	}
-	r.discovery.Lock()
-	defer r.discovery.Unlock()
+	r.discoveryMu.Lock()
+	defer r.discoveryMu.Unlock()
 	if pieces, _ := r.findPieces(model, version); pieces != nil {
 		return
 	}
--- a/replica/gossip.go
+++ b/replica/gossip.go
@@ -43,14 +43,14 @@
 }
 
 func (r *LoadReporter) recordDraining(now time.Time, servers []peerlink.ServerKey) {
-	for server, at := range r.draining {
+	for server, at := range r.drainingServers {
 		if now.Sub(at) > drainingTTL {
-			delete(r.draining, server)
+			delete(r.drainingServers, server)
 		}
 	}
 	for _, server := range servers {
-		if _, known := r.draining[server]; !known && len(r.draining) < maxDraining {
-			r.draining[server] = now
+		if _, known := r.drainingServers[server]; !known && len(r.drainingServers) < maxDraining {
+			r.drainingServers[server] = now
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	if top := r.suspects.TopSuspects(now, minCrashes, maxInitialSuspects); top != nil {
 		gossip.Suspects = *top
 	}
-	for server, at := range r.draining {
+	for server, at := range r.drainingServers {
 		if now.Sub(at) <= drainingTTL {
 			gossip.Draining = append(gossip.Draining, server)
 		}
--- a/replica/load.go
+++ b/replica/load.go
@@ -52,7 +52,7 @@
 	}
 	// Without a response the engine may or may not have accepted the order. If it
 	// has not, its state leads to another order.
-	r.markLoaded(p)
+	r.markOrdered(p)
 	r.readEngineState(ctx)
 }
 
@@ -69,8 +69,9 @@
 	}
 }
 
-// markLoaded records that the pieces of a version are at the engine.
-func (r *Replica) markLoaded(p *pendingVersion) {
+// markOrdered records that the engine holds the pieces of a version and has been
+// ordered to load them.
+func (r *Replica) markOrdered(p *pendingVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for len(r.pending) > 0 && r.pending[0].version <= p.version {
--- a/replica/load_reporter.go
+++ b/replica/load_reporter.go
@@ -45,9 +45,9 @@
 	// that restart.
 	suspects *poison.Monitor
 
-	// draining maps servers that entries reported as draining to the time of the
+	// drainingServers maps servers that entries reported as draining to the time of the
 	// first report.
-	draining map[peerlink.ServerKey]time.Time
+	drainingServers map[peerlink.ServerKey]time.Time
 
 	lastStatus  peerlink.Status
 	lastRefresh time.Time
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &LoadReporter{replica: r, conn: conn, subscribers: make(map[netip.AddrPort]subscriber), entryLoads: make(map[string]entryLoad), suspects: poison.New(poison.Config{MaxSuspects: maxSuspects}, "", 0), draining: make(map[peerlink.ServerKey]time.Time)}, nil
+	return &LoadReporter{replica: r, conn: conn, subscribers: make(map[netip.AddrPort]subscriber), entryLoads: make(map[string]entryLoad), suspects: poison.New(poison.Config{MaxSuspects: maxSuspects}, "", 0), drainingServers: make(map[peerlink.ServerKey]time.Time)}, nil
 }
 
 // Run receives messages from entries and sends them reports until ctx ends, then
--- a/replica/manifest.go
+++ b/replica/manifest.go
@@ -38,12 +38,11 @@
 
 // manifest returns the manifest of a version. The first manifestReaders
 // instances of a region read it from the origin, the others from those. If
-// suspect is set, the last manifest appeared to be wrong, and the origin is
-// read.
-func (r *Replica) manifest(ctx context.Context, t target, peers []Peer, suspect bool) (*Manifest, error) {
+// fromOrigin is set, it is read from the origin in any case.
+func (r *Replica) manifest(ctx context.Context, t target, peers []Peer, fromOrigin bool) (*Manifest, error) {
 	order := r.manifestOrder(t, peers)
 	rank := slices.Index(order, r.config.EngineAddress)
-	if suspect || rank < manifestReaders {
+	if fromOrigin || rank < manifestReaders {
 		return r.originManifest(ctx, t)
 	}
 	reached := false
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -37,7 +37,7 @@
 	// reporterWake makes the LoadReporter check for changes.
 	reporterWake chan struct{}
 
-	// mu guards the following fields.
+	// mu guards the following fields, except discoveryMu.
 	mu     sync.Mutex
 	target target
 	// pending are fetched versions that haven't been handed to the engine, oldest
@@ -47,9 +47,9 @@
 	fetching *runningFetch
 	// fetchBackoff gives the delays after failed fetches.
 	fetchBackoff *backoff.ExponentialBackOff
-	// suspectVersion is the last version whose manifest appeared to be wrong, or
+	// badManifestVersion is the last version whose manifest appeared to be wrong, or
 	// zero.
-	suspectVersion int
+	badManifestVersion int
 	// lastPlan is the plan of the last fetch, or nil.
 	lastPlan *spread.Plan
 	// staged holds the pieces at the engine, or nil if this process doesn't know
@@ -57,8 +57,8 @@
 	staged *pieceSet
 	// stagedChanged is closed when fetching or staged changes.
 	stagedChanged chan struct{}
-	// discovery serializes discoverStaged.
-	discovery sync.Mutex
+	// discoveryMu serializes discoverStaged.
+	discoveryMu sync.Mutex
 }
 
 // New returns a Replica without a target.
--- a/replica/versions.go
+++ b/replica/versions.go
@@ -26,8 +26,9 @@
 type runningFetch struct {
 	target
 	cancel context.CancelFunc
-	// suspect is set if the last manifest of this version appeared to be wrong.
-	suspect bool
+	// manifestFromOrigin is set if the manifest must be read from the origin,
+	// because the last one of this version appeared to be wrong.
+	manifestFromOrigin bool
 	// pieces is nil until the manifest has been read.
 	pieces *pieceSet
 }
