--- a/lib/spread/missing_piece.go
+++ b/lib/spread/missing_piece.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// piece is a missing piece.
-type piece struct {
+// missingPiece is the state of a piece that this instance does not have.
+type missingPiece struct {
 	// requests holds the start time of each open request, by source.
 	requests map[string]time.Time
 	// availableAt is when the piece first became available at a member, or zero.
--- a/lib/spread/plan.go
+++ b/lib/spread/plan.go
@@ -51,9 +51,9 @@
 }
 
 // rank orders the members for each piece by rotation, so that each member is
-// first for the same number of pieces. Random weights would change less with a
-// member, but gave some members half as many pieces again, and a fetch took
-// 4.5 s instead of 3.7 s.
+// first for the same number of pieces. With random weights fewer pieces would move
+// when a member is added or removed, but some members got half as many pieces
+// again as others, and a fetch took 4.5 s instead of 3.7 s.
 func rank(members []Member, pieces int) [][]Member {
 	ranked := make([][]Member, pieces)
 	for piece := range ranked {
@@ -105,9 +105,9 @@
 	return ids
 }
 
-// liveMembersBefore returns the number of reachable members that precede the
+// reachableMembersBefore returns the number of reachable members that precede the
 // instance in a ranking.
-func (p *Plan) liveMembersBefore(ranking []Member, unreachable map[string]bool) int {
+func (p *Plan) reachableMembersBefore(ranking []Member, unreachable map[string]bool) int {
 	count := 0
 	for _, m := range ranking {
 		if m.ID == p.self.ID {
--- a/lib/spread/scheduler.go
+++ b/lib/spread/scheduler.go
@@ -27,7 +27,7 @@
 	// schedule determines when each piece is due at the origin.
 	schedule schedule
 
-	missing map[int]*piece
+	missing map[int]*missingPiece
 	// order is the order in which pieces are requested from peers. It differs
 	// between members, so that the members of a region receive different pieces
 	// first and can offer them to each other.
@@ -41,14 +41,14 @@
 func NewScheduler(config Config, plan *Plan, pieces int, missing []int, started time.Time) *Scheduler {
 	s := &Scheduler{
 		config: config.applyDefaults(), plan: plan, lastNewPiece: started, available: make([]bool, pieces),
-		missing: make(map[int]*piece, len(missing)), sources: make(map[string]*source), unreachable: make(map[string]bool),
+		missing: make(map[int]*missingPiece, len(missing)), sources: make(map[string]*source), unreachable: make(map[string]bool),
 	}
 	for i := range s.available {
 		s.available[i] = true
 	}
 	for _, p := range missing {
 		s.available[p] = false
-		s.missing[p] = &piece{requests: make(map[string]time.Time), excluded: make(map[string]bool)}
+		s.missing[p] = &missingPiece{requests: make(map[string]time.Time), excluded: make(map[string]bool)}
 	}
 	s.schedule = newSchedule(s.config.OriginPieceTime, s.unavailable(), started)
 	s.order = rand.New(rand.NewPCG(rendezvous.Hash(plan.self.ID), 0)).Perm(pieces)
@@ -146,7 +146,7 @@
 	}
 }
 
-func (s *Scheduler) closeRequest(p *piece, from string) {
+func (s *Scheduler) closeRequest(p *missingPiece, from string) {
 	if _, open := p.requests[from]; !open {
 		return
 	}
@@ -196,7 +196,7 @@
 	return requests
 }
 
-func (s *Scheduler) request(number int, p *piece, from string, now time.Time) PieceRequest {
+func (s *Scheduler) request(number int, p *missingPiece, from string, now time.Time) PieceRequest {
 	p.requests[from] = now
 	s.source(from).openRequests++
 	return PieceRequest{Source: from, Piece: number}
--- a/lib/spread/scheduler_choice.go
+++ b/lib/spread/scheduler_choice.go
@@ -8,7 +8,7 @@
 
 // offeredByPeer reports whether a peer that hasn't sent the piece corrupt has
 // it.
-func (s *Scheduler) offeredByPeer(number int, p *piece) bool {
+func (s *Scheduler) offeredByPeer(number int, p *missingPiece) bool {
 	for id, src := range s.sources {
 		if id != Origin && src.has[number] && !p.excluded[id] {
 			return true
@@ -19,7 +19,7 @@
 
 // recentlyRequested reports whether a request for the piece is open and hasn't
 // timed out.
-func (s *Scheduler) recentlyRequested(p *piece, now time.Time) bool {
+func (s *Scheduler) recentlyRequested(p *missingPiece, now time.Time) bool {
 	for _, at := range p.requests {
 		if now.Sub(at) < s.config.RequestTimeout {
 			return true
@@ -30,15 +30,15 @@
 
 // choosePeer returns the peer to request a piece from: one of the region, or one
 // of another region if this instance fetches the piece into its own.
-func (s *Scheduler) choosePeer(number int, p *piece, now time.Time) (string, bool) {
+func (s *Scheduler) choosePeer(number int, p *missingPiece, now time.Time) (string, bool) {
 	best, bestLocal, found := "", false, false
-	cross := s.mayCrossRegions(number, now)
+	remoteAllowed := s.mayCrossRegions(number, now)
 	for id, src := range s.sources {
 		if id == Origin || !src.has[number] || p.excluded[id] {
 			continue
 		}
 		local := s.plan.inRegion(id)
-		if _, open := p.requests[id]; open || !local && !cross {
+		if _, open := p.requests[id]; open || !local && !remoteAllowed {
 			continue
 		}
 		if !found || local && !bestLocal || local == bestLocal && s.preferred(id, best, number) {
@@ -49,7 +49,7 @@
 }
 
 // anyTimedOut reports whether an open request for the piece has timed out.
-func (s *Scheduler) anyTimedOut(p *piece, now time.Time) bool {
+func (s *Scheduler) anyTimedOut(p *missingPiece, now time.Time) bool {
 	for _, at := range p.requests {
 		if now.Sub(at) >= s.config.RequestTimeout {
 			return true
@@ -70,24 +70,25 @@
 }
 
 // mayCrossRegions reports whether this instance may fetch a piece from another
-// region: it is the first reachable member of its region for the piece, or those
-// before it have had their time since the piece became available.
+// region: it is the first reachable member of its region for the piece, or the
+// members before it have not fetched the piece in their time since it became
+// available.
 func (s *Scheduler) mayCrossRegions(number int, now time.Time) bool {
-	before := s.plan.liveMembersBefore(s.plan.rankedInRegion[number], s.unreachable)
+	before := s.plan.reachableMembersBefore(s.plan.rankedInRegion[number], s.unreachable)
 	p := s.missing[number]
 	return before == 0 || !p.availableAt.IsZero() && now.Sub(p.availableAt) >= s.config.OverdueAfter+time.Duration(before)*s.config.TakeoverStagger
 }
 
 // mayUseOrigin reports whether this instance may fetch a piece from the origin:
-// it is the first reachable member for the piece, or those before it have had
-// their time and the origin's link is idle. On a busy link additional readers
-// would only share it.
+// it is the first reachable member for the piece, or the members before it have not
+// fetched it in their time and the origin's link is idle. On a busy link
+// additional readers would only share it.
 func (s *Scheduler) mayUseOrigin(number int, now time.Time) bool {
 	since := s.schedule.sinceDue(number, now)
 	if since < 0 {
 		return false
 	}
-	before := s.plan.liveMembersBefore(s.plan.ranked[number], s.unreachable)
+	before := s.plan.reachableMembersBefore(s.plan.ranked[number], s.unreachable)
 	if before == 0 {
 		return true
 	}
