--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -12,7 +12,7 @@
 	ParseRequest(h http.Header) (RequestInfo, error)
 	// PrepareAttempt turns the caller's headers into those for a backend server, in
 	// place.
-	PrepareAttempt(h http.Header, d AttemptInfo)
+	PrepareAttempt(h http.Header, info AttemptInfo)
 	// ParseResponse decodes a backend server's status and headers.
 	ParseResponse(status int, h http.Header) ResponseInfo
 	// PrepareRefusal sets the headers of a response that the gateway itself makes to
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -37,7 +37,7 @@
 	r.dispatched++
 	r.summary.Attempts++
 	conn.SetReadDeadline(r.firstByteDeadline(lease))
-	resp, err := conn.Do(r.upstreamRequest(r.dispatch(lease)))
+	resp, err := conn.Do(r.upstreamRequest(r.attemptInfo(lease)))
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		r.recordInterrupted(lease, err)
 		return r.mayHaveRunResult("no answer in time")
@@ -70,7 +70,7 @@
 }
 
 // startMargin is how long before a version deadline requests that wait on older
-// weights are taken from their server. It covers the way to the server, also while
+// weights are taken from their server. It covers the delay to the server, also while
 // transfers of weights fill its link.
 const startMargin = 200 * time.Millisecond
 
@@ -96,24 +96,24 @@
 	return r.gateway.now().Add(max(maxWaitTargets*r.route.TargetLatency, maxWaitPredictions*lease.Predicted))
 }
 
-func (r *request) dispatch(lease *placement.Lease) AttemptInfo {
+func (r *request) attemptInfo(lease *placement.Lease) AttemptInfo {
 	now := r.gateway.now()
-	d := AttemptInfo{Server: lease.Server, Remaining: r.remaining(now), LastEventID: -1}
+	info := AttemptInfo{Server: lease.Server, Remaining: r.remaining(now), LastEventID: -1}
 	if r.team != nil {
-		d.Team = r.team.Name
+		info.Team = r.team.Name
 	}
 	if r.info.LastEventID >= 0 {
-		d.LastEventID = r.info.LastEventID
+		info.LastEventID = r.info.LastEventID
 	}
 	if r.stream.lastEventID >= 0 {
-		d.LastEventID = r.stream.lastEventID
+		info.LastEventID = r.stream.lastEventID
 	}
 	if w, ok := lease.Server.Weights[r.info.Model]; ok && r.info.Model != "" {
 		// The server may have changed its weights since it reported them. It must not
 		// begin a response on other weights than those it was chosen for.
-		d.Version = w.Version
+		info.Version = w.Version
 	}
-	return d
+	return info
 }
 
 // handleResponse handles the head of a response on a connection that was opened at
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -53,9 +53,9 @@
 // rejected.
 const rejectedRetryAfter = 200 * time.Millisecond
 
-// endTimedOut ends a request whose context has ended: its caller is gone or its
+// endContextDone ends a request whose context has ended: its caller is gone or its
 // deadline has passed.
-func (r *request) endTimedOut() {
+func (r *request) endContextDone() {
 	disconnected := r.http.Context().Err() != nil
 	switch {
 	case disconnected && !errors.Is(context.Cause(r.http.Context()), context.DeadlineExceeded):
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -77,8 +77,8 @@
 // SetConfig is called.
 func New(config Config) *Gateway {
 	d := directory.New()
-	config.Placement.OnEject = func(s *directory.Server, while time.Duration, because placement.Result) {
-		config.Log.Log(eventlog.ServerEjected, "server", s.ID, "service", s.Service, "address", s.Address, "while_ms", while.Milliseconds(), "reason", because)
+	config.Placement.OnEject = func(s *directory.Server, duration time.Duration, cause placement.Result) {
+		config.Log.Log(eventlog.ServerEjected, "server", s.ID, "service", s.Service, "address", s.Address, "while_ms", duration.Milliseconds(), "reason", cause)
 	}
 	picker := placement.New(config.Placement, d, rand.New(rand.NewPCG(config.Seed, config.Seed)))
 	if config.MaxBufferedBytes <= 0 {
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -137,7 +137,7 @@
 	if len(to) == 0 {
 		return
 	}
-	for _, data := range gossip.Datagrams(maxDatagram) {
+	for _, data := range gossip.Datagrams(maxDatagramBytes) {
 		for _, address := range to {
 			l.send(data, address)
 		}
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -54,13 +54,13 @@
 		m.ranked, m.rankedAt = make(map[string][]netip.AddrPort), now
 	}
 	if m.ranked[key] == nil {
-		m.ranked[key] = m.rankLive(key, now)
+		m.ranked[key] = m.rankServing(key, now)
 	}
 	return m.ranked[key]
 }
 
-// rankLive computes the order of rank, and drops members that have expired.
-func (m *members) rankLive(key string, now time.Time) []netip.AddrPort {
+// rankServing computes the order of rank, and drops members that have expired.
+func (m *members) rankServing(key string, now time.Time) []netip.AddrPort {
 	addresses := []string{m.self.String()}
 	byText := map[string]netip.AddrPort{addresses[0]: m.self}
 	for address, at := range m.lastSeen {
--- a/gateway/peer_link.go
+++ b/gateway/peer_link.go
@@ -18,8 +18,8 @@
 const (
 	// subscribeInterval is how often subscriptions to load reports are renewed.
 	subscribeInterval = time.Second
-	// maxDatagram is the maximum size of a datagram in bytes.
-	maxDatagram = 1200
+	// maxDatagramBytes is the maximum size of a datagram in bytes.
+	maxDatagramBytes = 1200
 	// reorderWindow is the number of messages by which one may be overtaken. A larger
 	// step back in the sequence means that the sender has restarted.
 	reorderWindow = 50
@@ -170,7 +170,7 @@
 }
 
 func (l *PeerLink) receive(ctx context.Context) {
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
--- a/gateway/place_test.go
+++ b/gateway/place_test.go
@@ -20,7 +20,7 @@
 	engine := &serving.Engine{
 		Slots: 8, StepTime: 13 * time.Millisecond, PrefillTokensPerSecond: 12700, StepsPerPrefillChunk: 5, PrefillChunkTokens: 2048, MeanPromptTokens: 900, MeanOutputTokens: 75,
 	}
-	demand := placement.Request{
+	req := placement.Request{
 		Service: "drafts", Engine: engine, Model: "m", PromptTokens: 900, OutputTokens: 75,
 		LatencyTarget: 800 * time.Millisecond, Remaining: 6 * time.Second,
 	}
@@ -85,7 +85,7 @@
 			if l == placer {
 				continue
 			}
-			granted, refusal, _ := l.requestPlacement(context.Background(), &demand)
+			granted, refusal, _ := l.requestPlacement(context.Background(), &req)
 			Expect(refusal).To(BeNil())
 			Expect(granted).NotTo(BeNil())
 			Expect(granted.by).To(Equal(placer.self))
@@ -100,7 +100,7 @@
 	It("releases leases when requests end", func() {
 		links := startRegion(3)
 		placer, other := byRank(links, 0), byRank(links, 2)
-		granted, _, _ := other.requestPlacement(context.Background(), &demand)
+		granted, _, _ := other.requestPlacement(context.Background(), &req)
 		Expect(granted).NotTo(BeNil())
 		other.endLease(granted, placement.Answered)
 		Eventually(func() int {
@@ -115,11 +115,11 @@
 		links := startRegion(3)
 		first, second, other := byRank(links, 0), byRank(links, 1), byRank(links, 2)
 		first.conn.Close()
-		granted, _, _ := other.requestPlacement(context.Background(), &demand)
+		granted, _, _ := other.requestPlacement(context.Background(), &req)
 		Expect(granted).NotTo(BeNil())
 		Expect(granted.by).To(Equal(second.self))
 		second.conn.Close()
-		granted, refusal, _ := other.requestPlacement(context.Background(), &demand)
+		granted, refusal, _ := other.requestPlacement(context.Background(), &req)
 		Expect(granted).To(BeNil())
 		Expect(refusal).To(BeNil())
 		_, _, ok := other.placements.begin(first.self, time.Now())
@@ -130,7 +130,7 @@
 		links := startRegion(3)
 		first, second, other := byRank(links, 0), byRank(links, 1), byRank(links, 2)
 		first.gateway.Drain()
-		granted, _, _ := other.requestPlacement(context.Background(), &demand)
+		granted, _, _ := other.requestPlacement(context.Background(), &req)
 		Expect(granted).NotTo(BeNil())
 		Expect(granted.by).To(Equal(second.self))
 	})
@@ -140,14 +140,14 @@
 		// learned of yet.
 		links := startRegion(2)
 		other := byRank(links, 1)
-		granted, _, _ := other.requestPlacement(context.Background(), &demand)
+		granted, _, _ := other.requestPlacement(context.Background(), &req)
 		Expect(granted).NotTo(BeNil())
 		other.gateway.UpdateServers(func(d *directory.Directory, _ time.Time) {
 			draining := *d.Get(granted.server)
 			draining.Draining = true
 			d.Put(&draining)
 		})
-		Expect(other.gateway.adopt(granted, &demand)).To(BeNil())
+		Expect(other.gateway.adopt(granted, &req)).To(BeNil())
 	})
 
 	It("counts the entries of all regions for the retry budget", func() {
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -63,11 +63,11 @@
 }
 
 // maxStallGaps is the time between two events after which another server may
-// continue a stream, as a multiple of the longest one of a healthy stream. Callers
-// disconnect after twice that time.
+// continue a stream, as a multiple of the longest such time in a healthy stream
+// (Route.MaxEventGap). Callers disconnect after twice the product.
 const maxStallGaps = 4
 
-// stallTimeout returns the longest time between two events of this attempt; zero
+// stallTimeout returns the maximum time between two events of this attempt; zero
 // sets no limit. A slow stream that no other server can continue is not cut.
 func (r *request) stallTimeout() time.Duration {
 	g := r.gateway
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -53,9 +53,9 @@
 // returns false, it has sent the refusal.
 func (r *request) accept() bool {
 	g := r.gateway
-	call, err := g.config.Dialect.ParseRequest(r.http.Header)
-	r.info = call
-	r.summary.ID = call.ID
+	info, err := g.config.Dialect.ParseRequest(r.http.Header)
+	r.info = info
+	r.summary.ID = info.ID
 	if err != nil {
 		r.refuse(http.StatusBadRequest, outcomeInvalid, "malformed header", 0)
 		return false
@@ -72,7 +72,7 @@
 		return false
 	}
 	r.summary.Route = r.route.Name
-	r.team = r.table.TeamByKey(call.APIKey)
+	r.team = r.table.TeamByKey(info.APIKey)
 	if r.team == nil && !r.route.Public && len(r.table.Config().Teams) > 0 {
 		r.refuse(http.StatusUnauthorized, outcomeInvalid, "unknown key", 0)
 		return false
@@ -158,7 +158,7 @@
 func (r *request) run() {
 	g := r.gateway
 	g.awaitWarmup(r.ctx)
-	if refusal := r.quarantined(); refusal != nil {
+	if refusal := r.quarantineRefusal(); refusal != nil {
 		r.endUnplaced(refusal)
 		return
 	}
@@ -179,7 +179,7 @@
 		case result.callerGone:
 			r.endCallerGone()
 		case r.ctx.Err() != nil:
-			r.endTimedOut()
+			r.endContextDone()
 			return
 		case !r.mayRetry(result):
 			r.fail(result)
@@ -196,7 +196,7 @@
 	if result.sent && result.mayHaveRun && !r.route.Repeatable() {
 		return false
 	}
-	if r.quarantined() != nil {
+	if r.quarantineRefusal() != nil {
 		return false
 	}
 	if !result.sent {
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -82,8 +82,9 @@
 	return keys
 }
 
-// quarantined returns the refusal of a request whose content is quarantined, or nil.
-func (r *request) quarantined() *placement.Refusal {
+// quarantineRefusal returns the refusal of a request whose content is quarantined,
+// or nil.
+func (r *request) quarantineRefusal() *placement.Refusal {
 	crashes, until := r.crashes()
 	if crashes < quarantineCrashes {
 		return nil
@@ -218,8 +219,8 @@
 		}
 	}
 	gossip := &peerlink.Gossip{}
-	if likely := g.suspects.monitor.TopSuspects(now, quarantineCrashes-1, maxResent); likely != nil {
-		gossip.Suspects = *likely
+	if top := g.suspects.monitor.TopSuspects(now, quarantineCrashes-1, maxResent); top != nil {
+		gossip.Suspects = *top
 	}
 	for _, server := range g.directory.DrainingSince(now.Add(-drainResendPeriod), maxResent) {
 		gossip.Draining = append(gossip.Draining, peerlink.ServerKey{ID: server.ID, StartUnixMilli: server.StartUnixMilli})
--- a/gateway/upstream/body_budget.go
+++ b/gateway/upstream/body_budget.go
@@ -20,31 +20,31 @@
 // NewBodyBudget returns a BodyBudget with a limit in bytes.
 func NewBodyBudget(limit int64) *BodyBudget { return &BodyBudget{limit: limit} }
 
-// ReadAll reads a body of about limit bytes at most: it fails if the body is longer,
+// ReadAll reads a whole body of at most about limit bytes. It fails if it is longer,
 // if the memory of all bodies together exceeds the budget, or if the body is
 // truncated. The caller calls release when it no longer needs the body; it is nil
 // after an error.
-func (m *BodyBudget) ReadAll(resp *http.Response, limit int) (body []byte, release func(), err error) {
+func (b *BodyBudget) ReadAll(resp *http.Response, limit int) (body []byte, release func(), err error) {
 	reserved := int64(0)
-	releaseReserved := func() { m.used.Add(-reserved) }
+	releaseReserved := func() { b.used.Add(-reserved) }
 	defer func() {
 		if err != nil {
 			releaseReserved()
 		}
 	}()
-	var b bytes.Buffer
+	var buf bytes.Buffer
 	for {
-		if b.Len() > limit {
+		if buf.Len() > limit {
 			return nil, nil, errBodyTooLong
 		}
 		reserved += readChunkBytes
-		if m.used.Add(readChunkBytes) > m.limit {
+		if b.used.Add(readChunkBytes) > b.limit {
 			return nil, nil, errBudgetExhausted
 		}
-		switch _, err := io.CopyN(&b, resp.Body, readChunkBytes); err {
+		switch _, err := io.CopyN(&buf, resp.Body, readChunkBytes); err {
 		case nil:
 		case io.EOF:
-			return b.Bytes(), releaseReserved, nil
+			return buf.Bytes(), releaseReserved, nil
 		default:
 			return nil, nil, err
 		}
