--- a/lib/distribute/downloader_solo.go
+++ b/lib/distribute/downloader_trackerless.go
@@ -161,8 +161,8 @@
 // choosePeer returns a usable peer that holds a chunk, or "" if there is none.
 // It prefers the peer with the fewest active transfers to this agent and
 // chooses randomly among equals: with a fixed order all agents without a
-// tracker would use the same few peers. available reports whether some peer has
-// a good copy, possibly after a short wait, so that the origin is not needed.
+// tracker would use the same few peers. available reports whether some peer can
+// deliver the chunk now or after a short wait, so that the origin is not needed.
 func (d *Downloader) choosePeer(now time.Time, index int, digest model.Digest) (address string, available bool) {
 	transfers := make(map[string]int)
 	for _, f := range d.active {
--- a/lib/distribute/failure_test.go
+++ b/lib/distribute/failure_test.go
@@ -106,9 +106,9 @@
 
 		have := weights.NewBitmap(16)
 		have.Set(first.Chunk)
-		n := t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: have, FailedGrants: []wire.GrantFailure{{Grant: first.Grant}}})
-		Expect(n.OutdatedResults).To(BeNumerically(">=", 1))
-		Expect(n.FailedSources).To(BeEmpty(), "a failure of an expired grant is not counted against the source")
+		report := t.HandleAnnounce(now, agent("a"), &wire.Announce{ChunkBitmap: have, FailedGrants: []wire.GrantFailure{{Grant: first.Grant}}})
+		Expect(report.OutdatedResults).To(BeNumerically(">=", 1))
+		Expect(report.FailedSources).To(BeEmpty(), "a failure of an expired grant is not counted against the source")
 	})
 
 	// Guards against one corrupt source that delays all agents.
@@ -163,7 +163,8 @@
 		Expect(fast.EstimatedTime).To(BeNumerically(">=", fast.LowerBound))
 	})
 
-	// Guards against promising a time that the links cannot achieve.
+	// Guards against a plan that claims to meet a target time that the links cannot
+	// achieve.
 	It("reports that the target time cannot be met", func() {
 		in := input(1)
 		in.TargetTime = time.Second
--- a/lib/distribute/main_test.go
+++ b/lib/distribute/main_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// fuzzSeed makes the rapid tests repeat the same cases. -rapid.seed overrides
+// rapidSeed makes the rapid tests repeat the same cases. -rapid.seed overrides
 // it.
-const fuzzSeed = "20261204"
+const rapidSeed = "20261204"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
-		_ = flag.Set("rapid.seed", fuzzSeed)
+		_ = flag.Set("rapid.seed", rapidSeed)
 	}
 	os.Exit(m.Run())
 }
--- a/lib/distribute/plan.go
+++ b/lib/distribute/plan.go
@@ -128,8 +128,8 @@
 			external = max(external, forwarded/inbound)
 		}
 	}
-	fanOut := math.Ceil(math.Log2(float64(instances)/float64(max(len(in.Domains), 1)) + 1))
-	tail := fanOut * float64(in.ChunkSize) / slowest
+	rounds := math.Ceil(math.Log2(float64(instances)/float64(max(len(in.Domains), 1)) + 1))
+	tail := rounds * float64(in.ChunkSize) / slowest
 	p.EstimatedTime = toDuration(max(bound, external) + tail)
 	p.OriginBytes = int64(min(k*size, max(size, in.OriginRate*max(bound, external))))
 	return p
--- a/lib/distribute/rendezvous.go
+++ b/lib/distribute/rendezvous.go
@@ -11,8 +11,9 @@
 )
 
 // RendezvousOrder sorts names by their hash with a key (rendezvous hashing).
-// All processes compute the same order, and removing a name changes only the
-// keys for which it ranked first. names is not modified.
+// All processes compute the same order, and removing a name changes which name
+// ranks first only for the keys for which it ranked first itself. names is not
+// modified.
 func RendezvousOrder(key model.Digest, names []string) []string {
 	type scored struct {
 		name  string
--- a/lib/distribute/sim_test.go
+++ b/lib/distribute/sim_test.go
@@ -34,10 +34,10 @@
 
 	originStarts int // chunk reads started from the origin
 	originWaste  int // of originStarts: corrupt, cancelled, throttled or lost with a killed agent
-	// reroutes is the number of failed transfers from peers. After each of them
+	// peerFailures is the number of failed transfers from peers. After each of them
 	// another source may be used, which is the origin if no other agent holds
 	// the chunk.
-	reroutes int
+	peerFailures int
 }
 
 type simDomain struct {
@@ -143,7 +143,7 @@
 	if f.Source == distribute.Origin {
 		s.originWaste++
 	} else {
-		s.reroutes++
+		s.peerFailures++
 	}
 }
 
--- a/lib/distribute/fuzz_test.go
+++ b/lib/distribute/survivors_test.go
@@ -74,7 +74,7 @@
 		// have a budget of their own, which is refilled every two minutes. An
 		// agent behind a stalled link from the only holder needs a copy of its
 		// own.
-		budget := 12*domains*distinct/10 + 1 + s.reroutes + len(s.stalled)*distinct
+		budget := 12*domains*distinct/10 + 1 + s.peerFailures + len(s.stalled)*distinct
 		if trackerless {
 			budget += 12 * domains * distinct / 10 * int(1+s.now.Sub(s.start)/(2*time.Minute))
 			budget += len(s.agents)
--- a/lib/distribute/tracker.go
+++ b/lib/distribute/tracker.go
@@ -31,14 +31,14 @@
 	holders   []int // number of agents that hold each chunk
 	inFlight  []int // number of active grants for each chunk
 
-	originActive int
-	originTime   movingAverage
-	remoteTime   movingAverage
-	peerTime     movingAverage
-	remote       map[string]*remoteDomain // by address of the other tracker
-	regions      map[model.Region]*remoteRegion
-	lastRemote   time.Time // when the last chunk arrived from another failure domain
-	stats        Stats
+	activeOriginGrants int // active grants that name the origin
+	originTime         movingAverage
+	remoteTime         movingAverage
+	peerTime           movingAverage
+	remote             map[string]*remoteTracker // by address of the other tracker
+	regions            map[model.Region]*remoteRegion
+	lastRemote         time.Time // when the last chunk arrived from another failure domain
+	stats              Stats
 }
 
 // NewTracker returns a Tracker without agents. Grant numbers start at a random
@@ -56,7 +56,7 @@
 		lastGrant:  uint64(cfg.Rand.Uint32()) << 20,
 		holders:    make([]int, n),
 		inFlight:   make([]int, n),
-		remote:     make(map[string]*remoteDomain),
+		remote:     make(map[string]*remoteTracker),
 		regions:    make(map[model.Region]*remoteRegion),
 		lastRemote: now,
 	}
@@ -90,23 +90,23 @@
 		t.sorted = nil
 	}
 	p.lastSeen = now
-	var n AnnounceReport
+	var report AnnounceReport
 	for _, f := range a.FailedGrants {
-		t.grantFailed(now, p, f, &n)
+		t.grantFailed(now, p, f, &report)
 	}
-	t.updateBitmap(now, p, a.ChunkBitmap, &n)
-	// Slots counts beyond the assignments that the agent knew of when it sent
-	// the announcement; grants that crossed with it also count against the
-	// window.
+	t.updateBitmap(now, p, a.ChunkBitmap, &report)
+	// RequestedAssignments doesn't include the assignments that the agent had
+	// received when it sent the announcement. Grants issued while the
+	// announcement was in flight also count against the window.
 	p.window = a.RequestedAssignments + a.ActiveAssignments
-	return n
+	return report
 }
 
-func (t *Tracker) grantFailed(now time.Time, p *peer, f wire.GrantFailure, n *AnnounceReport) {
+func (t *Tracker) grantFailed(now time.Time, p *peer, f wire.GrantFailure, report *AnnounceReport) {
 	g, ok := t.grants[f.Grant]
 	if !ok || g.to != p {
 		if f.Grant != 0 {
-			n.OutdatedResults++
+			report.OutdatedResults++
 		}
 		return
 	}
@@ -114,7 +114,7 @@
 	sourceAddress := g.sourceAddress()
 	switch {
 	case f.Corrupt:
-		n.CorruptSources = append(n.CorruptSources, sourceAddress)
+		report.CorruptSources = append(report.CorruptSources, sourceAddress)
 		if g.from != nil {
 			g.from.recordCorrupt(now, t.cfg.AvoidFor)
 			p.corruptFrom[g.chunk] = sourceAddress
@@ -122,14 +122,14 @@
 	case f.Busy:
 		p.blockSource(now, sourceAddress, t.cfg.RetryInterval)
 	default:
-		n.FailedSources = append(n.FailedSources, sourceAddress)
+		report.FailedSources = append(report.FailedSources, sourceAddress)
 		p.blockSource(now, sourceAddress, t.cfg.AvoidFor)
 	}
 }
 
 // updateBitmap applies the difference between the announced and the known
 // bitmap. A chunk that is no longer held was found corrupt in the staging area.
-func (t *Tracker) updateBitmap(now time.Time, p *peer, have weights.Bitmap, n *AnnounceReport) {
+func (t *Tracker) updateBitmap(now time.Time, p *peer, have weights.Bitmap, report *AnnounceReport) {
 	for i := range t.holders {
 		before, after := p.have.Get(i), have.Get(i)
 		switch {
@@ -137,7 +137,7 @@
 			p.have.Set(i)
 			p.heldCount++
 			t.holders[i]++
-			t.chunkArrived(now, p, i, n)
+			t.chunkArrived(now, p, i, report)
 		case before && !after:
 			p.have.Clear(i)
 			p.heldCount--
@@ -146,7 +146,7 @@
 	}
 }
 
-func (t *Tracker) chunkArrived(now time.Time, p *peer, chunk int, n *AnnounceReport) {
+func (t *Tracker) chunkArrived(now time.Time, p *peer, chunk int, report *AnnounceReport) {
 	delete(p.corruptFrom, chunk)
 	var late []*grant
 	for _, number := range sortedKeys(t.expired) {
@@ -163,7 +163,7 @@
 	}
 	if len(active) == 0 {
 		for _, g := range late {
-			n.OutdatedResults++
+			report.OutdatedResults++
 			t.grantDelivered(now, g, len(late) == 1) // so that later grants get more time
 		}
 	}
--- a/lib/distribute/tracker_grant.go
+++ b/lib/distribute/tracker_grant.go
@@ -48,7 +48,7 @@
 	switch {
 	case from == nil:
 		to.originGrants++
-		t.originActive++
+		t.activeOriginGrants++
 		t.stats.OriginGrants++
 	case remote != nil:
 		remote.activeGrants++
@@ -79,7 +79,7 @@
 	t.inFlight[g.chunk]--
 	if g.from == nil {
 		g.to.originGrants--
-		t.originActive--
+		t.activeOriginGrants--
 		return
 	}
 	g.from.uploads--
--- a/lib/distribute/tracker_remote.go
+++ b/lib/distribute/tracker_remote.go
@@ -22,8 +22,8 @@
 	sameRegionStreamFactor = 4
 )
 
-// remoteDomain is the last summary received from another tracker.
-type remoteDomain struct {
+// remoteTracker is the last summary received from another tracker.
+type remoteTracker struct {
 	location model.Location
 	region   *remoteRegion
 	lastSeen time.Time
@@ -32,7 +32,7 @@
 
 // findHolder returns the state of an agent, or nil if the last summary did not
 // name it.
-func (d *remoteDomain) findHolder(address string) *source {
+func (d *remoteTracker) findHolder(address string) *source {
 	for _, s := range d.holders {
 		if s.address == address {
 			return s
@@ -106,7 +106,7 @@
 	}
 	d, ok := t.remote[tracker]
 	if !ok {
-		d = &remoteDomain{}
+		d = &remoteTracker{}
 		t.remote[tracker] = d
 	}
 	holders := make([]*source, 0, len(s.Holders))
@@ -127,10 +127,10 @@
 // usableRemotes returns the other trackers whose agents may be used as sources
 // now: their summary is recent, and streams and rate of the link from their
 // region allow another transfer.
-func (t *Tracker) usableRemotes(now time.Time) []*remoteDomain {
-	var out []*remoteDomain
-	for _, name := range sortedKeys(t.remote) {
-		d := t.remote[name]
+func (t *Tracker) usableRemotes(now time.Time) []*remoteTracker {
+	var out []*remoteTracker
+	for _, address := range sortedKeys(t.remote) {
+		d := t.remote[address]
 		streams := t.cfg.RemoteStreams
 		if d.region.sameRegion {
 			streams *= sameRegionStreamFactor
@@ -152,7 +152,7 @@
 // chooseRemoteSource returns the agent of another tracker that holds a chunk
 // and has the fewest uploads, chosen randomly among equals, and its region. It
 // returns nil if there is none.
-func (t *Tracker) chooseRemoteSource(now time.Time, remotes []*remoteDomain, to *peer, chunk int) (*source, *remoteRegion) {
+func (t *Tracker) chooseRemoteSource(now time.Time, remotes []*remoteTracker, to *peer, chunk int) (*source, *remoteRegion) {
 	var best *source
 	var region *remoteRegion
 	ties := 0
--- a/lib/distribute/tracker_schedule.go
+++ b/lib/distribute/tracker_schedule.go
@@ -98,7 +98,7 @@
 		if s, region := t.chooseRemoteSource(now, remotes, p, chunk); s != nil {
 			return t.issue(now, p, chunk, s, region)
 		}
-		if t.originActive < t.cfg.OriginStreams && p.accepts(now, Origin) {
+		if t.activeOriginGrants < t.cfg.OriginStreams && p.accepts(now, Origin) {
 			return t.issue(now, p, chunk, nil, nil)
 		}
 	}
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	if t.originActive >= t.cfg.OriginStreams || !p.accepts(now, Origin) {
+	if t.activeOriginGrants >= t.cfg.OriginStreams || !p.accepts(now, Origin) {
 		return nil
 	}
 	for _, chunk := range t.absent {
