--- a/lib/rollout/waves.go
+++ b/lib/rollout/coordinator.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// Release ends the permit of an instance that serves again or is gone for good.
+// Release ends the permit of an instance that serves again or failed to load.
 func (c *Coordinator) Release(instance model.InstanceID) { delete(c.permits, instance) }
 
 // ActivePermits returns the number of permits in force.
--- a/lib/rollout/waves_test.go
+++ b/lib/rollout/coordinator_test.go
@@ -50,7 +50,7 @@
 	})
 
 	// Guards against a holder that was paused and acts on an expired permit.
-	It("expires permits that are not renewed, and their holder can tell", func() {
+	It("expires permits that are not renewed, so that their holders see them as invalid", func() {
 		c := rollout.New(rollout.Config{PermitTTL: time.Second}, 0)
 		p, _ := c.Request(now, "a", rollout.PoolState{Live: 2, MinLive: 1})
 		later := now.Add(time.Second)
--- a/lib/rollout/group.go
+++ b/lib/rollout/pool_state.go
@@ -12,7 +12,7 @@
 	Pool          string
 }
 
-// PoolState is the state of the instances of a Key.
+// PoolState is the state of the instances of one pool in one failure domain.
 type PoolState struct {
 	// Live is the number of instances that currently serve requests, with any
 	// version.
