--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -27,7 +27,7 @@
 }
 
 // HandlePeerMessage answers one message of a peer. It returns false if the
-// message does not belong to transfers. It blocks while a chunk is sent.
+// message is not part of the transfer protocol. It blocks while a chunk is sent.
 func (s *Service) HandlePeerMessage(conn *wire.Conn, m wire.Message) (bool, error) {
 	switch m := m.(type) {
 	case *wire.ChunkFetch:
--- a/agent/transfer/service_test.go
+++ b/agent/transfer/service_test.go
@@ -96,10 +96,10 @@
 		closers = append(closers, s.Close)
 		return s
 	}
-	var last *tracker.Service // the most recently started tracker
+	var lastTracker *tracker.Service // the most recently started one
 	startEntry := func() string {
-		last = tracker.New(tracker.Config{Seed: 1})
-		return listen(wire.Hello{Role: wire.RoleEntry}, last.Serve)
+		lastTracker = tracker.New(tracker.Config{Seed: 1})
+		return listen(wire.Hello{Role: wire.RoleEntry}, lastTracker.Serve)
 	}
 
 	BeforeEach(func() {
@@ -168,14 +168,14 @@
 		// Guards against a rollout status that includes the bytes of earlier
 		// versions.
 		bytesOf := func(manifest model.Digest) (sum int64) {
-			for _, i := range last.Report().Instances {
+			for _, i := range lastTracker.Report().Instances {
 				if i.Status.Manifest == manifest {
 					sum += i.Status.OriginBytes + i.Status.PeerBytes
 				}
 			}
 			return sum
 		}
-		Eventually(func() []wire.InstanceStatus { return last.Report().Instances }, 10*time.Second).
+		Eventually(func() []wire.InstanceStatus { return lastTracker.Report().Instances }, 10*time.Second).
 			Should(ContainElement(HaveField("Status.Manifest", digests[1])))
 		Expect(bytesOf(digests[1])).To(BeZero())
 	}, SpecTimeout(20*time.Second))
--- a/agent/transfer/link.go
+++ b/agent/transfer/tracker_link.go
@@ -126,17 +126,17 @@
 	defer stop()
 	failbackCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	earlier := make(chan *wire.Conn, 1)
+	higherRanked := make(chan *wire.Conn, 1)
 	if rank == 0 {
-		close(earlier)
+		close(higherRanked)
 	} else {
 		l.service.wg.Add(1)
 		go func() {
 			defer l.service.wg.Done()
-			defer close(earlier)
+			defer close(higherRanked)
 			var c *wire.Conn
-			if c, nextRank = l.findEarlierEntry(failbackCtx, order[:rank], backoffs); c != nil {
-				earlier <- c
+			if c, nextRank = l.findHigherRankedEntry(failbackCtx, order[:rank], backoffs); c != nil {
+				higherRanked <- c
 				_ = conn.Close()
 			}
 		}()
@@ -154,12 +154,12 @@
 		l.emit(ctx, linkEvent{link: l, conn: conn, message: m})
 	}
 	cancel()
-	return <-earlier, nextRank, answered
+	return <-higherRanked, nextRank, answered
 }
 
-// findEarlierEntry periodically tries the given entries and returns a connection
+// findHigherRankedEntry periodically tries the given entries and returns a connection
 // to the first one that answers, and its rank. It returns nil when ctx ends.
-func (l *trackerLink) findEarlierEntry(ctx context.Context, order []string, backoffs map[string]entryBackoff) (*wire.Conn, int) {
+func (l *trackerLink) findHigherRankedEntry(ctx context.Context, order []string, backoffs map[string]entryBackoff) (*wire.Conn, int) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/agent/transfer/worker.go
+++ b/agent/transfer/worker.go
@@ -31,11 +31,11 @@
 	conn atomic.Pointer[connUsage]
 }
 
-// connUsage is a connection and its count of received bytes at the start of the
-// fetch.
+// connUsage identifies the bytes that a fetch has received over a connection,
+// which earlier fetches may have used.
 type connUsage struct {
-	conn  *wire.Conn
-	start int64
+	conn            *wire.Conn
+	receivedAtStart int64
 }
 
 // fetchResult is the result of a worker.
@@ -48,9 +48,9 @@
 
 // progress returns the number of bytes received so far.
 func (w *worker) progress() int64 {
-	if m := w.conn.Load(); m != nil {
-		_, received := m.conn.ByteCounts()
-		return received - m.start
+	if usage := w.conn.Load(); usage != nil {
+		_, received := usage.conn.ByteCounts()
+		return received - usage.receivedAtStart
 	}
 	return w.received.Load()
 }
@@ -116,8 +116,8 @@
 // requestChunk requests the chunk over a connection and returns its bytes, or
 // errAbsent or errBusy if the peer refuses.
 func (w *worker) requestChunk(ctx context.Context, conn *wire.Conn) ([]byte, error) {
-	_, start := conn.ByteCounts()
-	w.conn.Store(&connUsage{conn: conn, start: start})
+	_, receivedAtStart := conn.ByteCounts()
+	w.conn.Store(&connUsage{conn: conn, receivedAtStart: receivedAtStart})
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	if err := conn.Send(&wire.ChunkFetch{RequestID: w.fetch.ID, Chunk: w.fetch.Chunk.Digest}); err != nil {
