--- a/entry/tracker/manifest.go
+++ b/entry/tracker/manifest.go
@@ -10,18 +10,18 @@
 // handleManifestFetch returns the manifest if it is known. Otherwise it refuses
 // the request of one agent at a time, which makes that agent read the manifest
 // from the origin; the others wait for its result.
-func (s *Service) handleManifestFetch(c *Session, digest model.Digest) []outgoing {
+func (s *Service) handleManifestFetch(session *Session, digest model.Digest) []outgoing {
 	v := s.touchVersion(digest)
 	if v.encoded != nil {
-		return []outgoing{{c, &wire.ManifestData{Manifest: digest, Data: v.encoded}}}
+		return []outgoing{{session, &wire.ManifestData{Manifest: digest, Data: v.encoded}}}
 	}
 	now := s.cfg.Clock.Now()
 	if now.Before(v.originFetchDeadline) {
-		v.manifestWaiters = append(v.manifestWaiters, c)
+		v.manifestWaiters = append(v.manifestWaiters, session)
 		return nil
 	}
 	v.originFetchDeadline = now.Add(s.cfg.ManifestTimeout)
-	return []outgoing{{c, &wire.ManifestRefused{Manifest: digest}}}
+	return []outgoing{{session, &wire.ManifestRefused{Manifest: digest}}}
 }
 
 // handleManifestData accepts a manifest that an agent forwards, after checking
@@ -39,14 +39,14 @@
 	}
 	v.encoded, v.tracker = data.Data, s.newTracker(data.Manifest, m)
 	var out []outgoing
-	for _, c := range v.manifestWaiters {
-		out = append(out, outgoing{c, data})
+	for _, session := range v.manifestWaiters {
+		out = append(out, outgoing{session, data})
 	}
 	v.manifestWaiters = nil
 	now := s.cfg.Clock.Now()
 	for address, a := range v.pendingAnnounces {
-		if c, ok := v.sessions[address]; ok {
-			s.logReport(c, v.tracker.HandleAnnounce(now, c.identity, a))
+		if session, ok := v.sessions[address]; ok {
+			s.logReport(session, v.tracker.HandleAnnounce(now, session.identity, a))
 		}
 	}
 	v.pendingAnnounces = make(map[string]*wire.Announce)
--- a/entry/tracker/rollout.go
+++ b/entry/tracker/rollout.go
@@ -10,12 +10,12 @@
 )
 
 // handleStatus records the phase of an instance and updates its load permit.
-func (s *Service) handleStatus(c *Session, m *wire.TransferStatus) {
-	from := c.identity
+func (s *Service) handleStatus(session *Session, m *wire.TransferStatus) {
+	from := session.identity
 	s.touchVersion(m.Manifest).statuses[from.Instance] = wire.InstanceStatus{
 		Instance: from.Instance, Domain: from.Location.FailureDomain, Status: *m,
 	}
-	permits := s.coordinator(c.pool)
+	permits := s.coordinator(session.pool)
 	switch m.Phase {
 	case wire.PhaseQuiescing, wire.PhaseLoading:
 		permits.MarkStopped(s.cfg.Clock.Now(), from.Instance)
@@ -25,11 +25,11 @@
 }
 
 // requestPermit returns a load permit for the session's instance or a refusal.
-func (s *Service) requestPermit(c *Session, manifest model.Digest) *wire.LoadPermit {
+func (s *Service) requestPermit(session *Session, manifest model.Digest) *wire.LoadPermit {
 	s.touchVersion(manifest)
-	permits := s.coordinator(c.pool)
+	permits := s.coordinator(session.pool)
 	now := s.cfg.Clock.Now()
-	p, reason := permits.Request(now, c.identity.Instance, s.cfg.PoolState(c.pool))
+	p, reason := permits.Request(now, session.identity.Instance, s.cfg.PoolState(session.pool))
 	if reason != rollout.ReasonNone {
 		return &wire.LoadPermit{Manifest: manifest, RetryAfterMillis: permits.RetryInterval().Milliseconds(), Reason: string(reason)}
 	}
--- a/entry/tracker/service.go
+++ b/entry/tracker/service.go
@@ -37,14 +37,14 @@
 // Serve handles the messages of a connection until it fails and returns the
 // error. The handshake must be complete.
 func (s *Service) Serve(conn *wire.Conn, hello wire.Hello) error {
-	c := s.Attach(hello, conn)
-	defer c.Detach()
+	session := s.Attach(hello, conn)
+	defer session.Detach()
 	for {
 		m, err := conn.Receive()
 		if err != nil {
 			return err
 		}
-		c.Handle(m)
+		session.Handle(m)
 	}
 }
 
@@ -57,56 +57,56 @@
 
 // detach removes a session from all versions. It releases the agent's grants and
 // assigns the chunks to other agents.
-func (s *Service) detach(c *Session) {
+func (s *Service) detach(session *Session) {
 	s.mu.Lock()
 	var out []outgoing
 	for _, v := range s.versions {
-		if v.sessions[c.identity.Address] != c {
+		if v.sessions[session.identity.Address] != session {
 			continue // replaced by a newer connection
 		}
-		delete(v.sessions, c.identity.Address)
-		delete(v.pendingAnnounces, c.identity.Address)
+		delete(v.sessions, session.identity.Address)
+		delete(v.pendingAnnounces, session.identity.Address)
 		if v.tracker != nil {
-			v.tracker.RemoveAgent(c.identity.Address)
+			v.tracker.RemoveAgent(session.identity.Address)
 			out = append(out, s.schedule(v)...)
 		}
 		// An agent that has all chunks disconnects when it stops or changes its
 		// target version, so only a disconnect before that is a loss.
-		if v.statuses[c.identity.Instance].Status.Phase < wire.PhaseVerified {
-			s.cfg.Log.Log(eventlog.TransferPeerLost, "instance", c.identity.Instance, "manifest", v.digest.Short())
+		if v.statuses[session.identity.Instance].Status.Phase < wire.PhaseVerified {
+			s.cfg.Log.Log(eventlog.TransferPeerLost, "instance", session.identity.Instance, "manifest", v.digest.Short())
 		}
-		delete(v.statuses, c.identity.Instance)
+		delete(v.statuses, session.identity.Instance)
 	}
 	s.mu.Unlock()
 	s.send(out)
 }
 
 // handle processes a message under the lock and sends the answers afterwards. It
-// reports whether the message belongs to the tracker.
-func (s *Service) handle(c *Session, m wire.Message) bool {
+// reports whether trackers handle messages of this type.
+func (s *Service) handle(session *Session, m wire.Message) bool {
 	s.mu.Lock()
-	out, ok := s.dispatch(c, m)
+	out, ok := s.dispatch(session, m)
 	s.mu.Unlock()
 	s.send(out)
 	return ok
 }
 
 // dispatch processes a message and returns the answers. The caller holds s.mu.
-func (s *Service) dispatch(c *Session, m wire.Message) ([]outgoing, bool) {
+func (s *Service) dispatch(session *Session, m wire.Message) ([]outgoing, bool) {
 	switch m := m.(type) {
 	case *wire.HolderSummary:
-		return s.handleSummary(c, m), true
+		return s.handleSummary(session, m), true
 	case *wire.Announce:
-		return s.handleAnnounce(c, m), true
+		return s.handleAnnounce(session, m), true
 	case *wire.ManifestFetch:
-		return s.handleManifestFetch(c, m.Manifest), true
+		return s.handleManifestFetch(session, m.Manifest), true
 	case *wire.ManifestData:
 		return s.handleManifestData(m), true
 	case *wire.TransferStatus:
-		s.handleStatus(c, m)
+		s.handleStatus(session, m)
 		return nil, true
 	case *wire.LoadPermitFetch:
-		return []outgoing{{c, s.requestPermit(c, m.Manifest)}}, true
+		return []outgoing{{session, s.requestPermit(session, m.Manifest)}}, true
 	case *wire.ManifestRefused:
 		return nil, true
 	default:
@@ -143,49 +143,49 @@
 
 // handleAnnounce updates an agent's state. Every announcement is answered with an
 // Assign or, while the manifest is unknown, with a request for the manifest.
-func (s *Service) handleAnnounce(c *Session, a *wire.Announce) []outgoing {
+func (s *Service) handleAnnounce(session *Session, a *wire.Announce) []outgoing {
 	v := s.touchVersion(a.Manifest)
-	if old, ok := v.sessions[c.identity.Address]; ok && old != c && v.tracker != nil {
+	if old, ok := v.sessions[session.identity.Address]; ok && old != session && v.tracker != nil {
 		// Assignments sent over the earlier connection may have been lost.
-		v.tracker.RemoveAgent(c.identity.Address)
+		v.tracker.RemoveAgent(session.identity.Address)
 	}
-	v.sessions[c.identity.Address] = c
-	c.sequence = a.Sequence
+	v.sessions[session.identity.Address] = session
+	session.sequence = a.Sequence
 	if v.tracker == nil {
-		v.pendingAnnounces[c.identity.Address] = a
-		return []outgoing{{c, &wire.ManifestFetch{Manifest: a.Manifest}}}
+		v.pendingAnnounces[session.identity.Address] = a
+		return []outgoing{{session, &wire.ManifestFetch{Manifest: a.Manifest}}}
 	}
 	now := s.cfg.Clock.Now()
-	report := v.tracker.HandleAnnounce(now, c.identity, a)
-	s.logReport(c, report)
+	report := v.tracker.HandleAnnounce(now, session.identity, a)
+	s.logReport(session, report)
 	out := s.schedule(v)
-	reply := &wire.Assign{Manifest: a.Manifest, ReannounceMillis: v.tracker.RetryInterval().Milliseconds(), Sequence: c.sequence}
-	i := slices.IndexFunc(out, func(o outgoing) bool { return o.to == c })
+	reply := &wire.Assign{Manifest: a.Manifest, ReannounceMillis: v.tracker.RetryInterval().Milliseconds(), Sequence: session.sequence}
+	i := slices.IndexFunc(out, func(o outgoing) bool { return o.to == session })
 	if i < 0 {
-		out = append(out, outgoing{c, reply})
+		out = append(out, outgoing{session, reply})
 	} else {
 		reply = out[i].message.(*wire.Assign)
 	}
 	// Send new peers soon: an agent that loses its tracker early in a transfer
 	// needs them.
 	count := v.tracker.PeerCount()
-	if elapsed := now.Sub(c.peersSentAt); elapsed >= s.cfg.PeerListInterval || count > c.peersSentCount && elapsed >= s.cfg.PeerListInterval/10 {
-		c.peersSentAt, c.peersSentCount = now, count
-		reply.Peers = v.tracker.PeersFor(c.identity.Address)
+	if elapsed := now.Sub(session.peersSentAt); elapsed >= s.cfg.PeerListInterval || count > session.peersSentCount && elapsed >= s.cfg.PeerListInterval/10 {
+		session.peersSentAt, session.peersSentCount = now, count
+		reply.Peers = v.tracker.PeersFor(session.identity.Address)
 	}
 	return out
 }
 
 // logReport logs the problems that an announcement revealed.
-func (s *Service) logReport(c *Session, report distribute.AnnounceReport) {
+func (s *Service) logReport(session *Session, report distribute.AnnounceReport) {
 	for _, source := range report.CorruptSources {
-		s.cfg.Log.Log(eventlog.ChunkCorrupt, "instance", c.identity.Instance, "source", source)
+		s.cfg.Log.Log(eventlog.ChunkCorrupt, "instance", session.identity.Instance, "source", source)
 	}
 	for _, source := range report.FailedSources {
-		s.cfg.Log.Log(eventlog.TransferStalled, "instance", c.identity.Instance, "source", source)
+		s.cfg.Log.Log(eventlog.TransferStalled, "instance", session.identity.Instance, "source", source)
 	}
 	if report.OutdatedResults > 0 {
-		s.cfg.Log.Log(eventlog.GrantExpired, "instance", c.identity.Instance, "count", report.OutdatedResults)
+		s.cfg.Log.Log(eventlog.GrantExpired, "instance", session.identity.Instance, "count", report.OutdatedResults)
 	}
 }
 
@@ -193,15 +193,15 @@
 func (s *Service) schedule(v *version) []outgoing {
 	var out []outgoing
 	for _, d := range v.tracker.Schedule(s.cfg.Clock.Now()) {
-		if c, ok := v.sessions[d.Address]; ok {
-			d.Assign.Sequence = c.sequence
-			out = append(out, outgoing{c, d.Assign})
+		if session, ok := v.sessions[d.Address]; ok {
+			d.Assign.Sequence = session.sequence
+			out = append(out, outgoing{session, d.Assign})
 		}
 	}
 	return out
 }
 
-// Tick removes expired grants, silent agents and idle versions. The daemon
+// Tick removes expired grants, silent agents and idle versions. The entry
 // calls it several times per second.
 func (s *Service) Tick() {
 	s.mu.Lock()
@@ -224,7 +224,7 @@
 }
 
 // Summaries returns a summary of each version for other trackers. Several times
-// per second the daemon sends each summary to the first entry, in the
+// per second the entry sends each summary to the first entry, in the
 // rendezvous order of the manifest, of each other failure domain, and to the
 // first two other entries of its own. The latter is because agents that cannot
 // reach the first entry announce to the second, which must not fetch everything
@@ -243,12 +243,12 @@
 
 // handleSummary processes the summary of another tracker. It is ignored if no
 // agent has announced the version here.
-func (s *Service) handleSummary(c *Session, m *wire.HolderSummary) []outgoing {
+func (s *Service) handleSummary(session *Session, m *wire.HolderSummary) []outgoing {
 	v, ok := s.versions[m.Manifest]
 	if !ok || v.tracker == nil {
 		return nil
 	}
-	v.tracker.UpdateRemote(s.cfg.Clock.Now(), c.identity.Address, m)
+	v.tracker.UpdateRemote(s.cfg.Clock.Now(), session.identity.Address, m)
 	return s.schedule(v)
 }
 
--- a/entry/tracker/service_test.go
+++ b/entry/tracker/service_test.go
@@ -22,28 +22,28 @@
 	broken   bool
 }
 
-func (i *recordingSender) TrySend(m wire.Message) error {
-	if i.broken {
+func (r *recordingSender) TrySend(m wire.Message) error {
+	if r.broken {
 		return errors.New("connection broken")
 	}
-	i.messages = append(i.messages, m)
+	r.messages = append(r.messages, m)
 	return nil
 }
 
 var _ = Describe("Service", func() {
 	var (
-		now     *clock.Fake
-		s       *tracker.Service
-		encoded []byte
-		digest  model.Digest
+		fakeClock *clock.Fake
+		s         *tracker.Service
+		encoded   []byte
+		digest    model.Digest
 	)
 	attach := func(name string) (*tracker.Session, *recordingSender) {
 		sender := new(recordingSender)
 		return s.Attach(wire.Hello{Pool: "p", Identity: model.Identity{Instance: model.InstanceID(name), Address: name}}, sender), sender
 	}
 	BeforeEach(func() {
-		now = clock.NewFake(time.Unix(0, 0))
-		s = tracker.New(tracker.Config{Clock: now, Seed: 1, PoolState: func(string) rollout.PoolState { return rollout.PoolState{Live: 2, MinLive: 1} }})
+		fakeClock = clock.NewFake(time.Unix(0, 0))
+		s = tracker.New(tracker.Config{Clock: fakeClock, Seed: 1, PoolState: func(string) rollout.PoolState { return rollout.PoolState{Live: 2, MinLive: 1} }})
 		m, err := weights.BuildBytes(make([]byte, 10), "o", model.Digest{}, 3)
 		Expect(err).NotTo(HaveOccurred())
 		encoded, err = m.Encode()
@@ -51,7 +51,8 @@
 		digest = model.Sum(encoded)
 	})
 
-	// Guards against a manifest read by every agent and against a corrupt manifest.
+	// Guards against every agent reading the manifest from the origin, and against
+	// forwarding a corrupt one.
 	It("sends one agent to the origin for a manifest and forwards only a valid one", func() {
 		a, senderA := attach("a")
 		b, senderB := attach("b")
@@ -95,7 +96,7 @@
 		b.Handle(&wire.LoadPermitFetch{Manifest: digest})
 		Expect(senderB.messages[1].(*wire.LoadPermit).Granted).To(BeTrue())
 		Expect(s.Report().Instances).To(HaveLen(1))
-		now.Advance(2 * time.Minute)
+		fakeClock.Advance(2 * time.Minute)
 		s.Tick()
 		Expect(s.Report().Instances).To(BeEmpty(), "a version that no agent announces is dropped")
 	})
--- a/entry/tracker/session.go
+++ b/entry/tracker/session.go
@@ -23,12 +23,12 @@
 	peersSentCount int
 }
 
-// Handle processes one message. It returns false if the message does not belong
-// to the tracker. It is safe for concurrent use.
-func (c *Session) Handle(m wire.Message) bool { return c.service.handle(c, m) }
+// Handle processes one message. It returns false if trackers don't handle
+// messages of its type. It is safe for concurrent use.
+func (s *Session) Handle(m wire.Message) bool { return s.service.handle(s, m) }
 
 // Detach removes a connection that has ended. It may be called more than once.
-func (c *Session) Detach() { c.service.detach(c) }
+func (s *Session) Detach() { s.service.detach(s) }
 
 // outgoing is a message to send after the lock is released.
 type outgoing struct {
