--- a/lib/relay/client.go
+++ b/lib/relay/client.go
@@ -24,9 +24,9 @@
 	// direct restricts queries to instances that read the store themselves.
 	direct bool
 
-	remote netip.AddrPort
-	conn   net.Conn
-	decode *msgstream.Decoder
+	remote  netip.AddrPort
+	conn    net.Conn
+	decoder *msgstream.Decoder
 }
 
 // fetch returns the rows that changed after a revision, or all rows if it is
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	c.remote, c.conn, c.decode = to, conn, msgstream.NewDecoder(conn, bufferSize, maxAnswerSize)
+	c.remote, c.conn, c.decoder = to, conn, msgstream.NewDecoder(conn, bufferSize, maxAnswerSize)
 	return nil
 }
 
@@ -86,7 +86,7 @@
 			return watch.Rows{}, err
 		}
 		var a answer
-		if err := c.decode.Decode(&a); err != nil {
+		if err := c.decoder.Decode(&a); err != nil {
 			return watch.Rows{}, err
 		}
 		switch {
@@ -104,11 +104,11 @@
 func (a *answer) rows() (watch.Rows, error) {
 	rows := watch.Rows{Revision: a.Revision, AfterOutage: a.AfterOutage}
 	for _, r := range a.Rows {
-		unpacked, err := decodeRow(r)
+		decoded, err := decodeRow(r)
 		if err != nil {
 			return watch.Rows{}, err
 		}
-		rows.Rows = append(rows.Rows, unpacked)
+		rows.Rows = append(rows.Rows, decoded)
 	}
 	return rows, nil
 }
--- a/lib/relay/config.go
+++ b/lib/relay/config.go
@@ -4,10 +4,10 @@
 
 // Config configures the timing of a relay.
 type Config struct {
-	// MaxPropagation is the shortest time limit within which a change must be
-	// known to all instances.
+	// MaxPropagation is the time limit within which a change must be known to
+	// all instances.
 	MaxPropagation time.Duration
-	// Wait is how long a call of the store waits for a change if no instance
+	// Wait is how long a call to the store waits for a change if no instance
 	// follows this one.
 	Wait time.Duration
 	// BatchDelay is the pause after changes before the store is called again,
@@ -22,8 +22,8 @@
 	defaultMaxPropagation = 2 * time.Second
 	// confirmFraction is the part of MaxPropagation after which an instance
 	// with followers calls the store again. staleFraction is the part after
-	// which an instance without an answer must not be followed. The rest is
-	// left for the followers' own calls of the store.
+	// which an instance without an answer from the store must not be followed.
+	// The rest is left for the followers' own calls to the store.
 	confirmFraction = 0.25
 	staleFraction   = 0.5
 	// checkFraction is the part of MaxPropagation after which an instance
@@ -40,10 +40,10 @@
 	dialTimeout = 200 * time.Millisecond
 )
 
-// fraction returns part times of.
-func fraction(of time.Duration, part float64) time.Duration { return time.Duration(part * float64(of)) }
+// fraction returns part times d.
+func fraction(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
 
-// SavesStoreCalls reports whether relaying takes fewer calls of the store than
+// SavesStoreCalls reports whether relaying takes fewer calls to the store than
 // n instances that each read the store themselves.
 func (c Config) SavesStoreCalls(n int) bool {
 	return time.Duration(n)*fraction(c.MaxPropagation, confirmFraction) > c.Wait
--- a/lib/relay/doc.go
+++ b/lib/relay/doc.go
@@ -1,5 +1,5 @@
 // Package relay distributes the rows of a store's tables among the instances of
-// a region, so that only one of them reads the store. Calls of the store are
+// a region, so that only one of them reads the store. Calls to the store are
 // paid for, and a large row crosses the region's links only once.
 //
 // All instances agree on an order of the entries of the region. The first entry
--- a/lib/relay/reader.go
+++ b/lib/relay/reader.go
@@ -66,8 +66,8 @@
 // reports whether one did.
 func (r *Reader) fetchChanges(ctx context.Context) bool {
 	for _, source := range r.sources() {
-		askCtx, cancel := context.WithTimeout(ctx, readTimeout)
-		rows, err := r.client.fetch(askCtx, source, r.revision, 0)
+		queryCtx, cancel := context.WithTimeout(ctx, readTimeout)
+		rows, err := r.client.fetch(queryCtx, source, r.revision, 0)
 		cancel()
 		if err == nil {
 			r.merge(rows)
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -116,7 +116,7 @@
 		DeferCleanup(stop)
 	})
 
-	// Guards against calls of the store that grow with the number of entries, and
+	// Guards against calls to the store that grow with the number of entries, and
 	// against reading a large configuration from the store for each of them.
 	It("lets one instance read the store for all", func() {
 		leader := start(nil)
@@ -205,23 +205,23 @@
 		Expect(lost.HistoryLost).To(BeTrue())
 	})
 
-	// Guards against a call of the store for each row that a rollout changes.
-	It("delays the next call of the store after changes, but not if there were none", func() {
+	// Guards against a call to the store for each row that a rollout changes.
+	It("delays the next call to the store after changes, but not if there were none", func() {
 		const batchDelay = 150 * time.Millisecond
-		i := &store{content: content}
-		s := NewSource("t", i, NewCache(Config{MaxPropagation: bound, Wait: time.Second, BatchDelay: batchDelay}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
+		st := &store{content: content}
+		s := NewSource("t", st, NewCache(Config{MaxPropagation: bound, Wait: time.Second, BatchDelay: batchDelay}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
 		_, err := s.Changes(ctx, 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(i.calls[1].Sub(i.calls[0])).To(BeNumerically(">=", batchDelay))
-		Expect(i.calls[2].Sub(i.calls[1])).To(BeNumerically("<", batchDelay))
+		Expect(st.calls[1].Sub(st.calls[0])).To(BeNumerically(">=", batchDelay))
+		Expect(st.calls[2].Sub(st.calls[1])).To(BeNumerically("<", batchDelay))
 	})
 
-	// Guards against more calls of the store in a small region than without a relay.
-	It("saves calls of the store only if there are many instances", func() {
+	// Guards against more calls to the store in a small region than without a relay.
+	It("saves calls to the store only if there are many instances", func() {
 		c := Config{MaxPropagation: 4 * time.Second, Wait: 7 * time.Second}
 		Expect(c.SavesStoreCalls(7)).To(BeFalse())
 		Expect(c.SavesStoreCalls(8)).To(BeTrue())
--- a/lib/relay/server.go
+++ b/lib/relay/server.go
@@ -75,13 +75,13 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	decode := msgstream.NewDecoder(conn, bufferSize, maxQuerySize)
+	decoder := msgstream.NewDecoder(conn, bufferSize, maxQuerySize)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(idleTimeout)) != nil {
 			return
 		}
 		var q query
-		if decode.Decode(&q) != nil || s.answer(ctx, conn, &q) != nil {
+		if decoder.Decode(&q) != nil || s.answer(ctx, conn, &q) != nil {
 			return
 		}
 	}
--- a/lib/relay/source.go
+++ b/lib/relay/source.go
@@ -29,7 +29,7 @@
 	client client
 
 	// avoided is an instance that could not be followed. It is not queried
-	// until avoidedUntil. avoidedFor is the length of that wait.
+	// until avoidedUntil, which was set avoidedFor in advance.
 	avoided      netip.AddrPort
 	avoidedUntil time.Time
 	avoidedFor   time.Duration
@@ -40,7 +40,7 @@
 	path         netip.AddrPort
 	// hadChanges is true if the last answer of the store contained changes.
 	hadChanges bool
-	// storeFailed is true if the last call of the store failed.
+	// storeFailed is true if the last call to the store failed.
 	storeFailed bool
 }
 
@@ -108,11 +108,11 @@
 	return rows, nil
 }
 
-// waitBatch pauses after changes and returns how long the next call of the
+// waitBatch pauses after changes and returns how long the next call to the
 // store may wait. While other instances follow this one, that is short enough
 // to confirm regularly that it reads the store.
 func (s *Source) waitBatch(ctx context.Context, wait time.Duration) time.Duration {
-	confirm := fraction(s.config.MaxPropagation, confirmFraction)
+	confirmInterval := fraction(s.config.MaxPropagation, confirmFraction)
 	pause := time.Duration(0)
 	if s.hadChanges {
 		pause = s.config.BatchDelay
@@ -124,7 +124,7 @@
 		}
 	}
 	if s.role().HasFollowers {
-		return min(wait, max(0, confirm-pause))
+		return min(wait, max(0, confirmInterval-pause))
 	}
 	return wait
 }
@@ -145,7 +145,7 @@
 	return to
 }
 
-// upstreamAnswered resets the wait of the avoided instance and records the path.
+// upstreamAnswered clears the avoided instance and records the path.
 func (s *Source) upstreamAnswered(through netip.AddrPort) {
 	s.avoided, s.avoidedFor = netip.AddrPort{}, 0
 	s.setPath(through, nil)
