--- a/lib/watch/watcher_test.go
+++ b/lib/watch/watcher_test.go
@@ -52,7 +52,7 @@
 func (r *recordingHandler) Apply(rows Rows, recovered bool)   { r.record("apply", rows, recovered) }
 func (r *recordingHandler) Lost(error)                        { r.events = append(r.events, "lost") }
 
-func at(revision int64, keys ...string) response {
+func rowsAt(revision int64, keys ...string) response {
 	resp := response{rows: Rows{Revision: revision}}
 	for _, key := range keys {
 		resp.rows.Rows = append(resp.rows.Rows, Row{Key: key, Revision: revision})
@@ -74,20 +74,20 @@
 	}
 
 	It("reads the table once and then its changes", func() {
-		s, r, _ := run(at(5, "a"), at(5), at(7, "b"))
+		s, r, _ := run(rowsAt(5, "a"), rowsAt(5), rowsAt(7, "b"))
 		Expect(s.calls).To(Equal([]string{"snapshot", "changes", "changes"}))
 		Expect(r.events).To(Equal([]string{"replace a", "apply b"}))
 	})
 
 	It("reads the table again when the history is lost", func() {
-		s, r, _ := run(at(5, "a"), historyLost, at(9, "b"))
+		s, r, _ := run(rowsAt(5, "a"), historyLost, rowsAt(9, "b"))
 		Expect(s.calls).To(Equal([]string{"snapshot", "changes", "snapshot"}))
 		Expect(r.events).To(Equal([]string{"replace a", "replace b"}))
 	})
 
 	It("never delivers a state older than one already delivered", func() {
 		// Guards against a stale read that undoes a configuration.
-		_, r, delays := run(at(5, "a"), historyLost, at(4, "old"), at(6, "b"))
+		_, r, delays := run(rowsAt(5, "a"), historyLost, rowsAt(4, "old"), rowsAt(6, "b"))
 		Expect(r.events).To(Equal([]string{"replace a", "replace b"}))
 		Expect(delays[2]).To(BeNumerically(">", 0))
 	})
@@ -95,7 +95,7 @@
 	It("reports an outage once, and its end with the next response", func() {
 		// Guards against servers that are dropped because their rows expired during
 		// the outage.
-		_, r, _ := run(at(5, "a"), down, down, at(5), down, historyLost, at(6, "b"))
+		_, r, _ := run(rowsAt(5, "a"), down, down, rowsAt(5), down, historyLost, rowsAt(6, "b"))
 		Expect(r.events).To(Equal([]string{"replace a", "lost", "apply recovered", "lost", "replace recovered b"}))
 	})
 
@@ -103,7 +103,7 @@
 		// Guards against a call that hangs in an unresponsive store and delays a
 		// configuration that was accepted in the meantime: it arrived 3.4 s after it
 		// was acknowledged.
-		s, _, _ := run(at(5, "a"), at(5), down, at(6), at(6))
+		s, _, _ := run(rowsAt(5, "a"), rowsAt(5), down, rowsAt(6), rowsAt(6))
 		Expect(s.waits).To(HaveLen(4))
 		Expect(s.waits[0]).To(And(BeNumerically(">=", 2*time.Second), BeNumerically("<=", 3*time.Second)))
 		Expect(s.waits[2]).To(BeZero())
