--- a/lib/weights/errors.go
+++ b/lib/weights/errors.go
@@ -8,7 +8,7 @@
 	// ErrManifestInvalid means that a manifest is malformed or outside the limits
 	// of the format.
 	ErrManifestInvalid = merry.New("invalid manifest")
-	// ErrChunkCorrupt means that the data of a chunk doesn't have its digest.
+	// ErrChunkCorrupt means that data doesn't match the size and digest of its chunk.
 	ErrChunkCorrupt = merry.New("chunk digest mismatch")
 	// ErrIncomplete means that chunks are missing.
 	ErrIncomplete = merry.New("weights incomplete")
--- a/lib/weights/store.go
+++ b/lib/weights/store.go
@@ -197,7 +197,7 @@
 	for i, c := range m.Chunks {
 		data, err := s.Get(c.Digest)
 		if err != nil {
-			s.drop(c.Digest) // the file may be gone from the staging area
+			s.drop(c.Digest) // its file may have been deleted from the staging directory
 			return merry.Prependf(err, "chunk %d of %d", i, len(m.Chunks))
 		}
 		if len(data) != int(c.Size) || model.Sum(data) != c.Digest {
--- a/lib/weights/store_test.go
+++ b/lib/weights/store_test.go
@@ -40,9 +40,9 @@
 
 	It("detects corruption in the staging directory right before a load (guards against data that changed after the transfer)", func() {
 		dir := GinkgoT().TempDir()
-		sink, err := weights.NewDirectoryStorage(dir)
+		storage, err := weights.NewDirectoryStorage(dir)
 		Expect(err).NotTo(HaveOccurred())
-		m, s := build(data), weights.NewStore(weights.StoreConfig{Storage: sink})
+		m, s := build(data), weights.NewStore(weights.StoreConfig{Storage: storage})
 		fill(s, m, data)
 		Expect(s.Verify(m)).To(Succeed())
 		name := filepath.Join(dir, m.Chunks[3].Digest.String()+".chunk")
