--- a/peerlink/gossip.go
+++ b/peerlink/gossip.go
@@ -9,9 +9,9 @@
 // Gossip carries what one entry has observed about backend servers and others
 // should learn soon.
 type Gossip struct {
-	// Suspects are contents that have crashed backend servers.
+	// Suspects lists requests that were in flight when backend servers crashed.
 	Suspects wire.SuspectUpdate `msgpack:"u"`
-	// Draining are servers that have announced that they are draining.
+	// Draining lists servers that have announced that they are draining.
 	Draining []ServerKey `msgpack:"l,omitempty"`
 	// Forward asks an agent to forward the message to entries, and an entry to
 	// forward what it didn't know yet to the other entries of its region.
--- a/peerlink/message.go
+++ b/peerlink/message.go
@@ -1,6 +1,6 @@
 // Package peerlink defines the protocol between agents and entries: pieces of
-// weights over TCP, and load reports in UDP datagrams. Messages are encoded with
-// msgpack, which is self-delimiting.
+// weights over TCP, and load reports, placements and gossip in UDP datagrams.
+// Messages are encoded with msgpack, which is self-delimiting.
 package peerlink
 
 // PieceRequest is sent by an agent to a peer. The first one on a connection
@@ -24,7 +24,7 @@
 // PieceResponse is sent by a peer in response to a request, or to announce
 // pieces.
 type PieceResponse struct {
-	// Have are the pieces that the peer has received since its last announcement.
+	// Have lists the pieces that the peer has received since its last announcement.
 	Have []int `msgpack:"h,omitempty"`
 	// Piece is the requested piece, or NoPiece.
 	Piece int `msgpack:"p"`
--- a/peerlink/placement.go
+++ b/peerlink/placement.go
@@ -13,8 +13,8 @@
 	Service string `msgpack:"s"`
 	Model   string `msgpack:"m"`
 	// Version is the only version that may run the request, or zero for any that
-	// isn't older than MinVersion. NextVersion is the oldest version that may start
-	// it from NextMillis from now on, or zero if no change is due.
+	// isn't older than MinVersion. NextVersion is the value that MinVersion will
+	// have after NextMillis milliseconds, or zero if no change is due.
 	Version     int   `msgpack:"v,omitempty"`
 	MinVersion  int   `msgpack:"n,omitempty"`
 	NextVersion int   `msgpack:"x,omitempty"`
@@ -29,7 +29,7 @@
 	RemainingMillis     int64 `msgpack:"i,omitempty"`
 	// MayHaveRun means that the request has already started elsewhere.
 	MayHaveRun bool `msgpack:"c,omitempty"`
-	// Exclude are servers that must not run the request.
+	// Exclude lists servers that must not run the request.
 	Exclude []ServerKey `msgpack:"g,omitempty"`
 	// OpenLeases are the numbers of the leases that the entry holds from the
 	// receiver. They are valid if OpenLeasesKnown is set.
@@ -59,8 +59,8 @@
 	PredictedMicros int64 `msgpack:"p,omitempty"`
 	Occupancy       int   `msgpack:"o,omitempty"`
 	LoadAgeMicros   int64 `msgpack:"a,omitempty"`
-	// Reason is why the request is refused, RetryAfterMillis when capacity is
-	// expected.
+	// Reason is why the request is refused, and RetryAfterMillis the time until
+	// capacity is expected.
 	Reason           string `msgpack:"r,omitempty"`
 	RetryAfterMillis int64  `msgpack:"f,omitempty"`
 }
