--- a/agent/transfer/runner.go
+++ b/agent/transfer/runner.go
@@ -122,15 +122,15 @@
 	for _, id := range r.downloader.SetTarget(now, t.digest, t.parsed.manifest, r.service.cfg.Chunks.Have(t.parsed.manifest)) {
 		r.cancelWorker(id)
 	}
-	r.setPeers()
+	r.addPeers()
 	r.phase = wire.PhaseFetching
 	r.link = r.service.newTrackerLink(t.digest, r.linkEvents)
 }
 
-func (r *runner) setPeers() {
+func (r *runner) addPeers() {
 	r.service.mu.Lock()
 	defer r.service.mu.Unlock()
-	r.downloader.SetPeers(r.service.peers)
+	r.downloader.AddPeers(r.service.peers)
 }
 
 // joinTarget makes another Fetch of the same version wait for the result as
@@ -177,7 +177,7 @@
 			if r.service.counters.hasTracker.Swap(false) {
 				r.service.cfg.Log.Log(eventlog.TrackerUnreachable)
 			}
-			r.setPeers()
+			r.addPeers()
 			r.downloader.TrackerLost(now)
 			return
 		}
--- a/lib/distribute/downloader_trackerless.go
+++ b/lib/distribute/downloader_trackerless.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// SetPeers adds peers to the ones known for trackerless mode.
-func (d *Downloader) SetPeers(addresses []string) { d.trackerless.addPeers(addresses, d.cfg.Self) }
+// AddPeers adds peers to the ones known for trackerless mode.
+func (d *Downloader) AddPeers(addresses []string) { d.trackerless.addPeers(addresses, d.cfg.Self) }
 
 // SetPeerBitmap records a peer's answer to a query of QueryPeers. An answer for
 // another version than the target is ignored.
--- a/lib/distribute/sim_test.go
+++ b/lib/distribute/sim_test.go
@@ -108,7 +108,7 @@
 	for _, a := range s.agents {
 		for _, b := range s.agents {
 			if a.domain == b.domain {
-				a.downloader.SetPeers([]string{b.identity.Address})
+				a.downloader.AddPeers([]string{b.identity.Address})
 			}
 		}
 		s.setTarget(a, 0)
--- a/lib/distribute/trackerless_test.go
+++ b/lib/distribute/trackerless_test.go
@@ -33,7 +33,7 @@
 			d.TrackerLost(now)
 			for p := range 20 {
 				address := fmt.Sprintf("peer-%02d", p)
-				d.SetPeers([]string{address})
+				d.AddPeers([]string{address})
 				d.SetPeerBitmap(address, digest, have)
 			}
 			start := d.Next(now).Start
@@ -58,7 +58,7 @@
 		d.TrackerConnected(now)
 		// The tracker answers once and then falls silent.
 		d.HandleAssign(now, &wire.Assign{Manifest: digest})
-		d.SetPeers([]string{"peer"})
+		d.AddPeers([]string{"peer"})
 		d.SetPeerBitmap("peer", digest, have)
 		var starts []time.Duration
 		begin := now
