--- a/lib/distribute/sim_test.go
+++ b/lib/distribute/sim_test.go
@@ -34,10 +34,10 @@
 
 	originStarts int // chunk reads started from the origin
 	originWaste  int // of originStarts: corrupt, cancelled, throttled or lost with a killed agent
-	// reroutes is the number of failed transfers from peers. After each of them
+	// peerFailures is the number of failed transfers from peers. After each of them
 	// another source may be used, which is the origin if no other agent holds
 	// the chunk.
-	reroutes int
+	peerFailures int
 }
 
 type simDomain struct {
@@ -108,7 +108,7 @@
 	for _, a := range s.agents {
 		for _, b := range s.agents {
 			if a.domain == b.domain {
-				a.downloader.SetPeers([]string{b.identity.Address})
+				a.downloader.AddPeers([]string{b.identity.Address})
 			}
 		}
 		s.setTarget(a, 0)
@@ -143,7 +143,7 @@
 	if f.Source == distribute.Origin {
 		s.originWaste++
 	} else {
-		s.reroutes++
+		s.peerFailures++
 	}
 }
 
