--- a/lib/admit/fuzz_test.go
+++ b/lib/admit/fuzz_test.go
@@ -51,18 +51,18 @@
 			now := time.Unix(0, 0)
 			serial := 0
 			tenants := rapid.SampledFrom([]model.Tenant{"a", "b", "c"})
-			checkRefusal := func(s admit.Refusal) {
-				if s.RetryAfter <= 0 || s.Reason == "" {
-					t.Fatalf("refusal without RetryAfter or Reason: %+v", s)
+			checkRefusal := func(refusal admit.Refusal) {
+				if refusal.RetryAfter <= 0 || refusal.Reason == "" {
+					t.Fatalf("refusal without RetryAfter or Reason: %+v", refusal)
 				}
 			}
 			expire := func() {
-				for _, s := range q.Expire(now) {
-					checkRefusal(s)
-					if !now.After(s.Request.StartBy) {
-						t.Fatalf("%s expired before its StartBy", s.Request.ID)
+				for _, refusal := range q.Expire(now) {
+					checkRefusal(refusal)
+					if !now.After(refusal.Request.StartBy) {
+						t.Fatalf("%s expired before its StartBy", refusal.Request.ID)
 					}
-					ref.remove(t, s.Request, false)
+					ref.remove(t, refusal.Request, false)
 				}
 			}
 			t.Repeat(map[string]func(*rapid.T){
@@ -86,12 +86,12 @@
 					if rapid.Bool().Draw(t, "bounded") {
 						r.StartBy = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 					}
-					s, ok := q.Enqueue(now, r)
+					refusal, ok := q.Enqueue(now, r)
 					full := ref.total == maxQueued || ref.tenants[r.Tenant] == tenantMax
 					if !ok {
-						checkRefusal(s)
+						checkRefusal(refusal)
 						if r.StartBy.IsZero() && !full {
-							t.Fatalf("%+v was refused although the queue has room: %s", r, s.Reason)
+							t.Fatalf("%+v was refused although the queue has room: %s", r, refusal.Reason)
 						}
 						return
 					}
--- a/lib/admit/item.go
+++ b/lib/admit/item.go
@@ -8,7 +8,7 @@
 	Request
 	class     *classQueue
 	arrivedAt time.Time
-	done      bool // dequeued, cancelled or expired; the class list drops it at its head
+	done      bool // dequeued, cancelled or expired, but maybe still in the class list
 	heapIndex int  // index in the heap, or -1
 }
 
--- a/lib/admit/queue.go
+++ b/lib/admit/queue.go
@@ -30,8 +30,8 @@
 // of the priorities), B is Config.Burst and O is Config.MaxOvertake. Blocked
 // requests do not count as queued. A tenant within its share therefore waits
 // for its own requests and for a bounded number of tokens of others, however
-// many requests another tenant sends. B favours the tenant that sent less
-// before.
+// many requests another tenant sends. The term B favours the tenant that used
+// less of its share before.
 //
 // Within a tenant, classes share in the same way with weights that grow by
 // Config.PriorityRatio per priority. Requests of one class are served in FIFO
--- a/lib/admit/rate.go
+++ b/lib/admit/rate.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// rate measures the tokens dequeued per second while requests are queued. Both
-// sums decay exponentially, so that a change of capacity shows within the
-// window.
+// rate measures the tokens dequeued per second while requests are queued.
+// tokens and seconds decay exponentially, so that a change of capacity shows
+// within the window.
 type rate struct {
 	tokens    float64
 	seconds   float64
