--- a/lib/attempt/budget_test.go
+++ b/lib/attempt/budget_test.go
@@ -47,6 +47,6 @@
 		m.Queued(now)
 		m.Dispatched(now, Dispatch{Attempt: "a1"})
 		step := m.Refused(now, "a1", "overloaded", 0)
-		Expect(traceOf(step)).To(Equal(traceStep{Action: "finish", Outcome: "not_run", Reason: "retry_budget_exhausted", Advice: true}))
+		Expect(traceOf(step)).To(Equal(traceStep{Action: "finish", Outcome: "not_run", Reason: "retry_budget_exhausted", RetryAdvice: true}))
 	})
 })
--- a/lib/attempt/event.go
+++ b/lib/attempt/event.go
@@ -43,7 +43,7 @@
 
 // Refused reports a RequestRefused message.
 func (m *Machine) Refused(now time.Time, attempt model.AttemptID, reason outcome.Reason, retryAfter time.Duration) Step {
-	return m.fireFor(triggerRefused, event{now: now, attempt: attempt, reason: reason, retryAfter: retryAfter})
+	return m.fireIfCurrent(triggerRefused, event{now: now, attempt: attempt, reason: reason, retryAfter: retryAfter})
 }
 
 // Frame reports a ResponseFrame message.
@@ -55,36 +55,36 @@
 		step, _ := m.acceptFrame(data)
 		return step
 	}
-	return m.fireFor(triggerFrame, event{now: now, attempt: attempt, sequence: sequence, data: data})
+	return m.fireIfCurrent(triggerFrame, event{now: now, attempt: attempt, sequence: sequence, data: data})
 }
 
 // End reports a ResponseEnd message.
 func (m *Machine) End(now time.Time, end *wire.ResponseEnd) Step {
-	return m.fireFor(triggerEnd, event{now: now, attempt: end.Attempt, end: end})
+	return m.fireIfCurrent(triggerEnd, event{now: now, attempt: end.Attempt, end: end})
 }
 
 // ConnectionLost reports that the connection to the agent of the attempt is
 // lost.
 func (m *Machine) ConnectionLost(now time.Time, attempt model.AttemptID) Step {
-	return m.fireFor(triggerConnectionLost, event{now: now, attempt: attempt})
+	return m.fireIfCurrent(triggerConnectionLost, event{now: now, attempt: attempt})
 }
 
 // Reattached reports that Reattach was sent to the same generation of the
 // agent.
 func (m *Machine) Reattached(now time.Time, attempt model.AttemptID) Step {
-	return m.fireFor(triggerReattached, event{now: now, attempt: attempt})
+	return m.fireIfCurrent(triggerReattached, event{now: now, attempt: attempt})
 }
 
 // ReattachFailed reports that no connection to the agent was established in
 // time.
 func (m *Machine) ReattachFailed(now time.Time, attempt model.AttemptID) Step {
-	return m.fireFor(triggerReattachFailed, event{now: now, attempt: attempt})
+	return m.fireIfCurrent(triggerReattachFailed, event{now: now, attempt: attempt})
 }
 
 // ServerCrashed reports that the backend server of the attempt crashed, or that
 // its agent came back with another generation.
 func (m *Machine) ServerCrashed(now time.Time, attempt model.AttemptID) Step {
-	return m.fireFor(triggerServerCrashed, event{now: now, attempt: attempt})
+	return m.fireIfCurrent(triggerServerCrashed, event{now: now, attempt: attempt})
 }
 
 // DeadlinePassed reports that the deadline of the request has passed.
@@ -97,9 +97,9 @@
 	return m.fire(triggerCanceled, event{now: now})
 }
 
-// fireFor ignores events of attempts other than the current one, which arrive
-// late.
-func (m *Machine) fireFor(t trigger, e event) Step {
+// fireIfCurrent handles an event of the current attempt. Events of other
+// attempts arrived late and are ignored.
+func (m *Machine) fireIfCurrent(t trigger, e event) Step {
 	if e.attempt != m.current.Attempt || m.current.Attempt == "" {
 		return Step{}
 	}
--- a/lib/attempt/handlers.go
+++ b/lib/attempt/handlers.go
@@ -72,7 +72,7 @@
 	m.replaying = false
 	step, ok := m.acceptFrame(m.event.data)
 	if !ok {
-		return m.diverged()
+		return m.finishDiverged()
 	}
 	m.step = step
 	m.reattaches = 0
@@ -97,9 +97,9 @@
 	return Step{Forward: true, SkipBytes: skip}, true
 }
 
-// diverged ends a request whose new attempt differs from the bytes that the
-// caller already has.
-func (m *Machine) diverged() state {
+// finishDiverged ends a request whose new attempt differs from the bytes that
+// the caller already has.
+func (m *Machine) finishDiverged() state {
 	m.mayHaveRun = true
 	m.step.Cancel = m.current.Attempt
 	return m.finish(outcome.ReasonIncomplete, 0)
--- a/lib/attempt/machine.go
+++ b/lib/attempt/machine.go
@@ -26,8 +26,8 @@
 	// mayHaveRun is set once any attempt may have run. From then on the request
 	// cannot end as NotRun, whatever later attempts return.
 	mayHaveRun bool
-	// replaying is set after a reattach until the replayed frames reach the gap;
-	// frames beyond the gap are ignored meanwhile.
+	// replaying is set after a reattach until the next expected frame arrives;
+	// later frames are ignored meanwhile.
 	replaying bool
 
 	response        response
@@ -66,7 +66,8 @@
 
 func (m *Machine) fire(t trigger, e event) Step {
 	m.event, m.step = e, Step{}
-	// The transition table ignores unknown events, and handlers return no errors.
+	// Triggers that do not apply to the state are ignored, and handlers return no
+	// errors.
 	_ = transitions.FireCtx(&m.firing, t)
 	m.event = event{}
 	return m.step
@@ -89,7 +90,7 @@
 }
 
 // retryOrFinish decides whether to retry after an attempt without a complete
-// answer. ran reports whether that attempt may have run.
+// answer. ran indicates that this attempt may have run.
 func (m *Machine) retryOrFinish(ran bool, reason outcome.Reason, retryAfter time.Duration) state {
 	m.mayHaveRun = m.mayHaveRun || ran
 	if m.forwardedBytes > 0 && m.response.bytes == m.forwardedBytes {
--- a/lib/attempt/replay_test.go
+++ b/lib/attempt/replay_test.go
@@ -38,23 +38,23 @@
 }
 
 type traceStep struct {
-	Action   string          `json:"action"`
-	Forward  bool            `json:"forward"`
-	Skip     int             `json:"skip"`
-	Discard  bool            `json:"discard"`
-	Cancel   model.AttemptID `json:"cancel"`
-	Next     uint64          `json:"next"`
-	Pinned   bool            `json:"pinned"`
-	Outcome  string          `json:"outcome"`
-	Reason   outcome.Reason  `json:"reason"`
-	Settling bool            `json:"settling"`
-	Advice   bool            `json:"retry_advice"`
+	Action         string          `json:"action"`
+	Forward        bool            `json:"forward"`
+	Skip           int             `json:"skip"`
+	Discard        bool            `json:"discard"`
+	Cancel         model.AttemptID `json:"cancel"`
+	Next           uint64          `json:"next"`
+	Pinned         bool            `json:"pinned"`
+	Outcome        string          `json:"outcome"`
+	Reason         outcome.Reason  `json:"reason"`
+	OutcomePending bool            `json:"settling"`
+	RetryAdvice    bool            `json:"retry_advice"`
 }
 
 func traceOf(s Step) traceStep {
 	t := traceStep{
 		Action: s.Action.String(), Forward: s.Forward, Skip: s.SkipBytes, Discard: s.Discard, Cancel: s.Cancel,
-		Next: s.NextSequence, Pinned: s.Pinned, Reason: s.Reason, Settling: s.OutcomePending, Advice: s.RetryAfter > 0,
+		Next: s.NextSequence, Pinned: s.Pinned, Reason: s.Reason, OutcomePending: s.OutcomePending, RetryAdvice: s.RetryAfter > 0,
 	}
 	if s.Action == ActionFinish || s.Action == ActionRecord {
 		t.Outcome = s.Outcome.String()
--- a/lib/attempt/answer.go
+++ b/lib/attempt/response.go
@@ -21,13 +21,13 @@
 	prefixDigest model.Digest
 }
 
-func (r *response) reset(prefix int64, sum model.Digest) {
+func (r *response) reset(prefixBytes int64, prefixDigest model.Digest) {
 	if r.hasher == nil {
 		r.hasher = blake3.New()
 	} else {
 		r.hasher.Reset()
 	}
-	r.nextSequence, r.bytes, r.prefixBytes, r.prefixDigest = 0, 0, prefix, sum
+	r.nextSequence, r.bytes, r.prefixBytes, r.prefixDigest = 0, 0, prefixBytes, prefixDigest
 }
 
 // add adds the next frame in sequence and returns the number of its leading
