--- a/lib/claim/batcher_test.go
+++ b/lib/claim/batcher_test.go
@@ -102,9 +102,9 @@
 				id := fmt.Sprint(n)
 				mu.Unlock()
 				key := Key{Service: "orders", Tenant: "t", IdempotencyKey: id}
-				a := l.Claim(context.Background(), now, key, Intent{Attempt: model.AttemptID(id)})
-				if a.Status != StatusHeld {
-					b.Error(a.Status)
+				decision := l.Claim(context.Background(), now, key, Intent{Attempt: model.AttemptID(id)})
+				if decision.Status != StatusHeld {
+					b.Error(decision.Status)
 				}
 				if err := l.Complete(context.Background(), now, key, model.AttemptID(id), Result{Body: body}); err != nil {
 					b.Error(err)
--- a/lib/claim/commit.go
+++ b/lib/claim/commit.go
@@ -12,25 +12,25 @@
 // write succeeds or fails on its own. It returns one error per write.
 func commitEach(ctx context.Context, table backing.TableService, writes []backing.Write) []error {
 	errs := make([]error, len(writes))
-	left := make([]int, len(writes))
-	for i := range left {
-		left[i] = i
+	remaining := make([]int, len(writes))
+	for i := range remaining {
+		remaining[i] = i
 	}
-	rest := writes
-	for len(left) > 0 {
-		err := classify(table.Commit(ctx, backing.Transaction{Writes: rest}))
+	remainingWrites := writes
+	for len(remaining) > 0 {
+		err := classify(table.Commit(ctx, backing.Transaction{Writes: remainingWrites}))
 		var conflict *backing.ConflictError
-		if !errors.As(err, &conflict) || conflict.Index < 0 || conflict.Index >= len(left) {
-			for _, i := range left {
+		if !errors.As(err, &conflict) || conflict.Index < 0 || conflict.Index >= len(remaining) {
+			for _, i := range remaining {
 				errs[i] = err
 			}
 			break
 		}
-		errs[left[conflict.Index]] = &backing.ConflictError{}
-		left = append(left[:conflict.Index], left[conflict.Index+1:]...)
-		rest = make([]backing.Write, len(left))
-		for i, index := range left {
-			rest[i] = writes[index]
+		errs[remaining[conflict.Index]] = &backing.ConflictError{}
+		remaining = append(remaining[:conflict.Index], remaining[conflict.Index+1:]...)
+		remainingWrites = make([]backing.Write, len(remaining))
+		for i, index := range remaining {
+			remainingWrites[i] = writes[index]
 		}
 	}
 	return errs
--- a/lib/claim/config.go
+++ b/lib/claim/config.go
@@ -11,8 +11,8 @@
 	// defaultPruneMargin delays the deletion of expired rows, so that all entries
 	// regard a row as expired before it is deleted, despite clock differences.
 	defaultPruneMargin = 10 * time.Minute
-	// defaultMaxTries is the maximum number of writes of one claim while replies
-	// are lost.
+	// defaultMaxTries is the maximum number of tries of one claim, completion or
+	// release.
 	defaultMaxTries = 3
 	// defaultBackoff is the time between two tries.
 	defaultBackoff = 100 * time.Millisecond
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -84,9 +84,9 @@
 		abandon := func(f tabletest.Fault) {
 			first = open()
 			readsFail, faults = true, []tabletest.Fault{f, f}
-			a := first.Claim(ctx, now, key, intent("a1"))
-			Expect(a.Status).To(Equal(StatusAbandoned))
-			Expect(a.Proofs).To(Equal([]model.AttemptID{"a1"}))
+			decision := first.Claim(ctx, now, key, intent("a1"))
+			Expect(decision.Status).To(Equal(StatusAbandoned))
+			Expect(decision.Proofs).To(Equal([]model.AttemptID{"a1"}))
 			readsFail = false
 		}
 		DescribeTable("RetryPending frees the key", func(f tabletest.Fault) {
--- a/lib/claim/settle.go
+++ b/lib/claim/update.go
@@ -64,8 +64,8 @@
 }
 
 // apply reads the row and writes the update conditional on the version read.
-// done reports whether the update needs no further try. If the reply to the
-// write is lost, the next apply finds the row as this one left it.
+// done reports whether the update needs no further try. If a write was applied
+// but its reply was lost, the next apply finds the row already updated.
 func (l *Ledger) apply(ctx context.Context, u pendingUpdate) (done bool, err error) {
 	row, err := l.table.Get(ctx, Table, u.key.row())
 	if errors.Is(err, backing.ErrNotFound) {
