--- a/lib/reservation/reservation.go
+++ b/lib/reservation/reservation.go
@@ -5,8 +5,9 @@
 // protocols. docs/decisions/claims-and-reservations.md compares this with
 // claims.
 //
-// A number below the window counts as used, because the agent no longer knows.
-// When the generation of the agent ends, its unused tokens become invalid.
+// A number below the window counts as used, because the agent no longer knows
+// whether it was. When the generation of the agent ends, its unused tokens
+// become invalid.
 //
 // The types are not safe for concurrent use. Tokens are not signed, because
 // they are exchanged only between the system's own processes.
--- a/lib/reservation/verdict.go
+++ b/lib/reservation/verdict.go
@@ -14,7 +14,8 @@
 	// run.
 	VerdictTooOld
 	// VerdictWrongAgent means that the token is for another instance or
-	// generation. It has not run in this process, but may have run in that one.
+	// generation. It has not run in this process, but may have run in the other
+	// one.
 	VerdictWrongAgent
 	// VerdictTooManyIssuers means that the token was not run because the agent
 	// has no room for another issuer.
