--- a/lib/retry/budget.go
+++ b/lib/retry/budget.go
@@ -16,8 +16,8 @@
 }
 
 const (
-	// safetyFactor keeps an entry below its share of the limit, because the
-	// windows of other observers start at different times.
+	// safetyFactor keeps an entry below its share of the limit, because a
+	// window measured elsewhere may start at another time.
 	safetyFactor = 0.8
 	// bucketsPerWindow is the number of buckets that make up a window.
 	bucketsPerWindow = 20
@@ -28,13 +28,13 @@
 type Budget struct {
 	config   Config
 	entries  int
-	services map[string]*counts
+	services map[string]*serviceCounts
 }
 
 // New returns a Budget. entries is the number of entries that share
 // Config.Slack.
 func New(config Config, entries int) *Budget {
-	return &Budget{config: config, entries: max(1, entries), services: make(map[string]*counts)}
+	return &Budget{config: config, entries: max(1, entries), services: make(map[string]*serviceCounts)}
 }
 
 // SetEntries sets the number of entries that share Config.Slack.
@@ -44,7 +44,7 @@
 // restarts.
 func (b *Budget) SetConfig(config Config) {
 	if config.Window != b.config.Window {
-		b.services = make(map[string]*counts)
+		b.services = make(map[string]*serviceCounts)
 	}
 	b.config = config
 }
@@ -69,45 +69,45 @@
 	return max(0, b.limit(c)-float64(c.sum(&c.retries)))
 }
 
-func (b *Budget) limit(c *counts) float64 {
+func (b *Budget) limit(c *serviceCounts) float64 {
 	return safetyFactor * (b.config.Ratio*float64(c.sum(&c.requests)) + b.config.Slack/float64(b.entries))
 }
 
-func (b *Budget) counts(service string, now time.Time) *counts {
+func (b *Budget) counts(service string, now time.Time) *serviceCounts {
 	c := b.services[service]
 	if c == nil {
-		c = &counts{}
+		c = &serviceCounts{}
 		b.services[service] = c
 	}
 	c.advance(now, b.config.Window/bucketsPerWindow)
 	return c
 }
 
-// counts holds the requests and retries of the current window by bucket, newest
-// bucket first.
-type counts struct {
+// serviceCounts holds the requests and retries of one service in the current
+// window by bucket, newest bucket first.
+type serviceCounts struct {
 	requests, retries [bucketsPerWindow]int
 	// newestBucket is the number of the newest bucket since the Unix epoch.
 	newestBucket int64
 }
 
-func (c *counts) advance(now time.Time, bucketLength time.Duration) {
+func (c *serviceCounts) advance(now time.Time, bucketLength time.Duration) {
 	bucket := now.UnixNano() / int64(max(bucketLength, time.Millisecond))
 	shift := bucket - c.newestBucket
 	if shift <= 0 {
 		return
 	}
 	n := int(min(shift, bucketsPerWindow))
-	for _, counts := range []*[bucketsPerWindow]int{&c.requests, &c.retries} {
-		copy(counts[n:], counts[:bucketsPerWindow-n])
-		clear(counts[:n])
+	for _, buckets := range []*[bucketsPerWindow]int{&c.requests, &c.retries} {
+		copy(buckets[n:], buckets[:bucketsPerWindow-n])
+		clear(buckets[:n])
 	}
 	c.newestBucket = bucket
 }
 
-func (c *counts) sum(counts *[bucketsPerWindow]int) int {
+func (c *serviceCounts) sum(buckets *[bucketsPerWindow]int) int {
 	total := 0
-	for _, n := range counts {
+	for _, n := range buckets {
 		total += n
 	}
 	return total
