--- a/lib/route/cache_event.go
+++ b/lib/route/cache_event.go
@@ -17,7 +17,7 @@
 
 // cacheSync detects gaps in the cache events of one generation.
 type cacheSync struct {
-	lastSeq uint64
+	lastSequence uint64
 	// unsynced is set from a gap until the next snapshot. Meanwhile only the
 	// entry's own requests add blocks to the index.
 	unsynced bool
@@ -34,12 +34,12 @@
 
 func (c *cacheSync) check(sequence uint64) cacheAction {
 	switch {
-	case sequence <= c.lastSeq:
+	case sequence <= c.lastSequence:
 		return cacheIgnore
-	case c.unsynced || sequence != c.lastSeq+1:
+	case c.unsynced || sequence != c.lastSequence+1:
 		c.unsynced = true
 		return cacheGap
 	}
-	c.lastSeq = sequence
+	c.lastSequence = sequence
 	return cacheApply
 }
--- a/lib/route/config.go
+++ b/lib/route/config.go
@@ -44,7 +44,7 @@
 	// MaxWait is the maximum duration of that wait. It must leave time for the
 	// first token: the default is two thirds of a target of 1.4 s.
 	MaxWait time.Duration
-	// PrefixTTL is the time after which an unconfirmed entry of the prefix index
+	// PrefixTTL is the time after which an unconfirmed block in the prefix index
 	// expires.
 	PrefixTTL time.Duration
 	// MaxPrefixes limits the blocks per epoch of the prefix index, which keeps
--- a/lib/route/ejection.go
+++ b/lib/route/ejection.go
@@ -28,9 +28,9 @@
 	return int(p.cfg.MaxEjectedShare * float64(size))
 }
 
-// enforceEjectionCap readmits instances, those whose ejection ends first, until
+// enforceMaxEjected readmits instances, those whose ejection ends first, until
 // the number of ejected instances is within the maximum.
-func (p *Picker) enforceEjectionCap(now instant, pool string) {
+func (p *Picker) enforceMaxEjected(now instant, pool string) {
 	for p.countEjected(now, pool) > p.maxEjected(pool) {
 		var first *slot
 		for _, s := range p.slots {
--- a/lib/route/fuzz_test.go
+++ b/lib/route/fuzz_test.go
@@ -38,12 +38,12 @@
 
 // instanceModel is the reference model of an instance.
 type instanceModel struct {
-	live     []model.Weights
-	draining bool
-	ejected  time.Time // end of the ejection
-	pool     string
-	role     route.Role
-	started  int
+	live         []model.Weights
+	draining     bool
+	ejectedUntil time.Time
+	pool         string
+	role         route.Role
+	started      int
 }
 
 var _ = Describe("Picker under random operations", func() {
@@ -120,7 +120,7 @@
 					if p.Finished(now, k, result) {
 						// Minimum duration of an ejection; enforcing the maximum may
 						// readmit the instance earlier.
-						s.ejected = now.Add(5 * time.Second)
+						s.ejectedUntil = now.Add(5 * time.Second)
 					}
 					if got := p.Outstanding(k); got != s.started {
 						t.Fatalf("%v has %d outstanding requests, Outstanding() = %d", k, s.started, got)
@@ -142,7 +142,7 @@
 					if !serves(s, r) {
 						t.Fatalf("picked instance %v, which does not serve the request: %+v", choice.Key, s)
 					}
-					if ejected, _ := p.Ejected(now, s.pool); now.Before(s.ejected) && ejected >= countEjected(state, s.pool, now) {
+					if ejected, _ := p.Ejected(now, s.pool); now.Before(s.ejectedUntil) && ejected >= countEjected(state, s.pool, now) {
 						t.Fatalf("picked ejected instance %v", choice.Key)
 					}
 					p.Started(now, choice.Key, r.Prefix)
@@ -168,7 +168,7 @@
 func countEjected(state map[route.Key]*instanceModel, pool string, now time.Time) int {
 	n := 0
 	for _, s := range state {
-		if s.pool == pool && now.Before(s.ejected) {
+		if s.pool == pool && now.Before(s.ejectedUntil) {
 			n++
 		}
 	}
@@ -187,11 +187,11 @@
 			continue
 		}
 		matching = true
-		if k != excluded && s.ejected.IsZero() {
+		if k != excluded && s.ejectedUntil.IsZero() {
 			t.Fatalf("refused with reason %s, but instance %v can run the request", refusal.Reason, k)
 		}
 	}
 	if matching != (refusal.Reason == outcome.ReasonOverloaded) {
-		t.Fatalf("refused with reason %s, but an instance that serves the request exists: %v", refusal.Reason, matching)
+		t.Fatalf("refused with reason %s; an instance that serves the request exists: %v", refusal.Reason, matching)
 	}
 }
--- a/lib/route/outlier.go
+++ b/lib/route/outlier.go
@@ -12,7 +12,7 @@
 func (o *outlier) ejected(now instant) bool { return now < o.ejectedUntil }
 
 // record records a result and reports whether the instance should be ejected.
-func (o *outlier) record(r Result, limit int) bool {
+func (o *outlier) record(r Result, threshold int) bool {
 	switch r {
 	case ResultOK:
 		o.consecutive = 0
@@ -23,17 +23,17 @@
 		o.consecutive++
 	case ResultNeutral:
 	}
-	return o.consecutive >= limit
+	return o.consecutive >= threshold
 }
 
 // eject ejects the instance; the duration doubles with each ejection, up to
 // longest. A single error after the end ejects it again.
-func (o *outlier) eject(now instant, limit int, first, longest time.Duration) {
+func (o *outlier) eject(now instant, threshold int, first, longest time.Duration) {
 	d := first
 	for range min(o.ejections, 16) {
 		d = min(2*d, longest)
 	}
 	o.ejections++
 	o.ejectedUntil = now.add(d)
-	o.consecutive = limit - 1
+	o.consecutive = threshold - 1
 }
--- a/lib/route/picker.go
+++ b/lib/route/picker.go
@@ -48,16 +48,16 @@
 	if s, ok := p.byKey[in.Key()]; ok {
 		in.Draining = in.Draining || s.Draining
 		if p.updateSlot(s, in) {
-			s.warmingSince = p.instant(now)
+			s.slowStartSince = p.instant(now)
 			p.prefix.removeAll(s.index)
 		}
 		return
 	}
 	s := newSlot(p.instant(now), in, p.cfg.DefaultCapacity)
 	p.updateSlot(s, in)
-	if s.warmingSince < instant(baseOffset).add(p.cfg.SlowStart) {
+	if s.slowStartSince < instant(baseOffset).add(p.cfg.SlowStart) {
 		// A recently started entry cannot tell which instances are new.
-		s.warmingSince = s.warmingSince.add(-p.cfg.SlowStart)
+		s.slowStartSince = s.slowStartSince.add(-p.cfg.SlowStart)
 	}
 	s.index = len(p.slots)
 	for n, other := range p.slots {
@@ -98,7 +98,7 @@
 	delete(p.byKey, key)
 	p.slots[s.index] = nil
 	p.prefix.removeAll(s.index)
-	p.enforceEjectionCap(p.instant(now), s.Pool)
+	p.enforceMaxEjected(p.instant(now), s.Pool)
 }
 
 // Drain marks a generation as draining. It will not be picked again.
@@ -156,10 +156,10 @@
 // snapshot older than the last applied event is ignored.
 func (p *Picker) ApplyCacheSnapshot(now time.Time, key Key, snapshot CacheSnapshot) {
 	s, ok := p.byKey[key]
-	if !ok || snapshot.Sequence < s.cache.lastSeq {
+	if !ok || snapshot.Sequence < s.cache.lastSequence {
 		return
 	}
-	s.cache = cacheSync{lastSeq: snapshot.Sequence}
+	s.cache = cacheSync{lastSequence: snapshot.Sequence}
 	p.prefix.removeAll(s.index)
 	p.prefix.add(now, s.index, snapshot.Blocks)
 }
--- a/lib/route/prefix_index.go
+++ b/lib/route/prefix_index.go
@@ -5,11 +5,10 @@
 )
 
 // prefixIndex records which prompt blocks the instances are believed to have
-// cached. All entries are hints, because engines report late and with gaps.
+// cached. All of it is a hint, because engines report late and with gaps.
 //
-// Entries expire by epoch: an entry that is not confirmed during a whole epoch
-// is dropped together with the map of that epoch, so no entry needs a
-// timestamp.
+// Blocks expire by epoch: a block that is not confirmed during a whole epoch is
+// dropped together with the map of that epoch, so no block needs a timestamp.
 type prefixIndex struct {
 	current, previous map[uint64]bitset
 	epochEnds         time.Time
@@ -105,7 +104,7 @@
 func (x *prefixIndex) match(now time.Time, blocks []uint64) {
 	x.rotate(now)
 	x.depths = [maxIndexed]int{}
-	var alive bitset // instances that have cached all blocks so far
+	var matching bitset // instances that have cached all blocks so far
 	for i, b := range blocks {
 		set := x.current[b]
 		old := x.previous[b]
@@ -113,17 +112,17 @@
 		for w := range set {
 			set[w] |= old[w]
 			if i > 0 {
-				set[w] &= alive[w]
-				ended[w] = alive[w] &^ set[w]
+				set[w] &= matching[w]
+				ended[w] = matching[w] &^ set[w]
 			}
 		}
 		ended.each(func(n int) { x.depths[n] = i })
-		alive = set
-		if alive.empty() {
+		matching = set
+		if matching.empty() {
 			return
 		}
 	}
-	alive.each(func(n int) { x.depths[n] = len(blocks) })
+	matching.each(func(n int) { x.depths[n] = len(blocks) })
 }
 
 func (x *prefixIndex) depth(index int) int {
--- a/lib/route/slot.go
+++ b/lib/route/slot.go
@@ -16,18 +16,18 @@
 	load      loadTracker
 	outlier   outlier
 	cache     cacheSync
-	// warmingSince is the start of the slow start: when the instance joined or
+	// slowStartSince is the start of the slow start: when the instance joined or
 	// loaded other weights. The end of an ejection starts it again.
-	warmingSince instant
-	reportedAt   instant // arrival time of the last report
+	slowStartSince instant
+	reportedAt     instant // arrival time of the last report
 }
 
 func newSlot(now instant, in Instance, capacity int) *slot {
 	return &slot{
-		Instance:     in,
-		hash:         rendezvous.Hash(string(in.ID)),
-		load:         loadTracker{capacity: capacity},
-		warmingSince: now,
+		Instance:       in,
+		hash:           rendezvous.Hash(string(in.ID)),
+		load:           loadTracker{capacity: capacity},
+		slowStartSince: now,
 	}
 }
 
@@ -40,7 +40,7 @@
 // slowStartFactor returns the share of its full load that the instance may get
 // now, from Config.SlowStartShare to 1.
 func (s *slot) slowStartFactor(now instant, cfg *Config) float64 {
-	age := now.sub(max(s.warmingSince, s.outlier.ejectedUntil))
+	age := now.sub(max(s.slowStartSince, s.outlier.ejectedUntil))
 	if age >= cfg.SlowStart {
 		return 1
 	}
