--- a/lib/subset/config.go
+++ b/lib/subset/config.go
@@ -19,8 +19,7 @@
 // Config holds the limits of the assignment. Zero fields take their defaults.
 type Config struct {
 	// MaxPerEntry is the maximum number of connections of an entry. It is
-	// exceeded if MinPerAgent could not be met otherwise, with too few entries
-	// for the agents.
+	// exceeded if there are too few entries to meet MinPerAgent otherwise.
 	MaxPerEntry int
 	// MinPerAgent is the minimum number of entries per agent.
 	MinPerAgent int
--- a/lib/subset/plan.go
+++ b/lib/subset/plan.go
@@ -32,7 +32,7 @@
 }
 
 // CountMoved returns the number of connections of p that are not in old,
-// without those of new members.
+// excluding those of new members.
 func (p Plan) CountMoved(old Plan, isNew func(model.InstanceID) bool) int {
 	moved := 0
 	for entry, agents := range p.byEntry {
--- a/lib/subset/pool_fill.go
+++ b/lib/subset/pool_fill.go
@@ -15,9 +15,9 @@
 	for changed := true; changed; {
 		changed = false
 		for entry := range m.entries {
-			absent := len(pools) - len(m.poolCounts(entry))
-			room := max(0, m.cfg.MaxPerEntry-absent)
-			if absent > 0 && len(m.accepted[entry]) > room && m.capacities[entry] == m.cfg.MaxPerEntry {
+			missing := len(pools) - len(m.poolCounts(entry))
+			room := max(0, m.cfg.MaxPerEntry-missing)
+			if missing > 0 && len(m.accepted[entry]) > room && m.capacities[entry] == m.cfg.MaxPerEntry {
 				m.capacities[entry] = room
 				m.trimToCapacity(entry)
 				m.match()
@@ -53,8 +53,8 @@
 	best := candidate{index: -1}
 	for _, i := range agents {
 		c := candidate{i, rendezvous.Score(m.agentHashes[i], m.entryHashes[entry])}
-		held := slices.ContainsFunc(m.accepted[entry], func(a candidate) bool { return a.index == i })
-		if !held && (best.index < 0 || byWeight(c, best) < 0) {
+		connected := slices.ContainsFunc(m.accepted[entry], func(a candidate) bool { return a.index == i })
+		if !connected && (best.index < 0 || byWeight(c, best) < 0) {
 			best = c
 		}
 	}
