--- a/entry/dispatch/admission.go
+++ b/entry/dispatch/admission.go
@@ -16,7 +16,7 @@
 
 // reserver reserves instances for requests. *fleet.Fleet implements it.
 type reserver interface {
-	Reserve(w *fleet.Requirements) (*fleet.Slot, error)
+	Reserve(r *fleet.Requirements) (*fleet.Slot, error)
 	WithdrawSuspect(fingerprint model.Fingerprint)
 }
 
@@ -49,11 +49,11 @@
 }
 
 // run places queued requests when instances become available, until ctx ends.
-// While requests are queued it also polls them at every tick, for requests that
-// expire or stop waiting for a better instance. Otherwise the timer is stopped,
-// which keeps an idle entry cheap.
-func (a *admission) run(ctx context.Context, changed <-chan struct{}, tick time.Duration) {
-	timer := time.NewTimer(tick)
+// While requests are queued it also polls them every pollInterval, for requests
+// that expire or stop waiting for a better instance. Otherwise the timer is
+// stopped, which keeps an idle entry cheap.
+func (a *admission) run(ctx context.Context, changed <-chan struct{}, pollInterval time.Duration) {
+	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -70,7 +70,7 @@
 		}
 		a.mu.Unlock()
 		if waiting {
-			timer.Reset(tick)
+			timer.Reset(pollInterval)
 		} else {
 			timer.Stop()
 		}
--- a/entry/dispatch/claims.go
+++ b/entry/dispatch/claims.go
@@ -14,9 +14,13 @@
 
 const (
 	// resultWaitTimeout limits the wait for the result of another request with
-	// the same key. firstResultPoll is the time to the first lookup.
-	resultWaitTimeout    = 4 * time.Second
-	firstResultPoll      = 100 * time.Millisecond
+	// the same key.
+	resultWaitTimeout = 4 * time.Second
+	// firstResultPoll is the time from the claim to the first lookup of that
+	// result.
+	firstResultPoll = 100 * time.Millisecond
+	// retryPendingInterval is the time between two retries of unconfirmed claim
+	// updates.
 	retryPendingInterval = time.Second
 	// pruneLimit is the number of rows that one prune scans.
 	pruneLimit = 200
@@ -142,19 +146,19 @@
 // maintainClaims retries unconfirmed claim updates and deletes claims older
 // than the retention, until ctx ends.
 func (d *Dispatcher) maintainClaims(ctx context.Context) {
-	ticker := time.NewTicker(retryPendingInterval)
-	defer ticker.Stop()
+	retry := time.NewTicker(retryPendingInterval)
+	defer retry.Stop()
 	prune := time.NewTicker(d.cfg.PruneInterval)
 	defer prune.Stop()
-	var page string
+	var from string
 	for {
 		select {
 		case <-prune.C:
-			// A failed page is read again next time.
-			if next, _, err := d.cfg.Ledger.Prune(ctx, d.cfg.Clock.Now(), page, pruneLimit); err == nil {
-				page = next
+			// If a scan fails, the next one starts from the same row.
+			if next, _, err := d.cfg.Ledger.Prune(ctx, d.cfg.Clock.Now(), from, pruneLimit); err == nil {
+				from = next
 			}
-		case <-ticker.C:
+		case <-retry.C:
 		case <-ctx.Done():
 			return
 		}
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -176,11 +176,11 @@
 	It("refuses a quarantined request without sending it", func() {
 		a, b := h.agent("runner-a"), h.agent("runner-b")
 		f := model.FingerprintOf("desk", "order", []byte("poison"))
-		for _, one := range []*agenttest.Agent{a, b} {
-			one.Broadcast(&wire.CrashReport{Incarnation: 1, InFlight: []model.Fingerprint{f}})
-			one.SetLoad(wire.Load{Queued: 7})
+		for _, agent := range []*agenttest.Agent{a, b} {
+			agent.Broadcast(&wire.CrashReport{Incarnation: 1, InFlight: []model.Fingerprint{f}})
+			agent.SetLoad(wire.Load{Queued: 7})
 			Eventually(h.fleet.Members).WithTimeout(testTimeout).Should(ContainElement(SatisfyAll(
-				HaveField("Identity.Instance", one.Identity().Instance), HaveField("Heartbeat.Load.Queued", 7))))
+				HaveField("Identity.Instance", agent.Identity().Instance), HaveField("Heartbeat.Load.Queued", 7))))
 		}
 		expectResult(h.send("", "poison"), outcome.NotRun, outcome.ReasonQuarantined)
 		Expect(a.RequestStarts).To(BeEmpty())
--- a/entry/dispatch/world_test.go
+++ b/entry/dispatch/harness_test.go
@@ -88,12 +88,12 @@
 		Current: func() *config.Config { return &config.Config{} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	var ends sync.WaitGroup
-	ends.Go(func() { h.fleet.Run(ctx) })
-	ends.Go(func() { h.dispatcher.Run(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { h.fleet.Run(ctx) })
+	wg.Go(func() { h.dispatcher.Run(ctx) })
 	DeferCleanup(func() {
 		cancel()
-		ends.Wait()
+		wg.Wait()
 	})
 	return h
 }
--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// ackEvery and ackBytes are the number of frames and of bytes after which a
+	// ackFrames and ackBytes are the number of frames and of bytes after which a
 	// ResponseAck lets the agent free its replay buffer.
-	ackEvery = 16
-	ackBytes = 32 << 10
+	ackFrames = 16
+	ackBytes  = 32 << 10
 )
 
 // awaitEvent waits for the next event of the current attempt.
@@ -33,7 +33,7 @@
 	case link.AgentReplaced:
 		return r.serverCrashed()
 	case link.Reconnected:
-		// The caller disconnected while the connection was down.
+		// Happens if the caller disconnected during a reattach.
 		if r.slot.Link.Send(&wire.Reattach{Attempt: r.attempt, NextSequence: r.machine.NextSequence()}) != nil {
 			return attempt.Step{}
 		}
@@ -98,7 +98,7 @@
 	if !step.Forward {
 		return step
 	}
-	r.measureFrame()
+	r.observeFrame()
 	r.acknowledge(len(m.Data))
 	data := m.Data[step.SkipBytes:]
 	if r.claimed {
@@ -113,40 +113,40 @@
 func (r *run) acknowledge(size int) {
 	r.unackedFrames++
 	r.unackedBytes += size
-	if r.unackedFrames >= ackEvery || r.unackedBytes >= ackBytes {
+	if r.unackedFrames >= ackFrames || r.unackedBytes >= ackBytes {
 		_ = r.slot.Link.Send(&wire.ResponseAck{Attempt: r.attempt, NextSequence: r.machine.NextSequence()})
 		r.unackedFrames, r.unackedBytes = 0, 0
 	}
 }
 
-func (r *run) measureFrame() {
+func (r *run) observeFrame() {
 	d := r.dispatcher
 	tenant, class := r.request.Tenant.Name, r.request.Class.Name
-	gap, first := r.timing.frame(r.now())
+	elapsed, first := r.timing.frame(r.now())
 	if !first {
-		d.cfg.Metrics.ObserveBetweenTokens(tenant, class, gap)
+		d.cfg.Metrics.ObserveBetweenTokens(tenant, class, elapsed)
 		return
 	}
 	d.cfg.Metrics.ObserveFirstToken(tenant, class, r.now().Sub(r.request.Received))
 	if r.request.Service.Kind == config.KindModel {
-		d.cfg.Fleet.ObserveFirstToken(r.slot, gap)
-		d.admission.observeFirstFrame(r.request.Service.Pool, gap)
+		d.cfg.Fleet.ObserveFirstToken(r.slot, elapsed)
+		d.admission.observeFirstFrame(r.request.Service.Pool, elapsed)
 	}
 }
 
 // reattach waits for a new connection to the same agent and requests the rest
 // of the answer.
 func (r *run) reattach(ctx context.Context, step attempt.Step) attempt.Step {
-	wait := ctx
+	waitCtx := ctx
 	if !r.outcomePending {
 		// No timeout once the caller has its final answer: a late result is just as
 		// useful for the claim.
 		var cancel context.CancelFunc
-		wait, cancel = context.WithTimeout(ctx, r.dispatcher.cfg.ReattachTimeout)
+		waitCtx, cancel = context.WithTimeout(ctx, r.dispatcher.cfg.ReattachTimeout)
 		defer cancel()
 	}
 	for {
-		e, err := r.inbox.Next(wait)
+		e, err := r.inbox.Next(waitCtx)
 		switch {
 		case ctx.Err() != nil:
 			return r.interrupted(ctx)
--- a/entry/dispatch/timing.go
+++ b/entry/dispatch/timing.go
@@ -14,15 +14,15 @@
 
 // frame records the arrival of a frame. It returns the time since the dispatch
 // for the first frame, and the time since the previous frame for others.
-func (t *timing) frame(now time.Time) (gap time.Duration, first bool) {
+func (t *timing) frame(now time.Time) (elapsed time.Duration, first bool) {
 	t.frames++
 	if t.frames == 1 {
 		t.first, t.last = now, now
 		return now.Sub(t.dispatched), true
 	}
-	gap = now.Sub(t.last)
+	elapsed = now.Sub(t.last)
 	t.last = now
-	return gap, false
+	return elapsed, false
 }
 
 // betweenFrames returns the mean time between frames. ok is false for fewer
