--- a/entry/caller/parse.go
+++ b/entry/caller/parse.go
@@ -58,16 +58,16 @@
 	if !ok {
 		return nil, refuse(outcome.ReasonUnknownTenant, "header %s: tenant %q is not declared", HeaderTenant, raw.tenant)
 	}
-	class, bad := parseClass(raw.class, cfg)
-	if bad != nil {
-		return nil, bad
+	class, refused := parseClass(raw.class, cfg)
+	if refused != nil {
+		return nil, refused
 	}
-	timeout, bad := parseDeadline(raw.deadlineMillis, service)
-	if bad != nil {
-		return nil, bad
+	timeout, refused := parseDeadline(raw.deadlineMillis, service)
+	if refused != nil {
+		return nil, refused
 	}
-	if bad := checkLengths(raw); bad != nil {
-		return nil, bad
+	if refused := checkLengths(raw); refused != nil {
+		return nil, refused
 	}
 	if limit := bodyLimit(service); int64(len(raw.body)) > limit {
 		return nil, refuse(outcome.ReasonTooLarge, "body has %d bytes, service %q allows at most %d", len(raw.body), service.Name, limit)
--- a/entry/caller/server.go
+++ b/entry/caller/server.go
@@ -146,11 +146,11 @@
 		response.End(Result{Outcome: outcome.NotRun, Reason: outcome.ReasonNoBackendServer, RetryAfter: time.Second, Detail: "no configuration is in force yet"})
 		return
 	}
-	request, bad := parse(raw, current, s.cfg.Clock.Now())
-	if bad != nil {
-		s.cfg.Invalid.CountInvalid(bad.reason)
-		s.cfg.Log.Log(eventlog.RequestInvalid, "request", raw.requestID, "reason", bad.reason, "detail", bad.detail)
-		response.End(Result{Outcome: outcome.NotRun, Reason: bad.reason, Detail: bad.detail})
+	request, refused := parse(raw, current, s.cfg.Clock.Now())
+	if refused != nil {
+		s.cfg.Invalid.CountInvalid(refused.reason)
+		s.cfg.Log.Log(eventlog.RequestInvalid, "request", raw.requestID, "reason", refused.reason, "detail", refused.detail)
+		response.End(Result{Outcome: outcome.NotRun, Reason: refused.reason, Detail: refused.detail})
 		return
 	}
 	s.cfg.Handler.Handle(c, request, newResponseWriter(ctx, string(request.ID)))
--- a/entry/caller/stream_answer.go
+++ b/entry/caller/stream_response.go
@@ -60,9 +60,9 @@
 	// The data may end inside a character, whose bytes are kept for the next
 	// call.
 	data = append(w.partialRune, data...)
-	whole := len(data) - incompleteTail(data)
-	w.partialRune = append([]byte(nil), data[whole:]...)
-	return w.writeData(data[:whole])
+	complete := len(data) - incompleteTail(data)
+	w.partialRune = append([]byte(nil), data[complete:]...)
+	return w.writeData(data[:complete])
 }
 
 func (w *streamResponse) writeData(data []byte) error {
