--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -1,5 +1,5 @@
-// Package node assembles the two daemons that run on the platform from the
-// product's packages and the platform's adapter.
+// Package node builds the two daemons for the users' platform, gateway and
+// replica, from the general packages and the adapter in package platform.
 package node
 
 import (
@@ -18,32 +18,34 @@
 	"github.com/auburnbend/auburnbend/platform"
 )
 
-// Program describes a daemon that runs on the platform.
+// Program describes a daemon.
 type Program struct {
 	Name, Short, Long, Example string
-	// Run serves until stop is closed and its work has ended.
-	Run func(ctx context.Context, p Environment) error
+	// Run serves until ctx ends, and returns when the work in progress is finished.
+	Run func(ctx context.Context, env Environment) error
 }
 
-// Environment is what a daemon has from its surroundings.
+// Environment is what a daemon gets from the process that it runs in.
 type Environment struct {
 	Settings *platform.Settings
-	// MetricsPort is where metrics are served; zero serves none.
+	// MetricsPort is the port that serves metrics; zero disables them.
 	MetricsPort int
 	Log         *eventlog.Logger
-	// WatchSettings calls apply with the settings whenever they have changed,
-	// until ctx ends. Addresses take effect at the next start only.
+	// WatchSettings calls apply after each change of the settings until ctx ends.
+	// Changed addresses take effect only at the next start. nil disables it.
 	WatchSettings func(ctx context.Context, apply func(*platform.Settings))
 }
 
-// followSettings follows the settings in a goroutine of its own until ctx ends.
-func (p *Environment) followSettings(ctx context.Context, apply func(*platform.Settings)) {
-	if p.WatchSettings != nil {
-		go p.WatchSettings(ctx, apply)
+// watchSettings calls apply, on another goroutine, after each change of the
+// settings until ctx ends.
+func (env *Environment) watchSettings(ctx context.Context, apply func(*platform.Settings)) {
+	if env.WatchSettings != nil {
+		go env.WatchSettings(ctx, apply)
 	}
 }
 
-// Main runs the program with the process's arguments and signals and exits.
+// Main runs a program with the arguments of the process until SIGTERM or SIGINT. It
+// exits with code 1 on an error.
 func Main(p Program) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -54,7 +56,7 @@
 	}
 }
 
-// NewCommand returns the program's command line. Log lines go to logs.
+// NewCommand returns the command of a program. It writes log lines to logs.
 func NewCommand(p Program, logs io.Writer) *cobra.Command {
 	var path string
 	var check bool
@@ -67,7 +69,7 @@
 				path = os.Getenv(platform.SettingsPathEnv)
 			}
 			if path == "" {
-				return fmt.Errorf("no settings file: give --settings or set %s", platform.SettingsPathEnv)
+				return fmt.Errorf("no settings file: use --settings or set %s", platform.SettingsPathEnv)
 			}
 			settings, err := platform.LoadSettings(path)
 			if err != nil {
@@ -80,9 +82,9 @@
 			return run(cmd.Context(), p, path, settings, metricsPort, logs)
 		},
 	}
-	cmd.Flags().StringVarP(&path, "settings", "s", "", "settings file; the default is the path in "+platform.SettingsPathEnv)
-	cmd.Flags().BoolVar(&check, "check", false, "check the settings file and exit")
-	cmd.Flags().IntVar(&metricsPort, "metrics-port", 0, "port that serves metrics under /metrics; 0 serves none")
+	cmd.Flags().StringVarP(&path, "settings", "s", "", "path of the settings file; defaults to the path in "+platform.SettingsPathEnv)
+	cmd.Flags().BoolVar(&check, "check", false, "validate the settings file and exit")
+	cmd.Flags().IntVar(&metricsPort, "metrics-port", 0, "port that serves metrics at /metrics; 0 disables them")
 	return cmd
 }
 
@@ -94,20 +96,20 @@
 }
 
 func run(ctx context.Context, p Program, path string, settings *platform.Settings, metricsPort int, logs io.Writer) error {
-	limitMemory(settings.MemoryLimit)
-	async := eventlog.NewAsyncWriter(logs)
-	defer async.Close()
-	log := eventlog.OpenPlain(async, clock.System{}).With("instance", settings.Instance)
+	setMemoryLimits(settings.MemoryLimit)
+	writer := eventlog.NewAsyncWriter(logs)
+	defer writer.Close()
+	log := eventlog.OpenPlain(writer, clock.System{}).With("instance", settings.Instance)
 	log.Log(eventlog.ProcessStarted, "program", p.Name, "version", version(), "domain", settings.Domain)
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	defer signal.Stop(reload)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	file := newSettingsFile(path, settings, log)
 	err := p.Run(ctx, Environment{
 		Settings: settings, MetricsPort: metricsPort, Log: log,
 		WatchSettings: func(ctx context.Context, apply func(*platform.Settings)) {
-			file.follow(ctx, reload, func(s *platform.Settings) {
-				limitMemory(s.MemoryLimit)
+			file.watch(ctx, hangups, func(s *platform.Settings) {
+				setMemoryLimits(s.MemoryLimit)
 				apply(s)
 			})
 		},
@@ -117,17 +119,19 @@
 }
 
 const (
-	// memoryShare is the part of an instance's memory that the heap may take
-	// before the collector works harder; the rest is for stacks and buffers.
-	memoryShare = 0.7
-	// collectAt is the growth of the heap in percent at which it is collected.
-	// Memory is priced higher than processor time.
-	collectAt = 60
+	// heapLimitFraction is the part of the instance's memory that is set as soft
+	// memory limit of the Go runtime. The rest is left for stacks and buffers.
+	heapLimitFraction = 0.7
+	// gcPercent is the heap growth in percent that triggers a garbage collection. It
+	// is below Go's default of 100 because memory costs more than processor time.
+	gcPercent = 60
 )
 
-func limitMemory(limit int64) {
-	debug.SetGCPercent(collectAt)
+// setMemoryLimits configures the garbage collector for an instance with limit bytes
+// of memory; zero sets no limit.
+func setMemoryLimits(limit int64) {
+	debug.SetGCPercent(gcPercent)
 	if limit > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(limit)))
+		debug.SetMemoryLimit(int64(heapLimitFraction * float64(limit)))
 	}
 }
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -11,14 +11,14 @@
 	"github.com/auburnbend/auburnbend/platform"
 )
 
-var _ = Describe("Following the store", func() {
-	DescribeTable("notices a lost connection before its bounds hold again",
-		// Guards against a configuration that is not in force in time because a call
-		// waited on a connection that delivered nothing more, and against calls that
-		// end more often than the bounds need: each one is paid for.
+var _ = Describe("Relay configuration", func() {
+	DescribeTable("detects a lost connection before the bounds apply again",
+		// Guards against a configuration that comes into force too late because a call
+		// waited on a connection that no longer delivered anything, and against calls
+		// that are shorter than the bounds require, as each call is paid for.
 		func(stall, bound time.Duration) {
 			b := platform.Bounds{StallTime: stall, ConfigTime: bound, DrainTime: bound}
-			for _, c := range []relay.Config{operatorRelay(&b), serversRelay(&b)} {
+			for _, c := range []relay.Config{operatorRelayConfig(&b), serversRelayConfig(&b)} {
 				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically("<", stall+bound))
 				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically(">=", stall+bound-time.Second))
 				Expect(c.BatchDelay).To(BeNumerically("<=", bound/2))
@@ -28,7 +28,7 @@
 		Entry("large deployment", 4*time.Second, 3*time.Second),
 	)
 
-	It("falls back to the defaults without bounds", func() {
-		Expect(operatorRelay(&platform.Bounds{}).Wait).To(BeZero())
+	It("uses the defaults if there are no bounds", func() {
+		Expect(operatorRelayConfig(&platform.Bounds{}).Wait).To(BeZero())
 	})
 })
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -18,119 +18,124 @@
 )
 
 const (
-	// balancerNotice is the time in which the balancer stops sending new
-	// connections to an entry that is not ready: it asks once a second and acts
-	// on two misses.
-	balancerNotice = 3 * time.Second
-	// stopReserve is the part of the time to stop that is left for the end of
-	// the process itself.
-	stopReserve = 700 * time.Millisecond
-	// assumedEntries share the retry budget before agents tell how many entries
-	// there are. Too many only make the share smaller.
+	// balancerReactionTime is the time after which the load balancer sends no more
+	// new connections to an entry that is not ready. It checks readiness once a
+	// second and reacts to two failed checks.
+	balancerReactionTime = 3 * time.Second
+	// exitReserve is the part of StopTime that is reserved for the exit of the
+	// process.
+	exitReserve = 700 * time.Millisecond
+	// assumedEntries is the number of entries that share the retry budget until
+	// agents report the actual number. If it is too high, the entry's share of the
+	// budget is only smaller than necessary.
 	assumedEntries = 16
-	// bodyMemoryPart is the part of the process's memory that whole answers may take.
-	bodyMemoryPart = 8
-	// headTimeout bounds the time of a request's head, idleTimeout the time
-	// between requests of a connection. Callers keep connections idle for up to
-	// four fifths of the declared limit; both are above what is declared.
-	headTimeout = 10 * time.Second
-	idleTimeout = 60 * time.Second
-	// headLimit bounds a request's head in bytes, above what is declared.
-	headLimit = 64 << 10
+	// bodyMemoryDivisor determines the part of the process's memory that buffered
+	// responses may take together: one eighth.
+	bodyMemoryDivisor = 8
+	// headerTimeout limits reading the header of a request, and idleTimeout the time
+	// between two requests on a connection. Both are above the declared limits;
+	// callers keep connections idle for up to four fifths of the declared one.
+	headerTimeout = 10 * time.Second
+	idleTimeout   = 60 * time.Second
+	// maxHeaderBytes limits the size of a request's header. It is above the declared
+	// limit.
+	maxHeaderBytes = 64 << 10
 )
 
-// RunGateway serves callers until ctx ends, and then finishes what runs.
-func RunGateway(ctx context.Context, p Environment) error {
-	s := p.Settings
+// RunGateway serves callers until ctx ends. It then finishes the requests in progress
+// and returns.
+func RunGateway(ctx context.Context, env Environment) error {
+	s := env.Settings
 	if s.CallerAddress == "" || s.ReadyAddress == "" {
-		return errors.New("the settings name no addresses for callers and readiness")
+		return errors.New("settings: listen.frontend and listen.ready are required")
 	}
-	m, err := openMetrics(s.Address, p.MetricsPort)
+	m, err := openMetrics(s.Address, env.MetricsPort)
 	if err != nil {
 		return err
 	}
 	defer m.Close()
-	requests := newRequestLog(p.Log, m, clock.System{})
+	requests := newRequestLog(env.Log, m, clock.System{})
 	g := gateway.New(gateway.Config{
-		Dialect: platform.Dialect{}, Clock: clock.System{}, Log: p.Log, Observe: requests.observe,
-		Retry:   retryBounds(&s.Bounds),
+		Dialect: platform.Dialect{}, Clock: clock.System{}, Log: env.Log, Observe: requests.observe,
+		Retry:   retryConfig(&s.Bounds),
 		Entries: assumedEntries, Seed: rand.Uint64(), MaxRolloutTime: s.Bounds.VersionTime,
-		MaxBufferedBytes: s.MemoryLimit / bodyMemoryPart,
+		MaxBufferedBytes: s.MemoryLimit / bodyMemoryDivisor,
 		Placement:        placement.Config{Domain: s.Domain, Regions: s.Regions},
 	})
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	loads, err := gateway.NewPeerLink(g, s.Instance, s.Region, s.Address, s.FirstPort, rand.Uint64())
+	peerLink, err := gateway.NewPeerLink(g, s.Instance, s.Region, s.Address, s.FirstPort, rand.Uint64())
 	if err != nil {
 		return err
 	}
-	tables, err := newStoreTables(g, loads, s, p.Log)
+	tables, err := newStoreTables(g, peerLink, s, env.Log)
 	if err != nil {
 		return err
 	}
-	operator := &gatewayOperator{gateway: g, log: p.Log}
-	if err := m.observeState(g, &operator.storeLost); err != nil {
+	operator := &operatorSink{gateway: g, log: env.Log}
+	if err := m.registerStateMetrics(g, &operator.storeUnavailable); err != nil {
 		return err
 	}
 	go tables.run(background)
-	go tables.follow(background, platform.TableOperator, operatorRelay(&s.Bounds), &platform.OperatorWatch{Sink: operator})
-	go tables.follow(background, platform.TableServers, serversRelay(&s.Bounds), &platform.ServerWatch{Sink: &gatewayServers{gateway: g, log: p.Log}})
-	go loads.Run(background)
+	go tables.follow(background, platform.TableOperator, operatorRelayConfig(&s.Bounds), &platform.OperatorWatch{Sink: operator})
+	go tables.follow(background, platform.TableServers, serversRelayConfig(&s.Bounds), &platform.ServerWatch{Sink: &serverSink{gateway: g, log: env.Log}})
+	go peerLink.Run(background)
 	stopTime := &atomic.Int64{}
 	stopTime.Store(int64(s.Bounds.StopTime))
-	p.followSettings(background, func(s *platform.Settings) {
-		g.SetBounds(retryBounds(&s.Bounds), s.Bounds.VersionTime)
+	env.watchSettings(background, func(s *platform.Settings) {
+		g.SetBounds(retryConfig(&s.Bounds), s.Bounds.VersionTime)
 		stopTime.Store(int64(s.Bounds.StopTime))
 	})
-	return serveCallers(ctx, g, p, stopTime)
+	return serveCallers(ctx, g, env, stopTime)
 }
 
-func retryBounds(b *platform.Bounds) retry.Config {
+func retryConfig(b *platform.Bounds) retry.Config {
 	return retry.Config{Ratio: b.RetryRatio, Window: b.RetryWindow, Slack: b.RetrySlack}
 }
 
-// serveCallers listens until ctx ends, then until the balancer has noticed, and
-// returns when all requests have ended or the time to stop, in nanoseconds, is
-// over.
-func serveCallers(ctx context.Context, g *gateway.Gateway, p Environment, stopTime *atomic.Int64) error {
-	s := p.Settings
-	quiet := log.New(discard{}, "", 0)
-	callers := &http.Server{
-		Handler: g, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headLimit, ErrorLog: quiet,
+// serveCallers accepts callers until ctx ends and then for balancerReactionTime. It
+// returns when all requests have ended, at the latest shortly before stopTime, in
+// nanoseconds, has passed since ctx ended.
+func serveCallers(ctx context.Context, g *gateway.Gateway, env Environment, stopTime *atomic.Int64) error {
+	s := env.Settings
+	noLog := log.New(discard{}, "", 0)
+	callerServer := &http.Server{
+		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: noLog,
 	}
-	ready := &http.Server{Handler: platform.ReadyHandler(g.Ready), ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, ErrorLog: quiet}
-	failed := make(chan error, 2)
+	readyServer := &http.Server{Handler: platform.ReadyHandler(g.Ready), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: noLog}
+	serveErrors := make(chan error, 2)
 	for _, server := range []struct {
 		*http.Server
 		address string
-	}{{callers, s.CallerAddress}, {ready, s.ReadyAddress}} {
+	}{{callerServer, s.CallerAddress}, {readyServer, s.ReadyAddress}} {
 		ln, err := listenCallers(server.address)
 		if err != nil {
 			return err
 		}
-		go func() { failed <- server.Serve(ln) }()
+		go func() { serveErrors <- server.Serve(ln) }()
 	}
-	defer ready.Close()
-	defer callers.Close()
+	defer readyServer.Close()
+	defer callerServer.Close()
 	select {
-	case err := <-failed:
+	case err := <-serveErrors:
 		return err
 	case <-ctx.Done():
 	}
-	stopping := time.Now()
+	stoppedAt := time.Now()
 	g.Drain()
-	p.Log.Log(eventlog.ProcessStopping, "open", g.OpenRequests())
-	time.Sleep(balancerNotice)
-	limit := max(time.Duration(stopTime.Load())-stopReserve, balancerNotice)
-	drainCtx, cancel := context.WithDeadline(context.Background(), stopping.Add(limit))
+	env.Log.Log(eventlog.ProcessStopping, "open", g.OpenRequests())
+	time.Sleep(balancerReactionTime)
+	drainTime := max(time.Duration(stopTime.Load())-exitReserve, balancerReactionTime)
+	drainCtx, cancel := context.WithDeadline(context.Background(), stoppedAt.Add(drainTime))
 	defer cancel()
-	if err := callers.Shutdown(drainCtx); err != nil {
-		p.Log.Log(eventlog.DrainUnfinished, "open", g.OpenRequests(), "err", err)
+	if err := callerServer.Shutdown(drainCtx); err != nil {
+		env.Log.Log(eventlog.DrainUnfinished, "open", g.OpenRequests(), "err", err)
 	}
 	return nil
 }
 
-// discard drops the HTTP library's own lines; what matters is logged as events.
+// discard drops the log lines of the HTTP library. Relevant failures are logged as
+// events.
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -12,53 +12,53 @@
 	"github.com/auburnbend/auburnbend/platform"
 )
 
-// gatewayOperator passes what the operator declares to a gateway.
-type gatewayOperator struct {
+// operatorSink applies the rows of the operator's table to a gateway.
+type operatorSink struct {
 	gateway *gateway.Gateway
 	log     *eventlog.Logger
-	// storeLost tells that the store does not answer.
-	storeLost atomic.Bool
+	// storeUnavailable is true while the store does not answer.
+	storeUnavailable atomic.Bool
 }
 
-var _ platform.OperatorSink = (*gatewayOperator)(nil)
+var _ platform.OperatorSink = (*operatorSink)(nil)
 
-func (o *gatewayOperator) Config(c *serving.Config) {
+func (o *operatorSink) Config(c *serving.Config) {
 	if o.gateway.SetConfig(c) {
 		o.log.Log(eventlog.LiveConfigApplied, "config", c.Version, "revision", c.Revision, "routes", len(c.Routes), "teams", len(c.Teams))
 	}
 }
 
-func (o *gatewayOperator) TargetVersion(w platform.TargetVersion, fresh bool) {
-	o.gateway.SetWantedVersion(w.Model, w.Version, fresh)
-	o.log.Log(eventlog.VersionDeclared, "model", w.Model, "version", w.Version, "fresh", fresh)
+func (o *operatorSink) TargetVersion(v platform.TargetVersion, fresh bool) {
+	o.gateway.SetWantedVersion(v.Model, v.Version, fresh)
+	o.log.Log(eventlog.VersionDeclared, "model", v.Model, "version", v.Version, "fresh", fresh)
 }
 
-func (o *gatewayOperator) InvalidRow(row watch.Row, err error) { logUnreadable(o.log, row, err) }
+func (o *operatorSink) InvalidRow(row watch.Row, err error) { logInvalidRow(o.log, row, err) }
 
-func (o *gatewayOperator) StoreLost(err error) {
-	o.storeLost.Store(true)
+func (o *operatorSink) StoreLost(err error) {
+	o.storeUnavailable.Store(true)
 	o.log.Log(eventlog.StoreLost, "err", err)
 }
 
-func (o *gatewayOperator) StoreRecovered() {
-	o.storeLost.Store(false)
+func (o *operatorSink) StoreRecovered() {
+	o.storeUnavailable.Store(false)
 	o.log.Log(eventlog.StoreRegained)
 }
 
-// gatewayServers passes the registered backend servers to a gateway.
-type gatewayServers struct {
+// serverSink applies the rows of the table of backend servers to a gateway.
+type serverSink struct {
 	gateway *gateway.Gateway
 	log     *eventlog.Logger
 }
 
-var _ platform.ServerSink = (*gatewayServers)(nil)
+var _ platform.ServerSink = (*serverSink)(nil)
 
-func (s *gatewayServers) Replace(servers []*directory.Server, recovered bool) {
+func (s *serverSink) Replace(servers []*directory.Server, recovered bool) {
 	s.gateway.ReplaceServers(servers, recovered)
 	s.log.Log(eventlog.ServerListRead, "servers", len(servers), "after_outage", recovered)
 }
 
-func (s *gatewayServers) Apply(changes []directory.Change, recovered bool) {
+func (s *serverSink) Apply(changes []directory.Change, recovered bool) {
 	s.gateway.UpdateServers(func(d *directory.Directory, now time.Time) { d.Apply(changes, recovered, now) })
 	for _, c := range changes {
 		if c.Server == nil {
@@ -66,12 +66,12 @@
 			continue
 		}
 		s.log.Log(eventlog.ServerRegistered, "server", c.ID, "service", c.Server.Service, "address", c.Server.Address,
-			"domain", c.Server.Domain, "draining", c.Server.Draining, "weights", weightsText(c.Server.Weights))
+			"domain", c.Server.Domain, "draining", c.Server.Draining, "weights", formatWeights(c.Server.Weights))
 	}
 }
 
-func (s *gatewayServers) InvalidRow(row watch.Row, err error) { logUnreadable(s.log, row, err) }
+func (s *serverSink) InvalidRow(row watch.Row, err error) { logInvalidRow(s.log, row, err) }
 
-func logUnreadable(log *eventlog.Logger, row watch.Row, err error) {
+func logInvalidRow(log *eventlog.Logger, row watch.Row, err error) {
 	log.Log(eventlog.RowInvalid, "key", row.Key, "revision", row.Revision, "err", err)
 }
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -22,38 +22,38 @@
 	"github.com/auburnbend/auburnbend/platform/platformtest"
 )
 
-// lines collects log lines. It is safe for concurrent use.
-type lines struct {
+// logBuffer is an io.Writer that collects log lines. It is safe for concurrent use.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// entry is a gateway daemon with stand-ins of the platform.
-type entry struct {
-	store    *platformtest.Store
-	settings *platform.Settings
-	logs     *lines
-	stop     context.CancelFunc
-	ended    chan error
-	// metrics is the port that serves them.
-	metrics int
+// entryUnderTest is a gateway daemon with simulated services of the platform.
+type entryUnderTest struct {
+	store       *platformtest.Store
+	settings    *platform.Settings
+	logs        *logBuffer
+	stop        context.CancelFunc
+	done        chan error
+	metricsPort int
 }
 
-// scrape returns the metrics as text.
-func (e *entry) scrape() string {
-	resp, err := http.Get(fmt.Sprintf("http://127.0.0.1:%d/metrics", e.metrics))
+// scrapeMetrics returns the metrics as text, or an empty string if they cannot be
+// fetched.
+func (e *entryUnderTest) scrapeMetrics() string {
+	resp, err := http.Get(fmt.Sprintf("http://127.0.0.1:%d/metrics", e.metricsPort))
 	if err != nil {
 		return ""
 	}
@@ -70,8 +70,8 @@
 	return ln.Addr().String()
 }
 
-func startEntry() *entry {
-	e := &entry{store: platformtest.NewStore(), logs: &lines{}, ended: make(chan error, 1)}
+func startEntry() *entryUnderTest {
+	e := &entryUnderTest{store: platformtest.NewStore(), logs: &logBuffer{}, done: make(chan error, 1)}
 	port := freeAddress()
 	text := fmt.Sprintf(`{node_name: edge-1, ip: 127.0.0.1, zone: north, region: n, zones: {north: n},
 listen: {frontend: "%s", ready: "%s"}, port_range: [%s, 65535], platform: {address: "%s"},
@@ -85,10 +85,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	e.stop = stop
 	metricsAddress := freeAddress()
-	e.metrics, err = strconv.Atoi(metricsAddress[strings.LastIndexByte(metricsAddress, ':')+1:])
+	e.metricsPort, err = strconv.Atoi(metricsAddress[strings.LastIndexByte(metricsAddress, ':')+1:])
 	Expect(err).NotTo(HaveOccurred())
 	go func() {
-		e.ended <- RunGateway(ctx, Environment{Settings: e.settings, MetricsPort: e.metrics, Log: eventlog.OpenPlain(e.logs, clock.System{})})
+		e.done <- RunGateway(ctx, Environment{Settings: e.settings, MetricsPort: e.metricsPort, Log: eventlog.OpenPlain(e.logs, clock.System{})})
 	}()
 	DeferCleanup(func() {
 		stop()
@@ -100,27 +100,27 @@
 	return e
 }
 
-type body = map[string]any
+type jsonObject = map[string]any
 
-func (e *entry) configure(version int, routes ...body) {
-	e.store.Put(platform.TableOperator, "config", body{
-		"version": version, "routes": routes, "services": []body{{"name": "desk"}},
-		"tenants": []body{{"name": "carvers", "api_keys": []string{"key"}}},
+func (e *entryUnderTest) putConfig(version int, routes ...jsonObject) {
+	e.store.Put(platform.TableOperator, "config", jsonObject{
+		"version": version, "routes": routes, "services": []jsonObject{{"name": "desk"}},
+		"tenants": []jsonObject{{"name": "carvers", "api_keys": []string{"key"}}},
 	})
 }
 
-func route(prefix string) body {
-	return body{
+func newRoute(prefix string) jsonObject {
+	return jsonObject{
 		"name": "r" + prefix, "hostname": "a.example", "prefix": prefix, "route_type": "non_idempotent",
 		"timeout_ms": 3000, "target_latency_ms": 500, "service": "desk", "max_attempts": 1,
 	}
 }
 
-func (e *entry) register(s *platformtest.Server, state string) {
-	e.store.Put(platform.TableServers, s.ID, body{"service": "desk", "address": s.Address(), "zone": "north", "capacity": 6, "state": state})
+func (e *entryUnderTest) putServer(s *platformtest.Server, state string) {
+	e.store.Put(platform.TableServers, s.ID, jsonObject{"service": "desk", "address": s.Address(), "zone": "north", "capacity": 6, "state": state})
 }
 
-func (e *entry) ready() int {
+func (e *entryUnderTest) readyStatus() int {
 	resp, err := http.Get("http://" + e.settings.ReadyAddress + "/api/readyz")
 	if err != nil {
 		return 0
@@ -129,8 +129,8 @@
 	return resp.StatusCode
 }
 
-// request returns an order of the team.
-func (e *entry) request(path string) *http.Request {
+// newRequest returns a request with the API key of the team.
+func (e *entryUnderTest) newRequest(path string) *http.Request {
 	req, err := http.NewRequest("POST", "http://"+e.settings.CallerAddress+path, strings.NewReader("order"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "a.example"
@@ -139,16 +139,16 @@
 	return req
 }
 
-// ask sends an order whose end is looked for in the logs.
-func (e *entry) ask(path string) {
-	if resp, err := http.DefaultClient.Do(e.request(path)); err == nil {
+// sendAndIgnore sends a request and ignores its response.
+func (e *entryUnderTest) sendAndIgnore(path string) {
+	if resp, err := http.DefaultClient.Do(e.newRequest(path)); err == nil {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 	}
 }
 
-func (e *entry) order(path string) int {
-	resp, err := http.DefaultClient.Do(e.request(path))
+func (e *entryUnderTest) sendOrder(path string) int {
+	resp, err := http.DefaultClient.Do(e.newRequest(path))
 	if err != nil {
 		return 0
 	}
@@ -166,60 +166,62 @@
 		return s
 	}
 
-	It("is ready once it has a configuration, and follows its changes", func() {
-		// Guards against callers that are refused by an entry that knows nothing yet.
+	It("is ready once it has a configuration, and applies newer ones", func() {
+		// Guards against requests that are refused because the entry is ready before it
+		// has a configuration.
 		e := startEntry()
-		Eventually(e.ready, soon).Should(Equal(503))
-		e.register(desk(), "ready")
-		e.configure(1, route("/a/"))
-		Eventually(e.ready, soon).Should(Equal(200))
-		Eventually(func() int { return e.order("/a/") }, soon).Should(Equal(200))
-		Expect(e.order("/b/")).To(Equal(404))
-		e.configure(3, route("/b/"))
-		Eventually(func() int { return e.order("/b/") }, soon).Should(Equal(200))
-		Expect(e.order("/a/")).To(Equal(404))
+		Eventually(e.readyStatus, soon).Should(Equal(503))
+		e.putServer(desk(), "ready")
+		e.putConfig(1, newRoute("/a/"))
+		Eventually(e.readyStatus, soon).Should(Equal(200))
+		Eventually(func() int { return e.sendOrder("/a/") }, soon).Should(Equal(200))
+		Expect(e.sendOrder("/b/")).To(Equal(404))
+		e.putConfig(3, newRoute("/b/"))
+		Eventually(func() int { return e.sendOrder("/b/") }, soon).Should(Equal(200))
+		Expect(e.sendOrder("/a/")).To(Equal(404))
 	})
 
 	It("ignores an older configuration", func() {
-		// Guards against an accepted configuration that reverts.
+		// Guards against reverting to a configuration that has been replaced.
 		e := startEntry()
-		e.register(desk(), "ready")
-		e.configure(5, route("/a/"))
-		Eventually(func() int { return e.order("/a/") }, soon).Should(Equal(200))
-		e.configure(4, route("/b/"))
-		Consistently(func() int { return e.order("/a/") }, 300*time.Millisecond).Should(Equal(200))
+		e.putServer(desk(), "ready")
+		e.putConfig(5, newRoute("/a/"))
+		Eventually(func() int { return e.sendOrder("/a/") }, soon).Should(Equal(200))
+		e.putConfig(4, newRoute("/b/"))
+		Consistently(func() int { return e.sendOrder("/a/") }, 300*time.Millisecond).Should(Equal(200))
 	})
 
-	It("serves what it knows while the store is away, and learns what it missed", func() {
-		// Guards against a domain that stops to serve when it is cut off.
+	It("keeps serving during an outage of the store and catches up afterwards", func() {
+		// Guards against a failure domain that stops serving when it is disconnected
+		// from the store.
 		e := startEntry()
 		s := desk()
-		e.register(s, "ready")
-		e.configure(1, route("/a/"))
-		Eventually(func() int { return e.order("/a/") }, soon).Should(Equal(200))
+		e.putServer(s, "ready")
+		e.putConfig(1, newRoute("/a/"))
+		Eventually(func() int { return e.sendOrder("/a/") }, soon).Should(Equal(200))
 		e.store.FailWith(503)
 		Eventually(e.logs.String, soon).Should(ContainSubstring("event=7004"))
-		Expect(e.order("/a/")).To(Equal(200))
-		Expect(e.ready()).To(Equal(200))
-		e.configure(2, route("/b/"))
+		Expect(e.sendOrder("/a/")).To(Equal(200))
+		Expect(e.readyStatus()).To(Equal(200))
+		e.putConfig(2, newRoute("/b/"))
 		e.store.DropHistory()
 		e.store.FailWith(0)
-		Eventually(func() int { return e.order("/b/") }, soon).Should(Equal(200))
+		Eventually(func() int { return e.sendOrder("/b/") }, soon).Should(Equal(200))
 		Expect(e.logs.String()).To(ContainSubstring("event=7005"))
 	})
 
-	It("sends nothing to a backend server that leaves", func() {
+	It("sends nothing to a draining backend server", func() {
 		e := startEntry()
 		s := desk()
-		e.register(s, "ready")
-		e.configure(1, route("/a/"))
-		Eventually(func() int { return e.order("/a/") }, soon).Should(Equal(200))
-		e.register(s, "draining")
-		Eventually(func() int { return e.order("/a/") }, soon).Should(Equal(503))
+		e.putServer(s, "ready")
+		e.putConfig(1, newRoute("/a/"))
+		Eventually(func() int { return e.sendOrder("/a/") }, soon).Should(Equal(200))
+		e.putServer(s, "draining")
+		Eventually(func() int { return e.sendOrder("/a/") }, soon).Should(Equal(503))
 	})
 
-	It("finishes what runs when it is stopped, and stops being ready at once", func() {
-		// Guards against answers that are cut by planned work.
+	It("is not ready as soon as it is stopped, and finishes the requests in progress", func() {
+		// Guards against responses that are cut by a planned stop.
 		e := startEntry()
 		release := make(chan struct{})
 		s := platformtest.NewServer("desk-1", func(s *platformtest.Server, conn net.Conn, r *platformtest.Request) {
@@ -227,81 +229,80 @@
 			platformtest.RespondWith(200, "done")(s, conn, r)
 		})
 		DeferCleanup(s.Close)
-		e.register(s, "ready")
-		e.configure(1, route("/a/"))
-		Eventually(e.ready, soon).Should(Equal(200))
-		answered := make(chan int, 1)
+		e.putServer(s, "ready")
+		e.putConfig(1, newRoute("/a/"))
+		Eventually(e.readyStatus, soon).Should(Equal(200))
+		statuses := make(chan int, 1)
 		go func() {
 			defer GinkgoRecover()
-			answered <- e.order("/a/")
+			statuses <- e.sendOrder("/a/")
 		}()
 		Eventually(s.Requests, soon).Should(HaveLen(1))
 		e.stop()
-		Eventually(e.ready, soon).Should(Equal(503))
+		Eventually(e.readyStatus, soon).Should(Equal(503))
 		close(release)
-		Eventually(answered, soon).Should(Receive(Equal(200)))
-		Eventually(e.ended, 10*time.Second).Should(Receive(BeNil()))
+		Eventually(statuses, soon).Should(Receive(Equal(200)))
+		Eventually(e.done, 10*time.Second).Should(Receive(BeNil()))
 	})
 
-	DescribeTable("logs lines that lead from a failed request's id to its cause",
-		// Guards against an on-call engineer who has an id and finds no cause: the
-		// server, what ended the attempt, and why nothing else could be done.
-		func(kind string, answer func(*platformtest.Server, net.Conn, *platformtest.Request), expected ...string) {
+	DescribeTable("logs the cause of a failed request under its id",
+		// Guards against failures whose cause cannot be found from the id of the request:
+		// the server, what ended the attempt, and why it was not retried.
+		func(kind string, respond func(*platformtest.Server, net.Conn, *platformtest.Request), expected ...string) {
 			e := startEntry()
-			s := platformtest.NewServer("desk-1", answer)
+			s := platformtest.NewServer("desk-1", respond)
 			DeferCleanup(s.Close)
-			e.register(s, "ready")
-			r := route("/a/")
+			e.putServer(s, "ready")
+			r := newRoute("/a/")
 			r["route_type"] = kind
-			e.configure(1, r)
+			e.putConfig(1, r)
 			Eventually(func() string {
-				e.ask("/a/")
+				e.sendAndIgnore("/a/")
 				return e.logs.String()
 			}, soon).Should(ContainSubstring("server=desk-1"))
 			for _, pattern := range expected {
 				Expect(e.logs.String()).To(MatchRegexp(pattern))
 			}
 		},
-		Entry("outcome unknown", "non_idempotent", platformtest.ResetConnection,
+		Entry("unknown outcome", "non_idempotent", platformtest.ResetConnection,
 			`event=7201 .*request=id-7 outcome=unknown reason="no answer" status=502 .*server=desk-1 attempts=1 .*limit_ms=3000`),
-		Entry("cut in mid-stream", "streaming", platformtest.RespondEvents(0, 3, false),
+		Entry("stream cut before its end", "streaming", platformtest.RespondEvents(0, 3, false),
 			`event=7201 .*request=id-7 outcome=broken reason="stream broken off" status=200 .*server=desk-1 attempts=1 .*events=4`),
-		Entry("refused by the server", "non_idempotent", platformtest.RespondNotExecuted,
+		Entry("rejected by the server", "non_idempotent", platformtest.RespondNotExecuted,
 			`event=7202 .*request=id-7 server=desk-1 reason="rejected by the server"|outcome=refused reason="rejected by the server"`),
 	)
 
-	It("shows in its metrics what it believes", func() {
-		// Guards against an on-call engineer who cannot tell from the metrics why
-		// requests are refused.
+	It("exposes its view of the deployment as metrics", func() {
+		// Guards against refused requests whose reason cannot be seen in the metrics.
 		e := startEntry()
 		s := desk()
-		e.register(s, "ready")
-		e.configure(3, route("/a/"))
-		Eventually(func() int { return e.order("/a/") }, soon).Should(Equal(200))
-		Expect(e.scrape()).To(And(
+		e.putServer(s, "ready")
+		e.putConfig(3, newRoute("/a/"))
+		Eventually(func() int { return e.sendOrder("/a/") }, soon).Should(Equal(200))
+		Expect(e.scrapeMetrics()).To(And(
 			ContainSubstring("auburnbend_config_version 3"),
 			ContainSubstring("auburnbend_store_reachable 1"),
 			MatchRegexp(`auburnbend_backend_servers\{condition="open",service="desk"\} 1`),
 			MatchRegexp(`auburnbend_repeats_left\{service="desk"\} [0-9.]+`),
 			MatchRegexp(`auburnbend_config_age_seconds [0-9.]+`),
 		))
-		e.register(s, "draining")
-		Eventually(e.scrape, soon).Should(MatchRegexp(`auburnbend_backend_servers\{condition="draining",service="desk"\} 1`))
+		e.putServer(s, "draining")
+		Eventually(e.scrapeMetrics, soon).Should(MatchRegexp(`auburnbend_backend_servers\{condition="draining",service="desk"\} 1`))
 		e.store.FailWith(503)
-		Eventually(e.scrape, soon).Should(ContainSubstring("auburnbend_store_reachable 0"))
+		Eventually(e.scrapeMetrics, soon).Should(ContainSubstring("auburnbend_store_reachable 0"))
 	})
 
-	It("logs how a request ended, with its id and the inputs of the decision", func() {
+	It("logs the end of a request with its id and the inputs of the decision", func() {
 		e := startEntry()
-		e.configure(1, route("/a/"))
-		Eventually(e.ready, soon).Should(Equal(200))
-		Expect(e.order("/a/")).To(Equal(503))
+		e.putConfig(1, newRoute("/a/"))
+		Eventually(e.readyStatus, soon).Should(Equal(200))
+		Expect(e.sendOrder("/a/")).To(Equal(503))
 		Eventually(e.logs.String, soon).Should(MatchRegexp(`event=7201 .*request=id-7 outcome=refused reason=no_server status=503 .*config=1`))
 	})
 })
 
-var _ = Describe("Command", func() {
-	It("checks a settings file and names what is wrong with it", func() {
+var _ = Describe("NewCommand", func() {
+	It("validates a settings file and reports the invalid setting", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "node.yaml")
 		Expect(os.WriteFile(path, []byte("node_name: x\nip: none\nzone: z\n"), 0o600)).To(Succeed())
 		cmd := NewCommand(Program{Name: "test"}, io.Discard)
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// pendingTime is the time in which connections that wait in the operating system
-// are taken before a listener closes.
-const pendingTime = 5 * time.Millisecond
+// pendingAcceptTimeout limits the wait for each connection that is still pending in
+// the operating system when a listener closes.
+const pendingAcceptTimeout = 5 * time.Millisecond
 
-// callerListener is a listener that, when it is closed, first hands out the
-// connections that callers have opened already. The operating system would reset
-// them, with the requests that were sent on them.
+// callerListener is a TCP listener that, when it is closed, first accepts the
+// connections that callers have already opened. Otherwise the operating system would
+// reset them and lose the requests sent on them.
 type callerListener struct {
 	*net.TCPListener
 	closing atomic.Bool
 }
 
-// listenCallers listens on an IP address and port.
+// listenCallers listens on an address of the form host:port.
 func listenCallers(address string) (*callerListener, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -35,8 +35,9 @@
 	if err == nil || !l.closing.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return conn, err
 	}
-	// The deadline that woke this call also hides what waits.
-	if err := l.SetDeadline(time.Now().Add(pendingTime)); err != nil {
+	// The expired deadline that interrupted this call also prevents accepting pending
+	// connections.
+	if err := l.SetDeadline(time.Now().Add(pendingAcceptTimeout)); err != nil {
 		return nil, err
 	}
 	if conn, err := l.TCPListener.Accept(); err == nil {
@@ -46,8 +47,8 @@
 	return nil, net.ErrClosed
 }
 
-// Close makes Accept return what waits and then an error. It implements
-// net.Listener.
+// Close implements net.Listener. Accept returns the pending connections and then
+// net.ErrClosed.
 func (l *callerListener) Close() error {
 	l.closing.Store(true)
 	return l.SetDeadline(time.Now())
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -11,10 +11,10 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Listener of callers", func() {
-	It("serves the connections that wait when it closes", func() {
-		// Guards against requests that were sent just before a planned stop and are
-		// reset without an answer.
+var _ = Describe("callerListener", func() {
+	It("accepts the connections that are pending when it closes", func() {
+		// Guards against requests that are sent just before a planned stop and reset
+		// without a response.
 		ln, err := listenCallers("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		var conns []net.Conn
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -18,32 +18,34 @@
 	"github.com/auburnbend/auburnbend/replica"
 )
 
-// seriesLimit bounds the series of one instrument.
-const seriesLimit = 500
+// maxSeries is the maximum number of time series of one instrument.
+const maxSeries = 500
 
-// latencyBuckets are in seconds. They resolve targets of 0.1 to 0.5 s.
+// latencyBuckets are histogram boundaries in seconds. They are narrow around the usual
+// targets of 0.1 to 0.5 s.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 2, 4, 8}
 
-// metrics are a daemon's instruments and their text endpoint.
+// metrics holds the instruments of a daemon and the server that exposes them.
 type metrics struct {
 	meter    metric.Meter
 	provider *sdk.MeterProvider
 	server   *http.Server
 
-	ended             metric.Int64Counter
-	first, total, gap metric.Float64Histogram
+	requestsEnded                        metric.Int64Counter
+	firstByteTime, totalTime, longestGap metric.Float64Histogram
 }
 
-// openMetrics serves metrics at a port of the instance; port 0 serves none.
+// openMetrics creates the instruments and serves them at a port of address; port 0
+// disables the server.
 func openMetrics(address string, port int) (*metrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo(), otelprom.WithoutTargetInfo(), otelprom.WithNamespace("auburnbend"))
 	if err != nil {
 		return nil, merry.Prepend(err, "metrics")
 	}
-	m := &metrics{provider: sdk.NewMeterProvider(sdk.WithReader(exporter), sdk.WithCardinalityLimit(seriesLimit))}
+	m := &metrics{provider: sdk.NewMeterProvider(sdk.WithReader(exporter), sdk.WithCardinalityLimit(maxSeries))}
 	m.meter = m.provider.Meter("github.com/auburnbend/auburnbend")
-	if err := m.instruments(); err != nil {
+	if err := m.createInstruments(); err != nil {
 		return nil, merry.Prepend(err, "metrics")
 	}
 	if port == 0 {
@@ -55,47 +57,48 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	m.server = &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout, WriteTimeout: headTimeout}
+	m.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: headerTimeout}
 	go func() { _ = m.server.Serve(ln) }()
 	return m, nil
 }
 
-func (m *metrics) instruments() (err error) {
+func (m *metrics) createInstruments() (err error) {
 	histogram := func(name, description string) metric.Float64Histogram {
-		h, failed := m.meter.Float64Histogram(name, metric.WithUnit("s"), metric.WithDescription(description), metric.WithExplicitBucketBoundaries(latencyBuckets...))
-		if failed != nil {
-			err = failed
+		h, createErr := m.meter.Float64Histogram(name, metric.WithUnit("s"), metric.WithDescription(description), metric.WithExplicitBucketBoundaries(latencyBuckets...))
+		if createErr != nil {
+			err = createErr
 		}
 		return h
 	}
-	m.first = histogram("request_first_answer", "time to the first byte of the answer")
-	m.total = histogram("request_total", "time to the end of the answer")
-	m.gap = histogram("request_longest_gap", "longest pause between events of a stream")
-	var failed error
-	if m.ended, failed = m.meter.Int64Counter("requests_ended", metric.WithDescription("requests by outcome and reason")); failed != nil {
-		err = failed
+	m.firstByteTime = histogram("request_first_answer", "time to the first byte of the answer")
+	m.totalTime = histogram("request_total", "time to the end of the answer")
+	m.longestGap = histogram("request_longest_gap", "longest pause between events of a stream")
+	var createErr error
+	if m.requestsEnded, createErr = m.meter.Int64Counter("requests_ended", metric.WithDescription("requests by outcome and reason")); createErr != nil {
+		err = createErr
 	}
 	return err
 }
 
 func (m *metrics) observe(o gateway.Observation) {
 	ctx := context.Background()
-	m.ended.Add(ctx, 1, metric.WithAttributes(
+	m.requestsEnded.Add(ctx, 1, metric.WithAttributes(
 		attribute.String("service", o.Service), attribute.String("team", o.Team),
 		attribute.String("outcome", o.Outcome), attribute.String("reason", o.Reason)))
 	if o.Outcome != gateway.OutcomeAnswered {
 		return
 	}
 	labels := metric.WithAttributes(attribute.String("team", o.Team), attribute.String("route", o.Route))
-	m.first.Record(ctx, o.TimeToFirstByte.Seconds(), labels)
-	m.total.Record(ctx, o.TotalTime.Seconds(), labels)
+	m.firstByteTime.Record(ctx, o.TimeToFirstByte.Seconds(), labels)
+	m.totalTime.Record(ctx, o.TotalTime.Seconds(), labels)
 	if o.Events > 1 {
-		m.gap.Record(ctx, o.LongestGap.Seconds(), labels)
+		m.longestGap.Record(ctx, o.LongestGap.Seconds(), labels)
 	}
 }
 
-// observeReplica adds the instruments of a replica.
-func (m *metrics) observeReplica(r *replica.Replica) {
+// registerReplicaMetrics adds the instruments of a replica. It panics if one cannot be
+// created.
+func (m *metrics) registerReplicaMetrics(r *replica.Replica) {
 	counter := func(name, description string, value func() int64) {
 		_, err := m.meter.Int64ObservableCounter(name, metric.WithDescription(description),
 			metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
@@ -111,7 +114,7 @@
 	counter("weights_spoilt_pieces", "pieces that did not match the manifest", r.Stats().CorruptPieces.Load)
 }
 
-// Close stops the endpoint.
+// Close stops the server of the metrics.
 func (m *metrics) Close() {
 	if m.server != nil {
 		_ = m.server.Close()
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -12,80 +12,80 @@
 	. "github.com/onsi/gomega"
 )
 
-// lateRuns counts the runs of the poison that began later than siteStall after it
-// had ended the third server.
-func (s *site) lateRuns() int {
-	runs := s.ran(sitePoison)
+// countLateRuns counts the runs of the poison request that began more than
+// stabilityTime after it had crashed the third server.
+func (s *deployment) countLateRuns() int {
+	runs := s.runsOf(poisonBody)
 	late := 0
 	for i := range runs {
-		if i >= 3 && runs[i].StartedAt.Sub(runs[2].StartedAt) > siteStall {
+		if i >= 3 && runs[i].StartedAt.Sub(runs[2].StartedAt) > stabilityTime {
 			late++
 		}
 	}
 	return late
 }
 
-// expectFewEnds holds the runs of the poison against what the deployment demands.
-func (s *site) expectFewEnds() {
-	runs := len(s.ran(sitePoison))
-	AddReportEntry("servers ended", runs)
+// expectFewRuns checks the number of runs of the poison request.
+func (s *deployment) expectFewRuns() {
+	runs := len(s.runsOf(poisonBody))
+	AddReportEntry("servers crashed", runs)
 	Expect(runs).To(BeNumerically(">=", 3))
-	Expect(s.lateRuns()).To(BeNumerically("<=", allowedLateRuns), "%d servers ended", runs)
+	Expect(s.countLateRuns()).To(BeNumerically("<=", maxLateRuns), "%d servers crashed", runs)
 }
 
-// crashLapse is when the row of a crashed server goes.
-const crashLapse = time.Second
+// crashedRowExpiry is the time after a crash until the row of the server is removed.
+const crashedRowExpiry = time.Second
 
-// allowedLateRuns is what the deployment demands.
-const allowedLateRuns = 3
+// maxLateRuns is the maximum number of late runs that the deployment allows.
+const maxLateRuns = 3
 
-var _ = Describe("A request that ends every server which runs it", func() {
-	DescribeTable("is not sent to further servers once three have ended",
-		// Guards against a caller that ends server after server by asking again, at any
-		// entry.
-		func(network int, prefix string) {
-			s := newSite(network, 3, 4, 8)
+var _ = Describe("A request that crashes each server that runs it", func() {
+	DescribeTable("is not sent to further servers once three have crashed",
+		// Guards against a caller that crashes one server after the other by repeating
+		// the request, at any entry.
+		func(subnet int, prefix string) {
+			s := newDeployment(subnet, 3, 4, 8)
 			for i := range 16 {
-				s.ask(i%len(s.entries), prefix, sitePoison)
+				s.send(i%len(s.entries), prefix, poisonBody)
 				time.Sleep(200 * time.Millisecond)
 			}
-			s.expectFewEnds()
+			s.expectFewRuns()
 		},
 		Entry("idempotent", 41, "/status/"),
 		Entry("not repeatable", 42, "/order/"),
 		Entry("stream", 43, "/draft/"),
 	)
 
-	It("is not sent to further servers by callers who ask several entries at once", func() {
-		s := newSite(44, 3, 2, 8)
+	It("is not sent to further servers if callers send it to several entries at once", func() {
+		s := newDeployment(44, 3, 2, 8)
 		for range 8 {
 			var callers sync.WaitGroup
 			for i := range s.entries {
 				callers.Add(1)
 				go func() {
 					defer callers.Done()
-					s.ask(i, "/status/", sitePoison)
+					s.send(i, "/status/", poisonBody)
 				}()
 			}
 			callers.Wait()
 			time.Sleep(400 * time.Millisecond)
 		}
-		s.expectFewEnds()
+		s.expectFewRuns()
 	})
 
-	It("is not sent on by entries that start anew, at the same time or one by one", func() {
-		// Guards against knowledge that ends with the process that has it.
-		s := newSite(45, 2, 2, 8)
+	It("is not sent on by restarted entries, whether one or all of them restart", func() {
+		// Guards against knowledge that is lost when the process that has it ends.
+		s := newDeployment(45, 2, 2, 8)
 		askAll := func() {
 			for i := range 4 {
-				s.ask(i%len(s.entries), "/status/", sitePoison)
+				s.send(i%len(s.entries), "/status/", poisonBody)
 				time.Sleep(200 * time.Millisecond)
 			}
 		}
 		askAll()
 		s.restart(0)
 		askAll()
-		before := len(s.ran(sitePoison))
+		before := len(s.runsOf(poisonBody))
 		var restarts sync.WaitGroup
 		for i := range s.entries {
 			restarts.Add(1)
@@ -97,30 +97,30 @@
 		}
 		restarts.Wait()
 		askAll()
-		Expect(s.ran(sitePoison)).To(HaveLen(before))
-		s.expectFewEnds()
+		Expect(s.runsOf(poisonBody)).To(HaveLen(before))
+		s.expectFewRuns()
 	})
 
-	It("is turned away at once as not run, and its caller told when to come back", func() {
-		s := newSite(46, 1, 2, 8)
+	It("is refused immediately with a Retry-After", func() {
+		s := newDeployment(46, 1, 2, 8)
 		for range 4 {
-			s.ask(0, "/order/", sitePoison)
+			s.send(0, "/order/", poisonBody)
 			time.Sleep(100 * time.Millisecond)
 		}
-		runs := len(s.ran(sitePoison))
+		runs := len(s.runsOf(poisonBody))
 		start := time.Now()
-		a := s.ask(0, "/order/", sitePoison)
+		a := s.send(0, "/order/", poisonBody)
 		Expect(a.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(a.RetryAfter).To(BeNumerically(">", time.Minute))
 		Expect(time.Since(start)).To(BeNumerically("<", 500*time.Millisecond))
-		Expect(s.ran(sitePoison)).To(HaveLen(runs))
-		Expect(s.ask(0, "/order/", "another order").Status).To(Equal(http.StatusOK))
+		Expect(s.runsOf(poisonBody)).To(HaveLen(runs))
+		Expect(s.send(0, "/order/", "another order").Status).To(Equal(http.StatusOK))
 	})
 
-	It("is told from sound requests that servers take with them", func() {
-		// Guards against sound requests that are refused because the servers which ran
-		// them crashed or were ended by others.
-		s := newSite(47, 2, 2, 8)
+	It("is distinguished from harmless requests that run on the same servers", func() {
+		// Guards against refusing harmless requests because the servers that ran them
+		// crashed for other reasons or through other requests.
+		s := newDeployment(47, 2, 2, 8)
 		ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 		defer cancel()
 		var work sync.WaitGroup
@@ -129,21 +129,21 @@
 			go func() {
 				defer work.Done()
 				for n := 0; ctx.Err() == nil; n++ {
-					// A third of the callers ask for the same thing again and again.
-					content := fmt.Sprintf("sound %d %d", i, n)
+					// A third of the callers repeat the same content.
+					content := fmt.Sprintf("harmless %d %d", i, n)
 					if i%3 == 0 {
-						content = "sound and popular"
+						content = "harmless and popular"
 					}
-					s.ask(i%len(s.entries), "/status/", content)
+					s.send(i%len(s.entries), "/status/", content)
 				}
 			}()
 		}
 		for n := 0; ctx.Err() == nil; n++ {
 			for _, b := range s.backends[2+n%3 : 2+n%3+4] {
-				b.Crash(crashLapse)
+				b.Crash(crashedRowExpiry)
 				time.AfterFunc(300*time.Millisecond, func() { _ = b.Start() })
 			}
-			s.ask(n%len(s.entries), "/status/", sitePoison)
+			s.send(n%len(s.entries), "/status/", poisonBody)
 			time.Sleep(700 * time.Millisecond)
 		}
 		work.Wait()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,28 +10,29 @@
 	"github.com/auburnbend/auburnbend/platform"
 )
 
-// settingsInterval is how often the settings file is looked at without a signal:
-// it may change without one.
-const settingsInterval = 5 * time.Second
+// settingsPollInterval is how often the settings file is checked for changes, which
+// may come without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// settingsFile follows the settings file of a process.
+// settingsFile watches the settings file of a process. It is not safe for concurrent
+// use.
 type settingsFile struct {
 	path    string
 	current *platform.Settings
-	// modified is when the file that was read last was written.
-	modified time.Time
-	log      *eventlog.Logger
+	// modTime is the modification time of the file when it was last read.
+	modTime time.Time
+	log     *eventlog.Logger
 }
 
 func newSettingsFile(path string, current *platform.Settings, log *eventlog.Logger) *settingsFile {
 	f := &settingsFile{path: path, current: current, log: log}
-	f.modified, _ = f.stat()
+	f.modTime, _ = f.readModTime()
 	return f
 }
 
-// stat returns when the file was written, and whether it is there. A file that is
-// missing for a moment, as while it is replaced, counts as unchanged.
-func (f *settingsFile) stat() (time.Time, bool) {
+// readModTime returns the modification time of the file, and false if the file does
+// not exist. A file that is briefly missing while it is replaced counts as unchanged.
+func (f *settingsFile) readModTime() (time.Time, bool) {
 	info, err := os.Stat(f.path)
 	if err != nil {
 		return time.Time{}, false
@@ -39,27 +40,27 @@
 	return info.ModTime(), true
 }
 
-// follow reads the file again at each signal and whenever it changes, and applies
-// it, until ctx ends. A file that cannot be used changes nothing.
-func (f *settingsFile) follow(ctx context.Context, signals <-chan os.Signal, apply func(*platform.Settings)) {
-	ticker := time.NewTicker(settingsInterval)
+// watch reads the file at each signal and whenever it has changed, until ctx ends. It
+// calls apply if any setting has changed. An invalid file is logged and ignored.
+func (f *settingsFile) watch(ctx context.Context, signals <-chan os.Signal, apply func(*platform.Settings)) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			f.read(apply)
+			f.reload(apply)
 		case <-ticker.C:
-			if modified, there := f.stat(); there && !modified.Equal(f.modified) {
-				f.read(apply)
+			if modTime, exists := f.readModTime(); exists && !modTime.Equal(f.modTime) {
+				f.reload(apply)
 			}
 		}
 	}
 }
 
-func (f *settingsFile) read(apply func(*platform.Settings)) {
-	f.modified, _ = f.stat()
+func (f *settingsFile) reload(apply func(*platform.Settings)) {
+	f.modTime, _ = f.readModTime()
 	settings, err := platform.LoadSettings(f.path)
 	if err != nil {
 		f.log.Log(eventlog.SettingsRejected, "err", err)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -15,12 +15,12 @@
 	"github.com/auburnbend/auburnbend/platform"
 )
 
-var _ = Describe("Settings that change", func() {
+var _ = Describe("settingsFile", func() {
 	const text = `{node_name: edge-1, ip: 127.0.0.1, zone: north, region: n, zones: {north: n},
 port_range: [7700, 7715], platform: {address: "127.0.0.1:1"}, bounds: {version_ms: 8000, retry_ratio: 0.2}}`
 	var (
 		path    string
-		logs    *lines
+		logs    *logBuffer
 		signals chan os.Signal
 		applied chan *platform.Settings
 	)
@@ -30,21 +30,21 @@
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 		settings, err := platform.LoadSettings(path)
 		Expect(err).NotTo(HaveOccurred())
-		logs, signals, applied = &lines{}, make(chan os.Signal), make(chan *platform.Settings, 1)
+		logs, signals, applied = &logBuffer{}, make(chan os.Signal), make(chan *platform.Settings, 1)
 		file := newSettingsFile(path, settings, eventlog.OpenPlain(logs, clock.System{}))
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
-		go file.follow(ctx, signals, func(s *platform.Settings) { applied <- s })
+		go file.watch(ctx, signals, func(s *platform.Settings) { applied <- s })
 	})
 
-	change := func(old, replacement string) {
+	replaceAndSignal := func(old, replacement string) {
 		Expect(os.WriteFile(path, []byte(strings.Replace(text, old, replacement, 1)), 0o600)).To(Succeed())
 		signals <- syscall.SIGHUP
 	}
 
-	It("are applied at a signal, with a line that names them", func() {
-		// Guards against a signal that changes nothing.
-		change("version_ms: 8000", "version_ms: 5000")
+	It("applies changed settings at a signal and logs their names", func() {
+		// Guards against a signal that has no effect.
+		replaceAndSignal("version_ms: 8000", "version_ms: 5000")
 		var s *platform.Settings
 		Eventually(applied).Should(Receive(&s))
 		Expect(s.Bounds.VersionTime.Seconds()).To(Equal(5.0))
@@ -52,15 +52,15 @@
 		Expect(logs.String()).To(ContainSubstring("Bounds.VersionTime"))
 	})
 
-	It("are refused if they cannot be used", func() {
-		// Guards against a process that ends, or runs on half of its settings.
-		change("retry_ratio: 0.2", "retry_ratio: -1")
+	It("rejects invalid settings", func() {
+		// Guards against a process that exits, or that applies only part of its settings.
+		replaceAndSignal("retry_ratio: 0.2", "retry_ratio: -1")
 		Eventually(logs.String).Should(ContainSubstring("event=1005"))
 		Expect(logs.String()).To(ContainSubstring("bounds.retry_ratio"))
 		Expect(applied).NotTo(Receive())
 	})
 
-	It("leave a line also where nothing changed", func() {
+	It("logs the signal even if nothing has changed", func() {
 		signals <- syscall.SIGHUP
 		Eventually(logs.String).Should(ContainSubstring("event=1004"))
 		Expect(applied).NotTo(Receive())
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -13,48 +13,48 @@
 	"github.com/auburnbend/auburnbend/replica"
 )
 
-// peersTimeout bounds the read of the list of peers.
-const peersTimeout = 1500 * time.Millisecond
+// peerListTimeout limits one read of the list of peers.
+const peerListTimeout = 1500 * time.Millisecond
 
-// RunReplica keeps the engine of this instance on the declared version until ctx
-// ends.
-func RunReplica(ctx context.Context, p Environment) error {
-	s := p.Settings
+// RunReplica loads the declared version of the weights into the engine of this
+// instance, and further ones as they are declared, until ctx ends.
+func RunReplica(ctx context.Context, env Environment) error {
+	s := env.Settings
 	if s.EngineAddress == "" {
-		return errors.New("the settings name no engine on this instance")
+		return errors.New("settings: no engine on this instance is configured")
 	}
-	m, err := openMetrics(s.Address, p.MetricsPort)
+	m, err := openMetrics(s.Address, env.MetricsPort)
 	if err != nil {
 		return err
 	}
 	defer m.Close()
 	store := platform.NewStore(s.StoreAddress)
-	targets := &replicaTargets{service: s.EngineService, source: store.Table(platform.TableOperator), log: p.Log}
-	peers := &peerList{settings: s, log: p.Log}
+	targets := &targetTracker{service: s.EngineService, source: store.Table(platform.TableOperator), log: env.Log}
+	peers := &peerList{settings: s, log: env.Log}
 	r := replica.New(replica.Config{
 		EngineAddress: s.EngineAddress, Region: s.Region,
-		Engine: platform.NewEngine(s.EngineAddress), Origin: targets.currentOrigin, OriginPieceTime: targets.originTime,
-		OnTarget: targets.announced,
+		Engine: platform.NewEngine(s.EngineAddress), Origin: targets.currentOrigin, OriginPieceTime: targets.originPieceTime,
+		OnTarget: targets.handleAnnouncement,
 		Peers:    peers.read,
 		PeerPort: s.FirstPort, Listen: s.Address, MaxRolloutTime: s.Bounds.VersionTime,
 		LinkRate: s.LinkRate,
-		Clock:    clock.System{}, Log: p.Log,
+		Clock:    clock.System{}, Log: env.Log,
 	})
 	targets.replica = r
-	m.observeReplica(r)
-	beacon, err := replica.NewLoadReporter(r)
+	m.registerReplicaMetrics(r)
+	reporter, err := replica.NewLoadReporter(r)
 	if err != nil {
 		return err
 	}
-	// Entries have the table already; the store is read where none answers.
-	peers.reader = relay.NewReader(platform.TableServers, store.Table(platform.TableServers), beacon.Entries)
-	go beacon.Run(ctx)
-	p.followSettings(ctx, func(s *platform.Settings) { r.SetLimits(s.Bounds.VersionTime, s.LinkRate) })
+	// Entries already hold the table. The store is read only if none of them answers.
+	peers.reader = relay.NewReader(platform.TableServers, store.Table(platform.TableServers), reporter.Entries)
+	go reporter.Run(ctx)
+	env.watchSettings(ctx, func(s *platform.Settings) { r.SetLimits(s.Bounds.VersionTime, s.LinkRate) })
 	go targets.run(ctx)
 	return r.Run(ctx)
 }
 
-// peerList reads the engines of this instance's service, without those that leave.
+// peerList reads the engines of this instance's service that are not draining.
 type peerList struct {
 	reader   *relay.Reader
 	settings *platform.Settings
@@ -62,14 +62,14 @@
 }
 
 func (l *peerList) read() ([]replica.Peer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), peersTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), peerListTimeout)
 	defer cancel()
 	rows, err := l.reader.Read(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var peers []replica.Peer
-	for _, s := range platform.DecodeServers(rows, func(row watch.Row, err error) { logUnreadable(l.log, row, err) }) {
+	for _, s := range platform.DecodeServers(rows, func(row watch.Row, err error) { logInvalidRow(l.log, row, err) }) {
 		if s.Service == l.settings.EngineService && !s.Draining {
 			peers = append(peers, replica.Peer{Address: s.Address, Region: l.settings.Regions[s.Domain]})
 		}
--- a/internal/node/requestlog.go
+++ b/internal/node/requestlog.go
@@ -11,35 +11,39 @@
 )
 
 const (
-	// answeredLines bounds the lines a second on requests that were answered.
-	answeredLines = 2
-	// troubledLines bounds those on all others, which are what is looked for.
-	troubledLines = 40
+	// maxAnsweredLines is the maximum number of log lines per second for requests that
+	// were answered.
+	maxAnsweredLines = 2
+	// maxOtherLines is the maximum for all other requests, which are the ones that
+	// operators look for.
+	maxOtherLines = 40
 )
 
-// requestLog writes a line at the end of requests, with a bounded volume, and
-// counts all of them. It is safe for concurrent use.
+// requestLog logs the end of requests at a limited rate and counts all requests in the
+// metrics. It is safe for concurrent use.
 type requestLog struct {
 	log     *eventlog.Logger
 	metrics *metrics
 	clock   clock.Clock
 
-	mu                 sync.Mutex
-	answered, troubled *rate.Limiter
-	dropped            int
+	mu                            sync.Mutex
+	answeredLimiter, otherLimiter *rate.Limiter
+	// dropped counts the lines for unanswered requests that were over the limit since
+	// the last written line.
+	dropped int
 }
 
 func newRequestLog(log *eventlog.Logger, m *metrics, c clock.Clock) *requestLog {
 	return &requestLog{
 		log: log, metrics: m, clock: c,
-		answered: rate.NewLimiter(answeredLines, answeredLines),
-		troubled: rate.NewLimiter(troubledLines, 2*troubledLines),
+		answeredLimiter: rate.NewLimiter(maxAnsweredLines, maxAnsweredLines),
+		otherLimiter:    rate.NewLimiter(maxOtherLines, 2*maxOtherLines),
 	}
 }
 
 func (l *requestLog) observe(o gateway.Observation) {
 	l.metrics.observe(o)
-	if !l.admit(o) {
+	if !l.allow(o) {
 		return
 	}
 	l.log.Log(eventlog.RequestEnded,
@@ -50,13 +54,13 @@
 		"first_ms", o.TimeToFirstByte.Milliseconds(), "total_ms", o.TotalTime.Milliseconds(), "gap_ms", o.LongestGap.Milliseconds())
 }
 
-// admit reports whether there is room for another line, and first logs how
-// many had no room.
-func (l *requestLog) admit(o gateway.Observation) bool {
+// allow reports whether the rate limit permits a line for o. If so, it first logs how
+// many lines for unanswered requests were dropped before.
+func (l *requestLog) allow(o gateway.Observation) bool {
 	l.mu.Lock()
-	limiter := l.troubled
+	limiter := l.otherLimiter
 	if o.Outcome == gateway.OutcomeAnswered {
-		limiter = l.answered
+		limiter = l.answeredLimiter
 	}
 	if !limiter.AllowN(l.clock.Now(), 1) {
 		if o.Outcome != gateway.OutcomeAnswered {
--- a/internal/node/state_metrics.go
+++ b/internal/node/state_metrics.go
@@ -11,14 +11,14 @@
 	"github.com/auburnbend/auburnbend/gateway"
 )
 
-// observeState adds gauges of what an entry believes. storeLost tells that the
-// store does not answer.
-func (m *metrics) observeState(g *gateway.Gateway, storeLost *atomic.Bool) error {
-	var failed error
+// registerStateMetrics adds gauges for the entry's view of the deployment.
+// storeUnavailable is true while the store does not answer.
+func (m *metrics) registerStateMetrics(g *gateway.Gateway, storeUnavailable *atomic.Bool) error {
+	var gaugeErr error
 	gauge := func(name, description, unit string) metric.Float64ObservableGauge {
 		instrument, err := m.meter.Float64ObservableGauge(name, metric.WithDescription(description), metric.WithUnit(unit))
 		if err != nil {
-			failed = err
+			gaugeErr = err
 		}
 		return instrument
 	}
@@ -31,8 +31,8 @@
 	granted := gauge("places_granted", "requests of other entries that were placed here and are being served", "")
 	quarantined := gauge("contents_quarantined", "contents that are refused because backend servers ended while they ran them", "")
 	store := gauge("store_reachable", "1 if the store answers", "")
-	if failed != nil {
-		return failed
+	if gaugeErr != nil {
+		return gaugeErr
 	}
 	_, err := m.meter.RegisterCallback(func(_ context.Context, o metric.Observer) error {
 		s := g.State()
@@ -41,7 +41,7 @@
 		o.ObserveFloat64(open, float64(s.OpenRequests))
 		o.ObserveFloat64(granted, float64(s.GrantedLeases))
 		o.ObserveFloat64(quarantined, float64(s.Quarantined))
-		o.ObserveFloat64(store, boolValue(!storeLost.Load()))
+		o.ObserveFloat64(store, boolToFloat(!storeUnavailable.Load()))
 		for group, n := range s.Servers {
 			o.ObserveFloat64(servers, float64(n), metric.WithAttributes(
 				attribute.String("service", group.Service), attribute.String("condition", string(group.Condition))))
@@ -58,7 +58,7 @@
 	return err
 }
 
-func boolValue(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -15,46 +15,49 @@
 )
 
 const (
-	// entryTimeout is how long an announcement of an entry replaces a read of the
-	// store. Entries send one each second, and datagrams may be lost.
-	entryTimeout = 3 * time.Second
-	// firstEntryTimeout is the time that entries have for it after a start.
-	firstEntryTimeout = time.Second
-	// readInterval is the mean pause between two reads of the store while no entry
-	// sends anything. Reads may be large, and all agents of a region share its
+	// announcementTimeout is the time after an announcement from an entry in which the
+	// store is not read. Entries send one announcement per second, and datagrams may be
+	// lost.
+	announcementTimeout = 3 * time.Second
+	// firstAnnouncementTimeout is the time to wait for the first announcement after a
+	// start.
+	firstAnnouncementTimeout = time.Second
+	// storeReadInterval is the mean time between two reads of the store while no
+	// announcements arrive. Reads may be large, and all agents of a region share its
 	// links.
-	readInterval = 2 * time.Second
-	// readTimeout bounds a whole read of the operator's table.
-	readTimeout = 10 * time.Second
+	storeReadInterval = 2 * time.Second
+	// storeReadTimeout limits one read of the whole operator's table.
+	storeReadTimeout = 10 * time.Second
 )
 
-// replicaTargets learns what the engine of this instance must serve: from the
-// entries, or from the store while none of them sends anything.
-type replicaTargets struct {
+// targetTracker determines which version of the weights the engine of this instance
+// must serve. It learns that from the announcements of entries, or from the store while
+// none arrive. It is safe for concurrent use.
+type targetTracker struct {
 	service string
 	replica *replica.Replica
 	source  watch.Source
 	log     *eventlog.Logger
-	// storeLost is set while reads of the store fail; it belongs to run.
-	storeLost bool
+	// storeUnavailable is true while reads of the store fail. Only run uses it.
+	storeUnavailable bool
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// config is the version of the configuration that named the origin.
-	config int64
-	origin *platform.Origin
-	// pieceTime is the time that the origin's link takes for one piece.
-	pieceTime time.Duration
-	// model and version must serve.
+	// configVersion is the version of the configuration that origin comes from.
+	configVersion int64
+	origin        *platform.Origin
+	// originPieceDuration is the transfer time of one piece over the origin's link.
+	originPieceDuration time.Duration
+	// model and version are what the engine must serve; version is 0 if unknown.
 	model   string
 	version int
-	// readAt is when the store is read unless an entry sends something before.
-	readAt time.Time
+	// nextRead is when the store is read unless an announcement arrives before.
+	nextRead time.Time
 }
 
-var _ platform.OperatorSink = (*replicaTargets)(nil)
+var _ platform.OperatorSink = (*targetTracker)(nil)
 
-func (t *replicaTargets) currentOrigin() replica.Origin {
+func (t *targetTracker) currentOrigin() replica.Origin {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.origin == nil {
@@ -63,30 +66,33 @@
 	return t.origin
 }
 
-func (t *replicaTargets) originTime() time.Duration {
+func (t *targetTracker) originPieceTime() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.pieceTime
+	return t.originPieceDuration
 }
 
-// announced takes a target that an entry announces.
-func (t *replicaTargets) announced(target *peerlink.Target) {
+// handleAnnouncement applies a target that an entry has announced and postpones the
+// next read of the store.
+func (t *targetTracker) handleAnnouncement(target *peerlink.Target) {
 	t.mu.Lock()
-	t.readAt = time.Now().Add(entryTimeout)
+	t.nextRead = time.Now().Add(announcementTimeout)
 	t.mu.Unlock()
-	t.take(target, "entry")
+	t.applyTarget(target, "entry")
 }
 
-// take follows a target. Older configurations and versions change nothing.
-func (t *replicaTargets) take(target *peerlink.Target, source string) {
+// applyTarget passes a target to the replica. An older configuration does not change
+// the model or the origin, and an older version does not replace a newer one. source
+// is logged.
+func (t *targetTracker) applyTarget(target *peerlink.Target, source string) {
 	t.mu.Lock()
-	if target.ConfigVersion < t.config && target.Model != t.model {
+	if target.ConfigVersion < t.configVersion && target.Model != t.model {
 		t.mu.Unlock()
 		return
 	}
-	if target.ConfigVersion >= t.config {
-		t.config = target.ConfigVersion
-		t.pieceTime = time.Duration(target.OriginPieceMicros) * time.Microsecond
+	if target.ConfigVersion >= t.configVersion {
+		t.configVersion = target.ConfigVersion
+		t.originPieceDuration = time.Duration(target.OriginPieceMicros) * time.Microsecond
 		if t.origin == nil || t.origin.Address() != target.Origin {
 			t.origin = platform.NewOrigin(target.Origin)
 		}
@@ -103,28 +109,28 @@
 	t.replica.SetTarget(target.Model, target.Version)
 }
 
-// run reads the store while no entry sends anything, until ctx ends.
-func (t *replicaTargets) run(ctx context.Context) {
+// run reads the store while no announcements arrive, until ctx ends.
+func (t *targetTracker) run(ctx context.Context) {
 	t.mu.Lock()
-	t.readAt = time.Now().Add(firstEntryTimeout)
+	t.nextRead = time.Now().Add(firstAnnouncementTimeout)
 	t.mu.Unlock()
 	for ctx.Err() == nil {
 		t.mu.Lock()
-		pause := time.Until(t.readAt)
+		delay := time.Until(t.nextRead)
 		t.mu.Unlock()
-		if pause <= 0 {
-			t.read(ctx)
-			pause = readInterval/2 + rand.N(readInterval)
+		if delay <= 0 {
+			t.readStore(ctx)
+			delay = storeReadInterval/2 + rand.N(storeReadInterval)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-func (t *replicaTargets) read(ctx context.Context) {
-	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
+func (t *targetTracker) readStore(ctx context.Context) {
+	readCtx, cancel := context.WithTimeout(ctx, storeReadTimeout)
 	defer cancel()
 	rows, err := t.source.Snapshot(readCtx)
 	if ctx.Err() != nil {
@@ -132,21 +138,21 @@
 	}
 	handler := platform.OperatorWatch{Sink: t}
 	if err != nil {
-		if !t.storeLost {
+		if !t.storeUnavailable {
 			handler.Lost(err)
 		}
-		t.storeLost = true
+		t.storeUnavailable = true
 		return
 	}
-	handler.Replace(rows, t.storeLost)
-	t.storeLost = false
+	handler.Replace(rows, t.storeUnavailable)
+	t.storeUnavailable = false
 }
 
 // Config implements platform.OperatorSink.
-func (t *replicaTargets) Config(c *serving.Config) {
+func (t *targetTracker) Config(c *serving.Config) {
 	for _, target := range c.WeightsTargets() {
 		if target.Service == t.service {
-			t.take(&peerlink.Target{
+			t.applyTarget(&peerlink.Target{
 				ConfigVersion: c.Version, Model: target.Model, Version: serving.FirstVersion,
 				Origin: target.Origin.Address, OriginPieceMicros: target.OriginPieceTime.Microseconds(),
 			}, "store")
@@ -155,29 +161,29 @@
 	t.log.Log(eventlog.LiveConfigApplied, "config", c.Version, "revision", c.Revision, "routes", len(c.Routes), "teams", len(c.Teams))
 }
 
-// TargetVersion implements platform.OperatorSink. Versions of models of other services
-// do not concern the engine.
-func (t *replicaTargets) TargetVersion(w platform.TargetVersion, _ bool) {
+// TargetVersion implements platform.OperatorSink. Versions of models that the engine
+// does not serve are ignored.
+func (t *targetTracker) TargetVersion(v platform.TargetVersion, _ bool) {
 	t.mu.Lock()
-	known, newer := t.model == w.Model, w.Version > t.version
+	known, newer := t.model == v.Model, v.Version > t.version
 	if known {
-		t.version = max(t.version, w.Version)
+		t.version = max(t.version, v.Version)
 	}
 	t.mu.Unlock()
 	if !known {
 		return
 	}
 	if newer {
-		t.log.Log(eventlog.VersionDeclared, "model", w.Model, "version", w.Version, "source", "store")
+		t.log.Log(eventlog.VersionDeclared, "model", v.Model, "version", v.Version, "source", "store")
 	}
-	t.replica.SetTarget(w.Model, w.Version)
+	t.replica.SetTarget(v.Model, v.Version)
 }
 
 // InvalidRow implements platform.OperatorSink.
-func (t *replicaTargets) InvalidRow(row watch.Row, err error) { logUnreadable(t.log, row, err) }
+func (t *targetTracker) InvalidRow(row watch.Row, err error) { logInvalidRow(t.log, row, err) }
 
 // StoreLost implements platform.OperatorSink.
-func (t *replicaTargets) StoreLost(err error) { t.log.Log(eventlog.StoreLost, "err", err) }
+func (t *targetTracker) StoreLost(err error) { t.log.Log(eventlog.StoreLost, "err", err) }
 
 // StoreRecovered implements platform.OperatorSink.
-func (t *replicaTargets) StoreRecovered() { t.log.Log(eventlog.StoreRegained) }
+func (t *targetTracker) StoreRecovered() { t.log.Log(eventlog.StoreRegained) }
--- a/internal/node/text.go
+++ b/internal/node/text.go
@@ -7,8 +7,8 @@
 	"github.com/auburnbend/auburnbend/lib/directory"
 )
 
-// weightsText lists loaded weights for a log line.
-func weightsText(weights map[string]directory.Weights) string {
+// formatWeights formats loaded weights for a log line, as model:version.
+func formatWeights(weights map[string]directory.Weights) string {
 	parts := make([]string, 0, len(weights))
 	for model, w := range weights {
 		text := model + ":" + strconv.Itoa(w.Version)
