--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -12,77 +12,80 @@
 )
 
 const (
-	// callersPerEntry callers send one request after another to their entry; half
-	// of them keep their connection until it breaks.
+	// callersPerEntry is the number of callers that send one request after the other
+	// to one entry. About half of them reuse their connection.
 	callersPerEntry = 5
 	// thinkTime is the mean pause between two requests of a caller.
 	thinkTime = 120 * time.Millisecond
-	// awayPause is the pause before an entry is looked at again that takes no
-	// callers.
-	awayPause = 100 * time.Millisecond
-	// balancerNotice is how long callers still come to an entry that is not ready:
-	// the balancer asks once a second and acts on two misses.
-	balancerNotice = 2 * time.Second
-	// readyTimeout bounds the question whether an entry is ready.
+	// notReadyPause is the pause before the next readiness check of an entry that is
+	// not ready.
+	notReadyPause = 100 * time.Millisecond
+	// balancerReactionTime is how long callers still use an entry that is not ready.
+	// The load balancer checks readiness once a second and reacts to two failed checks.
+	balancerReactionTime = 2 * time.Second
+	// readyTimeout limits one readiness check.
 	readyTimeout = time.Second
-	// gaveUpAfter is how much longer than its limit a caller listens.
-	gaveUpAfter = 2 * time.Second
+	// clientTimeoutSlack is how long after the timeout of its request a caller closes
+	// the connection.
+	clientTimeoutSlack = 2 * time.Second
 )
 
-// call runs the callers until ctx ends.
-func (w *world) call(ctx context.Context, seed uint64) {
+// runCallers runs the callers of all entries until ctx ends.
+func (t *testbed) runCallers(ctx context.Context, seed uint64) {
 	var callers sync.WaitGroup
-	for entry := range w.entries {
+	for entry := range t.entries {
 		for number := range callersPerEntry {
 			callers.Add(1)
 			go func() {
 				defer callers.Done()
-				w.newCaller(entry, number, seed).run(ctx)
+				t.newCaller(entry, number, seed).run(ctx)
 			}()
 		}
 	}
 	callers.Wait()
 }
 
-// newCaller returns a caller of an entry. Every other one keeps its connection.
-func (w *world) newCaller(entry, number int, seed uint64) *caller {
+// newCaller returns a caller of an entry. Callers with an odd number reuse their
+// connection.
+func (t *testbed) newCaller(entry, number int, seed uint64) *caller {
 	return &caller{
-		world: w, entry: entry, name: fmt.Sprintf("%d-%d", entry, number),
-		rng:    rand.New(rand.NewPCG(seed, uint64(entry*callersPerEntry+number)+2)),
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: number%2 == 0, DisableCompression: true, MaxConnsPerHost: 1}},
-		asker:  &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		testbed: t, entry: entry, name: fmt.Sprintf("%d-%d", entry, number),
+		rng:             rand.New(rand.NewPCG(seed, uint64(entry*callersPerEntry+number)+2)),
+		client:          &http.Client{Transport: &http.Transport{DisableKeepAlives: number%2 == 0, DisableCompression: true, MaxConnsPerHost: 1}},
+		readinessClient: &http.Client{Timeout: readyTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
-// poisonCaller is the number of the callers that ask for what ends servers; each
-// step has its own.
-const poisonCaller = 100
+// firstPoisonCaller is added to the number of callers that send poison requests. Each
+// step has callers of its own.
+const firstPoisonCaller = 100
 
-// askPoison asks the entries in turn for what ends each server that runs it.
-func (w *world) askPoison(ctx context.Context, s Step) {
-	kinds := []string{"/status/", "/order/", "/resumed/"}
-	prefix := kinds[s.Target%len(kinds)]
+// sendPoison sends poison requests, which crash each server that runs them, to the
+// entries in turn.
+func (t *testbed) sendPoison(ctx context.Context, s Step) {
+	prefixes := []string{"/status/", "/order/", "/resumed/"}
+	prefix := prefixes[s.Target%len(prefixes)]
 	var callers []*caller
-	for entry := range w.entries {
-		callers = append(callers, w.newCaller(entry, poisonCaller+int(s.Start.Milliseconds()), uint64(s.Target)))
+	for entry := range t.entries {
+		callers = append(callers, t.newCaller(entry, firstPoisonCaller+int(s.Start.Milliseconds()), uint64(s.Target)))
 	}
 	for end := time.Now().Add(s.Duration); time.Now().Before(end) && ctx.Err() == nil; wait(ctx, poisonInterval) {
-		c := callers[w.poisons.Add(1)%uint64(len(callers))]
-		if c.goes() {
-			c.poison(prefix)
+		c := callers[t.poisonCount.Add(1)%uint64(len(callers))]
+		if c.routed() {
+			c.sendPoison(prefix)
 		}
 	}
 }
 
-func (c *caller) poison(prefix string) {
+func (c *caller) sendPoison(prefix string) {
 	for i := range routes {
 		r := &routes[i]
 		if r.Prefix != prefix {
 			continue
 		}
-		c.count++
+		c.requestCount++
 		call := platformtest.Call{
-			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.TimeoutMS) * time.Millisecond,
+			Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.requestCount), APIKey: key, Timeout: time.Duration(r.TimeoutMS) * time.Millisecond,
 			Path: prefix + "poison", LastEventID: -1, Body: poisonBody,
 		}
 		if r.streams() {
@@ -94,78 +97,79 @@
 
 // caller sends requests to one entry.
 type caller struct {
-	world  *world
-	entry  int
-	name   string
-	rng    *rand.Rand
-	client *http.Client
-	// asker asks whether the entry is ready; unreadySince is when it was not, or
-	// zero.
-	asker        *http.Client
+	testbed *testbed
+	entry   int
+	name    string
+	rng     *rand.Rand
+	client  *http.Client
+	// readinessClient checks whether the entry is ready.
+	readinessClient *http.Client
+	// unreadySince is when the entry was first seen not to be ready, or zero if it is.
 	unreadySince time.Time
-	count        int
+	requestCount int
 }
 
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		pause := c.one()
+		pause := c.sendNext()
 		wait(ctx, pause+time.Duration(c.rng.Int64N(int64(2*thinkTime))))
 	}
 }
 
-// one sends a request and returns how long the caller was told to stay away.
-func (c *caller) one() time.Duration {
-	r := c.drawRoute()
-	c.count++
+// sendNext sends a request on a random route and returns the pause that the caller was
+// asked to make.
+func (c *caller) sendNext() time.Duration {
+	r := c.pickRoute()
+	c.requestCount++
 	call := platformtest.Call{
-		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.count), APIKey: key, Timeout: time.Duration(r.TimeoutMS) * time.Millisecond,
-		LastEventID: -1, Body: fmt.Sprintf("body of %s-%d", c.name, c.count),
+		Host: host, AttemptID: fmt.Sprintf("a%s-%d", c.name, c.requestCount), APIKey: key, Timeout: time.Duration(r.TimeoutMS) * time.Millisecond,
+		LastEventID: -1, Body: fmt.Sprintf("body of %s-%d", c.name, c.requestCount),
 	}
 	call.Path = r.Prefix + call.AttemptID
 	if r.streams() {
 		call.Model, call.PromptTokens, call.MaxTokens = model, 50+c.rng.IntN(200), 5*eventsPerStream
 	}
-	if !c.goes() {
-		return awayPause
+	if !c.routed() {
+		return notReadyPause
 	}
 	return c.send(call, r)
 }
 
-// send sends a request and notes its end. It returns how long the caller was told to
-// stay away.
+// send sends a request and records its outcome. It returns the Retry-After of the
+// response, or zero.
 func (c *caller) send(call platformtest.Call, r *route) time.Duration {
-	o := outcome{call: call, route: *r, entry: c.entry, ready: c.unreadySince.IsZero(), sent: c.world.ledger.now()}
-	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout+gaveUpAfter)
+	o := outcome{call: call, route: *r, entry: c.entry, ready: c.unreadySince.IsZero(), sent: c.testbed.recorder.now()}
+	ctx, cancel := context.WithTimeout(context.Background(), call.Timeout+clientTimeoutSlack)
 	defer cancel()
-	req, err := call.Request(ctx, address(c.world.slot, groupEntry, c.entry, callersPort))
+	req, err := call.Request(ctx, address(c.testbed.slot, groupEntry, c.entry, callersPort))
 	if err != nil {
 		panic(err)
 	}
-	// The library may send a request again on a new connection; this one must not.
+	// Without GetBody, the HTTP client does not resend the request on a new connection.
 	req.GetBody = nil
 	resp, err := c.client.Do(req)
 	if err == nil {
-		o.answer = platformtest.ReadResponse(resp)
+		o.response = platformtest.ReadResponse(resp)
 	}
-	o.err, o.ended = err, c.world.ledger.now()
-	c.world.ledger.end(o)
-	return o.answer.RetryAfter
+	o.err, o.ended = err, c.testbed.recorder.now()
+	c.testbed.recorder.addOutcome(o)
+	return o.response.RetryAfter
 }
 
-// goes reports whether the balancer sends the caller to the entry.
-func (c *caller) goes() bool {
-	if platformtest.Ready(c.asker, address(c.world.slot, groupEntry, c.entry, readyPort)) {
+// routed reports whether the load balancer would route the caller to the entry now.
+func (c *caller) routed() bool {
+	if platformtest.Ready(c.readinessClient, address(c.testbed.slot, groupEntry, c.entry, readyPort)) {
 		c.unreadySince = time.Time{}
 		return true
 	}
 	if c.unreadySince.IsZero() {
 		c.unreadySince = time.Now()
 	}
-	return time.Since(c.unreadySince) < balancerNotice
+	return time.Since(c.unreadySince) < balancerReactionTime
 }
 
-func (c *caller) drawRoute() *route {
+func (c *caller) pickRoute() *route {
 	draw := c.rng.Float64()
 	for i := range routes {
 		if draw -= routes[i].share; draw < 0 {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -8,7 +8,7 @@
 	"github.com/auburnbend/auburnbend/platform/platformtest"
 )
 
-// Violation is a broken promise.
+// Violation is a failed check.
 type Violation struct {
 	Rule, Detail string
 	Time         time.Duration
@@ -18,142 +18,143 @@
 	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, v.Time.Seconds(), v.Detail)
 }
 
-// rotExcuse is the time after a piece has turned bad at an engine in which it
-// may be loaded: the agent may have checked it right before.
-const rotExcuse = 3 * time.Second
+// corruptionGrace is the time after the corruption of a staged piece in which an engine
+// may load it: the agent may have verified the piece right before.
+const corruptionGrace = 3 * time.Second
 
-// answerSlack is how long after its limit a request may stay without an answer.
-const answerSlack = 500 * time.Millisecond
+// responseSlack is how long after the timeout of a request its response may end.
+const responseSlack = 500 * time.Millisecond
 
-// check holds a run against what the deployment demands.
-type check struct {
-	ledger *ledger
-	steps  []Step
-	// busy is when the last step has ended, end when the traffic does.
-	busy, end time.Duration
+// checker checks a run against the requirements of the deployment.
+type checker struct {
+	recorder *recorder
+	steps    []Step
+	// stepsEnd and trafficEnd are the ends of the last step and of the traffic, from
+	// the start of traffic.
+	stepsEnd, trafficEnd time.Duration
 
 	violations []Violation
 }
 
-func (c *check) broken(rule string, at time.Duration, format string, arguments ...any) {
+func (c *checker) addViolation(rule string, at time.Duration, format string, arguments ...any) {
 	c.violations = append(c.violations, Violation{Rule: rule, Time: at, Detail: fmt.Sprintf(format, arguments...)})
 }
 
-// run checks everything and returns what is broken.
-func (c *check) run() []Violation {
-	known := make(map[string]bool, len(c.ledger.outcomes))
-	for i := range c.ledger.outcomes {
-		o := &c.ledger.outcomes[i]
+// run makes all checks and returns the violations.
+func (c *checker) run() []Violation {
+	known := make(map[string]bool, len(c.recorder.outcomes))
+	for i := range c.recorder.outcomes {
+		o := &c.recorder.outcomes[i]
 		known[o.call.AttemptID] = true
-		c.answer(o)
-		c.runsOf(o, c.ledger.runs[o.call.AttemptID])
+		c.checkResponse(o)
+		c.checkRuns(o, c.recorder.runs[o.call.AttemptID])
 	}
-	for id, runs := range c.ledger.runs {
+	for id, runs := range c.recorder.runs {
 		if !known[id] {
-			c.broken("UNASKED", runs[0].StartedAt.Sub(c.ledger.started), "nobody asked for %q", id)
+			c.addViolation("UNASKED", runs[0].StartedAt.Sub(c.recorder.started), "no caller sent request %q", id)
 		}
 	}
-	c.loaded()
-	c.signals()
-	c.poisoned()
-	c.recovered()
+	c.checkLoads()
+	c.checkSignals()
+	c.checkPoison()
+	c.checkRecovery()
 	return c.violations
 }
 
-// answer checks what a caller got.
-func (c *check) answer(o *outcome) {
-	settled := calm(c.steps, o.sent, o.ended, stable)
+// checkResponse checks what a caller received for a request.
+func (c *checker) checkResponse(o *outcome) {
+	noFaults := undisturbed(c.steps, o.sent, o.ended, stabilityTime)
 	switch {
-	case o.unconnected() && o.ready && settled:
-		c.broken("UNREACHABLE", o.ended, "%s at entry %d, which was ready: %v", o.call.AttemptID, o.entry, o.err)
-	case o.unconnected():
-		// An entry that is not ready may refuse connections: nothing was sent.
-	case o.err != nil && settled:
-		c.broken("LOST", o.ended, "%s at entry %d: %v", o.call.AttemptID, o.entry, o.err)
-	case o.ended-o.sent > o.call.Timeout+answerSlack && settled:
-		c.broken("LATE", o.ended, "%s had its answer after %v of %v", o.call.AttemptID, o.ended-o.sent, o.call.Timeout)
+	case o.neverConnected() && o.ready && noFaults:
+		c.addViolation("UNREACHABLE", o.ended, "%s could not connect to entry %d, which was ready: %v", o.call.AttemptID, o.entry, o.err)
+	case o.neverConnected():
+		// An entry that is not ready may refuse connections; the request was not sent.
+	case o.err != nil && noFaults:
+		c.addViolation("LOST", o.ended, "%s got no response from entry %d: %v", o.call.AttemptID, o.entry, o.err)
+	case o.ended-o.sent > o.call.Timeout+responseSlack && noFaults:
+		c.addViolation("LATE", o.ended, "%s got its response after %v, timeout %v", o.call.AttemptID, o.ended-o.sent, o.call.Timeout)
 	}
 	if o.err != nil {
 		return
 	}
-	a := &o.answer
+	a := &o.response
 	switch a.Status {
 	case http.StatusOK:
-		c.success(o)
+		c.checkSuccess(o)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		if runs := c.ledger.runs[o.call.AttemptID]; len(runs) > 0 && !o.route.repeatable() {
-			c.broken("REFUSED", o.ended, "%s was answered %d and ran at %s", o.call.AttemptID, a.Status, runs[0].Server)
+		if runs := c.recorder.runs[o.call.AttemptID]; len(runs) > 0 && !o.route.repeatable() {
+			c.addViolation("REFUSED", o.ended, "%s got status %d but ran at %s", o.call.AttemptID, a.Status, runs[0].Server)
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		c.broken("DENIED", o.ended, "%s was answered %d", o.call.AttemptID, a.Status)
+		c.addViolation("DENIED", o.ended, "%s got status %d", o.call.AttemptID, a.Status)
 	}
 }
 
-func (c *check) success(o *outcome) {
-	a := &o.answer
+func (c *checker) checkSuccess(o *outcome) {
+	a := &o.response
 	id := o.call.AttemptID
 	if !a.Signed || a.AttemptID != id {
-		c.broken("MIXED", o.ended, "%s got a success for %q, signed %t", id, a.AttemptID, a.Signed)
+		c.addViolation("MIXED", o.ended, "%s got the response to %q, signed: %t", id, a.AttemptID, a.Signed)
 	}
 	if !o.route.streams() {
 		if a.Complete && a.Body != platformtest.ResponseBody(id) {
-			c.broken("MIXED", o.ended, "%s got %q", id, a.Body)
+			c.addViolation("MIXED", o.ended, "%s got the body %q", id, a.Body)
 		}
 		return
 	}
 	first := o.call.LastEventID + 1
 	for i, e := range a.Events {
 		if e.ID != first+i || e.Data != platformtest.EventData(id, first+i) {
-			c.broken("ORDER", o.ended, "%s got event %d %q in place of %d", id, e.ID, e.Data, first+i)
+			c.addViolation("ORDER", o.ended, "%s got event %d %q instead of event %d", id, e.ID, e.Data, first+i)
 			return
 		}
 	}
 	if a.Complete && first+len(a.Events) != eventsPerStream {
-		c.broken("ORDER", o.ended, "%s ended as complete after %d of %d events", id, first+len(a.Events), eventsPerStream)
+		c.addViolation("ORDER", o.ended, "%s ended without error after %d of %d events", id, first+len(a.Events), eventsPerStream)
 	}
-	if !a.Complete && calm(c.steps, o.sent, o.ended, stable) {
-		c.broken("LOST", o.ended, "%s at entry %d was broken off after %d events", id, o.entry, len(a.Events))
+	if !a.Complete && undisturbed(c.steps, o.sent, o.ended, stabilityTime) {
+		c.addViolation("LOST", o.ended, "%s at entry %d was cut after %d events", id, o.entry, len(a.Events))
 	}
 }
 
-// runsOf checks where a request ran.
-func (c *check) runsOf(o *outcome, runs []platformtest.Run) {
+// checkRuns checks how often and where a request ran.
+func (c *checker) checkRuns(o *outcome, runs []platformtest.Run) {
 	if len(runs) > 1 && !o.route.repeatable() {
-		c.broken("TWICE", o.ended, "%s ran at %s and %s", o.call.AttemptID, runs[0].Server, runs[1].Server)
+		c.addViolation("TWICE", o.ended, "%s ran at %s and %s", o.call.AttemptID, runs[0].Server, runs[1].Server)
 	}
 	if len(runs) > o.route.MaxServers {
-		c.broken("BUDGET", o.ended, "%s ran %d times of %d", o.call.AttemptID, len(runs), o.route.MaxServers)
+		c.addViolation("BUDGET", o.ended, "%s ran %d times, maximum %d", o.call.AttemptID, len(runs), o.route.MaxServers)
 	}
 	for i := range runs {
-		c.ran(o, &runs[i])
+		c.checkRun(o, &runs[i])
 	}
 }
 
-func (c *check) ran(o *outcome, r *platformtest.Run) {
-	at := r.StartedAt.Sub(c.ledger.started)
+func (c *checker) checkRun(o *outcome, r *platformtest.Run) {
+	at := r.StartedAt.Sub(c.recorder.started)
 	if r.HasKey || r.Team != team || r.Target != o.call.Path || r.Body != o.call.Body {
-		c.broken("UNASKED", at, "%s ran as %s for team %q, with its key: %t", r.AttemptID, r.Target, r.Team, r.HasKey)
+		c.addViolation("UNASKED", at, "%s does not match its request: ran as %s for team %q, API key passed on: %t", r.AttemptID, r.Target, r.Team, r.HasKey)
 	}
-	if settled := calm(c.steps, max(0, o.sent-bounds.config()), at, stable); !settled {
+	if noFaults := undisturbed(c.steps, max(0, o.sent-bounds.configTime()), at, stabilityTime); !noFaults {
 		return
 	}
 	if o.route.Prefix == movingPrefix {
-		newest := c.newest(c.ledger.configs, o.sent-bounds.config())
-		if newest > 1 && r.Service == movingService(newest-1) && c.newest(c.ledger.configs, at) == newest {
-			c.broken("CONFIG", at, "%s ran at %s, which configuration %d no longer allows", r.AttemptID, r.Service, newest)
+		newest := c.newestVersion(c.recorder.configs, o.sent-bounds.configTime())
+		if newest > 1 && r.Service == movingService(newest-1) && c.newestVersion(c.recorder.configs, at) == newest {
+			c.addViolation("CONFIG", at, "%s ran at %s, contrary to configuration %d", r.AttemptID, r.Service, newest)
 		}
 	}
-	if least := c.newest(c.ledger.weights, at-bounds.version()); r.Version > 0 && r.Version < least && calm(c.steps, max(0, at-bounds.version()), at, stable) {
-		c.broken("VERSION", at, "%s ran on version %d, declared was %d", r.AttemptID, r.Version, least)
+	if required := c.newestVersion(c.recorder.weights, at-bounds.versionTime()); r.Version > 0 && r.Version < required && undisturbed(c.steps, max(0, at-bounds.versionTime()), at, stabilityTime) {
+		c.addViolation("VERSION", at, "%s ran on version %d, required %d", r.AttemptID, r.Version, required)
 	}
-	if left, leaves := c.ledger.left[r.Server]; leaves && at > left+bounds.drain() {
-		c.broken("DRAIN", at, "%s ran at %s, which had told %v before that it leaves", r.AttemptID, r.Server, at-left)
+	if since, draining := c.recorder.drainingSince[r.Server]; draining && at > since+bounds.drainTime() {
+		c.addViolation("DRAIN", at, "%s ran at %s, which had been draining for %v", r.AttemptID, r.Server, at-since)
 	}
 }
 
-// newest returns the newest version that was declared by a moment, or zero.
-func (c *check) newest(list []declared, at time.Duration) int {
+// newestVersion returns the newest version that was declared until at, or zero.
+func (c *checker) newestVersion(list []declaredVersion, at time.Duration) int {
 	version := 0
 	for _, d := range list {
 		if d.at <= at {
@@ -163,44 +164,44 @@
 	return version
 }
 
-func (c *check) loaded() {
-	for _, l := range c.ledger.loads {
-		if l.whole {
+func (c *checker) checkLoads() {
+	for _, l := range c.recorder.loads {
+		if l.intact {
 			continue
 		}
 		excused := false
-		for _, at := range c.ledger.rotten {
-			excused = excused || at <= l.at && l.at-at < rotExcuse
+		for _, at := range c.recorder.corruptions {
+			excused = excused || at <= l.at && l.at-at < corruptionGrace
 		}
 		if !excused {
-			c.broken("WHOLE", l.at, "%s loads version %d with wrong or missing pieces", l.server, l.version)
+			c.addViolation("WHOLE", l.at, "%s was ordered to load version %d with corrupt or missing pieces", l.server, l.version)
 		}
 	}
 }
 
-// recovered checks that requests are served once the last step has ended and
-// the time to recover is over.
-func (c *check) recovered() {
-	type count struct{ all, served int }
-	perRoute := make(map[string]*count)
-	for i := range c.ledger.outcomes {
-		o := &c.ledger.outcomes[i]
-		if o.sent < c.busy+recoverTime || o.sent > c.end-o.call.Timeout {
+// checkRecovery checks that at least a quarter of each route's requests are answered
+// from recoveryTime after the last step on.
+func (c *checker) checkRecovery() {
+	type counts struct{ sent, answered int }
+	byPrefix := make(map[string]*counts)
+	for i := range c.recorder.outcomes {
+		o := &c.recorder.outcomes[i]
+		if o.sent < c.stepsEnd+recoveryTime || o.sent > c.trafficEnd-o.call.Timeout {
 			continue
 		}
-		n := perRoute[o.route.Prefix]
+		n := byPrefix[o.route.Prefix]
 		if n == nil {
-			n = &count{}
-			perRoute[o.route.Prefix] = n
+			n = &counts{}
+			byPrefix[o.route.Prefix] = n
 		}
-		n.all++
-		if o.err == nil && o.answer.Status == http.StatusOK && o.answer.Complete {
-			n.served++
+		n.sent++
+		if o.err == nil && o.response.Status == http.StatusOK && o.response.Complete {
+			n.answered++
 		}
 	}
 	for _, r := range routes {
-		if n := perRoute[r.Prefix]; n == nil || 4*n.served < n.all {
-			c.broken("RECOVER", c.end, "%s: %+v served after the recovery", r.Prefix, n)
+		if n := byPrefix[r.Prefix]; n == nil || 4*n.answered < n.sent {
+			c.addViolation("RECOVER", c.trafficEnd, "%s: requests after the recovery time: %+v", r.Prefix, n)
 		}
 	}
 }
--- a/internal/soak/check_signals.go
+++ b/internal/soak/check_signals.go
@@ -9,75 +9,81 @@
 )
 
 const (
-	// pauseNotice is the time after a server's request for a pause in which requests may
-	// cross it, and allowedInPause the number of later ones that an entry may send.
-	pauseNotice    = 500 * time.Millisecond
-	allowedInPause = 2
-	// poisonServers is the number of servers that one request may end before its runs
-	// count, and allowedPoisonRuns that of later runs.
-	poisonServers     = 3
-	allowedPoisonRuns = 3
+	// retryAfterNotice is the time after a response with Retry-After in which requests
+	// may still arrive that were sent before the entry received it.
+	retryAfterNotice = 500 * time.Millisecond
+	// maxDuringRetryAfter is the maximum number of later requests of an entry until the
+	// Retry-After has passed.
+	maxDuringRetryAfter = 2
+	// maxPoisonedServers is the number of servers that one poison request may crash.
+	// maxLatePoisonRuns is the maximum number of runs that begin more than stabilityTime
+	// after that.
+	maxPoisonedServers = 3
+	maxLatePoisonRuns  = 3
 )
 
-// wishes checks that servers which leave, or want a pause, are left alone.
-func (c *check) signals() {
-	outcomes := make(map[string]*outcome, len(c.ledger.outcomes))
-	for i := range c.ledger.outcomes {
-		o := &c.ledger.outcomes[i]
+// checkSignals checks that servers get no requests after they have signaled that they
+// drain or want a pause.
+func (c *checker) checkSignals() {
+	outcomes := make(map[string]*outcome, len(c.recorder.outcomes))
+	for i := range c.recorder.outcomes {
+		o := &c.recorder.outcomes[i]
 		outcomes[o.call.AttemptID] = o
 	}
 	arrivals := make(map[string][]serverEvent)
-	for _, e := range c.ledger.events {
+	for _, e := range c.recorder.events {
 		if e.kind == eventArrived {
 			arrivals[e.server] = append(arrivals[e.server], e)
 		}
 	}
-	for _, e := range c.ledger.events {
+	for _, e := range c.recorder.events {
 		o := outcomes[e.attempt]
 		switch {
 		case o == nil:
-		case e.kind == eventLeaving:
-			c.left(e, o, arrivals[e.server], outcomes)
-		case e.kind == eventPause:
-			c.paused(e, o, arrivals[e.server], outcomes)
+		case e.kind == eventDraining:
+			c.checkDrainingSignal(e, o, arrivals[e.server], outcomes)
+		case e.kind == eventRetryAfter:
+			c.checkRetryAfter(e, o, arrivals[e.server], outcomes)
 		}
 	}
 }
 
-// left checks what an entry sends to a server after it has passed on an answer that
-// tells that the server leaves.
-func (c *check) left(e serverEvent, o *outcome, arrivals []serverEvent, outcomes map[string]*outcome) {
-	if o.err != nil || o.answer.Status != http.StatusOK || !o.answer.Complete {
+// checkDrainingSignal checks that an entry sends nothing more to a server after it has
+// forwarded a response in which the server signaled that it drains.
+func (c *checker) checkDrainingSignal(e serverEvent, o *outcome, arrivals []serverEvent, outcomes map[string]*outcome) {
+	if o.err != nil || o.response.Status != http.StatusOK || !o.response.Complete {
 		return
 	}
 	for _, a := range arrivals {
 		later := outcomes[a.attempt]
-		if later == nil || later.entry != o.entry || later.sent <= o.ended+bounds.drain() || c.restarted(o.entry, o.ended, a.at) {
+		if later == nil || later.entry != o.entry || later.sent <= o.ended+bounds.drainTime() || c.entryInterrupted(o.entry, o.ended, a.at) {
 			continue
 		}
-		c.broken("DRAIN", a.at, "%s reached %s, which had told entry %d %v before that it leaves", a.attempt, e.server, o.entry, a.at-o.ended)
+		c.addViolation("DRAIN", a.at, "%s reached %s, which had signaled to entry %d %v before that it drains", a.attempt, e.server, o.entry, a.at-o.ended)
 	}
 }
 
-// paused checks what an entry sends to a server that wants nothing from it.
-func (c *check) paused(e serverEvent, o *outcome, arrivals []serverEvent, outcomes map[string]*outcome) {
-	end := e.at + e.pause
-	if !calm(c.steps, e.at-pauseNotice, end, 0) || c.restarted(o.entry, e.at, end) {
+// checkRetryAfter checks how many requests an entry sends to a server that has asked it
+// for a pause.
+func (c *checker) checkRetryAfter(e serverEvent, o *outcome, arrivals []serverEvent, outcomes map[string]*outcome) {
+	end := e.at + e.retryAfter
+	if !undisturbed(c.steps, e.at-retryAfterNotice, end, 0) || c.entryInterrupted(o.entry, e.at, end) {
 		return
 	}
 	sent := 0
 	for _, a := range arrivals {
-		if later := outcomes[a.attempt]; later != nil && later.entry == o.entry && a.at > e.at+pauseNotice && a.at < end {
+		if later := outcomes[a.attempt]; later != nil && later.entry == o.entry && a.at > e.at+retryAfterNotice && a.at < end {
 			sent++
 		}
 	}
-	if sent > allowedInPause {
-		c.broken("BUDGET", end, "%d requests reached %s in a pause that it had asked of entry %d", sent, e.server, o.entry)
+	if sent > maxDuringRetryAfter {
+		c.addViolation("BUDGET", end, "%d requests reached %s in a pause that it had asked entry %d for, maximum %d", sent, e.server, o.entry, maxDuringRetryAfter)
 	}
 }
 
-// restarted reports whether an entry was ended or paused between two moments.
-func (c *check) restarted(entry int, from, to time.Duration) bool {
+// entryInterrupted reports whether an entry was killed, stopped or paused between two
+// points in time.
+func (c *checker) entryInterrupted(entry int, from, to time.Duration) bool {
 	for _, s := range c.steps {
 		switch s.Kind {
 		case KillEntry, PauseEntry, StopEntry:
@@ -88,52 +94,53 @@
 		default:
 			continue
 		}
-		if s.Start <= to && s.Start+s.Duration+stopTime >= from {
+		if s.Start <= to && s.Start+s.Duration+maxStopTime >= from {
 			return true
 		}
 	}
 	return false
 }
 
-// stopTime is how long a stopped entry may go on.
-const stopTime = 8 * time.Second
+// maxStopTime is how long a stopped entry may continue to serve.
+const maxStopTime = 8 * time.Second
 
-// poisoned checks that a request which ends servers is not sent on.
-func (c *check) poisoned() {
+// checkPoison checks that poison requests are no longer sent to servers once they have
+// crashed maxPoisonedServers.
+func (c *checker) checkPoison() {
 	var runs []platformtest.Run
-	for _, of := range c.ledger.runs {
-		for _, r := range of {
+	for _, attemptRuns := range c.recorder.runs {
+		for _, r := range attemptRuns {
 			if r.Body == poisonBody {
 				runs = append(runs, r)
 			}
 		}
 	}
-	for _, target := range targetsOf(runs) {
-		c.poisonedAt(target, runs)
+	for _, target := range distinctTargets(runs) {
+		c.checkPoisonTarget(target, runs)
 	}
 }
 
-func (c *check) poisonedAt(target string, runs []platformtest.Run) {
-	var moments []time.Duration
+func (c *checker) checkPoisonTarget(target string, runs []platformtest.Run) {
+	var times []time.Duration
 	for _, r := range runs {
 		if r.Target == target {
-			moments = append(moments, r.StartedAt.Sub(c.ledger.started))
+			times = append(times, r.StartedAt.Sub(c.recorder.started))
 		}
 	}
-	slices.Sort(moments)
+	slices.Sort(times)
 	late := 0
-	for i, at := range moments {
-		if i >= poisonServers && at > moments[poisonServers-1]+stable && calm(c.otherSteps(), at-stable, at, 0) {
+	for i, at := range times {
+		if i >= maxPoisonedServers && at > times[maxPoisonedServers-1]+stabilityTime && undisturbed(c.stepsExceptPoison(), at-stabilityTime, at, 0) {
 			late++
 		}
 	}
-	if late > allowedPoisonRuns {
-		c.broken("BUDGET", moments[len(moments)-1], "%s reached servers %d times after it had ended three", target, late)
+	if late > maxLatePoisonRuns {
+		c.addViolation("BUDGET", times[len(times)-1], "%s reached servers %d times after it had crashed three", target, late)
 	}
 }
 
-// otherSteps are the steps but those that ask for what ends servers.
-func (c *check) otherSteps() []Step {
+// stepsExceptPoison returns the steps other than those that send poison requests.
+func (c *checker) stepsExceptPoison() []Step {
 	var others []Step
 	for _, s := range c.steps {
 		if s.Kind != SendPoison {
@@ -143,7 +150,7 @@
 	return others
 }
 
-func targetsOf(runs []platformtest.Run) []string {
+func distinctTargets(runs []platformtest.Run) []string {
 	var targets []string
 	for _, r := range runs {
 		if !slices.Contains(targets, r.Target) {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// StepKind is what a step of a plan does.
+// StepKind is the kind of a Step.
 type StepKind string
 
 // Kinds of steps.
@@ -38,18 +38,20 @@
 	DeclareVersion        StepKind = "declare-weights"
 )
 
-// planned are the steps of planned work: they excuse nothing.
-var planned = map[StepKind]bool{
+// plannedWork contains the steps that are planned work. They must not disturb any
+// request, so they do not suspend checks as faults do.
+var plannedWork = map[StepKind]bool{
 	StopEntry: true, ReloadEntry: true, DrainServer: true, ServerSignalsDraining: true, ServerSendsRetryAfter: true, ChangeConfig: true, DeclareVersion: true, CorruptStagedPiece: true, CorruptOriginPieces: true,
 }
 
 // Step is one fault or one piece of planned work.
 type Step struct {
 	Kind StepKind
-	// Start counts from the start of traffic. For is how long a fault lasts.
+	// Start is the time from the start of traffic.
 	Start, Duration time.Duration
-	// Target numbers the process, link or server; Link is the fault of a link.
-	Target    int
+	// Target determines the process, link or server: its index modulo their number.
+	Target int
+	// LinkFault applies to StoreLink, ServerLink and OriginLink.
 	LinkFault LinkFault
 }
 
@@ -58,17 +60,20 @@
 }
 
 const (
-	// firstStep leaves time for a calm start.
-	firstStep = 1500 * time.Millisecond
-	// longestFault is above the time-outs of connections, which are 2 s.
-	longestFault  = 3 * time.Second
-	shortestFault = 200 * time.Millisecond
-	// fewestSteps and mostSteps bound the steps of a run, so that some overlap.
-	fewestSteps, mostSteps = 5, 12
+	// firstStepStart is the earliest start of a step. It leaves time for a start
+	// without faults.
+	firstStepStart = 1500 * time.Millisecond
+	// maxStepDuration is longer than the timeouts of connections, which are 2 s.
+	maxStepDuration = 3 * time.Second
+	minStepDuration = 200 * time.Millisecond
+	// minSteps and maxSteps limit the number of steps of a run. They are high enough
+	// that some steps overlap.
+	minSteps, maxSteps = 5, 12
 )
 
-// kinds are the steps that are drawn, likelier ones more often.
-var kinds = []StepKind{
+// stepKinds are the kinds that NewPlan draws from. Kinds that are listed several times
+// are more likely.
+var stepKinds = []StepKind{
 	KillEntry, KillEntry, KillAgent, KillAll, PauseEntry, PauseAgent, StopEntry, StopEntry, ReloadEntry,
 	StoreLink, StoreLink, ServerLink, ServerLink, OriginLink, StoreDown, StoreDropsHistory, StoreStale,
 	CrashServer, CrashServer, DrainServer, ServerMisbehaves, ServerMisbehaves, CorruptStagedPiece, CorruptOriginPieces,
@@ -76,20 +81,21 @@
 	ChangeConfig, ChangeConfig, DeclareVersion, DeclareVersion,
 }
 
-// NewPlan draws the steps of a seed. All of them end before busy is over.
-func NewPlan(seed uint64, busy time.Duration) []Step {
+// NewPlan returns random steps for a seed, ordered by start. All of them end within
+// window.
+func NewPlan(seed uint64, window time.Duration) []Step {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	steps := make([]Step, fewestSteps+rng.IntN(mostSteps-fewestSteps+1))
+	steps := make([]Step, minSteps+rng.IntN(maxSteps-minSteps+1))
 	for i := range steps {
 		s := Step{
-			Kind: kinds[rng.IntN(len(kinds))], Target: rng.IntN(64),
+			Kind: stepKinds[rng.IntN(len(stepKinds))], Target: rng.IntN(64),
 			LinkFault: LinkDelayed + LinkFault(rng.IntN(int(LinkBlackhole-LinkDelayed)+1)),
 		}
-		s.Duration = shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault)))
-		s.Start = firstStep + time.Duration(rng.Int64N(int64(busy-firstStep-s.Duration)))
+		s.Duration = minStepDuration + time.Duration(rng.Int64N(int64(maxStepDuration-minStepDuration)))
+		s.Start = firstStepStart + time.Duration(rng.Int64N(int64(window-firstStepStart-s.Duration)))
 		if i > 0 && rng.IntN(3) == 0 {
-			// Some steps meet: they come while another one lasts.
-			s.Start = min(steps[i-1].Start+time.Duration(rng.Int64N(int64(steps[i-1].Duration))), busy-s.Duration)
+			// Some steps start while the previous one lasts.
+			s.Start = min(steps[i-1].Start+time.Duration(rng.Int64N(int64(steps[i-1].Duration))), window-s.Duration)
 		}
 		steps[i] = s
 	}
@@ -97,11 +103,11 @@
 	return steps
 }
 
-// calm reports whether no fault, planned work apart, was there between two
-// moments or in the time before that it takes to settle.
-func calm(steps []Step, from, to, settle time.Duration) bool {
+// undisturbed reports whether there was no fault, other than planned work, between two
+// points in time and for settle before.
+func undisturbed(steps []Step, from, to, settle time.Duration) bool {
 	for _, s := range steps {
-		if !planned[s.Kind] && s.Start <= to && s.Start+s.Duration+settle >= from {
+		if !plannedWork[s.Kind] && s.Start <= to && s.Start+s.Duration+settle >= from {
 			return false
 		}
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// restartPause is the time after which a process that has ended starts again.
-const restartPause = 200 * time.Millisecond
+// restartDelay is the time after which a process that has exited is restarted.
+const restartDelay = 200 * time.Millisecond
 
-// process is one daemon that starts again whenever it ends, until it is closed.
+// process is a daemon that is restarted whenever it exits, until close is called. It
+// is safe for concurrent use.
 type process struct {
 	name, binary, settings string
-	logs                   *os.File
+	logFile                *os.File
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	closed bool
-	ended  chan struct{}
+	done   chan struct{}
 }
 
-// startProcess starts a daemon with a settings file in a directory.
+// startProcess starts a daemon. It writes the settings and the log to files in dir.
 func startProcess(dir, name, binary, settings string) (*process, error) {
 	path := filepath.Join(dir, name+".yaml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
@@ -34,11 +35,11 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{name: name, binary: binary, settings: path, logs: logs, ended: make(chan struct{})}
+	p := &process{name: name, binary: binary, settings: path, logFile: logs, done: make(chan struct{})}
 	if err := p.start(); err != nil {
 		return nil, err
 	}
-	go p.run()
+	go p.supervise()
 	return p, nil
 }
 
@@ -49,7 +50,7 @@
 		return nil
 	}
 	cmd := exec.Command(p.binary, "--settings", p.settings)
-	cmd.Stdout, cmd.Stderr = p.logs, p.logs
+	cmd.Stdout, cmd.Stderr = p.logFile, p.logFile
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -57,14 +58,14 @@
 	return nil
 }
 
-// run starts the daemon again each time that it ends.
-func (p *process) run() {
-	defer close(p.ended)
+// supervise restarts the daemon each time that it exits.
+func (p *process) supervise() {
+	defer close(p.done)
 	for {
 		p.mu.Lock()
 		cmd := p.cmd
 		p.mu.Unlock()
-		// How it ended is in its log; the checks look at what callers saw.
+		// The log shows why it exited. The checks examine what callers observe.
 		_ = cmd.Wait()
 		p.mu.Lock()
 		closed := p.closed
@@ -72,29 +73,29 @@
 		if closed {
 			return
 		}
-		time.Sleep(restartPause)
+		time.Sleep(restartDelay)
 		if err := p.start(); err != nil {
-			// The run goes on without it; the checks tell if that matters.
-			fmt.Fprintln(os.Stderr, "soak: process does not start again:", err)
+			// The run continues without it. The checks detect whether that matters.
+			fmt.Fprintln(os.Stderr, "soak: restarting a process failed:", err)
 			return
 		}
 	}
 }
 
-// signal sends a signal to the process that runs now.
+// signal sends a signal to the running process.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// A process that has just ended takes no signal, and starts again.
+	// A process that has just exited gets no signal; it is restarted anyway.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// close ends the process for good.
+// close kills the process and waits until it has exited.
 func (p *process) close() {
 	p.mu.Lock()
 	p.closed = true
 	_ = p.cmd.Process.Kill()
 	p.mu.Unlock()
-	<-p.ended
-	_ = p.logs.Close()
+	<-p.done
+	_ = p.logFile.Close()
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -8,98 +8,104 @@
 	"time"
 )
 
-// Options describe one run.
+// Options configures a run.
 type Options struct {
 	Seed uint64
-	// Slot numbers runs that go on at the same time.
+	// Slot determines the loopback addresses of the run. Concurrent runs need different
+	// slots.
 	Slot int
-	// Dir takes settings files and logs.
+	// Dir is the directory for settings files and logs.
 	Dir      string
 	Binaries Binaries
-	// StepWindow is the time in which steps come.
+	// StepWindow is the time from the start of traffic within which all steps end.
 	StepWindow time.Duration
-	// Steps are played in place of those that the seed draws; nil draws.
+	// Steps replaces the random steps of the seed; nil keeps these.
 	Steps []Step
-	// Trace takes a line for each step; nil takes none.
+	// Trace receives a line for each step; nil disables it.
 	Trace io.Writer
 }
 
-// Result is what a run found.
+// Result is the result of a run.
 type Result struct {
 	Seed     uint64
 	Requests int
-	// Answered counts successes, Refused promises that a request did not run.
+	// Answered counts the responses with status 200, and Refused those with status 429
+	// or 503, which mean that the request did not run.
 	Answered, Refused int
 	Steps             []Step
 	Violations        []Violation
 }
 
 const (
-	// startTime is given to the processes before the traffic starts.
-	startTime = time.Second
-	// tail is the traffic after the time to recover: requests that are sent in its
-	// first seconds end within it.
-	tail = 6 * time.Second
+	// startupTime is the time between the start of the processes and the start of
+	// traffic.
+	startupTime = time.Second
+	// recoveredTime is how long traffic continues after recoveryTime. Requests sent in
+	// its first seconds end within it.
+	recoveredTime = 6 * time.Second
 )
 
-// Run plays one seed.
+// Run runs the daemons with the traffic and the steps of one seed and checks the
+// outcome. It returns an error if the daemons could not be started or ctx has ended;
+// violations are part of the Result.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	w, err := newWorld(o.Slot, o.Seed, o.Dir, o.Binaries)
+	t, err := newTestbed(o.Slot, o.Seed, o.Dir, o.Binaries)
 	if err != nil {
 		return nil, err
 	}
-	defer w.close()
-	wait(ctx, startTime)
+	defer t.close()
+	wait(ctx, startupTime)
 	steps := o.Steps
 	if steps == nil {
 		steps = NewPlan(o.Seed, o.StepWindow)
 	}
-	w.ledger.note(func(l *ledger, _ time.Duration) { l.started = time.Now() })
-	end := o.StepWindow + recoverTime + tail
+	t.recorder.update(func(rec *recorder, _ time.Duration) { rec.started = time.Now() })
+	end := o.StepWindow + recoveryTime + recoveredTime
 	traffic, stop := context.WithTimeout(ctx, end)
 	defer stop()
-	var playing sync.WaitGroup
-	playing.Add(1)
+	var running sync.WaitGroup
+	running.Add(1)
 	go func() {
-		defer playing.Done()
-		w.play(traffic, steps, o.Trace)
+		defer running.Done()
+		t.runSteps(traffic, steps, o.Trace)
 	}()
-	w.call(traffic, o.Seed)
-	playing.Wait()
-	return w.report(o, steps, end), ctx.Err()
+	t.runCallers(traffic, o.Seed)
+	running.Wait()
+	return t.result(o, steps, end), ctx.Err()
 }
 
-// play takes the steps when their time has come; those that last overlap.
-func (w *world) play(ctx context.Context, steps []Step, trace io.Writer) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// runSteps starts each step at its time and returns when all have ended. Steps may
+// overlap.
+func (t *testbed) runSteps(ctx context.Context, steps []Step, trace io.Writer) {
+	var running sync.WaitGroup
+	defer running.Wait()
 	for _, s := range steps {
-		wait(ctx, s.Start-w.ledger.now())
+		wait(ctx, s.Start-t.recorder.now())
 		if trace != nil {
 			fmt.Fprintln(trace, s)
 		}
-		open.Add(1)
+		running.Add(1)
 		go func() {
-			defer open.Done()
-			w.do(ctx, s)
+			defer running.Done()
+			t.runStep(ctx, s)
 		}()
 	}
 }
 
-func (w *world) report(o Options, steps []Step, end time.Duration) *Result {
-	l := w.ledger
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := &Result{Seed: o.Seed, Requests: len(l.outcomes), Steps: steps}
-	for i := range l.outcomes {
-		switch status := l.outcomes[i].answer.Status; {
+func (t *testbed) result(o Options, steps []Step, end time.Duration) *Result {
+	rec := t.recorder
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	r := &Result{Seed: o.Seed, Requests: len(rec.outcomes), Steps: steps}
+	for i := range rec.outcomes {
+		switch status := rec.outcomes[i].response.Status; {
 		case status == 200:
 			r.Answered++
 		case status == 429 || status == 503:
 			r.Refused++
 		}
 	}
-	c := &check{ledger: l, steps: steps, busy: o.StepWindow, end: end}
+	c := &checker{recorder: rec, steps: steps, stepsEnd: o.StepWindow, trafficEnd: end}
 	r.Violations = c.run()
 	return r
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -22,19 +22,20 @@
 		DeferCleanup(gexec.CleanupBuildArtifacts)
 	})
 
-	DescribeTable("keep their promises under faults",
-		// Guards against what the soak is for. What has failed once stays here as the
-		// steps that did it, as the steps of a seed change with the kinds of steps.
-		func(seed uint64, busy time.Duration, steps []Step) {
+	DescribeTable("pass all checks under faults",
+		// Guards against the failures that the checks detect. Runs that have failed are
+		// listed with their steps, because the steps that a seed yields change whenever a
+		// kind of step is added.
+		func(seed uint64, window time.Duration, steps []Step) {
 			result, err := Run(context.Background(), Options{
-				Seed: seed, Slot: 200, Dir: GinkgoT().TempDir(), Binaries: binaries, StepWindow: busy, Steps: steps, Trace: GinkgoWriter,
+				Seed: seed, Slot: 200, Dir: GinkgoT().TempDir(), Binaries: binaries, StepWindow: window, Steps: steps, Trace: GinkgoWriter,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(result.Violations).To(BeEmpty())
 			Expect(result.Answered).To(BeNumerically(">", result.Requests/4))
 		},
-		Entry("drawn steps", uint64(1), 8*time.Second, nil),
-		// The soak's own callers went to an entry that the balancer had left.
-		Entry("an entry that stops", uint64(116), 3*time.Second, []Step{{Kind: StopEntry, Start: firstStep, Duration: time.Second, Target: 2}}),
+		Entry("random steps", uint64(1), 8*time.Second, nil),
+		// The callers of the test kept using an entry longer than the load balancer does.
+		Entry("an entry that stops", uint64(116), 3*time.Second, []Step{{Kind: StopEntry, Start: firstStepStart, Duration: time.Second, Target: 2}}),
 	)
 })
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -15,10 +15,10 @@
 	callersPort = 8005
 	readyPort   = 8002
 	serverPort  = 9000
-	// behindPort is where a server listens behind its proxy.
-	behindPort = 9100
-	storePort  = 8007
-	peerPort   = 7700
+	// upstreamPort is the port of a server behind its proxy.
+	upstreamPort = 9100
+	storePort    = 8007
+	peerPort     = 7700
 
 	host  = "soak.example"
 	model = "m"
@@ -28,88 +28,91 @@
 	engineSlots     = 8
 	plainSlots      = 6
 	eventsPerStream = 12
-	eventTime       = 25 * time.Millisecond
-	plainTime       = 15 * time.Millisecond
+	eventInterval   = 25 * time.Millisecond
+	plainWorkTime   = 15 * time.Millisecond
 	originMbps      = 20
 
-	// poisonBody ends each server that begins to run it, which serves again after
-	// poisonPause. It is asked once in poisonInterval.
-	poisonBody     = "poison"
-	poisonPause    = time.Second
-	poisonInterval = 150 * time.Millisecond
-	// pauseSeconds is the pause that servers ask for.
-	pauseSeconds = 2
+	// poisonBody is the body of poison requests. They crash each server that runs them,
+	// which restarts after poisonRestartDelay. One is sent per poisonInterval.
+	poisonBody         = "poison"
+	poisonRestartDelay = time.Second
+	poisonInterval     = 150 * time.Millisecond
+	// retryAfterSeconds is the Retry-After of servers that ask for a pause.
+	retryAfterSeconds = 2
 
-	enginesService = "engines"
-	movingPrefix   = "/moving/"
+	engineService = "engines"
+	movingPrefix  = "/moving/"
 )
 
-// limits are the times that the soak's deployment demands.
-type limits struct{ platformtest.Bounds }
+// timeBounds are the bounds that the daemons must meet.
+type timeBounds struct{ platformtest.Bounds }
 
-func (l limits) drain() time.Duration   { return time.Duration(l.DrainMS) * time.Millisecond }
-func (l limits) config() time.Duration  { return time.Duration(l.ConfigMS) * time.Millisecond }
-func (l limits) version() time.Duration { return time.Duration(l.VersionMS) * time.Millisecond }
+func (l timeBounds) drainTime() time.Duration { return time.Duration(l.DrainMS) * time.Millisecond }
 
-var bounds = limits{platformtest.Bounds{
+func (l timeBounds) configTime() time.Duration { return time.Duration(l.ConfigMS) * time.Millisecond }
+
+func (l timeBounds) versionTime() time.Duration { return time.Duration(l.VersionMS) * time.Millisecond }
+
+var bounds = timeBounds{platformtest.Bounds{
 	DrainMS: 2000, StopMS: 8000, ConfigMS: 2000, StableMS: 3000, VersionMS: 8000, RetryRatio: 0.2, RetrySlack: 100, RetryWindowS: 10,
 }}
 
-// relayedStableMS makes calls of the store so short that two entries of a region
-// already save some by reading it through one of them. What the checks excuse stays
-// as it is.
-const relayedStableMS = 500
+// relayStableMS replaces the stability time in the settings of runs with relayed reads
+// of the store. It makes calls of the store so short that relaying already saves calls
+// with two entries per region. The checks still use stabilityTime.
+const relayStableMS = 500
 
 const (
-	// stable is the time after a fault in which bounds do not hold yet.
-	stable = 3 * time.Second
-	// recoverTime is the time in which the deployment serves again after a fault,
-	// half of what the smaller deployments of the users demand.
-	recoverTime = 6 * time.Second
-	// lapse is the time after which the row of a crashed server goes.
-	lapse = 3600 * time.Millisecond
+	// stabilityTime is the time after a fault in which bounds need not hold.
+	stabilityTime = 3 * time.Second
+	// recoveryTime is the time after the last step within which the deployment must
+	// serve again. It is half of what the users' smaller deployments require.
+	recoveryTime = 6 * time.Second
+	// crashedRowExpiry is the time after a crash until the row of the server is removed.
+	crashedRowExpiry = 3600 * time.Millisecond
 )
 
 var weights = platformtest.Weights{Model: model, Pieces: 24, PieceSize: 4096}
 
-// regions gives the region of each failure domain.
+// regions maps each failure domain to its region.
 var regions = map[string]string{"north": "n", "south": "s"}
 
-// domains are the failure domains by number.
+// domains are the names of the failure domains.
 var domains = []string{"north", "south"}
 
-// plainServices are the services of plain servers; the moving route changes
-// between them with each configuration.
+// plainServices are the services of plain servers. The route with movingPrefix changes
+// between them with each version of the configuration.
 var plainServices = []string{"desk-a", "desk-b"}
 
+// movingService returns the service of the route with movingPrefix.
 func movingService(version int) string { return plainServices[version%len(plainServices)] }
 
-// route is a route with the traffic that it gets.
+// route is a route and its share of the traffic.
 type route struct {
 	platformtest.Route
-	// share is the part of the requests that take it.
+	// share is the fraction of the requests that use the route.
 	share float64
 }
 
 func (r *route) streams() bool { return r.Kind == "streaming" }
 
-// repeatable reports whether a request may run more than once.
+// repeatable reports whether a request on the route may run more than once.
 func (r *route) repeatable() bool {
 	return r.Kind == "idempotent" || r.streams() && r.Resumable
 }
 
 var routes = []route{
-	{platformtest.Route{Host: host, Prefix: "/resumed/", Kind: "streaming", Service: enginesService, TimeoutMS: 4000, TargetMS: 500, MaxServers: 2, Resumable: true}, 0.35},
-	{platformtest.Route{Host: host, Prefix: "/once/", Kind: "streaming", Service: enginesService, TimeoutMS: 4000, TargetMS: 500, MaxServers: 2}, 0.15},
+	{platformtest.Route{Host: host, Prefix: "/resumed/", Kind: "streaming", Service: engineService, TimeoutMS: 4000, TargetMS: 500, MaxServers: 2, Resumable: true}, 0.35},
+	{platformtest.Route{Host: host, Prefix: "/once/", Kind: "streaming", Service: engineService, TimeoutMS: 4000, TargetMS: 500, MaxServers: 2}, 0.15},
 	{platformtest.Route{Host: host, Prefix: "/order/", Kind: "non_idempotent", Service: plainServices[0], TimeoutMS: 1500, TargetMS: 150, MaxServers: 2}, 0.2},
 	{platformtest.Route{Host: host, Prefix: "/status/", Kind: "idempotent", Service: plainServices[1], TimeoutMS: 1500, TargetMS: 150, MaxServers: 2}, 0.15},
 	{platformtest.Route{Host: host, Prefix: movingPrefix, Kind: "idempotent", TimeoutMS: 1500, TargetMS: 150, MaxServers: 2}, 0.15},
 }
 
-// declaration is a version of the configuration.
-func declaration(version int, origin string) platformtest.LiveConfig {
+// liveConfig is a version of the configuration.
+func liveConfig(version int, origin string) platformtest.LiveConfig {
 	d := platformtest.LiveConfig{
-		Version: version, EngineService: enginesService, Slots: engineSlots, Weights: weights, Origin: origin, OriginMbps: originMbps,
+		Version: version, EngineService: engineService, Slots: engineSlots, Weights: weights, Origin: origin, OriginMbps: originMbps,
 		PlainServices: plainServices, Team: team, APIKey: key,
 	}
 	for _, r := range routes {
@@ -121,15 +124,15 @@
 	return d
 }
 
-// address returns an address of a run. Each run has loopback addresses of its
-// own, so that several can go on at the same time.
+// address returns an address of the form host:port. The loopback addresses of each slot
+// are different, so that runs can be concurrent.
 func address(slot, group, number, port int) string {
 	return fmt.Sprintf("%s:%d", ip(slot, group, number), port)
 }
 
 func ip(slot, group, number int) string { return fmt.Sprintf("127.%d.%d.%d", 20+slot, group, number+1) }
 
-// Groups of loopback addresses.
+// Groups of loopback addresses in a slot.
 const (
 	groupStore = iota
 	groupEntry
