--- a/entry/config.go
+++ b/entry/config.go
@@ -20,18 +20,20 @@
 )
 
 const (
-	// defaultBalancerLag is the time that an entry serves on after its readiness
-	// check fails, because the balancer still sends.
+	// defaultBalancerLag is how long a draining entry continues to accept requests. The
+	// load balancer still sends some after the readiness check has failed.
 	defaultBalancerLag = 3 * time.Second
 )
 
-// Metrics takes the measurements of an entry.
+// Metrics records the measurements of an entry. Implementations must be safe for
+// concurrent use.
 type Metrics interface {
 	dispatch.Metrics
+	// CountInvalid counts a request with invalid input.
 	CountInvalid(reason outcome.Reason)
 }
 
-// Config sets up an Entry.
+// Config configures an Entry.
 type Config struct {
 	Identity model.Identity
 	Clock    clock.Clock
@@ -39,12 +41,13 @@
 	Log      *eventlog.Logger
 	Metrics  Metrics
 
-	// CallerListener, Peers and Operators are the listeners. Operators may be nil.
+	// OperatorListener may be nil, which disables the operators' interface.
 	CallerListener, PeerListener, OperatorListener net.Listener
-	// Dial replaces the way in which connections to peers are opened; tests use
+	// Dial opens connections to peers. nil means listen.Dial with Policy; tests replace
 	// it to inject faults.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Policy says who may connect in which role; nil means plain text.
+	// Policy determines who may connect in which role. nil means unencrypted
+	// connections.
 	Policy *security.Policy
 
 	Table        backing.TableService
@@ -54,8 +57,8 @@
 	Dispatch dispatch.Config
 	Tracker  distribute.TrackerConfig
 	Rollout  rollout.Config
-	// BalancerLag is the time between the failed readiness check and the end of
-	// accepting.
+	// BalancerLag is the time from the start of draining, when the readiness check
+	// begins to fail, until the entry stops accepting requests. Zero means 3 s.
 	BalancerLag time.Duration
 }
 
--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -13,15 +13,16 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// policy divides the origin's chunks of a version between the failure domains
-// that get it. All trackers calculate it from the same configuration.
-func (e *Entry) policy(manifest model.Digest) distribute.Policy {
-	own := distribute.Policy{Domains: []model.Location{e.cfg.Identity.Location}, Copies: 1}
+// distributionPolicy returns the policy that divides the chunks to fetch from the origin
+// among the failure domains where a version is placed. All trackers derive it from the
+// configuration in force.
+func (e *Entry) distributionPolicy(manifest model.Digest) distribute.Policy {
+	ownDomain := distribute.Policy{Domains: []model.Location{e.cfg.Identity.Location}, Copies: 1}
 	c := e.Current()
 	if c == nil {
-		return own
+		return ownDomain
 	}
-	regions := e.regions()
+	regions := e.regionsByDomain()
 	var domains []model.Location
 	for _, p := range c.Placements {
 		location := model.Location{Region: regions[p.FailureDomain], FailureDomain: p.FailureDomain}
@@ -30,21 +31,24 @@
 		}
 	}
 	if len(domains) == 0 {
-		return own
+		return ownDomain
 	}
-	return distribute.Policy{Domains: domains, Copies: copies(c.Deployment, len(domains))}
+	return distribute.Policy{Domains: domains, Copies: originCopies(c.Deployment, len(domains))}
 }
 
-// copies returns the copies to take from the origin: one where bytes count most,
-// one for each failure domain within the budget where time does.
-func copies(d config.Deployment, domains int) int {
-	most := domains
+// originCopies returns the number of copies to fetch from the origin. With a TimeWeight
+// of 0 it is one; with a TimeWeight of 1 it is one per failure domain, but at most
+// OriginCopies if that is set.
+func originCopies(d config.Deployment, domains int) int {
+	maxCopies := domains
 	if d.OriginCopies > 0 {
-		most = min(most, d.OriginCopies)
+		maxCopies = min(maxCopies, d.OriginCopies)
 	}
-	return 1 + int(math.Round(d.TimeWeight*float64(most-1)))
+	return 1 + int(math.Round(d.TimeWeight*float64(maxCopies-1)))
 }
 
+// usesManifest reports whether a placement needs the weights of a manifest, as its
+// version or as the base model of its version.
 func usesManifest(c *config.Config, p config.Placement, manifest model.Digest) bool {
 	m, ok := c.FindModel(p.Model, p.Version)
 	if !ok {
@@ -57,8 +61,8 @@
 	return ok && base.Manifest == manifest
 }
 
-// regions maps each known failure domain to its region.
-func (e *Entry) regions() map[model.FailureDomain]model.Region {
+// regionsByDomain maps each known failure domain to its region.
+func (e *Entry) regionsByDomain() map[model.FailureDomain]model.Region {
 	own := e.cfg.Identity.Location
 	regions := map[model.FailureDomain]model.Region{own.FailureDomain: own.Region}
 	for _, m := range e.fleet.Entries() {
@@ -67,29 +71,31 @@
 	return regions
 }
 
-// group returns the state of a pool for load permits.
-func (e *Entry) group(pool string) rollout.PoolState {
-	g := e.fleet.Group(pool)
+// poolState returns the state of a pool in this failure domain, which load permits
+// depend on.
+func (e *Entry) poolState(pool string) rollout.PoolState {
+	state := e.fleet.Group(pool)
 	if c := e.Current(); c != nil {
 		if p, ok := c.FindPlacement(pool, e.cfg.Identity.Location.FailureDomain); ok {
-			g.MinLive = p.MinLive
+			state.MinLive = p.MinLive
 		}
 	}
-	return g
+	return state
 }
 
-// exchange talks to other trackers: it tells those of other failure domains, and
-// the one that would follow in this one, which chunks the agents here hold, and
-// fetches their reports while an operator asks.
-func (e *Entry) exchange(ctx context.Context) {
-	domains := make(map[model.Location][]member.Member)
+// exchangeWithTrackers exchanges state with the trackers of other failure domains and
+// the one that would take over in this domain. It sends them summaries of the chunks
+// that agents here hold. While an operator watches rollouts, it also requests their
+// reports.
+func (e *Entry) exchangeWithTrackers(ctx context.Context) {
+	entriesByDomain := make(map[model.Location][]member.Member)
 	for _, m := range e.fleet.Entries() {
-		domains[m.Identity.Location] = append(domains[m.Identity.Location], m)
+		entriesByDomain[m.Identity.Location] = append(entriesByDomain[m.Identity.Location], m)
 	}
 	var required []model.InstanceID
 	send := func(manifest model.Digest, message wire.Message) {
-		for _, entries := range domains {
-			to := trackerOf(manifest, entries)
+		for _, entries := range entriesByDomain {
+			to := trackerInstance(manifest, entries)
 			required = append(required, to)
 			e.fleet.Send(to, message)
 		}
@@ -97,7 +103,7 @@
 	for _, summary := range e.trackers.Summaries() {
 		send(summary.Manifest, summary)
 	}
-	if c := e.Current(); c != nil && e.reports.wanted() {
+	if c := e.Current(); c != nil && e.reports.requested() {
 		for _, manifest := range placedManifests(c) {
 			send(manifest, &wire.RolloutFetch{})
 		}
@@ -106,6 +112,7 @@
 	e.fleet.RequireConnections(ctx, slices.Compact(required))
 }
 
+// placedManifests returns the manifests of all placed versions, without duplicates.
 func placedManifests(c *config.Config) []model.Digest {
 	var manifests []model.Digest
 	for _, p := range c.Placements {
@@ -116,11 +123,12 @@
 	return manifests
 }
 
-// peerMessage takes messages of other entries that do not concern the fleet.
-func (e *Entry) peerMessage(peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
+// handlePeerMessage processes messages from other entries that the fleet does not
+// process itself.
+func (e *Entry) handlePeerMessage(peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
 	switch m := m.(type) {
 	case *wire.HolderSummary:
-		e.trackers.Attach(peer, replier(reply)).Handle(m)
+		e.trackers.Attach(peer, senderFunc(reply)).Handle(m)
 	case *wire.RolloutFetch:
 		_ = reply(e.trackers.Report())
 	case *wire.RolloutReport:
@@ -128,15 +136,15 @@
 	}
 }
 
-// replier sends on the connection that a message came from.
-type replier func(wire.Message) error
+// senderFunc is a tracker.Sender for the connection that a message arrived on.
+type senderFunc func(wire.Message) error
 
 // TrySend implements tracker.Sender.
-func (r replier) TrySend(m wire.Message) error { return r(m) }
+func (r senderFunc) TrySend(m wire.Message) error { return r(m) }
 
-// trackerOf returns the entry that comes first in the rendezvous order of a
-// manifest, as agents compute it from the addresses.
-func trackerOf(manifest model.Digest, entries []member.Member) model.InstanceID {
+// trackerInstance returns the entry that tracks a manifest: the first one in the
+// rendezvous order, which agents compute from the addresses in the same way.
+func trackerInstance(manifest model.Digest, entries []member.Member) model.InstanceID {
 	addresses := make([]string, 0, len(entries))
 	for _, m := range entries {
 		addresses = append(addresses, m.Identity.Address)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process between callers and agents: it serves callers and
-// operators, routes requests, follows the configuration, and tracks the
-// distribution of weights in its failure domain.
+// Package entry implements the process between callers and agents. It serves callers
+// and operators, routes requests, follows the configuration and tracks the distribution
+// of weights in its failure domain.
 package entry
 
 import (
@@ -27,36 +27,39 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// tickInterval is the time between two looks at grants and announcements.
+// tickInterval is the time between two runs of the periodic tasks: those of the
+// follower and the trackers, and the exchange with other trackers.
 const tickInterval = 250 * time.Millisecond
 
-// Entry runs on one entry instance.
+// Entry is the process of one entry instance. Its methods are safe for concurrent use
+// unless stated otherwise.
 type Entry struct {
-	cfg        Config
-	store      *config.Store
-	follower   *follow.Follower
-	fleet      *fleet.Fleet
-	dispatcher *dispatch.Dispatcher
-	trackers   *tracker.Service
-	callers    *caller.Server
-	operators  *grpc.Server
-	reports    *reports
-	draining   atomic.Bool
-	stop       context.CancelFunc
-	tasks      sync.WaitGroup
-	failed     chan error
+	cfg            Config
+	store          *config.Store
+	follower       *follow.Follower
+	fleet          *fleet.Fleet
+	dispatcher     *dispatch.Dispatcher
+	trackers       *tracker.Service
+	callerServer   *caller.Server
+	operatorServer *grpc.Server
+	reports        *reports
+	draining       atomic.Bool
+	stop           context.CancelFunc
+	tasks          sync.WaitGroup
+	// serveErrors gets an error if a listener fails.
+	serveErrors chan error
 }
 
-// New returns an entry that Start starts.
+// New returns an Entry. It does not serve until Start is called.
 func New(cfg Config) *Entry {
-	e := &Entry{cfg: cfg.applyDefaults(), failed: make(chan error, 2), reports: newReports(cfg.Clock)}
+	e := &Entry{cfg: cfg.applyDefaults(), serveErrors: make(chan error, 2), reports: newReports(cfg.Clock)}
 	cfg = e.cfg
 	e.store = config.NewStore(cfg.Table, config.StoreConfig{Clock: cfg.Clock})
 	e.follower = follow.New(follow.Config{
 		Clock:     cfg.Clock,
 		Rand:      rand.New(rand.NewSource(cfg.Rand.Int64())),
 		Log:       cfg.Log,
-		Heartbeat: e.beat,
+		Heartbeat: e.heartbeat,
 	})
 	e.fleet = fleet.New(e.fleetConfig())
 	e.dispatcher = dispatch.New(e.dispatchConfig())
@@ -66,11 +69,11 @@
 		Log:       cfg.Log,
 		Location:  cfg.Identity.Location,
 		Tracker:   cfg.Tracker,
-		Policy:    e.policy,
-		PoolState: e.group,
+		Policy:    e.distributionPolicy,
+		PoolState: e.poolState,
 		Rollout:   cfg.Rollout,
 	})
-	e.callers = caller.NewServer(caller.Config{
+	e.callerServer = caller.NewServer(caller.Config{
 		Listener: cfg.CallerListener,
 		Clock:    cfg.Clock,
 		Current:  e.Current,
@@ -79,7 +82,7 @@
 		Log:      cfg.Log,
 	})
 	e.follower.Watch(func(v *config.View) { e.dispatcher.ApplyConfig(v.Config) })
-	e.setUpOperators()
+	e.setUpOperatorServer()
 	return e
 }
 
@@ -87,7 +90,7 @@
 	c := e.cfg.Fleet
 	c.Identity, c.Clock, c.Rand, c.Log = e.cfg.Identity, e.cfg.Clock, e.cfg.Rand, e.cfg.Log
 	c.InstanceList, c.Follower, c.Dial, c.Draining = e.cfg.InstanceList, e.follower, e.dial, e.draining.Load
-	c.HandleOther = e.peerMessage
+	c.HandleOther = e.handlePeerMessage
 	return c
 }
 
@@ -99,24 +102,25 @@
 	return c
 }
 
-// OnConfigChange calls fn after each change of the configuration in force. It is called
-// before Start.
+// OnConfigChange makes the entry call fn after each change of the configuration in force.
+// It must be called before Start.
 func (e *Entry) OnConfigChange(fn func(*config.View)) { e.follower.Watch(fn) }
 
-// UsableAgents returns the number of agents that this entry may send work to.
+// UsableAgents returns the number of agents that may get new work from this entry.
 func (e *Entry) UsableAgents() int { return e.fleet.UsableAgents() }
 
-// PrefixCached reports whether the prefix of a body is believed to be cached under the
-// given weights on any instance.
+// PrefixCached reports whether any instance is assumed to have the prefix of a body
+// cached for the given weights.
 func (e *Entry) PrefixCached(body []byte, weights model.Weights) bool {
 	return e.fleet.PrefixCached(body, weights)
 }
 
-// AttemptsSent returns the number of attempts that were placed on an agent.
+// AttemptsSent returns the number of attempts placed on the current generation of an
+// agent.
 func (e *Entry) AttemptsSent(id model.InstanceID) int { return e.fleet.AttemptsSent(id) }
 
-// Traffic returns the bytes that the connections to agents and other entries
-// have sent and received.
+// Traffic returns the number of bytes sent and received on the open connections that
+// this entry has opened to agents and other entries.
 func (e *Entry) Traffic() (sent, received int64) { return e.fleet.Traffic() }
 
 // Current returns the configuration in force, or nil before the first one.
@@ -127,7 +131,7 @@
 	return nil
 }
 
-func (e *Entry) beat() wire.Heartbeat { return wire.Heartbeat{Draining: e.draining.Load()} }
+func (e *Entry) heartbeat() wire.Heartbeat { return wire.Heartbeat{Draining: e.draining.Load()} }
 
 func (e *Entry) hello() wire.Hello {
 	return wire.Hello{Role: wire.RoleEntry, Identity: e.cfg.Identity}
@@ -141,9 +145,10 @@
 	return wire.Handshake(nc, e.hello())
 }
 
-// Start starts all tasks. It returns at once; Close ends them.
+// Start starts all tasks and returns immediately. Close ends them. It must be called
+// once.
 func (e *Entry) Start() {
-	serving, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	e.stop = stop
 	peers := listen.New(listen.Config{
 		Listener: e.cfg.PeerListener,
@@ -152,28 +157,29 @@
 		Serve:    e.serve,
 		Log:      e.cfg.Log,
 	})
-	e.tasks.Go(func() { peers.Run(serving) })
-	e.tasks.Go(func() { e.fleet.Run(serving) })
-	e.tasks.Go(func() { e.dispatcher.Run(serving) })
-	e.tasks.Go(func() { e.tick(serving) })
-	random := rand.New(rand.NewSource(e.cfg.Rand.Int64()))
-	e.tasks.Go(func() { e.follower.PollStore(serving, e.store, e.fleet.Size, random) })
-	if e.operators != nil {
+	e.tasks.Go(func() { peers.Run(ctx) })
+	e.tasks.Go(func() { e.fleet.Run(ctx) })
+	e.tasks.Go(func() { e.dispatcher.Run(ctx) })
+	e.tasks.Go(func() { e.tick(ctx) })
+	rng := rand.New(rand.NewSource(e.cfg.Rand.Int64()))
+	e.tasks.Go(func() { e.follower.PollStore(ctx, e.store, e.fleet.Size, rng) })
+	if e.operatorServer != nil {
 		e.tasks.Go(func() {
-			if err := e.operators.Serve(e.cfg.OperatorListener); err != nil && serving.Err() == nil {
-				e.failed <- err
+			if err := e.operatorServer.Serve(e.cfg.OperatorListener); err != nil && ctx.Err() == nil {
+				e.serveErrors <- err
 			}
 		})
 	}
 	e.tasks.Go(func() {
-		if err := e.callers.Run(); err != nil && serving.Err() == nil {
-			e.failed <- err
+		if err := e.callerServer.Run(); err != nil && ctx.Err() == nil {
+			e.serveErrors <- err
 		}
 	})
 }
 
-// setUpOperators prepares the operators' interface where it has a listener.
-func (e *Entry) setUpOperators() {
+// setUpOperatorServer creates the server of the operators' interface if it has a
+// listener.
+func (e *Entry) setUpOperatorServer() {
 	if e.cfg.OperatorListener == nil {
 		return
 	}
@@ -181,42 +187,44 @@
 	if e.cfg.Policy != nil && !e.cfg.Policy.Plaintext() {
 		options = append(options, grpc.Creds(credentials.NewTLS(e.cfg.Policy.ServerTLSConfig(security.RoleOperator))))
 	}
-	e.operators = grpc.NewServer(options...)
-	operatorrpc.New(operatorrpc.Config{Clock: e.cfg.Clock, Log: e.cfg.Log}, e.store, status{e}, status{e}).Register(e.operators)
+	e.operatorServer = grpc.NewServer(options...)
+	operatorrpc.New(operatorrpc.Config{Clock: e.cfg.Clock, Log: e.cfg.Log}, e.store, status{e}, status{e}).Register(e.operatorServer)
 }
 
-// Failed delivers an error when the entry cannot go on serving callers.
-func (e *Entry) Failed() <-chan error { return e.failed }
+// Failed returns a channel that gets an error if the entry can no longer serve callers
+// or operators.
+func (e *Entry) Failed() <-chan error { return e.serveErrors }
 
-// Drain serves what the balancer still sends, finishes what runs and returns
-// nil when nothing is left, or an error when ctx ends first.
+// Drain makes the readiness check fail, accepts requests for BalancerLag more, and then
+// finishes the requests in progress. It returns an error if ctx ends before all of them
+// have ended.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.draining.Store(true)
-	e.callers.SetDraining()
+	e.callerServer.SetDraining()
 	lag := time.NewTimer(e.cfg.BalancerLag)
 	defer lag.Stop()
 	select {
 	case <-lag.C:
 	case <-ctx.Done():
 	}
-	if err := e.callers.Drain(ctx); err != nil {
+	if err := e.callerServer.Drain(ctx); err != nil {
 		return err
 	}
 	return e.dispatcher.Drain(ctx)
 }
 
-// Close ends all tasks at once.
+// Close stops all tasks immediately and waits for their end.
 func (e *Entry) Close() error {
-	e.callers.Close(0)
+	e.callerServer.Close(0)
 	e.stop()
-	if e.operators != nil {
-		e.operators.Stop()
+	if e.operatorServer != nil {
+		e.operatorServer.Stop()
 	}
 	e.tasks.Wait()
 	return nil
 }
 
-// serve handles a connection that a peer opened.
+// serve handles a connection that an agent or another entry has opened.
 func (e *Entry) serve(_ context.Context, conn *wire.Conn, peer wire.Hello) {
 	if peer.Role == wire.RoleAgent {
 		_ = e.trackers.Serve(conn, peer)
@@ -233,7 +241,7 @@
 		case <-ticker.C:
 			e.follower.Tick()
 			e.trackers.Tick()
-			e.exchange(ctx)
+			e.exchangeWithTrackers(ctx)
 		case <-ctx.Done():
 			return
 		}
--- a/entry/program.go
+++ b/entry/program.go
@@ -15,12 +15,12 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// Program returns the daemon of an entry instance.
+// Program returns the program of the entry daemon.
 func Program() daemon.Program[*settings.Entry] {
 	return daemon.Program[*settings.Entry]{
 		Name:    "auburnbend-entry",
 		Short:   "Serves callers and operators of a model fleet",
-		Long:    "auburnbend-entry runs on the entry instances, behind the platform's balancer. It\nserves callers' requests and operators' calls, and tracks the distribution of\nweights in its failure domain.",
+		Long:    "auburnbend-entry runs on entry instances behind the platform's load balancer. It\nserves the requests of callers and the calls of operators, and tracks the\ndistribution of weights in its failure domain.",
 		Example: "  auburnbend-entry --config entry.ini --check\n  auburnbend-entry --config entry.ini",
 		Load:    settings.LoadEntry,
 		Check: func(s *settings.Entry) error {
@@ -34,13 +34,13 @@
 	}
 }
 
-// process is an entry with its metrics.
+// process is an Entry with its metrics endpoint.
 type process struct {
 	*Entry
 	metrics *daemon.Metrics
 }
 
-// Close ends the entry and its metrics endpoint.
+// Close stops the entry and the metrics endpoint.
 func (p *process) Close() error {
 	err := p.Entry.Close()
 	p.metrics.Close()
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -10,56 +10,58 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// reportInterest is the time for which reports are gathered after an operator
-// asked for them: a watch asks every two seconds.
-const reportInterest = 30 * time.Second
+// reportGatherTime is how long reports are gathered after an operator's call. While an
+// operator watches rollouts, there is a call every two seconds by default.
+const reportGatherTime = 30 * time.Second
 
-// reports gathers rollout reports of other entries while an operator asks for
-// them. It is safe for concurrent use.
+// reports holds the latest rollout reports of other entries while an operator watches
+// rollouts. It is safe for concurrent use.
 type reports struct {
 	clock clock.Clock
 
-	mu    sync.Mutex
-	asked time.Time
-	last  map[model.InstanceID]*wire.RolloutReport
+	mu          sync.Mutex
+	requestedAt time.Time
+	byInstance  map[model.InstanceID]*wire.RolloutReport
 }
 
 func newReports(c clock.Clock) *reports {
-	return &reports{clock: c, last: make(map[model.InstanceID]*wire.RolloutReport)}
+	return &reports{clock: c, byInstance: make(map[model.InstanceID]*wire.RolloutReport)}
 }
 
-// want notes that an operator asks for reports.
-func (r *reports) want() {
+// request records that an operator has asked for reports.
+func (r *reports) request() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked = r.clock.Now()
+	r.requestedAt = r.clock.Now()
 }
 
-// wanted reports whether reports are to be gathered, and forgets old ones when
-// they are not.
-func (r *reports) wanted() bool {
+// requested reports whether reports should be gathered. If not, it drops those that it
+// holds.
+func (r *reports) requested() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.asked.IsZero() && r.clock.Now().Sub(r.asked) < reportInterest {
+	if !r.requestedAt.IsZero() && r.clock.Now().Sub(r.requestedAt) < reportGatherTime {
 		return true
 	}
-	clear(r.last)
+	clear(r.byInstance)
 	return false
 }
 
+// put stores the latest report of another entry.
 func (r *reports) put(from model.InstanceID, report *wire.RolloutReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last[from] = report
+	r.byInstance[from] = report
 }
 
-// all returns the statuses of all reports, the given one first. An instance that
-// changed trackers stands in several; the furthest phase counts.
-func (r *reports) all(own *wire.RolloutReport) []wire.InstanceStatus {
+// merge returns the statuses of own and of all other reports, one per instance and
+// manifest. An instance that has changed trackers may be in several reports; the one
+// with the furthest phase is used.
+func (r *reports) merge(own *wire.RolloutReport) []wire.InstanceStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	statuses := slices.Clone(own.Instances)
-	for _, report := range r.last {
+	for _, report := range r.byInstance {
 		statuses = append(statuses, report.Instances...)
 	}
 	type key struct {
--- a/entry/status.go
+++ b/entry/status.go
@@ -13,7 +13,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// status shows operators what this entry knows.
+// status provides this entry's view of the deployment to the operators' interface.
 type status struct{ entry *Entry }
 
 var (
@@ -21,26 +21,26 @@
 	_ operatorrpc.ConfigReplica = status{}
 )
 
-// InForce implements operatorrpc.Replica.
+// InForce implements operatorrpc.ConfigReplica.
 func (s status) InForce() (*config.View, time.Duration) {
 	return s.entry.follower.Current(), s.entry.follower.Age()
 }
 
-// ApplyAccepted implements operatorrpc.Replica.
+// ApplyAccepted implements operatorrpc.ConfigReplica.
 func (s status) ApplyAccepted(encoded []byte) { s.entry.follower.Accepted(encoded) }
 
-// Domains implements operatorrpc.Status.
+// Domains implements operatorrpc.FleetStatus.
 func (s status) Domains() []operatorrpc.DomainStatus {
 	now := s.entry.cfg.Clock.Now()
 	domains := make(map[model.FailureDomain]*operatorrpc.DomainStatus)
-	note := func(domain model.FailureDomain, head config.Head, age, heard time.Duration) {
+	add := func(domain model.FailureDomain, head config.Head, age, sinceHeartbeat time.Duration) {
 		d := domains[domain]
 		if d == nil {
-			d = &operatorrpc.DomainStatus{Domain: domain, Lowest: head, Highest: head, ConfigAge: age, SinceHeartbeat: heard}
+			d = &operatorrpc.DomainStatus{Domain: domain, Lowest: head, Highest: head, ConfigAge: age, SinceHeartbeat: sinceHeartbeat}
 			domains[domain] = d
 		}
 		d.Processes++
-		d.SinceHeartbeat = min(d.SinceHeartbeat, heard)
+		d.SinceHeartbeat = min(d.SinceHeartbeat, sinceHeartbeat)
 		if head.Number < d.Lowest.Number {
 			d.Lowest = head
 		}
@@ -49,21 +49,21 @@
 		}
 	}
 	if view, age := s.InForce(); view != nil {
-		note(s.entry.cfg.Identity.Location.FailureDomain, view.Head, age, 0)
+		add(s.entry.cfg.Identity.Location.FailureDomain, view.Head, age, 0)
 	}
 	for _, m := range s.entry.fleet.Members() {
 		if m.HeartbeatAt.IsZero() {
 			continue
 		}
-		heard := now.Sub(m.HeartbeatAt)
+		sinceHeartbeat := now.Sub(m.HeartbeatAt)
 		head := config.Head{Number: m.Heartbeat.ConfigRevision, Digest: m.Heartbeat.ConfigDigest}
-		age := time.Duration(m.Heartbeat.ConfigAgeMillis)*time.Millisecond + heard
-		note(m.Identity.Location.FailureDomain, head, age, heard)
+		age := time.Duration(m.Heartbeat.ConfigAgeMillis)*time.Millisecond + sinceHeartbeat
+		add(m.Identity.Location.FailureDomain, head, age, sinceHeartbeat)
 	}
-	return sorted(domains)
+	return sortedByDomain(domains)
 }
 
-func sorted(domains map[model.FailureDomain]*operatorrpc.DomainStatus) []operatorrpc.DomainStatus {
+func sortedByDomain(domains map[model.FailureDomain]*operatorrpc.DomainStatus) []operatorrpc.DomainStatus {
 	list := make([]operatorrpc.DomainStatus, 0, len(domains))
 	for _, d := range domains {
 		list = append(list, *d)
@@ -72,7 +72,7 @@
 	return list
 }
 
-// Instances implements operatorrpc.Status.
+// Instances implements operatorrpc.FleetStatus.
 func (s status) Instances() []operatorrpc.Instance {
 	now := s.entry.cfg.Clock.Now()
 	var list []operatorrpc.Instance
@@ -98,6 +98,7 @@
 	return list
 }
 
+// stateName returns the state of a member as operators see it.
 func stateName(m member.Member) string {
 	switch {
 	case m.Draining:
@@ -113,16 +114,16 @@
 	}
 }
 
-// Rollouts implements operatorrpc.Status. Reports of other entries arrive after
-// the first call; the view of a watch is whole from its second one.
+// Rollouts implements operatorrpc.FleetStatus. The first call only requests the reports
+// of other entries, so its result may be incomplete. Later calls include them.
 func (s status) Rollouts() []operatorrpc.Rollout {
 	e := s.entry
-	e.reports.want()
+	e.reports.request()
 	c := e.Current()
 	if c == nil {
 		return nil
 	}
-	statuses := e.reports.all(e.trackers.Report())
+	statuses := e.reports.merge(e.trackers.Report())
 	var list []operatorrpc.Rollout
 	for _, p := range c.Placements {
 		m, ok := c.FindModel(p.Model, p.Version)
@@ -131,7 +132,7 @@
 		}
 		r := operatorrpc.Rollout{
 			Model: p.Model, Version: p.Version, Domain: p.FailureDomain, Pool: p.Pool,
-			DesiredInstances: e.wanted(p), Phases: make(map[wire.Phase]int),
+			DesiredInstances: e.desiredInstances(p), Phases: make(map[wire.Phase]int),
 		}
 		for _, i := range statuses {
 			if i.Domain != p.FailureDomain || i.Status.Manifest != m.Manifest {
@@ -147,17 +148,18 @@
 	return list
 }
 
-// wanted returns the number of instances that a placement asks for.
-func (e *Entry) wanted(p config.Placement) int {
+// desiredInstances returns the number of instances that should serve a placement: its
+// Replicas, or else all known agents of the pool that are not draining.
+func (e *Entry) desiredInstances(p config.Placement) int {
 	if p.Replicas > 0 {
 		return p.Replicas
 	}
-	wanted := 0
+	n := 0
 	for _, m := range e.fleet.Members() {
 		if m.Role == backing.RoleAgent && m.Pool == p.Pool && !m.Draining &&
 			m.Identity.Location.FailureDomain == p.FailureDomain && m.State != member.StateGone {
-			wanted++
+			n++
 		}
 	}
-	return wanted
+	return n
 }
--- a/entry/telemetry.go
+++ b/entry/telemetry.go
@@ -8,10 +8,10 @@
 	"github.com/auburnbend/auburnbend/lib/telemetry"
 )
 
-// telemetryMetrics records an entry's measurements with OpenTelemetry.
+// telemetryMetrics is the implementation of Metrics with OpenTelemetry.
 type telemetryMetrics struct{ metrics *telemetry.Metrics }
 
-// NewTelemetryMetrics returns Metrics that record with OpenTelemetry.
+// NewTelemetryMetrics returns Metrics that record measurements with OpenTelemetry.
 func NewTelemetryMetrics(m *telemetry.Metrics) Metrics { return telemetryMetrics{m} }
 
 func (t telemetryMetrics) ObserveQueueTime(tenant model.Tenant, class model.Class, d time.Duration) {
