--- a/entry/operatorrpc/config.go
+++ b/entry/operatorrpc/config.go
@@ -9,18 +9,22 @@
 )
 
 const (
-	// defaultCallTimeout bounds one call to the store with its further tries.
+	// defaultCallTimeout limits one call of the store including its retries.
 	defaultCallTimeout = 8 * time.Second
-	// defaultHistory is the number of revisions shown when none is asked for.
+	// defaultHistory is the number of revisions that History returns if the request has
+	// no limit.
 	defaultHistory = 20
 
+	// defaultInterval, minInterval and maxInterval apply to the time between two
+	// messages of RolloutStatus.
 	defaultInterval = 2 * time.Second
 	minInterval     = 100 * time.Millisecond
 	maxInterval     = time.Minute
 )
 
-// Config holds the limits of a Server.
+// Config configures a Server. Zero values are replaced by defaults.
 type Config struct {
+	// CallTimeout limits one call of the store including its retries.
 	CallTimeout time.Duration
 	Clock       clock.Clock
 	Log         *eventlog.Logger
--- a/entry/operatorrpc/options.go
+++ b/entry/operatorrpc/options.go
@@ -2,13 +2,12 @@
 
 import "google.golang.org/grpc"
 
-// maxMessage bounds a call in bytes. A configuration has up to 3 MiB in its own
-// encoding, which is over the 4 MiB that gRPC allows by default once it is a
-// message.
-const maxMessage = 16 << 20
+// maxMessageBytes is the maximum size of a message. A configuration takes up to 3 MiB in
+// its own encoding, but more than gRPC's default limit of 4 MiB as a message.
+const maxMessageBytes = 16 << 20
 
-// Options returns what a gRPC server needs to take whole configurations, beside
-// the credentials that the assembly sets.
+// Options returns the options that a gRPC server needs for messages with a whole
+// configuration. They do not include credentials.
 func Options() []grpc.ServerOption {
-	return []grpc.ServerOption{grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage)}
+	return []grpc.ServerOption{grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxSendMsgSize(maxMessageBytes)}
 }
--- a/entry/operatorrpc/providers.go
+++ b/entry/operatorrpc/providers.go
@@ -9,7 +9,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ConfigStore is the accepted configuration; *config.Store implements it.
+// ConfigStore stores the accepted revisions of the configuration. *config.Store
+// implements it.
 type ConfigStore interface {
 	Apply(ctx context.Context, req config.Request) (config.Result, error)
 	Rollback(ctx context.Context, to uint64, req config.Request) (config.Result, error)
@@ -19,17 +20,19 @@
 	Prune(ctx context.Context) (int, error)
 }
 
-// ConfigReplica shows what the entry has in force. Implementations are safe for
-// concurrent use.
+// ConfigReplica holds the configuration in force on the entry. Implementations must be
+// safe for concurrent use.
 type ConfigReplica interface {
-	// InForce returns nil before the first configuration.
+	// InForce returns the configuration in force and the time since the store confirmed
+	// it as the newest. It returns nil if there is no configuration yet.
 	InForce() (*config.View, time.Duration)
-	// ApplyAccepted takes over a revision that this entry just had accepted.
+	// ApplyAccepted applies an encoded revision that the store has just accepted from
+	// this entry.
 	ApplyAccepted(encoded []byte)
 }
 
-// FleetStatus shows what the entry knows about the fleet. Implementations are safe
-// for concurrent use.
+// FleetStatus provides the entry's view of the fleet. Implementations must be safe for
+// concurrent use.
 type FleetStatus interface {
 	Domains() []DomainStatus
 	Rollouts() []Rollout
@@ -39,16 +42,18 @@
 // DomainStatus is the configuration in force in one failure domain.
 type DomainStatus struct {
 	Domain model.FailureDomain
-	// Lowest and Highest are over the processes that were heard.
+	// Lowest and Highest are the lowest and highest revisions of its processes.
 	Lowest, Highest config.Head
-	// ConfigAge is the time since the store confirmed Highest as the newest.
+	// ConfigAge is the time since the store confirmed Highest as the newest revision.
 	ConfigAge time.Duration
+	// Processes is the number of processes that have sent a heartbeat.
 	Processes int
-	// SinceHeartbeat is the time since the domain was last heard.
+	// SinceHeartbeat is the time since the last heartbeat from any process of the
+	// domain.
 	SinceHeartbeat time.Duration
 }
 
-// Rollout is the state of one version in one failure domain.
+// Rollout is the rollout of one version in one failure domain.
 type Rollout struct {
 	Model   string
 	Version string
@@ -56,31 +61,34 @@
 	Pool    string
 	// DesiredInstances is the number of instances that should serve the version.
 	DesiredInstances int
-	// Phases counts instances by phase.
-	Phases      map[wire.Phase]int
+	// Phases is the number of instances in each phase.
+	Phases map[wire.Phase]int
+	// OriginBytes and PeerBytes are the bytes received from the origin and from peers.
 	OriginBytes int64
 	PeerBytes   int64
-	// TotalBytes is what all wanted instances have to receive.
+	// TotalBytes is the number of bytes that all desired instances must receive.
 	TotalBytes int64
-	// Remaining is the estimated time; 0 lets the server estimate it from the
-	// progress during the call.
+	// Remaining is the estimated remaining time. If it is 0, the server estimates it
+	// from the progress during the call.
 	Remaining time.Duration
 }
 
-// Complete reports whether every wanted instance is live.
+// Complete reports whether all desired instances serve the version.
 func (r Rollout) Complete() bool { return r.Phases[wire.PhaseLive] >= r.DesiredInstances }
 
-// Instance is one entry or agent that the entry knows.
+// Instance is an entry or agent that is known to this entry.
 type Instance struct {
 	Identity model.Identity
 	Role     wire.Role
 	Pool     string
-	// State is live, draining, ejected or silent.
-	State    string
+	// State is live, draining, silent, gone or not_connected.
+	State string
+	// Revision is the number of the configuration in force on the instance.
 	Revision uint64
 	Weights  []model.Weights
-	Running  int
-	Queued   int
-	// SinceHeartbeat is the time since the instance was last heard.
+	// Running and Queued are numbers of requests.
+	Running int
+	Queued  int
+	// SinceHeartbeat is the time since the last heartbeat of the instance.
 	SinceHeartbeat time.Duration
 }
--- a/entry/operatorrpc/rollout_test.go
+++ b/entry/operatorrpc/rollout_test.go
@@ -14,7 +14,7 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// fixedStatus shows the same at each call.
+// fixedStatus is a ConfigReplica and FleetStatus that never changes.
 type fixedStatus struct {
 	view     *config.View
 	rollouts []operatorrpc.Rollout
@@ -26,43 +26,43 @@
 func (s fixedStatus) Rollouts() []operatorrpc.Rollout        { return s.rollouts }
 func (s fixedStatus) Instances() []operatorrpc.Instance      { return nil }
 
-// oneAnswer is a stream that ends after the first answer.
-type oneAnswer struct {
+// singleResponseStream is a stream that ends after the first response.
+type singleResponseStream struct {
 	grpc.ServerStream
-	ctx    context.Context
-	cancel context.CancelFunc
-	answer *pb.RolloutStatusResponse
+	ctx      context.Context
+	cancel   context.CancelFunc
+	response *pb.RolloutStatusResponse
 }
 
-func (s *oneAnswer) Context() context.Context { return s.ctx }
+func (s *singleResponseStream) Context() context.Context { return s.ctx }
 
-func (s *oneAnswer) Send(m *pb.RolloutStatusResponse) error {
-	s.answer = m
+func (s *singleResponseStream) Send(m *pb.RolloutStatusResponse) error {
+	s.response = m
 	s.cancel()
 	return nil
 }
 
 var _ = Describe("RolloutStatus", func() {
 	inForce := &config.View{Config: &config.Config{}}
-	rollout := func(wanted, live int) []operatorrpc.Rollout {
-		return []operatorrpc.Rollout{{Model: "crest", Version: "v1", DesiredInstances: wanted, Phases: map[wire.Phase]int{wire.PhaseLive: live}}}
+	rollout := func(desired, live int) []operatorrpc.Rollout {
+		return []operatorrpc.Rollout{{Model: "crest", Version: "v1", DesiredInstances: desired, Phases: map[wire.Phase]int{wire.PhaseLive: live}}}
 	}
 
-	// Guards against scripts that go on right after an apply, because the entry
-	// had not put the change in force or had not met its agents yet.
-	DescribeTable("calls a rollout complete only when it can tell",
+	// Guards against a rollout that is reported as complete right after an apply, because
+	// the change is not in force on the entry or the entry does not know its agents yet.
+	DescribeTable("reports completion only if it is certain",
 		func(s fixedStatus, version string, complete bool) {
-			stream := &oneAnswer{}
+			stream := &singleResponseStream{}
 			stream.ctx, stream.cancel = context.WithCancel(context.Background())
 			_ = operatorrpc.New(operatorrpc.Config{}, nil, s, s).RolloutStatus(&pb.RolloutStatusRequest{Version: version}, stream)
-			Expect(stream.answer.GetComplete()).To(Equal(complete))
+			Expect(stream.response.GetComplete()).To(Equal(complete))
 		},
-		Entry("all wanted instances are live", fixedStatus{inForce, rollout(2, 2)}, "v1", true),
-		Entry("one is not", fixedStatus{inForce, rollout(2, 1)}, "v1", false),
+		Entry("all desired instances are live", fixedStatus{inForce, rollout(2, 2)}, "v1", true),
+		Entry("one instance is not live", fixedStatus{inForce, rollout(2, 1)}, "v1", false),
 		Entry("one failure domain has no instances", fixedStatus{inForce, append(rollout(0, 0), rollout(2, 2)...)}, "", true),
 		Entry("no instance of the pool is known", fixedStatus{inForce, rollout(0, 0)}, "", false),
 		Entry("no configuration is in force", fixedStatus{}, "", false),
 		Entry("the version is not in force", fixedStatus{inForce, rollout(2, 2)}, "v2", false),
-		Entry("nothing is placed", fixedStatus{inForce, nil}, "", true),
+		Entry("the configuration places no version", fixedStatus{inForce, nil}, "", true),
 	)
 })
--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -17,7 +17,7 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// Server answers the operators' calls. It is safe for concurrent use.
+// Server implements the operators' gRPC service. It is safe for concurrent use.
 type Server struct {
 	pb.UnimplementedOperatorServer
 	cfg     Config
@@ -26,17 +26,16 @@
 	status  FleetStatus
 }
 
-// New returns a server over the entry's store, replica and view of the fleet.
+// New returns a Server for the given store, replica and view of the fleet.
 func New(cfg Config, store ConfigStore, replica ConfigReplica, status FleetStatus) *Server {
 	cfg.applyDefaults()
 	return &Server{cfg: cfg, store: store, replica: replica, status: status}
 }
 
-// Register adds the service to a gRPC server, whose credentials the assembly
-// sets.
+// Register registers the service with a gRPC server.
 func (s *Server) Register(r grpc.ServiceRegistrar) { pb.RegisterOperatorServer(r, s) }
 
-// Apply implements the call of the same name.
+// Apply implements pb.OperatorServer.
 func (s *Server) Apply(ctx context.Context, m *pb.ApplyRequest) (*pb.ApplyResponse, error) {
 	c, faults := convert.ConfigFromMessage(m.GetConfig())
 	if len(faults) > 0 {
@@ -48,10 +47,10 @@
 		Config: c, Expected: m.GetExpectedRevision(), Operation: m.GetOperation(),
 		Author: author(ctx, m.GetAuthor()), DryRun: m.GetDryRun(),
 	})
-	return s.accepted(ctx, result, err, m.GetOperation())
+	return s.writeResponse(ctx, result, err, m.GetOperation())
 }
 
-// Rollback implements the call of the same name.
+// Rollback implements pb.OperatorServer.
 func (s *Server) Rollback(ctx context.Context, m *pb.RollbackRequest) (*pb.ApplyResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
@@ -59,10 +58,12 @@
 		Expected: m.GetExpectedRevision(), Operation: m.GetOperation(),
 		Author: author(ctx, m.GetAuthor()), DryRun: m.GetDryRun(),
 	})
-	return s.accepted(ctx, result, err, m.GetOperation())
+	return s.writeResponse(ctx, result, err, m.GetOperation())
 }
 
-func (s *Server) accepted(ctx context.Context, result config.Result, err error, operation string) (*pb.ApplyResponse, error) {
+// writeResponse logs the result of a call that changes the configuration, applies an
+// accepted revision on this entry and returns the response or the gRPC error.
+func (s *Server) writeResponse(ctx context.Context, result config.Result, err error, operation string) (*pb.ApplyResponse, error) {
 	var conflict *config.RevisionConflictError
 	var unknown *config.UnknownOutcomeError
 	switch {
@@ -84,16 +85,16 @@
 	}, nil
 }
 
-// prune drops old operation ids once per snapshot. The entry that accepts the
-// change does it, so that no entry has to be in charge. A failure is left to the
-// next time.
+// prune removes old operation ids from the store once every RevisionsPerSnapshot
+// revisions. The entry that had the revision accepted does so, so that no leader is
+// needed. If it fails, the next run removes them.
 func (s *Server) prune(ctx context.Context, number uint64) {
 	if number%config.RevisionsPerSnapshot == 0 {
 		_, _ = s.store.Prune(ctx)
 	}
 }
 
-// Get implements the call of the same name.
+// Get implements pb.OperatorServer.
 func (s *Server) Get(ctx context.Context, m *pb.GetRequest) (*pb.GetResponse, error) {
 	view, err := s.view(ctx, m)
 	if err != nil {
@@ -108,7 +109,7 @@
 	if m.GetInForce() {
 		view, _ := s.replica.InForce()
 		if view == nil {
-			return config.View{}, status.Error(codes.Unavailable, "no configuration in force yet")
+			return config.View{}, status.Error(codes.Unavailable, "no configuration is in force on this entry yet")
 		}
 		return *view, nil
 	}
@@ -118,7 +119,7 @@
 	return view, convert.ErrorToStatus(err)
 }
 
-// Diff implements the call of the same name.
+// Diff implements pb.OperatorServer.
 func (s *Server) Diff(ctx context.Context, m *pb.DiffRequest) (*pb.DiffResponse, error) {
 	from := config.View{Config: &config.Config{}}
 	var err error
@@ -137,7 +138,7 @@
 	}, nil
 }
 
-// History implements the call of the same name.
+// History implements pb.OperatorServer.
 func (s *Server) History(ctx context.Context, m *pb.HistoryRequest) (*pb.HistoryResponse, error) {
 	limit := int(m.GetLimit())
 	if limit == 0 {
@@ -159,7 +160,7 @@
 	return response, nil
 }
 
-// OperationStatus implements the call of the same name.
+// OperationStatus implements pb.OperatorServer.
 func (s *Server) OperationStatus(ctx context.Context, m *pb.OperationStatusRequest) (*pb.OperationStatusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
@@ -180,8 +181,8 @@
 	return response, nil
 }
 
-// author returns the authenticated name of the caller, or the declared one on
-// connections without certificates.
+// author returns the name in the client's certificate, or the declared name if the
+// connection has none.
 func author(ctx context.Context, declared string) string {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
--- a/entry/operatorrpc/status.go
+++ b/entry/operatorrpc/status.go
@@ -13,7 +13,7 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// ConfigStatus implements the call of the same name.
+// ConfigStatus implements pb.OperatorServer.
 func (s *Server) ConfigStatus(context.Context, *pb.ConfigStatusRequest) (*pb.ConfigStatusResponse, error) {
 	view, age := s.replica.InForce()
 	if view == nil {
@@ -29,7 +29,7 @@
 	return response, nil
 }
 
-// Instances implements the call of the same name.
+// Instances implements pb.OperatorServer.
 func (s *Server) Instances(_ context.Context, m *pb.InstancesRequest) (*pb.InstancesResponse, error) {
 	response := &pb.InstancesResponse{}
 	for _, i := range s.status.Instances() {
@@ -54,17 +54,17 @@
 	return response, nil
 }
 
-// RolloutStatus implements the call of the same name.
+// RolloutStatus implements pb.OperatorServer.
 func (s *Server) RolloutStatus(m *pb.RolloutStatusRequest, stream grpc.ServerStreamingServer[pb.RolloutStatusResponse]) error {
 	interval := defaultInterval
 	if m.GetInterval() != nil {
 		interval = min(max(m.GetInterval().AsDuration(), minInterval), maxInterval)
 	}
-	progress := newEstimator()
+	estimates := newEstimator()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		response := s.rollouts(m, progress)
+		response := s.rollouts(m, estimates)
 		if err := stream.Send(response); err != nil {
 			return err
 		}
@@ -79,10 +79,11 @@
 	}
 }
 
-func (s *Server) rollouts(m *pb.RolloutStatusRequest, progress *estimator) *pb.RolloutStatusResponse {
+// rollouts returns the current state of the requested rollouts.
+func (s *Server) rollouts(m *pb.RolloutStatusRequest, estimates *estimator) *pb.RolloutStatusResponse {
 	now := s.cfg.Clock.Now()
 	response := &pb.RolloutStatusResponse{Complete: true}
-	wanted := 0
+	desired := 0
 	for _, r := range s.status.Rollouts() {
 		if m.GetModel() != "" && m.GetModel() != r.Model || m.GetVersion() != "" && m.GetVersion() != r.Version {
 			continue
@@ -96,24 +97,24 @@
 				message.Phases = append(message.Phases, &pb.PhaseCount{Phase: phase.String(), Instances: int32(n)})
 			}
 		}
-		if remaining, ok := progress.remaining(r, now); ok {
+		if remaining, ok := estimates.remaining(r, now); ok {
 			message.Remaining = durationpb.New(remaining)
 		}
 		response.Complete = response.Complete && r.Complete()
-		wanted += r.DesiredInstances
+		desired += r.DesiredInstances
 		response.Rollouts = append(response.Rollouts, message)
 	}
-	// An entry that knows no instance at all has not met its agents yet. One
-	// failure domain without instances does not hold the others up.
-	if wanted == 0 && !(len(response.Rollouts) == 0 && s.nothingPlaced(m)) {
+	// An entry that knows no instances at all has not connected to its agents yet. A
+	// single failure domain without instances does not prevent completion.
+	if desired == 0 && !(len(response.Rollouts) == 0 && s.nothingPlaced(m)) {
 		response.Complete = false
 	}
 	return response
 }
 
-// nothingPlaced reports whether an empty answer is final: the configuration in
-// force places no model at all. A model or version that was asked for may be in
-// a revision that is accepted and not in force here yet.
+// nothingPlaced reports whether an empty list of rollouts means that the configuration
+// in force places no model. It does not if the request names a model or version: that
+// one may be in a revision that is accepted but not yet in force on this entry.
 func (s *Server) nothingPlaced(m *pb.RolloutStatusRequest) bool {
 	view, _ := s.replica.InForce()
 	return view != nil && m.GetModel() == "" && m.GetVersion() == ""
