--- a/operator/client.go
+++ b/operator/client.go
@@ -18,20 +18,21 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// maxMessage bounds an answer in bytes; a configuration has up to 3 MiB in its
-// own encoding.
-const maxMessage = 16 << 20
+// maxMessageBytes is the maximum size of a message. A configuration takes up to 3 MiB in
+// its own encoding.
+const maxMessageBytes = 16 << 20
 
-// Client calls entries. It is safe for concurrent use. Errors are those of
-// lib/config: *InvalidError, *RevisionConflictError, *UnknownOutcomeError,
-// ErrOperationReused, ErrRevisionNotFound and ErrStoreUnavailable, the last
-// also when no entry could be reached.
+// Client calls the operators' interface of entries. It is safe for concurrent use. Its
+// methods return the errors of lib/config: *InvalidError, *RevisionConflictError,
+// *UnknownOutcomeError, ErrOperationReused, ErrRevisionNotFound and
+// ErrStoreUnavailable. The last one also means that no entry could be reached.
 type Client struct {
 	cfg   Config
 	conns []*grpc.ClientConn
 }
 
-// New returns a client that connects when it is first used.
+// New returns a Client. It returns an error if cfg is invalid. Connections are opened
+// by the first call.
 func New(cfg Config) (*Client, error) {
 	cfg.applyDefaults()
 	if err := cfg.validate(); err != nil {
@@ -44,7 +45,7 @@
 	c := &Client{cfg: cfg}
 	for _, address := range cfg.Addresses {
 		conn, err := grpc.NewClient(address, grpc.WithTransportCredentials(creds), grpc.WithDisableServiceConfig(),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)))
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)))
 		if err != nil {
 			_ = c.Close()
 			return nil, merry.Prependf(err, "address %q", address)
@@ -54,7 +55,7 @@
 	return c, nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() error {
 	var errs []error
 	for _, conn := range c.conns {
@@ -63,14 +64,14 @@
 	return errors.Join(errs...)
 }
 
-// NewOperationID returns a fresh operation id, ordered by time.
+// NewOperationID returns a new operation id. Ids are ordered by time.
 func NewOperationID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Apply makes a configuration the next revision. An empty Operation is filled
-// in. A lost reply is followed by the same call to the next entry; if no entry
-// tells the outcome, the error is *config.UnknownOutcomeError.
+// Apply makes a configuration the next revision. If req.Operation is empty, a new id is
+// used. If the reply of an entry is lost, the same call is made to the next entry. If no
+// entry reports the outcome, the error is *config.UnknownOutcomeError.
 func (c *Client) Apply(ctx context.Context, req config.Request) (config.Result, error) {
-	c.fill(&req)
+	c.setDefaults(&req)
 	message := &pb.ApplyRequest{
 		Config: convert.ConfigToMessage(req.Config), ExpectedRevision: req.Expected,
 		Operation: req.Operation, DryRun: req.DryRun, Author: req.Author,
@@ -80,17 +81,17 @@
 	})
 }
 
-// Rollback makes an earlier revision's configuration the next revision. Config
-// of the request is ignored.
+// Rollback makes the configuration of an earlier revision the next revision. It ignores
+// req.Config. Otherwise it works like Apply.
 func (c *Client) Rollback(ctx context.Context, to uint64, req config.Request) (config.Result, error) {
-	c.fill(&req)
+	c.setDefaults(&req)
 	message := &pb.RollbackRequest{To: to, ExpectedRevision: req.Expected, Operation: req.Operation, DryRun: req.DryRun, Author: req.Author}
 	return c.write(ctx, req, func(ctx context.Context, entry pb.OperatorClient, opts ...grpc.CallOption) (*pb.ApplyResponse, error) {
 		return entry.Rollback(ctx, message, opts...)
 	})
 }
 
-func (c *Client) fill(req *config.Request) {
+func (c *Client) setDefaults(req *config.Request) {
 	if req.Operation == "" {
 		req.Operation = NewOperationID()
 	}
@@ -99,20 +100,21 @@
 	}
 }
 
+// writeCall makes one attempt of a call that changes the configuration.
 type writeCall func(context.Context, pb.OperatorClient, ...grpc.CallOption) (*pb.ApplyResponse, error)
 
 func (c *Client) write(ctx context.Context, req config.Request, call writeCall) (config.Result, error) {
 	sent := false
-	response, err := each(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.ApplyResponse, error) {
-		var at peer.Peer
-		response, err := call(ctx, entry, grpc.Peer(&at))
-		// An address is known only when a connection took the call; without one,
+	response, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.ApplyResponse, error) {
+		var p peer.Peer
+		response, err := call(ctx, entry, grpc.Peer(&p))
+		// The address is set only if the call was assigned to a connection. Otherwise
 		// nothing was sent.
-		sent = sent || at.Addr != nil
+		sent = sent || p.Addr != nil
 		return response, err
 	})
 	if err != nil {
-		if isUndecided(err) && sent && !req.DryRun {
+		if isRetryable(err) && sent && !req.DryRun {
 			err = &config.UnknownOutcomeError{Operation: req.Operation, Cause: err}
 			return config.Result{}, merry.Wrap(err)
 		}
@@ -124,25 +126,27 @@
 	}, nil
 }
 
-// each tries the entries in order until one gives a definite answer.
-func each[T any](ctx context.Context, c *Client, call func(context.Context, pb.OperatorClient) (T, error)) (T, error) {
-	var answer T
+// tryEntries calls the entries in order until one returns a definite result. It makes up
+// to Rounds passes.
+func tryEntries[T any](ctx context.Context, c *Client, call func(context.Context, pb.OperatorClient) (T, error)) (T, error) {
+	var response T
 	var err error
 	for range c.cfg.Rounds {
 		for _, conn := range c.conns {
-			attempt, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
-			answer, err = call(attempt, pb.NewOperatorClient(conn))
+			attemptCtx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
+			response, err = call(attemptCtx, pb.NewOperatorClient(conn))
 			cancel()
-			if err == nil || !isUndecided(err) || ctx.Err() != nil {
-				return answer, err
+			if err == nil || !isRetryable(err) || ctx.Err() != nil {
+				return response, err
 			}
 		}
 	}
-	return answer, err
+	return response, err
 }
 
-// isUndecided reports whether another attempt may find out more.
-func isUndecided(err error) bool {
+// isRetryable reports whether a call that failed with err may succeed, or return a
+// definite error, at another attempt.
+func isRetryable(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Unknown, codes.DeadlineExceeded, codes.Canceled, codes.Internal, codes.ResourceExhausted:
 		return true
--- a/operator/config.go
+++ b/operator/config.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// defaultTimeout bounds one attempt at one entry. It is longer than the
-	// entry's own bound, so that the entry's answer arrives.
+	// defaultTimeout limits one attempt at one entry. It is longer than the entry's own
+	// time limit, so that the client receives the entry's error.
 	defaultTimeout = 10 * time.Second
-	// defaultRounds is how often all addresses are tried.
+	// defaultRounds is how often each address is tried.
 	defaultRounds = 2
 )
 
-// Config holds the addresses and limits of a Client.
+// Config configures a Client.
 type Config struct {
-	// Addresses are entries in the order in which they are tried.
+	// Addresses are the addresses of entries in the order in which they are tried. At
+	// least one is required.
 	Addresses []string
-	// TLS is required unless Plaintext is set.
+	// TLS is required unless Plaintext is set, and not allowed with it.
 	TLS *tls.Config
-	// Plaintext sends calls without encryption and authentication.
+	// Plaintext disables encryption and authentication.
 	Plaintext bool
-	// Timeout bounds one attempt.
+	// Timeout limits one attempt at one entry. Zero means 10 s.
 	Timeout time.Duration
-	// Rounds is how often all addresses are tried.
+	// Rounds is how often each address is tried. Zero means 2.
 	Rounds int
-	// Author names the operator where the connection does not.
+	// Author is the name of the operator for connections without a certificate.
 	Author string
 }
 
@@ -43,13 +44,13 @@
 
 func (c *Config) validate() error {
 	if len(c.Addresses) == 0 {
-		return merry.New("no address of an entry is given")
+		return merry.New("no address of an entry configured")
 	}
 	if c.TLS == nil && !c.Plaintext {
-		return merry.New("neither TLS settings nor plaintext are given")
+		return merry.New("neither TLS nor plaintext configured")
 	}
 	if c.TLS != nil && c.Plaintext {
-		return merry.New("both TLS settings and plaintext are given")
+		return merry.New("both TLS and plaintext configured")
 	}
 	return nil
 }
--- a/operator/reads.go
+++ b/operator/reads.go
@@ -12,10 +12,10 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// Get returns a revision; 0 asks for the newest. With inForce, the entry
-// answers from its own replica without the store.
+// Get returns a revision; 0 means the newest one. If inForce is true, it returns the
+// configuration in force on the entry instead, which does not need the store.
 func (c *Client) Get(ctx context.Context, number uint64, inForce bool) (config.View, error) {
-	m, err := each(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.GetResponse, error) {
+	m, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.GetResponse, error) {
 		return entry.Get(ctx, &pb.GetRequest{Revision: number, InForce: inForce})
 	})
 	if err != nil {
@@ -28,58 +28,62 @@
 	return config.View{Config: parsed, Head: convert.HeadFromMessage(m.GetRevision()), Accepted: m.GetAccepted().AsTime()}, nil
 }
 
-// Diff returns what changes between two revisions.
+// Diff returns the differences between two revisions. A from of 0 means an empty
+// configuration, and a to of 0 the newest revision.
 func (c *Client) Diff(ctx context.Context, from, to uint64) (*pb.DiffResponse, error) {
-	m, err := each(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.DiffResponse, error) {
+	m, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.DiffResponse, error) {
 		return entry.Diff(ctx, &pb.DiffRequest{From: from, To: to})
 	})
 	return m, convert.ErrorFromStatus(err)
 }
 
-// History returns up to limit revisions before a number, newest first.
+// History returns up to limit revisions before the given one, newest first. A before of
+// 0 means from the newest one.
 func (c *Client) History(ctx context.Context, before uint64, limit int) (*pb.HistoryResponse, error) {
-	m, err := each(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.HistoryResponse, error) {
+	m, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.HistoryResponse, error) {
 		return entry.History(ctx, &pb.HistoryRequest{Before: before, Limit: int32(limit)})
 	})
 	return m, convert.ErrorFromStatus(err)
 }
 
-// OperationStatus returns what became of an operation id. With settle the
-// answer is final.
+// OperationStatus returns the state of an operation. If settle is true, an operation
+// that was not applied is abandoned, so that its state is final.
 func (c *Client) OperationStatus(ctx context.Context, operation string, settle bool) (*pb.OperationStatusResponse, error) {
-	m, err := each(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.OperationStatusResponse, error) {
+	m, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.OperationStatusResponse, error) {
 		return entry.OperationStatus(ctx, &pb.OperationStatusRequest{Operation: operation, Settle: settle})
 	})
 	return m, convert.ErrorFromStatus(err)
 }
 
-// ConfigStatus returns the revision in force per failure domain.
+// ConfigStatus returns the revisions in force in each failure domain.
 func (c *Client) ConfigStatus(ctx context.Context) (*pb.ConfigStatusResponse, error) {
-	m, err := each(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.ConfigStatusResponse, error) {
+	m, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.ConfigStatusResponse, error) {
 		return entry.ConfigStatus(ctx, &pb.ConfigStatusRequest{})
 	})
 	return m, convert.ErrorFromStatus(err)
 }
 
-// Instances returns the instances that an entry knows; empty filters mean all.
+// Instances returns the instances that are known to an entry. An empty domain or pool
+// means all of them.
 func (c *Client) Instances(ctx context.Context, domain, pool string) (*pb.InstancesResponse, error) {
-	m, err := each(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.InstancesResponse, error) {
+	m, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.InstancesResponse, error) {
 		return entry.Instances(ctx, &pb.InstancesRequest{FailureDomain: domain, Pool: pool})
 	})
 	return m, convert.ErrorFromStatus(err)
 }
 
-// WatchRollout asks RolloutStatus and hands each answer to show, until it returns
-// false, ctx ends or, with untilComplete, every wanted instance is live. It goes
-// on with the next entry when one leaves.
+// WatchRollout calls show with the state of rollouts at each interval. It returns when
+// show returns false, when ctx ends or, if untilComplete is true, when all desired
+// instances are live. If the connection to an entry fails, it continues with the next
+// one.
 func (c *Client) WatchRollout(ctx context.Context, modelName, version string, interval time.Duration, untilComplete bool, show func(*pb.RolloutStatusResponse) bool) error {
 	var err error
 	for attempt := range c.cfg.Rounds * len(c.conns) {
-		var ended bool
-		ended, err = c.watch(ctx, attempt%len(c.conns), &pb.RolloutStatusRequest{
+		var done bool
+		done, err = c.watchEntry(ctx, attempt%len(c.conns), &pb.RolloutStatusRequest{
 			Model: modelName, Version: version, Interval: durationpb.New(interval), UntilComplete: untilComplete,
 		}, show)
-		if ended || ctx.Err() != nil || !isUndecided(err) {
+		if done || ctx.Err() != nil || !isRetryable(err) {
 			break
 		}
 	}
--- a/operator/watch.go
+++ b/operator/watch.go
@@ -8,9 +8,9 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// watch follows one entry's stream. It reports whether the caller has what it
-// wanted.
-func (c *Client) watch(ctx context.Context, index int, req *pb.RolloutStatusRequest, show func(*pb.RolloutStatusResponse) bool) (bool, error) {
+// watchEntry passes the messages of one entry's stream to show. It reports whether the
+// watch is finished; if not, it returns the error that ended the stream.
+func (c *Client) watchEntry(ctx context.Context, index int, req *pb.RolloutStatusRequest, show func(*pb.RolloutStatusResponse) bool) (bool, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := pb.NewOperatorClient(c.conns[index]).RolloutStatus(ctx, req)
@@ -18,13 +18,13 @@
 		return false, err
 	}
 	for {
-		answer, err := stream.Recv()
+		response, err := stream.Recv()
 		switch {
 		case errors.Is(err, io.EOF):
 			return true, nil
 		case err != nil:
 			return false, err
-		case !show(answer):
+		case !show(response):
 			return true, nil
 		}
 	}
