--- a/operator/cli/cli_test.go
+++ b/operator/cli/cli_test.go
@@ -32,7 +32,7 @@
 share = SHARE
 `
 
-// fakeEntry is the part of an entry behind the operators' interface.
+// fakeEntry implements operatorrpc.ConfigReplica and operatorrpc.FleetStatus.
 type fakeEntry struct {
 	mu      sync.Mutex
 	replica *config.Replica
@@ -56,7 +56,8 @@
 	return []operatorrpc.DomainStatus{{Domain: "kigali", Highest: config.Head{Number: 2}, Processes: 3}}
 }
 
-// Rollouts makes progress with each call and is complete at the third.
+// Rollouts returns a rollout that progresses with each call and is complete at the third
+// one.
 func (f *fakeEntry) Rollouts() []operatorrpc.Rollout {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,32 +108,32 @@
 		cmd.SetArgs(append([]string{"--address", address, "--plaintext", "--author", "ops"}, arguments...))
 		return cli.ReportError(&out, cmd.Execute()), out.String()
 	}
-	must := func(arguments ...string) string {
+	mustRun := func(arguments ...string) string {
 		code, out := run(arguments...)
 		ExpectWithOffset(1, code).To(BeZero(), out)
 		return out
 	}
 
-	It("applies, shows, compares and rolls back", func() {
+	It("applies, prints, compares and rolls back configurations", func() {
 		declare("1")
-		Expect(must("config", "apply", file, "--expect", "0")).To(ContainSubstring("accepted as revision 1"))
+		Expect(mustRun("config", "apply", file, "--expect", "0")).To(ContainSubstring("accepted as revision 1"))
 		declare("7")
-		Expect(must("config", "apply", file, "--expect", "1", "--dry-run")).To(ContainSubstring("~ [tenant engravers] share = 7 (was 1)"))
-		must("config", "apply", file, "--expect", "1")
-		shown := must("config", "get")
-		Expect(os.WriteFile(file, []byte(shown), 0o600)).To(Succeed())
-		Expect(must("config", "apply", file, "--expect", "2")).To(ContainSubstring("unchanged, revision 2"))
-		Expect(must("config", "diff", "1")).To(ContainSubstring("share = 7 (was 1)"))
-		must("config", "rollback", "1", "--expect", "2")
-		Expect(must("config", "history")).To(MatchRegexp(`(?s)3 .*tenant engravers.*\n1 .*deployment`))
-		Expect(must("config", "get", "-o", "json")).To(ContainSubstring(`"timeWeight":0.25`))
-		Expect(must("config", "status")).To(ContainSubstring("revision 3, age 1.5s"))
+		Expect(mustRun("config", "apply", file, "--expect", "1", "--dry-run")).To(ContainSubstring("~ [tenant engravers] share = 7 (was 1)"))
+		mustRun("config", "apply", file, "--expect", "1")
+		printed := mustRun("config", "get")
+		Expect(os.WriteFile(file, []byte(printed), 0o600)).To(Succeed())
+		Expect(mustRun("config", "apply", file, "--expect", "2")).To(ContainSubstring("unchanged, revision 2"))
+		Expect(mustRun("config", "diff", "1")).To(ContainSubstring("share = 7 (was 1)"))
+		mustRun("config", "rollback", "1", "--expect", "2")
+		Expect(mustRun("config", "history")).To(MatchRegexp(`(?s)3 .*tenant engravers.*\n1 .*deployment`))
+		Expect(mustRun("config", "get", "-o", "json")).To(ContainSubstring(`"timeWeight":0.25`))
+		Expect(mustRun("config", "status")).To(ContainSubstring("revision 3, age 1.5s"))
 		rows.Faults.Set(fault.Faults{Down: true})
-		Expect(must("config", "get", "--in-force")).To(ContainSubstring("share = 1"))
+		Expect(mustRun("config", "get", "--in-force")).To(ContainSubstring("share = 1"))
 	})
 
-	// Guards against scripts that cannot tell the ends of a change apart.
-	It("ends with a code for each kind of failure", func() {
+	// Guards against scripts that cannot distinguish the outcomes of a change.
+	It("returns a distinct exit code for each kind of failure", func() {
 		expect := func(code int, mention string, arguments ...string) {
 			got, out := run(arguments...)
 			ExpectWithOffset(1, got).To(Equal(code), out)
@@ -141,7 +142,7 @@
 		declare("0")
 		expect(3, "line 7: tenant engravers: share", "config", "apply", file, "--expect", "0")
 		declare("1")
-		must("config", "apply", file, "--expect", "0", "--operation", "first")
+		mustRun("config", "apply", file, "--expect", "0", "--operation", "first")
 		declare("2")
 		expect(4, "current is 1 by ops", "config", "apply", file, "--expect", "0")
 		expect(4, "already used", "config", "apply", file, "--expect", "1", "--operation", "first")
@@ -153,14 +154,14 @@
 		expect(6, "unavailable", "config", "get")
 		expect(5, "auburnctl operation status second", "config", "apply", file, "--expect", "1", "--operation", "second")
 		rows.Faults.Set(fault.Faults{})
-		Expect(must("operation", "status", "second")).To(ContainSubstring("not found"))
-		Expect(must("operation", "status", "second", "--settle")).To(ContainSubstring("abandoned"))
-		Expect(must("operation", "status", "first")).To(ContainSubstring("applied as revision 1"))
+		Expect(mustRun("operation", "status", "second")).To(ContainSubstring("not found"))
+		Expect(mustRun("operation", "status", "second", "--settle")).To(ContainSubstring("abandoned"))
+		Expect(mustRun("operation", "status", "first")).To(ContainSubstring("applied as revision 1"))
 		address = "127.0.0.1:1"
 		expect(6, "unavailable", "config", "apply", file, "--expect", "1")
 	})
 
-	It("refuses plain text unless it is asked for", func() {
+	It("does not connect without TLS by default", func() {
 		var out bytes.Buffer
 		cmd := cli.New("v0")
 		cmd.SetOut(&out)
@@ -168,33 +169,33 @@
 		Expect(cli.ReportError(&out, cmd.Execute())).To(Equal(6))
 	})
 
-	It("creates a manifest that its declaration names", func() {
+	It("creates a manifest and prints its declaration", func() {
 		out := filepath.Join(filepath.Dir(file), "m")
 		Expect(os.WriteFile(file, make([]byte, 3000), 0o600)).To(Succeed())
-		shown := must("manifest", "create", file, "--object", "weights/crest", "--out", out, "--chunk-size", "1KiB")
+		printed := mustRun("manifest", "create", file, "--object", "weights/crest", "--out", out, "--chunk-size", "1KiB")
 		data, err := os.ReadFile(out)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(shown).To(Equal("manifest = " + model.Sum(data).String() + "\nbytes = 3000\n"))
+		Expect(printed).To(Equal("manifest = " + model.Sum(data).String() + "\nbytes = 3000\n"))
 		code, _ := run("manifest", "create", file, "--object", "o", "--out", out, "--chunk-size", "5MiB")
 		Expect(code).To(Equal(2))
 	})
 
-	It("follows a rollout until it is complete and lists instances", func() {
-		out := must("rollout", "status", "--until-complete", "--interval", "100ms", "-o", "json")
+	It("watches a rollout until it is complete and lists instances", func() {
+		out := mustRun("rollout", "status", "--until-complete", "--interval", "100ms", "-o", "json")
 		Expect(strings.Count(out, "\n")).To(Equal(3))
 		Expect(out).To(ContainSubstring(`"complete":true`))
-		Expect(must("rollout", "status")).To(ContainSubstring("live:2"))
-		Expect(must("instances", "--pool", "orders")).To(And(ContainSubstring("a2"), Not(ContainSubstring("a1"))))
+		Expect(mustRun("rollout", "status")).To(ContainSubstring("live:2"))
+		Expect(mustRun("instances", "--pool", "orders")).To(And(ContainSubstring("a2"), Not(ContainSubstring("a1"))))
 	})
 
-	// Guards against a rollout that an operator starts without knowing that its
-	// links cannot carry it in time.
-	It("plans a version before it is applied", func() {
+	// Guards against starting a rollout without knowing that the links are too slow for
+	// its target time.
+	It("estimates the rollout of a version before it is applied", func() {
 		placed := "[model crest v1]\nmanifest = " + model.Sum([]byte("m")).String() + "\nmanifest_object = m\nbytes = 100MiB\n" +
 			"[placement crest kigali]\nmodel = crest\nversion = v1\n"
 		Expect(os.WriteFile(file, []byte(strings.ReplaceAll(declaration, "SHARE", "1")+placed), 0o600)).To(Succeed())
 		plan := func(target string) string {
-			return must("rollout", "plan", file, "--origin", "80Mbit/s", "--instance", "80Mbit/s", "--target", target)
+			return mustRun("rollout", "plan", file, "--origin", "80Mbit/s", "--instance", "80Mbit/s", "--target", target)
 		}
 		Expect(plan("10m")).To(MatchRegexp(`crest +v1 +1 +1 +100\.0MiB .* true`))
 		Expect(plan("5s")).To(MatchRegexp(`crest +v1 +1 +1 +100\.0MiB .* false`))
--- a/operator/cli/config_command.go
+++ b/operator/cli/config_command.go
@@ -19,22 +19,24 @@
 	return cmd
 }
 
-// change holds the flags of commands that make a revision.
-type change struct {
+// changeFlags are the flags of commands that create a revision.
+type changeFlags struct {
 	expect    uint64
 	operation string
 	dryRun    bool
 }
 
-func (c *change) addFlags(cmd *cobra.Command) {
+func (c *changeFlags) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
-	flags.Uint64Var(&c.expect, "expect", 0, "revision that the change was made from; 0 before the first one")
-	flags.StringVar(&c.operation, "operation", "", "operation id; give the id of an unknown outcome to send the same change again")
-	flags.BoolVar(&c.dryRun, "dry-run", false, "validate and compare without a change")
+	flags.Uint64Var(&c.expect, "expect", 0, "number of the current revision, which the change is based on; 0 if there is none")
+	flags.StringVar(&c.operation, "operation", "", "operation id; to repeat a change with unknown outcome, use its id")
+	flags.BoolVar(&c.dryRun, "dry-run", false, "validate the change and print the differences without applying it")
 	_ = cmd.MarkFlagRequired("expect")
 }
 
-func (c *change) request() config.Request {
+// request returns a request without a configuration. It has a new operation id unless
+// the flag is set.
+func (c *changeFlags) request() config.Request {
 	req := config.Request{Expected: c.expect, Operation: c.operation, DryRun: c.dryRun}
 	if req.Operation == "" {
 		req.Operation = operator.NewOperationID()
@@ -42,7 +44,8 @@
 	return req
 }
 
-func (c *change) show(p *printer, req config.Request, result config.Result) error {
+// print prints the result of a change.
+func (c *changeFlags) print(p *printer, req config.Request, result config.Result) error {
 	m := &pb.ApplyResponse{
 		Revision: convert.HeadToMessage(result.Head), Differences: convert.DifferencesToMessage(result.Differences),
 		Unchanged: result.Unchanged, Replayed: result.Replayed,
@@ -61,14 +64,14 @@
 }
 
 func newApplyCommand(o *options) *cobra.Command {
-	c := &change{}
+	c := &changeFlags{}
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Make a declaration file the next revision",
-		Long:  "Make a declaration file the next revision. FILE - reads the standard input.",
+		Long:  "Make a declaration file the next revision. If FILE is -, read standard input.",
 		Example: `  auburnctl config apply deployment.ini --expect 41 --dry-run
   auburnctl config apply deployment.ini --expect 41`,
-		Args: args(cobra.ExactArgs(1)),
+		Args: usageArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, files []string) error {
 			declared, err := readDeclaration(cmd.InOrStdin(), files[0])
 			if err != nil {
@@ -81,7 +84,7 @@
 				if err != nil {
 					return err
 				}
-				return c.show(p, req, result)
+				return c.print(p, req, result)
 			})
 		},
 	}
@@ -89,6 +92,7 @@
 	return cmd
 }
 
+// readDeclaration reads and parses a declaration file, or stdin if file is "-".
 func readDeclaration(stdin io.Reader, file string) (*config.Config, error) {
 	var data []byte
 	var err error
@@ -104,12 +108,12 @@
 }
 
 func newRollbackCommand(o *options) *cobra.Command {
-	c := &change{}
+	c := &changeFlags{}
 	cmd := &cobra.Command{
 		Use:     "rollback REVISION",
 		Short:   "Make the configuration of an earlier revision the next one",
 		Example: "  auburnctl config rollback 40 --expect 42",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, values []string) error {
 			to, err := revision(values[0])
 			if err != nil {
@@ -121,7 +125,7 @@
 				if err != nil {
 					return err
 				}
-				return c.show(p, req, result)
+				return c.print(p, req, result)
 			})
 		},
 	}
@@ -134,11 +138,11 @@
 	var inForce bool
 	cmd := &cobra.Command{
 		Use:   "get",
-		Short: "Print a revision as a declaration file",
+		Short: "Print a revision in the format of a declaration file",
 		Example: `  auburnctl config get > deployment.ini
   auburnctl config get --revision 40
-  auburnctl config get --in-force     # also while the store is down`,
-		Args: args(cobra.NoArgs),
+  auburnctl config get --in-force     # does not need the store`,
+		Args: usageArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.run(cmd, func(client *operator.Client, p *printer) error {
 				view, err := client.Get(cmd.Context(), number, inForce)
@@ -153,15 +157,16 @@
 			})
 		},
 	}
-	cmd.Flags().Uint64Var(&number, "revision", 0, "revision; 0 is the newest")
-	cmd.Flags().BoolVar(&inForce, "in-force", false, "ask for what the entry has in force, without the store")
+	cmd.Flags().Uint64Var(&number, "revision", 0, "number of the revision; 0 means the newest")
+	cmd.Flags().BoolVar(&inForce, "in-force", false, "print the configuration in force on the entry, without asking the store")
 	return cmd
 }
 
+// revision parses the number of a revision.
 func revision(text string) (uint64, error) {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || number == 0 {
-		return 0, usagef("revision %q, allowed: a whole number from 1 on", text)
+		return 0, usagef("invalid revision %q: must be a positive integer", text)
 	}
 	return number, nil
 }
--- a/operator/cli/config_reads.go
+++ b/operator/cli/config_reads.go
@@ -13,10 +13,10 @@
 func newDiffCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FROM [TO]",
-		Short: "Show what changes between two revisions",
-		Example: `  auburnctl config diff 40        # up to the newest
+		Short: "Show the differences between two revisions",
+		Example: `  auburnctl config diff 40        # to the newest
   auburnctl config diff 40 41`,
-		Args: args(cobra.RangeArgs(1, 2)),
+		Args: usageArgs(cobra.RangeArgs(1, 2)),
 		RunE: func(cmd *cobra.Command, values []string) error {
 			numbers := make([]uint64, 2)
 			for i, text := range values {
@@ -47,7 +47,7 @@
 		Use:     "history",
 		Short:   "List accepted revisions, newest first",
 		Example: "  auburnctl config history --limit 5",
-		Args:    args(cobra.NoArgs),
+		Args:    usageArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.run(cmd, func(client *operator.Client, p *printer) error {
 				m, err := client.History(cmd.Context(), before, limit)
@@ -67,17 +67,17 @@
 			})
 		},
 	}
-	cmd.Flags().Uint64Var(&before, "before", 0, "only revisions before this one; 0 starts at the newest")
-	cmd.Flags().IntVar(&limit, "limit", 20, "number of revisions, 1 to 500")
+	cmd.Flags().Uint64Var(&before, "before", 0, "list only revisions before this one; 0 means from the newest")
+	cmd.Flags().IntVar(&limit, "limit", 20, "maximum number of revisions, 1 to 500")
 	return cmd
 }
 
 func newConfigStatusCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:     "status",
-		Short:   "Show the revision in force per failure domain and its age",
+		Short:   "Show the revisions in force in each failure domain and their age",
 		Example: "  auburnctl config status",
-		Args:    args(cobra.NoArgs),
+		Args:    usageArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.run(cmd, func(client *operator.Client, p *printer) error {
 				m, err := client.ConfigStatus(cmd.Context())
--- a/operator/cli/explain_command.go
+++ b/operator/cli/explain_command.go
@@ -10,17 +10,16 @@
 	"github.com/auburnbend/auburnbend/operator/explain"
 )
 
-// newExplainCommand returns the command that explains a request from log files.
 func newExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain ID FILE...",
 		Short: "Explain what happened to a request from collected log files",
 		Long: `Explain what happened to a request from collected log files.
 
-It prints the lines that name the request in order of time, what the reason of
-its end means, and what else happened to the processes and backend servers that
-it met. A request without a line was answered and not sampled, or its line was
-dropped: look for event 7203 and at the counters.`,
+It prints the log lines of the request in order of time, an explanation of the
+reason for its end, and other events of the processes and backend servers
+involved. Not all answered requests are logged, and lines are dropped if there
+are too many: look for event 7203 and see the metrics.`,
 		Example: "  auburnctl explain 9c41d07be2a35f68 logs/*.log",
 		Args:    cobra.MinimumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -37,46 +36,46 @@
 				}
 				lines = append(lines, more...)
 			}
-			story := explain.FindRequest(args[0], lines)
-			if len(story.Lines) == 0 {
-				return fmt.Errorf("no line names request %s", args[0])
+			timeline := explain.FindRequest(args[0], lines)
+			if len(timeline.Lines) == 0 {
+				return fmt.Errorf("no log line of request %s found", args[0])
 			}
-			return printStory(cmd.OutOrStdout(), story)
+			return printTimeline(cmd.OutOrStdout(), timeline)
 		},
 	}
 }
 
-func printStory(w io.Writer, story explain.Timeline) error {
-	p := storyPrinter{w: w}
+func printTimeline(w io.Writer, timeline explain.Timeline) error {
+	p := timelinePrinter{w: w}
 	p.printf("request:\n")
-	for i := range story.Lines {
-		p.line(&story.Lines[i])
+	for i := range timeline.Lines {
+		p.line(&timeline.Lines[i])
 	}
-	if meaning := explain.DescribeReason(story.Lines[len(story.Lines)-1].Get("reason")); meaning != "" {
-		p.printf("reason: %s\n", meaning)
+	if description := explain.DescribeReason(timeline.Lines[len(timeline.Lines)-1].Get("reason")); description != "" {
+		p.printf("reason: %s\n", description)
 	}
-	if len(story.Context) > 0 {
-		p.printf("around it:\n")
+	if len(timeline.Context) > 0 {
+		p.printf("related events:\n")
 	}
-	for i := range story.Context {
-		p.line(&story.Context[i])
+	for i := range timeline.Context {
+		p.line(&timeline.Context[i])
 	}
 	return p.err
 }
 
-// storyPrinter prints lines until the first failed write.
-type storyPrinter struct {
+// timelinePrinter prints log lines. After a failed write it prints nothing more.
+type timelinePrinter struct {
 	w   io.Writer
 	err error
 }
 
-func (p *storyPrinter) printf(format string, args ...any) {
+func (p *timelinePrinter) printf(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.w, format, args...)
 	}
 }
 
-func (p *storyPrinter) line(l *explain.Line) {
+func (p *timelinePrinter) line(l *explain.Line) {
 	p.printf("  %s %s %d %s", l.Time.Format("15:04:05.000"), l.Instance, l.Event, l.Message)
 	for _, f := range l.Fields {
 		if f.Value != "" && f.Value != "0" {
--- a/operator/cli/instances_command.go
+++ b/operator/cli/instances_command.go
@@ -15,7 +15,7 @@
 		Use:     "instances",
 		Short:   "List entries and agents",
 		Example: "  auburnctl instances --domain kigali --pool crest -o json",
-		Args:    args(cobra.NoArgs),
+		Args:    usageArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.run(cmd, func(client *operator.Client, p *printer) error {
 				m, err := client.Instances(cmd.Context(), domain, pool)
@@ -36,7 +36,7 @@
 			})
 		},
 	}
-	cmd.Flags().StringVar(&domain, "domain", "", "only this failure domain")
-	cmd.Flags().StringVar(&pool, "pool", "", "only this pool")
+	cmd.Flags().StringVar(&domain, "domain", "", "list only instances of this failure domain")
+	cmd.Flags().StringVar(&pool, "pool", "", "list only instances of this pool")
 	return cmd
 }
--- a/operator/cli/manifest_command.go
+++ b/operator/cli/manifest_command.go
@@ -11,7 +11,7 @@
 )
 
 func newManifestCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "manifest", Short: "Describe weights as chunks"}
+	cmd := &cobra.Command{Use: "manifest", Short: "Create manifests of weights"}
 	cmd.AddCommand(newManifestCreateCommand())
 	return cmd
 }
@@ -21,12 +21,12 @@
 	chunkSize := "4MiB"
 	cmd := &cobra.Command{
 		Use:   "create FILE",
-		Short: "Write the manifest of a file of weights and print its declaration",
-		Long: `Write the manifest of a file of weights and print the keys that declare it. The
-file has to be served at the origin under the name of --object, and the manifest
-under the name that manifest_object declares.`,
+		Short: "Create the manifest of a file of weights and print its declaration",
+		Long: `Create the manifest of a file of weights and print the keys that declare it. The
+origin must serve the file under the name given by --object, and the manifest
+under the name declared as manifest_object.`,
 		Example: "  auburnctl manifest create crest-v4.safetensors --object weights/crest-v4 --out crest-v4.manifest",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, files []string) error {
 			size, err := parseChunkSize(chunkSize)
 			if err != nil {
@@ -38,7 +38,7 @@
 					return usagef("--base: %v", err)
 				}
 			}
-			manifest, err := build(files[0], object, baseDigest, size)
+			manifest, err := buildManifest(files[0], object, baseDigest, size)
 			if err != nil {
 				return err
 			}
@@ -56,15 +56,15 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&object, "object", "", "name under which the origin serves the file")
-	flags.StringVar(&base, "base", "", "manifest digest of the base model of an adapter")
-	flags.StringVar(&chunkSize, "chunk-size", chunkSize, "size of a chunk, up to 4MiB")
+	flags.StringVar(&base, "base", "", "for an adapter, digest of the manifest of its base model")
+	flags.StringVar(&chunkSize, "chunk-size", chunkSize, "size of a chunk, at most 4MiB")
 	flags.StringVar(&out, "out", "", "file to write the manifest to")
 	_ = cmd.MarkFlagRequired("object")
 	_ = cmd.MarkFlagRequired("out")
 	return cmd
 }
 
-func build(file, object string, base model.Digest, chunkSize int) (*weights.Manifest, error) {
+func buildManifest(file, object string, base model.Digest, chunkSize int) (*weights.Manifest, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, usagef("%v", err)
@@ -76,7 +76,7 @@
 func parseChunkSize(text string) (int, error) {
 	n, err := config.ParseBytes(text)
 	if err != nil || n < 1 || n > weights.MaxChunkSize {
-		return 0, usagef("--chunk-size %q, allowed: 1 to 4MiB", text)
+		return 0, usagef("invalid --chunk-size %q: must be 1 to 4MiB", text)
 	}
 	return int(n), nil
 }
--- a/operator/cli/operation_command.go
+++ b/operator/cli/operation_command.go
@@ -8,7 +8,7 @@
 )
 
 func newOperationCommand(o *options) *cobra.Command {
-	cmd := &cobra.Command{Use: "operation", Short: "Resolve changes of unknown outcome"}
+	cmd := &cobra.Command{Use: "operation", Short: "Resolve changes with unknown outcome"}
 	cmd.AddCommand(newOperationStatusCommand(o))
 	return cmd
 }
@@ -17,12 +17,12 @@
 	var settle bool
 	cmd := &cobra.Command{
 		Use:   "status ID",
-		Short: "Show what became of an operation",
-		Long: `Show what became of an operation. "not found" is not final: a write whose reply
-was lost may still arrive. With --settle, an operation that was not accepted is
-abandoned and never will be.`,
+		Short: "Show the state of an operation",
+		Long: `Show the state of an operation. "not found" is not final: a write whose reply was
+lost may still be applied. With --settle, an operation that was not applied is
+abandoned, so that it can no longer be applied.`,
 		Example: "  auburnctl operation status 0193a1c4-7d1e-7c55-b0a5-0242ac120002 --settle",
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, ids []string) error {
 			return o.run(cmd, func(client *operator.Client, p *printer) error {
 				m, err := client.OperationStatus(cmd.Context(), ids[0], settle)
@@ -36,12 +36,12 @@
 					case pb.OperationState_OPERATION_STATE_ABANDONED:
 						p.line("abandoned, not applied")
 					default:
-						p.line("not found; add --settle for a final answer")
+						p.line("not found; use --settle for a final state")
 					}
 				})
 			})
 		},
 	}
-	cmd.Flags().BoolVar(&settle, "settle", false, "abandon the operation unless it was applied")
+	cmd.Flags().BoolVar(&settle, "settle", false, "abandon the operation if it was not applied")
 	return cmd
 }
--- a/operator/cli/options.go
+++ b/operator/cli/options.go
@@ -13,10 +13,10 @@
 	"github.com/auburnbend/auburnbend/operator"
 )
 
-// defaultAddress is the operators' address of an entry on this machine.
+// defaultAddress is the address of the operators' interface of an entry on this machine.
 const defaultAddress = "127.0.0.1:7300"
 
-// options are the flags that all commands share.
+// options are the flags of all commands that call an entry.
 type options struct {
 	addresses  []string
 	plaintext  bool
@@ -30,21 +30,21 @@
 }
 
 func (o *options) addFlags(flags *pflag.FlagSet) {
-	flags.StringSliceVar(&o.addresses, "address", []string{defaultAddress}, "address of an entry; repeat it to name several")
+	flags.StringSliceVar(&o.addresses, "address", []string{defaultAddress}, "address of an entry; may be repeated")
 	flags.BoolVar(&o.plaintext, "plaintext", false, "connect without TLS")
-	flags.StringVar(&o.ca, "ca", "", "file with the certificates that sign those of entries")
+	flags.StringVar(&o.ca, "ca", "", "file with the CA certificates for the certificates of entries")
 	flags.StringVar(&o.cert, "cert", "", "file with the operator's certificate")
-	flags.StringVar(&o.key, "key", "", "file with the key of the operator's certificate")
-	flags.StringVar(&o.serverName, "server-name", "", "name that the entry's certificate must have; default: the host of the address")
-	flags.StringVar(&o.author, "author", os.Getenv("USER"), "name in the history where the connection has no certificate")
-	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "limit of one attempt at one entry")
-	flags.StringVarP(&o.output, "output", "o", "table", "table or json")
+	flags.StringVar(&o.key, "key", "", "file with the private key of the operator's certificate")
+	flags.StringVar(&o.serverName, "server-name", "", "name that the entry's certificate must be valid for; defaults to the host of the address")
+	flags.StringVar(&o.author, "author", os.Getenv("USER"), "name of the operator in the history, used if the connection has no certificate")
+	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "time limit of one attempt at one entry")
+	flags.StringVarP(&o.output, "output", "o", "table", "output format: table or json")
 }
 
-// connect checks the shared flags and returns a client.
+// connect validates the flags and returns a client.
 func (o *options) connect() (*operator.Client, error) {
 	if o.output != "table" && o.output != "json" {
-		return nil, usagef("--output %q, allowed: table, json", o.output)
+		return nil, usagef("invalid --output %q: must be table or json", o.output)
 	}
 	cfg := operator.Config{Addresses: o.addresses, Plaintext: o.plaintext, Timeout: o.timeout, Author: o.author}
 	if !o.plaintext {
@@ -68,11 +68,11 @@
 		}
 		settings.RootCAs = x509.NewCertPool()
 		if !settings.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, usagef("--ca: %s holds no certificate", o.ca)
+			return nil, usagef("--ca: no certificate found in %s", o.ca)
 		}
 	}
 	if (o.cert == "") != (o.key == "") {
-		return nil, usagef("--cert and --key belong together")
+		return nil, usagef("--cert and --key must be used together")
 	}
 	if o.cert != "" {
 		pair, err := tls.LoadX509KeyPair(o.cert, o.key)
@@ -84,7 +84,7 @@
 	return settings, nil
 }
 
-// run connects and calls f.
+// run calls f with a client and a printer for the command.
 func (o *options) run(cmd *cobra.Command, f func(*operator.Client, *printer) error) error {
 	client, err := o.connect()
 	if err != nil {
--- a/operator/cli/plan_command.go
+++ b/operator/cli/plan_command.go
@@ -13,20 +13,21 @@
 	"github.com/auburnbend/auburnbend/operator"
 )
 
-// defaultPlanChunk is the chunk size that a plan assumes, in bytes: declarations
-// name manifests by digest and not by their chunks.
+// defaultPlanChunk is the chunk size in bytes that plans assume. Declarations contain
+// only the digest of the manifest, not the chunk size.
 const defaultPlanChunk = 4 << 20
 
 func newRolloutPlanCommand(o *options) *cobra.Command {
 	links := planLinks{}
 	cmd := &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Estimate time and origin bytes of a declaration before it is applied",
+		Short: "Estimate the rollout of a declaration file before it is applied",
 		Long: `Estimate, for each version that a declaration file places, the time until all
-instances hold it and the bytes read from the origin, and say whether a target
-can be met. Instances are counted by an entry; rates are those of the links.`,
+instances hold it, the bytes read from the origin and whether the target time
+can be met. The number of instances is taken from an entry. The rates of the
+links must be given.`,
 		Example: `  auburnctl rollout plan deployment.ini --origin 2Gbit/s --instance 1Gbit/s --region 20Mbit/s --target 5m`,
-		Args:    args(cobra.ExactArgs(1)),
+		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, arguments []string) error {
 			text, err := os.ReadFile(arguments[0])
 			if err != nil {
@@ -52,7 +53,7 @@
 	return cmd
 }
 
-// versionPlan is the plan of one version.
+// versionPlan is the estimated rollout of one version.
 type versionPlan struct {
 	Model       string        `json:"model"`
 	Version     string        `json:"version"`
@@ -64,6 +65,7 @@
 	MeetsTarget bool          `json:"meets_target"`
 }
 
+// plans prints plans as a table or as JSON.
 func (p *printer) plans(plans []versionPlan) error {
 	if p.json {
 		return json.NewEncoder(p.out).Encode(plans)
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// planVersions plans each placed version.
+// planVersions returns plans for all versions that are placed on at least one instance.
 func planVersions(c *config.Config, links planLinks, known instances) []versionPlan {
 	var plans []versionPlan
 	for _, m := range c.Models {
--- a/operator/cli/plan_instances.go
+++ b/operator/cli/plan_instances.go
@@ -7,11 +7,11 @@
 	pb "github.com/auburnbend/auburnbend/schema/operatorpb"
 )
 
-// instances are the instances that an entry knows.
+// instances are the instances that are known to an entry.
 type instances []*pb.Instance
 
-// domainsOf returns the failure domains that get a version, with the number of
-// instances and the rates of their links.
+// domainsOf returns the failure domains where a version is placed, with the number of
+// instances and the rates of their links in bytes per second.
 func (known instances) domainsOf(c *config.Config, m config.Model, links planLinks) []distribute.DomainInput {
 	rate := links.instance * c.Deployment.TransferShare
 	var domains []distribute.DomainInput
@@ -33,7 +33,9 @@
 	return domains
 }
 
-// pool returns the region and the number of instances of a placement.
+// pool returns the region of a placement's failure domain and the number of agents in
+// its pool that are neither draining nor gone. If no instance of the domain is known,
+// the name of the domain is used as region.
 func (known instances) pool(p config.Placement) (region model.Region, count int) {
 	region = model.Region(p.FailureDomain)
 	for _, i := range known {
--- a/operator/cli/plan_links.go
+++ b/operator/cli/plan_links.go
@@ -9,7 +9,8 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// planLinks are the rates that a plan is calculated from, in bytes per second.
+// planLinks are the flags of the plan command. parse sets the rates, in bytes per
+// second, from their flags.
 type planLinks struct {
 	originFlag, instanceFlag, regionFlag string
 	origin, instance, region             float64
@@ -18,10 +19,10 @@
 
 func (l *planLinks) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
-	flags.StringVar(&l.originFlag, "origin", "", "rate of the origin's link, such as 2Gbit/s")
+	flags.StringVar(&l.originFlag, "origin", "", "rate of the origin's link, for example 2Gbit/s")
 	flags.StringVar(&l.instanceFlag, "instance", "", "rate of an instance's link")
-	flags.StringVar(&l.regionFlag, "region", "20Mbit/s", "rate between two regions in each direction")
-	flags.DurationVar(&l.target, "target", 0, "time in which all instances should hold a version; 0 means none")
+	flags.StringVar(&l.regionFlag, "region", "20Mbit/s", "rate of the link between two regions, in each direction")
+	flags.DurationVar(&l.target, "target", 0, "target time until all instances hold a version; 0 means no target")
 	_ = cmd.MarkFlagRequired("origin")
 	_ = cmd.MarkFlagRequired("instance")
 }
@@ -29,13 +30,13 @@
 func (l *planLinks) parse() error {
 	for _, rate := range []struct {
 		name, text string
-		into       *float64
+		dst        *float64
 	}{{"origin", l.originFlag, &l.origin}, {"instance", l.instanceFlag, &l.instance}, {"region", l.regionFlag, &l.region}} {
 		parsed, err := settings.ParseRate(rate.text)
 		if err != nil {
 			return merry.Prependf(err, "--%s", rate.name)
 		}
-		*rate.into = parsed.BytesPerSecond()
+		*rate.dst = parsed.BytesPerSecond()
 	}
 	return nil
 }
--- a/operator/cli/printer.go
+++ b/operator/cli/printer.go
@@ -13,13 +13,13 @@
 	"github.com/auburnbend/auburnbend/lib/config"
 )
 
-// printer writes answers as tables or as JSON.
+// printer prints responses as text or as JSON. Errors of writing text are ignored.
 type printer struct {
 	out  io.Writer
 	json bool
 }
 
-// message writes one JSON document per line, or calls table.
+// message prints m as JSON on one line, or calls table if the output is not JSON.
 func (p *printer) message(m proto.Message, table func()) error {
 	if !p.json {
 		table()
@@ -33,7 +33,8 @@
 	return err
 }
 
-// table writes rows in aligned columns.
+// table prints rows in aligned columns. header contains the column names, separated by
+// spaces.
 func (p *printer) table(header string, rows [][]string) {
 	w := tabwriter.NewWriter(p.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, strings.ReplaceAll(header, " ", "\t"))
@@ -47,8 +48,8 @@
 	_, _ = fmt.Fprintf(p.out, format+"\n", args...)
 }
 
-func (p *printer) differences(list []config.Difference) {
-	for _, d := range list {
+func (p *printer) differences(diffs []config.Difference) {
+	for _, d := range diffs {
 		p.line("%s", d)
 	}
 }
--- a/operator/cli/rollout_command.go
+++ b/operator/cli/rollout_command.go
@@ -13,7 +13,7 @@
 )
 
 func newRolloutCommand(o *options) *cobra.Command {
-	cmd := &cobra.Command{Use: "rollout", Short: "Follow versions on their way to instances"}
+	cmd := &cobra.Command{Use: "rollout", Short: "Watch and plan the rollout of versions"}
 	cmd.AddCommand(newRolloutStatusCommand(o), newRolloutPlanCommand(o))
 	return cmd
 }
@@ -24,30 +24,30 @@
 	var interval time.Duration
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show instances by phase, bytes by source and the estimated time",
+		Short: "Show instances by phase, bytes by source and the estimated remaining time",
 		Example: `  auburnctl rollout status
   auburnctl rollout status --model crest --version v4 --watch --until-complete`,
-		Args: args(cobra.NoArgs),
+		Args: usageArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.run(cmd, func(client *operator.Client, p *printer) error {
-				var printed error
+				var printErr error
 				err := client.WatchRollout(cmd.Context(), modelName, version, interval, untilComplete, func(m *pb.RolloutStatusResponse) bool {
-					printed = p.message(m, func() { p.rollouts(m) })
-					return printed == nil && (watch || untilComplete)
+					printErr = p.message(m, func() { p.rollouts(m) })
+					return printErr == nil && (watch || untilComplete)
 				})
-				if printed != nil {
-					return printed
+				if printErr != nil {
+					return printErr
 				}
 				return err
 			})
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&modelName, "model", "", "only this model")
-	flags.StringVar(&version, "version", "", "only this version")
-	flags.BoolVarP(&watch, "watch", "w", false, "go on until interrupted")
-	flags.BoolVar(&untilComplete, "until-complete", false, "go on until every wanted instance is live")
-	flags.DurationVar(&interval, "interval", 2*time.Second, "time between two answers, 100ms to 1m")
+	flags.StringVar(&modelName, "model", "", "show only this model")
+	flags.StringVar(&version, "version", "", "show only this version")
+	flags.BoolVarP(&watch, "watch", "w", false, "print the state at each interval until interrupted")
+	flags.BoolVar(&untilComplete, "until-complete", false, "print the state at each interval until all desired instances are live")
+	flags.DurationVar(&interval, "interval", 2*time.Second, "time between two states, 100ms to 1m")
 	return cmd
 }
 
@@ -70,6 +70,7 @@
 	p.table("MODEL VERSION DOMAIN POOL WANTED PHASES ORIGIN PEERS TOTAL REMAINING", rows)
 }
 
+// formatSize formats a number of bytes with a binary unit.
 func formatSize(n int64) string {
 	const unit = 1024
 	if n < unit {
--- a/operator/cli/root.go
+++ b/operator/cli/root.go
@@ -1,4 +1,4 @@
-// Package cli holds the commands of auburnctl.
+// Package cli implements the commands of auburnctl.
 package cli
 
 import (
@@ -10,17 +10,17 @@
 	o := &options{}
 	cmd := &cobra.Command{
 		Use:   "auburnctl",
-		Short: "Declare and watch what a deployment serves",
-		Long: `Declare and watch what a deployment serves.
+		Short: "Configure and monitor a deployment",
+		Long: `Configure and monitor a deployment.
 
 Exit codes:
-  0  done
-  1  other failure
-  2  wrong usage
-  3  the configuration is invalid; every fault was printed
-  4  conflict: another change was accepted first, or the operation id was used
-  5  unknown outcome: ask "auburnctl operation status" with the printed id
-  6  no entry or the store did not answer; nothing was changed
+  0  success
+  1  other error
+  2  usage error
+  3  invalid configuration; all violations were printed
+  4  conflict: another change was accepted before, or the operation id was already used
+  5  unknown outcome: use "auburnctl operation status" with the printed id
+  6  no entry answered, or the store did not answer; nothing was changed
   7  not found`,
 		Example: `  auburnctl config get > deployment.ini
   auburnctl config apply deployment.ini --expect 41
