--- a/operator/explain/line.go
+++ b/operator/explain/line.go
@@ -1,5 +1,5 @@
-// Package explain reconstructs what happened to a request from the log lines of
-// several processes.
+// Package explain reconstructs what happened to a request from the logs of several
+// processes.
 package explain
 
 import (
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Line is one log line.
+// Line is one log line of an event.
 type Line struct {
 	Time     time.Time
 	Instance string
-	Event    int
-	Message  string
-	// Fields are the other pairs of the line, in their order.
+	// Event is the number of the event.
+	Event   int
+	Message string
+	// Fields are the other fields of the line in their order.
 	Fields []Field
 }
 
-// Field is a key with its value.
+// Field is a key and its value.
 type Field struct{ Key, Value string }
 
-// Get returns the value of a key, or an empty string.
+// Get returns the value of a field, or an empty string if the line has no such field.
 func (l *Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -30,7 +31,8 @@
 	return ""
 }
 
-// duration returns a field in milliseconds as a duration; zero if it is absent.
+// duration returns the value of a field in milliseconds, or zero if the field is missing
+// or not a number.
 func (l *Line) duration(key string) time.Duration {
 	ms, err := strconv.ParseInt(l.Get(key), 10, 64)
 	if err != nil {
--- a/operator/explain/read.go
+++ b/operator/explain/read.go
@@ -11,9 +11,9 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// ReadLines returns the event lines of a log. Other text is passed over: collected
-// output also has lines of other programs, and often begins or ends within a
-// line.
+// ReadLines returns the event lines of a log. It skips all other lines: collected output
+// may contain lines of other programs, and often begins or ends in the middle of a line.
+// On an error it returns the lines read so far.
 func ReadLines(r io.Reader) ([]Line, error) {
 	var lines []Line
 	reader := bufio.NewReader(r)
@@ -31,22 +31,22 @@
 	}
 }
 
-// parse returns the event of a line, or false if it has none.
+// parse parses a line. It returns false if it is not an event line.
 func parse(text []byte) (Line, bool) {
 	line := Line{}
 	d := logfmt.NewDecoder(bytes.NewReader(text))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
-			line.take(string(d.Key()), string(d.Value()))
+			line.setField(string(d.Key()), string(d.Value()))
 		}
 	}
 	return line, d.Err() == nil && line.Event != 0 && !line.Time.IsZero()
 }
 
-func (l *Line) take(key, value string) {
+func (l *Line) setField(key, value string) {
 	switch key {
 	case "ts":
-		// A line without a readable time is not an event line.
+		// If the time is invalid, l.Time stays zero and parse rejects the line.
 		l.Time, _ = time.Parse(time.RFC3339, value)
 	case "instance":
 		l.Instance = value
--- a/operator/explain/timeline.go
+++ b/operator/explain/timeline.go
@@ -7,55 +7,56 @@
 	"github.com/auburnbend/auburnbend/lib/eventlog"
 )
 
-// around is the time before a request and after its end in which other events
-// of the processes and backend servers that it met are of interest.
-const around = 3 * time.Second
+// contextWindow is the time before the start and after the end of a request in which
+// other events of the processes and backend servers involved are included.
+const contextWindow = 3 * time.Second
 
-// Timeline is what the logs tell about one request.
+// Timeline contains the log lines about one request.
 type Timeline struct {
-	// Lines name the request, in order of time.
+	// Lines are the lines of the request in order of time.
 	Lines []Line
-	// Context are events of the same instances and backend servers around it.
+	// Context are other events of the instances and backend servers involved, from
+	// shortly before to shortly after the request, in order of time.
 	Context []Line
 }
 
-// FindRequest returns the story of a request.
+// FindRequest returns the timeline of a request. It is empty if no line contains the id.
 func FindRequest(id string, lines []Line) Timeline {
-	var s Timeline
+	var t Timeline
 	for _, l := range lines {
 		if l.Get("request") == id {
-			s.Lines = append(s.Lines, l)
+			t.Lines = append(t.Lines, l)
 		}
 	}
-	slices.SortStableFunc(s.Lines, byTime)
-	if len(s.Lines) == 0 {
-		return s
+	slices.SortStableFunc(t.Lines, byTime)
+	if len(t.Lines) == 0 {
+		return t
 	}
 	for _, l := range lines {
-		if l.Get("request") == "" && s.concerns(&l) {
-			s.Context = append(s.Context, l)
+		if l.Get("request") == "" && t.related(&l) {
+			t.Context = append(t.Context, l)
 		}
 	}
-	slices.SortStableFunc(s.Context, byTime)
-	return s
+	slices.SortStableFunc(t.Context, byTime)
+	return t
 }
 
 func byTime(a, b Line) int { return a.Time.Compare(b.Time) }
 
-// concerns reports whether a line is about an instance or backend server of the
-// story, at its time.
-func (s *Timeline) concerns(l *Line) bool {
-	first, last := &s.Lines[0], &s.Lines[len(s.Lines)-1]
-	start := first.Time.Add(-first.duration("total_ms") - around)
-	if l.Time.Before(start) || l.Time.After(last.Time.Add(around)) {
+// related reports whether a line is about an instance or backend server that the request
+// involved, within contextWindow.
+func (t *Timeline) related(l *Line) bool {
+	first, last := &t.Lines[0], &t.Lines[len(t.Lines)-1]
+	start := first.Time.Add(-first.duration("total_ms") - contextWindow)
+	if l.Time.Before(start) || l.Time.After(last.Time.Add(contextWindow)) {
 		return false
 	}
-	for i := range s.Lines {
-		met := &s.Lines[i]
-		if server := met.Get("server"); server != "" && server == l.Get("server") {
+	for i := range t.Lines {
+		own := &t.Lines[i]
+		if server := own.Get("server"); server != "" && server == l.Get("server") {
 			return true
 		}
-		if met.Instance == l.Instance && l.Event != eventlog.ServerRegistered.Number && l.Event != eventlog.ServerRemoved.Number {
+		if own.Instance == l.Instance && l.Event != eventlog.ServerRegistered.Number && l.Event != eventlog.ServerRemoved.Number {
 			return true
 		}
 	}
--- a/operator/explain/timeline_test.go
+++ b/operator/explain/timeline_test.go
@@ -20,35 +20,35 @@
 ts=2026-12-04T05:00:30.000Z instance=edge-1 event=7004 level=warn msg="store does not answer this instance"
 `
 
-var _ = Describe("Find", func() {
+var _ = Describe("FindRequest", func() {
 	lines, err := explain.ReadLines(strings.NewReader(logs))
 
-	It("orders the lines of a request and adds what happened around it", func() {
-		// Guards against an explanation that lacks the event which is the cause.
+	It("orders the lines of a request and adds related events", func() {
+		// Guards against a timeline without the event that caused the failure.
 		Expect(err).NotTo(HaveOccurred())
-		s := explain.FindRequest("a", lines)
-		Expect(s.Lines).To(HaveLen(2))
-		Expect(s.Lines[0].Event).To(Equal(7202))
-		Expect(s.Lines[1].Get("reason")).To(Equal("time over"))
+		t := explain.FindRequest("a", lines)
+		Expect(t.Lines).To(HaveLen(2))
+		Expect(t.Lines[0].Event).To(Equal(7202))
+		Expect(t.Lines[1].Get("reason")).To(Equal("time over"))
 		var events []int
-		for _, l := range s.Context {
+		for _, l := range t.Context {
 			events = append(events, l.Event)
 		}
 		Expect(events).To(Equal([]int{7104, 7103}))
 	})
 
-	It("passes over lines that are not event lines", func() {
-		// Guards against collected output that cannot be read for one foreign line.
+	It("skips lines that are not event lines", func() {
+		// Guards against logs that cannot be read because of a line of another program.
 		read, err := explain.ReadLines(strings.NewReader("worth 0.6 = all (weight 0.3), \"half\n" + logs + "fatal error: a=b=c=\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(read).To(HaveLen(len(lines)))
 	})
 
-	It("finds nothing for an unknown request", func() {
+	It("returns an empty timeline for an unknown request", func() {
 		Expect(explain.FindRequest("zz", lines).Lines).To(BeEmpty())
 	})
 
-	It("knows what reasons mean", func() {
+	It("describes known reasons", func() {
 		Expect(explain.DescribeReason("overloaded")).NotTo(BeEmpty())
 		Expect(explain.DescribeReason("never heard of")).To(BeEmpty())
 	})
