--- a/internal/node/site_test.go
+++ b/internal/node/deployment_test.go
@@ -95,7 +95,7 @@
 	at                    time.Time
 }
 
-// Kinds of events.
+// Kinds of serverEvent.
 const (
 	eventArrived    = "arrived"
 	eventDraining   = "leaving"
@@ -214,7 +214,7 @@
 	return &entryDaemon{settings: settings, stop: stop, done: done}
 }
 
-// restart stops an entry and starts it anew.
+// restart stops an entry, starts it again and waits until it serves.
 func (s *deployment) restart(i int) {
 	s.entries[i].stop()
 	Eventually(s.entries[i].done, 8*time.Second).Should(BeClosed())
--- a/operator/explain/timeline_test.go
+++ b/operator/explain/timeline_test.go
@@ -10,13 +10,13 @@
 )
 
 const logs = `half of a line total_ms=3
-ts=2026-12-04T05:00:00.000Z instance=edge-1 event=7001 level=info msg="live configuration is in force" config=7
-ts=2026-12-04T05:00:09.000Z instance=edge-1 event=7104 level=warn msg="backend server gets no requests for a while" server=i-1
-ts=2026-12-04T05:00:09.500Z instance=side-1 event=7302 level=info msg="engine was ordered to load a version" version=2
+ts=2026-12-04T05:00:00.000Z instance=edge-1 event=7001 level=info msg="live configuration in force" config=7
+ts=2026-12-04T05:00:09.000Z instance=edge-1 event=7104 level=warn msg="backend server ejected temporarily" server=i-1
+ts=2026-12-04T05:00:09.500Z instance=side-1 event=7302 level=info msg="engine ordered to load a version" version=2
 ts=2026-12-04T05:00:10.100Z instance=edge-1 event=7201 level=info msg="request ended" request=b outcome=answered server=i-2
-ts=2026-12-04T05:00:10.000Z instance=edge-1 event=7202 level=info msg="request goes to another backend server" request=a server=i-1 reason="no answer"
+ts=2026-12-04T05:00:10.000Z instance=edge-1 event=7202 level=info msg="request retried on another backend server" request=a server=i-1 reason="no answer"
 ts=2026-12-04T05:00:10.200Z instance=edge-1 event=7201 level=info msg="request ended" request=a outcome=unknown reason="time over" server=i-3 total_ms=400
-ts=2026-12-04T05:00:11.000Z instance=edge-2 event=7103 level=info msg="row of a backend server is gone" server=i-3
+ts=2026-12-04T05:00:11.000Z instance=edge-2 event=7103 level=info msg="row of a backend server was removed" server=i-3
 ts=2026-12-04T05:00:30.000Z instance=edge-1 event=7004 level=warn msg="store does not answer this instance"
 `
 
