--- /dev/null
+++ b/internal/node/deployment_test.go
@@ -0,0 +1,280 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"github.com/auburnbend/auburnbend/lib/clock"
+	"github.com/auburnbend/auburnbend/lib/eventlog"
+	"github.com/auburnbend/auburnbend/platform"
+	"github.com/auburnbend/auburnbend/platform/platformtest"
+)
+
+const (
+	testHost   = "site.example"
+	testAPIKey = "key-of-the-carvers"
+	poisonBody = "content that crashes every server"
+	// restartDelay is the time after which a crashed server serves again.
+	restartDelay = 500 * time.Millisecond
+	// stabilityTime is the time after a fault from which on bounds hold again.
+	stabilityTime = time.Second
+	serverSlots   = 6
+)
+
+var (
+	testWeights = platformtest.Weights{Model: "m", Pieces: 8, PieceSize: 512}
+	testRegions = map[string]string{"north": "n", "south": "s"}
+	testDomains = []string{"north", "south"}
+	testRoutes  = []platformtest.Route{
+		{Host: testHost, Prefix: "/status/", Kind: "idempotent", Service: "desk", TimeoutMS: 3000, TargetMS: 500, MaxServers: 2},
+		{Host: testHost, Prefix: "/order/", Kind: "non_idempotent", Service: "desk", TimeoutMS: 3000, TargetMS: 500, MaxServers: 2},
+		{Host: testHost, Prefix: "/draft/", Kind: "streaming", Service: "engines", TimeoutMS: 3000, TargetMS: 500, MaxServers: 2, Resumable: true},
+	}
+)
+
+// deployment runs entries, agents, engines and plain servers of two regions in the
+// test process. It is safe for concurrent use, except for starting and restarting.
+type deployment struct {
+	subnet   int
+	store    *platformtest.Store
+	backends []*platformtest.Backend
+	entries  []*entryDaemon
+	logs     *logBuffer
+
+	mu   sync.Mutex
+	runs []platformtest.Run
+	// events are the events of all servers in order of time.
+	events []serverEvent
+}
+
+// entryDaemon is a running entry.
+type entryDaemon struct {
+	settings *platform.Settings
+	stop     context.CancelFunc
+	done     chan struct{}
+}
+
+// RunStarted implements platformtest.Recorder.
+func (s *deployment) RunStarted(r platformtest.Run) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.runs = append(s.runs, r)
+}
+
+// RequestArrived implements platformtest.Recorder.
+func (s *deployment) RequestArrived(server, attempt string) {
+	s.recordEvent(server, attempt, eventArrived)
+}
+
+// DrainingSent implements platformtest.Recorder.
+func (s *deployment) DrainingSent(server, attempt string) {
+	s.recordEvent(server, attempt, eventDraining)
+}
+
+// RetryAfterSent implements platformtest.Recorder.
+func (s *deployment) RetryAfterSent(server, attempt string, _ time.Duration) {
+	s.recordEvent(server, attempt, eventRetryAfter)
+}
+
+// LoadOrdered implements platformtest.Recorder.
+func (s *deployment) LoadOrdered(string, int, bool) {}
+
+// serverEvent is a request that arrived at a server or a signal that the server sent
+// with the response.
+type serverEvent struct {
+	server, attempt, kind string
+	at                    time.Time
+}
+
+// Kinds of serverEvent.
+const (
+	eventArrived    = "arrived"
+	eventDraining   = "leaving"
+	eventRetryAfter = "pause"
+)
+
+func (s *deployment) recordEvent(server, attempt, kind string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.events = append(s.events, serverEvent{server, attempt, kind, time.Now()})
+}
+
+// eventsAt returns the events of one kind at a server.
+func (s *deployment) eventsAt(server, kind string) []serverEvent {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var found []serverEvent
+	for _, e := range s.events {
+		if e.server == server && e.kind == kind {
+			found = append(found, e)
+		}
+	}
+	return found
+}
+
+func (s *deployment) ip(group, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", s.subnet, group, number+1)
+}
+
+func (s *deployment) address(group, number, port int) string {
+	return fmt.Sprintf("%s:%d", s.ip(group, number), port)
+}
+
+// newDeployment starts a deployment on loopback addresses that begin with 127 and
+// subnet, which no other spec may use.
+func newDeployment(subnet, entries, engines, plain int) *deployment {
+	s := &deployment{subnet: subnet, store: platformtest.NewStore(), logs: &logBuffer{}}
+	DeferCleanup(func() {
+		s.store.Close()
+		if CurrentSpecReport().Failed() {
+			GinkgoWriter.Println(s.logs.String())
+		}
+	})
+	origin, err := platformtest.NewOrigin(s.address(1, 0, 9000), testWeights, 1)
+	Expect(err).NotTo(HaveOccurred())
+	DeferCleanup(origin.Close)
+	s.store.PutLiveConfig(platformtest.LiveConfig{
+		Version: 1, Routes: testRoutes, EngineService: "engines", Slots: serverSlots, Weights: testWeights,
+		Origin: s.address(1, 0, 9000), OriginMbps: 100, PlainServices: []string{"desk"}, Team: "carvers", APIKey: testAPIKey,
+	})
+	for i := range engines {
+		s.startBackend(platformtest.BackendConfig{
+			ID: fmt.Sprintf("engine-%d", i), Service: "engines", Address: s.address(2, i, 9000), Weights: &testWeights, Version: 1, Events: 3,
+		}, i)
+		s.startAgent(i)
+	}
+	for i := range plain {
+		s.startBackend(platformtest.BackendConfig{ID: fmt.Sprintf("desk-%d", i), Service: "desk", Address: s.address(3, i, 9000)}, i)
+	}
+	for i := range entries {
+		s.entries = append(s.entries, s.startEntry(i))
+	}
+	for i := range s.entries {
+		Eventually(func() int { return s.send(i, "/status/", fmt.Sprintf("start-%d", i)).Status }, 5*time.Second).Should(Equal(http.StatusOK))
+	}
+	return s
+}
+
+func (s *deployment) startBackend(c platformtest.BackendConfig, number int) {
+	c.Listen, c.Domain, c.Slots, c.WorkTime = c.Address, testDomains[number%len(testDomains)], serverSlots, 5*time.Millisecond
+	c.PoisonBody, c.RestartDelay, c.Store, c.Recorder = poisonBody, restartDelay, s.store, s
+	b, err := platformtest.NewBackend(c)
+	Expect(err).NotTo(HaveOccurred())
+	DeferCleanup(b.Close)
+	s.backends = append(s.backends, b)
+}
+
+func (s *deployment) settings(i platformtest.Instance, number int) *platform.Settings {
+	i.Domain = testDomains[number%len(testDomains)]
+	i.Region, i.Regions, i.FirstPort, i.StoreAddress = testRegions[i.Domain], testRegions, 7700, s.store.Address()
+	i.Bounds = platformtest.Bounds{
+		DrainMS: 1000, StopMS: 4000, ConfigMS: 2000, StableMS: int(stabilityTime.Milliseconds()), VersionMS: 4000,
+		RetryRatio: 0.2, RetrySlack: 100, RetryWindowS: 10,
+	}
+	path := filepath.Join(GinkgoT().TempDir(), "node.yaml")
+	Expect(os.WriteFile(path, []byte(i.Settings()), 0o600)).To(Succeed())
+	settings, err := platform.LoadSettings(path)
+	Expect(err).NotTo(HaveOccurred())
+	return settings
+}
+
+// startDaemon runs a daemon until the end of the spec or until stop is called. done is
+// closed when it has returned.
+func (s *deployment) startDaemon(daemon func(context.Context, Environment) error, settings *platform.Settings) (stop context.CancelFunc, done chan struct{}) {
+	ctx, stop := context.WithCancel(context.Background())
+	done = make(chan struct{})
+	DeferCleanup(stop)
+	go func() {
+		defer close(done)
+		defer GinkgoRecover()
+		log := eventlog.OpenPlain(s.logs, clock.System{}).With("instance", settings.Instance)
+		Expect(daemon(ctx, Environment{Settings: settings, Log: log})).To(Succeed())
+	}()
+	return stop, done
+}
+
+func (s *deployment) startAgent(i int) {
+	s.startDaemon(RunReplica, s.settings(platformtest.Instance{
+		Name: fmt.Sprintf("agent-%d", i), IP: s.ip(2, i), EngineAddress: s.address(2, i, 9000), EngineService: "engines",
+	}, i))
+}
+
+func (s *deployment) startEntry(i int) *entryDaemon {
+	settings := s.settings(platformtest.Instance{Name: fmt.Sprintf("entry-%d", i), IP: s.ip(4, i), CallerPort: 8005, ReadyPort: 8002}, i)
+	stop, done := s.startDaemon(RunGateway, settings)
+	return &entryDaemon{settings: settings, stop: stop, done: done}
+}
+
+// restart stops an entry, starts it again and waits until it serves.
+func (s *deployment) restart(i int) {
+	s.entries[i].stop()
+	Eventually(s.entries[i].done, 8*time.Second).Should(BeClosed())
+	// Goroutines of the daemon may close their ports shortly after it has returned.
+	Eventually(func() error { return checkPortsFree(s.entries[i].settings) }, time.Second, time.Millisecond).Should(Succeed())
+	s.entries[i] = s.startEntry(i)
+	Eventually(func() int { return s.send(i, "/status/", fmt.Sprint("again-", i)).Status }, 5*time.Second).Should(Equal(http.StatusOK))
+}
+
+// checkPortsFree returns an error unless a daemon can listen on its own port.
+func checkPortsFree(settings *platform.Settings) error {
+	address := fmt.Sprintf("%s:%d", settings.Address, settings.FirstPort)
+	udp, err := net.ListenPacket("udp", address)
+	if err != nil {
+		return err
+	}
+	defer udp.Close()
+	tcp, err := net.Listen("tcp", address)
+	if err != nil {
+		return err
+	}
+	return tcp.Close()
+}
+
+// attemptCounter numbers the requests of all specs.
+var attemptCounter struct {
+	sync.Mutex
+	last int
+}
+
+// send sends a request with a new id to an entry. It returns a zero Response if the
+// connection fails.
+func (s *deployment) send(entry int, prefix, content string) platformtest.Response {
+	attemptCounter.Lock()
+	attemptCounter.last++
+	id := fmt.Sprintf("try-%d", attemptCounter.last)
+	attemptCounter.Unlock()
+	call := platformtest.Call{Host: testHost, Path: prefix + "x", AttemptID: id, APIKey: testAPIKey, Timeout: 2 * time.Second, LastEventID: -1, Body: content}
+	if prefix == "/draft/" {
+		call.Model, call.PromptTokens, call.MaxTokens = testWeights.Model, 100, 15
+	}
+	req, err := call.Request(context.Background(), s.entries[entry].settings.CallerAddress)
+	Expect(err).NotTo(HaveOccurred())
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 4 * time.Second}
+	resp, err := client.Do(req)
+	if err != nil {
+		return platformtest.Response{}
+	}
+	return platformtest.ReadResponse(resp)
+}
+
+// runsOf returns the runs of requests with the given body in order of time.
+func (s *deployment) runsOf(content string) []platformtest.Run {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var runs []platformtest.Run
+	for _, r := range s.runs {
+		if r.Body == content {
+			runs = append(runs, r)
+		}
+	}
+	return runs
+}
