--- a/internal/measure/capacity/agents.go
+++ b/internal/measure/capacity/agents.go
@@ -32,14 +32,14 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return serveAgents(count, c.InOrStdin(), json.NewEncoder(c.OutOrStdout()))
+			return runAgents(count, c.InOrStdin(), json.NewEncoder(c.OutOrStdout()))
 		},
 	}
 	c.Flags().IntVar(&count, "count", 1, "number of agents")
 	return c
 }
 
-func serveAgents(count int, in io.Reader, out *json.Encoder) error {
+func runAgents(count int, in io.Reader, out *json.Encoder) error {
 	var list []backing.Instance
 	for i := range count {
 		a, instance, err := startAgent(i)
--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -12,12 +12,12 @@
 
 // The planned size and its budget for control, from the users' letter.
 const (
-	plannedEntries = 600
-	plannedAgents  = 10_000
-	plannedDomains = 15
-	maxCoreShare   = 0.01
-	maxMemoryBytes = 256e6
-	maxBytesSecond = 8_000.0
+	plannedEntries    = 600
+	plannedAgents     = 10_000
+	plannedDomains    = 15
+	maxCoreShare      = 0.01
+	maxMemoryBytes    = 256e6
+	maxBytesPerSecond = 8_000.0
 	// entryConnections are 60 agents, and 4 entries of the own failure domain and
 	// one of each other domain in both directions.
 	entryConnections = 60 + 2*(4+plannedDomains-1)
@@ -65,11 +65,11 @@
 			return err
 		}
 		x = append(x, float64(n))
-		entryCore, entryMemory = append(entryCore, s.entry.core), append(entryMemory, s.entry.memory)
-		agentCore, agentMemory = append(agentCore, s.agents.core), append(agentMemory, s.agents.memory)
-		bytes = append(bytes, s.bytes)
+		entryCore, entryMemory = append(entryCore, s.entry.coreShare), append(entryMemory, s.entry.memoryBytes)
+		agentCore, agentMemory = append(agentCore, s.agents.coreShare), append(agentMemory, s.agents.memoryBytes)
+		bytes = append(bytes, s.bytesPerSecond)
 	}
-	return lines{
+	return fittedCosts{
 		entryCore:   fit(x, entryCore),
 		entryMemory: fit(x, entryMemory),
 		agentCore:   fit(x, agentCore),
--- a/internal/measure/capacity/sample.go
+++ b/internal/measure/capacity/sample.go
@@ -15,15 +15,15 @@
 
 // cost is what a process uses in a window.
 type cost struct {
-	// core is the share of a core, memory in bytes.
-	core, memory float64
+	// coreShare is the share of a core, memory in bytes.
+	coreShare, memoryBytes float64
 }
 
 // sample is the cost of one entry, of all its agents together, and the bytes
 // per second between them.
 type sample struct {
-	entry, agents cost
-	bytes         float64
+	entry, agents  cost
+	bytesPerSecond float64
 }
 
 // measure runs one entry here and a number of agents in another process, and
@@ -45,23 +45,23 @@
 	for _, i := range others.instances {
 		d.InstanceList.Set(i)
 	}
-	if err := measurerun.Pause(ctx, o.settle); err != nil {
+	if err := measurerun.Sleep(ctx, o.settle); err != nil {
 		return sample{}, err
 	}
 	if usable := d.Entries[0].Entry.UsableAgents(); usable != agents {
 		return sample{}, merry.Errorf("%d of %d agents are connected", usable, agents)
 	}
-	return window(ctx, d, others, o.window)
+	return measureWindow(ctx, d, others, o.window)
 }
 
-func window(ctx context.Context, d *deployment.Deployment, others *child, length time.Duration) (sample, error) {
+func measureWindow(ctx context.Context, d *deployment.Deployment, others *child, length time.Duration) (sample, error) {
 	agentsBefore, err := others.usage()
 	if err != nil {
 		return sample{}, err
 	}
 	entryBefore, begun := readUsage(), time.Now()
 	sent, received := d.Entries[0].Entry.Traffic()
-	if err := measurerun.Pause(ctx, length); err != nil {
+	if err := measurerun.Sleep(ctx, length); err != nil {
 		return sample{}, err
 	}
 	sentAfter, receivedAfter := d.Entries[0].Entry.Traffic()
@@ -69,12 +69,12 @@
 	entryAfter := readUsage()
 	agentsAfter, err := others.usage()
 	return sample{
-		entry:  costOf(entryBefore, entryAfter, took),
-		agents: costOf(agentsBefore, agentsAfter, took),
-		bytes:  float64(sentAfter-sent+receivedAfter-received) / took.Seconds(),
+		entry:          costBetween(entryBefore, entryAfter, took),
+		agents:         costBetween(agentsBefore, agentsAfter, took),
+		bytesPerSecond: float64(sentAfter-sent+receivedAfter-received) / took.Seconds(),
 	}, err
 }
 
-func costOf(before, after usage, took time.Duration) cost {
-	return cost{core: (after.Processor - before.Processor).Seconds() / took.Seconds(), memory: after.Memory}
+func costBetween(before, after usage, took time.Duration) cost {
+	return cost{coreShare: (after.CPUTime - before.CPUTime).Seconds() / took.Seconds(), memoryBytes: after.MemoryBytes}
 }
--- a/internal/measure/capacity/usage.go
+++ b/internal/measure/capacity/usage.go
@@ -9,10 +9,10 @@
 
 // usage is what a process has used so far.
 type usage struct {
-	// Processor is user and system time.
-	Processor time.Duration `json:"processor"`
-	// Memory is the heap in use after a collection and the stacks, in bytes.
-	Memory float64 `json:"memory"`
+	// CPUTime is user and system time.
+	CPUTime time.Duration `json:"processor"`
+	// MemoryBytes is the heap in use after a collection and the stacks, in bytes.
+	MemoryBytes float64 `json:"memory"`
 }
 
 func readUsage() usage {
@@ -20,7 +20,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return usage{
-		Processor: measurerun.ProcessorTime(),
-		Memory:    float64(m.HeapAlloc + m.StackInuse),
+		CPUTime:     measurerun.CPUTime(),
+		MemoryBytes: float64(m.HeapAlloc + m.StackInuse),
 	}
 }
--- a/internal/measure/config/command.go
+++ b/internal/measure/config/command.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// inForceBound is the time within which a change is in force, in seconds.
-	inForceBound = 9
-	// readBound is a tenth of the store's 2,000 reads/s.
-	readBound = 200
-	// controlBound is what a node may spend on control, in bytes per second.
-	controlBound = 8 << 10
+	// maxPropagationSeconds is the time within which a change is in force, in seconds.
+	maxPropagationSeconds = 9
+	// maxStoreReadsPerSecond is a tenth of the store's 2,000 reads/s.
+	maxStoreReadsPerSecond = 200
+	// maxControlBytesPerSecond is what a node may spend on control, in bytes per second.
+	maxControlBytesPerSecond = 8 << 10
 )
 
 // New returns the subcommand.
@@ -28,7 +28,7 @@
 		SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			printer := figure.NewPrinter(cmd.OutOrStdout())
-			for _, experiment := range []func(*figure.Printer, int64) error{spread, traffic, reads, outage} {
+			for _, experiment := range []func(*figure.Printer, int64) error{reportPropagation, reportTraffic, reportReads, reportOutage} {
 				if err := experiment(printer, seed); err != nil {
 					return err
 				}
--- a/internal/measure/config/spread.go
+++ b/internal/measure/config/propagation.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// dailyPause is the time between two of 6,000 changes a day.
-	dailyPause = 24 * time.Hour / 6000
-	// burstPause spreads 50 changes over 10 s.
-	burstPause   = 200 * time.Millisecond
-	burstChanges = 50
-	// startTime lets a simulated deployment reach its regular state.
-	startTime = 20 * time.Second
-	// cutDomain is the domain that is cut off.
-	cutDomain = 1
+	// dailyInterval is the time between two of 6,000 changes a day.
+	dailyInterval = 24 * time.Hour / 6000
+	// burstInterval spreads 50 changes over 10 s.
+	burstInterval = 200 * time.Millisecond
+	burstChanges  = 50
+	// warmupTime lets a simulated deployment reach its regular state.
+	warmupTime = 20 * time.Second
+	// partitionedDomain is the domain that is cut off.
+	partitionedDomain = 1
 )
 
-// load is a series of changes.
-type load struct {
-	name    string
-	pause   time.Duration
-	changes int
+// changeLoad is a series of changes.
+type changeLoad struct {
+	name     string
+	interval time.Duration
+	count    int
 }
 
-// spread measures the time until a change is in force everywhere, with one
+// reportPropagation measures the time until a change is in force everywhere, with one
 // domain cut off from the store and not from peers, and after a cut from all.
-func spread(printer *figure.Printer, seed int64) error {
+func reportPropagation(printer *figure.Printer, seed int64) error {
 	shapes := []struct {
 		name string
 		cfg  configsim.Config
@@ -38,10 +38,10 @@
 		{"today", configsim.Config{Domains: 3, EntriesPerDomain: 3, AgentsPerDomain: 5, Seed: seed}},
 		{"600_entries", configsim.Config{Domains: 15, EntriesPerDomain: 40, AgentsPerDomain: 4, Seed: seed}},
 	}
-	loads := []load{{"daily", dailyPause, 20}, {"burst", burstPause, burstChanges}}
+	loads := []changeLoad{{"daily", dailyInterval, 20}, {"burst", burstInterval, burstChanges}}
 	for _, shape := range shapes {
 		for _, l := range loads {
-			if err := spreadOnce(printer, shape.name+"_"+l.name, shape.cfg, l); err != nil {
+			if err := measurePropagation(printer, shape.name+"_"+l.name, shape.cfg, l); err != nil {
 				return err
 			}
 		}
@@ -49,19 +49,19 @@
 	return nil
 }
 
-func spreadOnce(printer *figure.Printer, name string, cfg configsim.Config, l load) error {
+func measurePropagation(printer *figure.Printer, name string, cfg configsim.Config, l changeLoad) error {
 	s := configsim.New(cfg)
 	o := s.NewOperator()
 	if err := o.ApplyChange(s); err != nil {
 		return err
 	}
 	s.StartAll()
-	s.Run(startTime)
-	s.StoreUnreachable[cutDomain] = true
-	if err := makeChanges(s, o, l); err != nil {
+	s.Run(warmupTime)
+	s.StoreUnreachable[partitionedDomain] = true
+	if err := applyChanges(s, o, l); err != nil {
 		return err
 	}
-	s.Run(inForceBound * time.Second)
+	s.Run(maxPropagationSeconds * time.Second)
 	worst := time.Duration(0)
 	for number := 2; number < len(o.AcceptedAt); number++ {
 		slowest, missing := s.PropagationDelay(uint64(number), o.AcceptedAt[number], nil)
@@ -70,21 +70,21 @@
 		}
 		worst = max(worst, slowest)
 	}
-	s.PeersUnreachable[cutDomain] = true
+	s.PeersUnreachable[partitionedDomain] = true
 	if err := o.ApplyChange(s); err != nil {
 		return err
 	}
 	s.Run(time.Minute)
 	healed := s.Now()
-	s.StoreUnreachable[cutDomain], s.PeersUnreachable[cutDomain] = false, false
-	s.Run(inForceBound * time.Second)
-	afterHealing, missing := s.PropagationDelay(uint64(len(o.AcceptedAt)-1), healed, func(n *configsim.Node) bool { return n.Domain() == cutDomain })
+	s.StoreUnreachable[partitionedDomain], s.PeersUnreachable[partitionedDomain] = false, false
+	s.Run(maxPropagationSeconds * time.Second)
+	afterHealing, missing := s.PropagationDelay(uint64(len(o.AcceptedAt)-1), healed, func(n *configsim.Node) bool { return n.Domain() == partitionedDomain })
 	if missing > 0 {
 		return merry.Errorf("%s: %d nodes are behind after healing", name, missing)
 	}
 	for _, f := range []figure.Figure{
-		{Name: "config_in_force_" + name, Value: worst.Seconds(), Unit: "s", Bound: figure.AtMost(inForceBound)},
-		{Name: "config_after_healing_" + name, Value: afterHealing.Seconds(), Unit: "s", Bound: figure.AtMost(inForceBound)},
+		{Name: "config_in_force_" + name, Value: worst.Seconds(), Unit: "s", Bound: figure.AtMost(maxPropagationSeconds)},
+		{Name: "config_after_healing_" + name, Value: afterHealing.Seconds(), Unit: "s", Bound: figure.AtMost(maxPropagationSeconds)},
 	} {
 		if err := printer.Print(f); err != nil {
 			return err
@@ -93,12 +93,12 @@
 	return nil
 }
 
-func makeChanges(s *configsim.Sim, o *configsim.Operator, l load) error {
-	for range l.changes {
+func applyChanges(s *configsim.Sim, o *configsim.Operator, l changeLoad) error {
+	for range l.count {
 		if err := o.ApplyChange(s); err != nil {
 			return err
 		}
-		s.Run(l.pause)
+		s.Run(l.interval)
 	}
 	return nil
 }
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -7,12 +7,12 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// observed is the time over which rates are measured.
-const observed = 10 * time.Minute
+// observationTime is the time over which rates are measured.
+const observationTime = 10 * time.Minute
 
-// reads measures the load of the store at 600 entries and 6,000 changes a day.
+// reportReads measures the load of the store at 600 entries and 6,000 changes a day.
 // Agents take the configuration from entries and never read the store.
-func reads(printer *figure.Printer, seed int64) error {
+func reportReads(printer *figure.Printer, seed int64) error {
 	jittered, writes, err := measureReads(seed, false)
 	if err != nil {
 		return err
@@ -22,7 +22,7 @@
 		return err
 	}
 	for _, f := range []figure.Figure{
-		{Name: "config_store_reads_600_entries", Value: jittered, Unit: "reads/s", Bound: figure.AtMost(readBound), Baseline: &fixed},
+		{Name: "config_store_reads_600_entries", Value: jittered, Unit: "reads/s", Bound: figure.AtMost(maxStoreReadsPerSecond), Baseline: &fixed},
 		{Name: "config_store_rows_written", Value: writes, Unit: "rows/s"},
 	} {
 		if err := printer.Print(f); err != nil {
@@ -39,10 +39,10 @@
 		return 0, 0, err
 	}
 	s.StartAll()
-	s.Run(startTime)
+	s.Run(warmupTime)
 	before := s.Table.Stats()
 	from := s.ElapsedSeconds()
-	if err := makeChanges(s, o, load{pause: dailyPause, changes: int(observed / dailyPause)}); err != nil {
+	if err := applyChanges(s, o, changeLoad{interval: dailyInterval, count: int(observationTime / dailyInterval)}); err != nil {
 		return 0, 0, err
 	}
 	total := 0
@@ -55,9 +55,9 @@
 	return float64(total) / elapsed, float64(s.Table.Stats().Writes-before.Writes) / elapsed, nil
 }
 
-// outage measures the peak of reads per second at 600 entries over an outage of
+// reportOutage measures the peak of reads per second at 600 entries over an outage of
 // the store of 10 min, 2 min of slow answers and its return.
-func outage(printer *figure.Printer, seed int64) error {
+func reportOutage(printer *figure.Printer, seed int64) error {
 	peak, back, err := measureOutage(seed, false)
 	if err != nil {
 		return err
@@ -67,8 +67,8 @@
 		return err
 	}
 	for _, f := range []figure.Figure{
-		{Name: "config_peak_reads_outage", Value: peak, Unit: "reads/s", Bound: figure.AtMost(readBound), Baseline: &fixedPeak},
-		{Name: "config_peak_reads_at_return", Value: back, Unit: "reads/s", Bound: figure.AtMost(readBound), Baseline: &fixedBack},
+		{Name: "config_peak_reads_outage", Value: peak, Unit: "reads/s", Bound: figure.AtMost(maxStoreReadsPerSecond), Baseline: &fixedPeak},
+		{Name: "config_peak_reads_at_return", Value: back, Unit: "reads/s", Bound: figure.AtMost(maxStoreReadsPerSecond), Baseline: &fixedBack},
 	} {
 		if err := printer.Print(f); err != nil {
 			return err
--- a/internal/measure/config/traffic.go
+++ b/internal/measure/config/traffic.go
@@ -7,15 +7,15 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// usage is the average of sent and received bytes of one kind of node.
-type usage struct{ entry, agent float64 }
+// nodeBytes is the average of sent and received bytes of one kind of node.
+type nodeBytes struct{ entry, agent float64 }
 
-// traffic measures the bytes per change and node, against whole snapshots. It
+// reportTraffic measures the bytes per change and node, against whole snapshots. It
 // simulates 3 of 15 domains with 40 entries and 667 agents each, which gives
 // each node the connections that it has among 600 entries and 10,000 agents.
-func traffic(printer *figure.Printer, seed int64) error {
+func reportTraffic(printer *figure.Printer, seed int64) error {
 	const changes = 10
-	pace := load{"daily", dailyPause, changes}
+	pace := changeLoad{"daily", dailyInterval, changes}
 	deltas, err := measureTraffic(seed, pace, false)
 	if err != nil {
 		return err
@@ -24,19 +24,19 @@
 	if err != nil {
 		return err
 	}
-	burst, err := measureTraffic(seed, load{"burst", burstPause, burstChanges}, false)
+	burst, err := measureTraffic(seed, changeLoad{"burst", burstInterval, burstChanges}, false)
 	if err != nil {
 		return err
 	}
-	daily := dailyPause.Seconds()
-	burstSeconds := (burstChanges * burstPause).Seconds()
+	daily := dailyInterval.Seconds()
+	burstSeconds := (burstChanges * burstInterval).Seconds()
 	for _, f := range []figure.Figure{
 		{Name: "config_bytes_per_change_entry", Value: deltas.entry / changes, Unit: "bytes", Baseline: ptr(snapshots.entry / changes)},
 		{Name: "config_bytes_per_change_agent", Value: deltas.agent / changes, Unit: "bytes", Baseline: ptr(snapshots.agent / changes)},
-		{Name: "config_daily_rate_entry", Value: deltas.entry / changes / daily, Unit: "bytes/s", Bound: figure.AtMost(controlBound), Baseline: ptr(snapshots.entry / changes / daily)},
-		{Name: "config_daily_rate_agent", Value: deltas.agent / changes / daily, Unit: "bytes/s", Bound: figure.AtMost(controlBound), Baseline: ptr(snapshots.agent / changes / daily)},
-		{Name: "config_burst_rate_entry", Value: burst.entry / burstSeconds, Unit: "bytes/s", Bound: figure.AtMost(controlBound)},
-		{Name: "config_burst_rate_agent", Value: burst.agent / burstSeconds, Unit: "bytes/s", Bound: figure.AtMost(controlBound)},
+		{Name: "config_daily_rate_entry", Value: deltas.entry / changes / daily, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond), Baseline: ptr(snapshots.entry / changes / daily)},
+		{Name: "config_daily_rate_agent", Value: deltas.agent / changes / daily, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond), Baseline: ptr(snapshots.agent / changes / daily)},
+		{Name: "config_burst_rate_entry", Value: burst.entry / burstSeconds, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond)},
+		{Name: "config_burst_rate_agent", Value: burst.agent / burstSeconds, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond)},
 	} {
 		if err := printer.Print(f); err != nil {
 			return err
@@ -45,22 +45,22 @@
 	return nil
 }
 
-func measureTraffic(seed int64, l load, whole bool) (usage, error) {
+func measureTraffic(seed int64, l changeLoad, whole bool) (nodeBytes, error) {
 	s := configsim.New(configsim.Config{Domains: 3, EntriesPerDomain: 40, AgentsPerDomain: 667, FullSnapshots: whole, Seed: seed})
 	o := s.NewOperator()
 	if err := o.ApplyChange(s); err != nil {
-		return usage{}, err
+		return nodeBytes{}, err
 	}
 	s.StartAll()
-	s.Run(startTime)
+	s.Run(warmupTime)
 	for _, n := range s.Nodes {
 		n.SentBytes, n.ReceivedBytes = 0, 0
 	}
-	if err := makeChanges(s, o, l); err != nil {
-		return usage{}, err
+	if err := applyChanges(s, o, l); err != nil {
+		return nodeBytes{}, err
 	}
 	s.Run(5 * time.Second)
-	var sum usage
+	var sum nodeBytes
 	var entries, agents float64
 	for _, n := range s.Nodes {
 		bytes := float64(n.SentBytes + n.ReceivedBytes)
@@ -72,7 +72,7 @@
 			sum.entry += bytes
 		}
 	}
-	return usage{entry: sum.entry / entries, agent: sum.agent / agents}, nil
+	return nodeBytes{entry: sum.entry / entries, agent: sum.agent / agents}, nil
 }
 
 func ptr(v float64) *float64 { return &v }
--- a/internal/measure/distribute/baselines.go
+++ b/internal/measure/distribute/baselines.go
@@ -13,37 +13,37 @@
 const (
 	// treeFanOut is the number of children of an instance in the fixed tree.
 	treeFanOut = 2
-	// treePoll is the wait before a child asks its parent again for a chunk that
+	// treePollInterval is the wait before a child asks its parent again for a chunk that
 	// the parent does not hold yet.
-	treePoll        = 5 * time.Millisecond
-	originOnlySpeed = 4
-	// originOnlyLimit bounds the slowest baseline.
-	originOnlyLimit = 50 * time.Second
+	treePollInterval  = 5 * time.Millisecond
+	originOnlySpeedup = 4
+	// originOnlyTimeout bounds the slowest baseline.
+	originOnlyTimeout = 50 * time.Second
 )
 
-// originOnly lets each instance read everything from the origin. All links are
+// runOriginOnly lets each instance read everything from the origin. All links are
 // originOnlySpeed times as fast and the times are multiplied by it, which keeps
 // the whole experiment within two minutes: this time is N copies at the origin's
 // rate, whatever the rate is.
-func originOnly(o *Options) (*result, error) {
+func runOriginOnly(o *Options) (*result, error) {
 	fast := *o
-	fast.Window /= originOnlySpeed
-	r, err := baseline(&fast, "origin only", originOnlyLimit, func(ctx context.Context, fl *fleet, i int) error {
-		return readAll(ctx, fl, fl.agents[i], 0, 1)
+	fast.Window /= originOnlySpeedup
+	r, err := runBaseline(&fast, "origin only", originOnlyTimeout, func(ctx context.Context, fl *fleet, i int) error {
+		return fetchFromOrigin(ctx, fl, fl.agents[i], 0, 1)
 	})
 	if err != nil {
 		return nil, err
 	}
-	for i := range r.done {
-		r.done[i] *= originOnlySpeed
+	for i := range r.completionTimes {
+		r.completionTimes[i] *= originOnlySpeedup
 	}
 	return r, nil
 }
 
-// tree passes the weights down a fixed binary tree in each failure domain.
+// runTree passes the weights down a fixed binary tree in each failure domain.
 // Parents pass each chunk on as soon as they hold it.
-func tree(o *Options) (*result, error) {
-	return baseline(o, "fixed tree", runLimit*2, func(ctx context.Context, fl *fleet, i int) error {
+func runTree(o *Options) (*result, error) {
+	return runBaseline(o, "fixed tree", runTimeout*2, func(ctx context.Context, fl *fleet, i int) error {
 		a := fl.agents[i]
 		position := i / o.Domains // in its failure domain
 		var wg sync.WaitGroup
@@ -53,11 +53,11 @@
 			go func() {
 				defer wg.Done()
 				if position == 0 {
-					errs[s] = readAll(ctx, fl, a, s, o.Streams)
+					errs[s] = fetchFromOrigin(ctx, fl, a, s, o.Streams)
 					return
 				}
 				parent := fl.agents[(position-1)/treeFanOut*o.Domains+i%o.Domains]
-				errs[s] = pullAll(ctx, fl, a, parent, s, o.Streams)
+				errs[s] = fetchFromParent(ctx, fl, a, parent, s, o.Streams)
 			}()
 		}
 		wg.Wait()
@@ -70,7 +70,7 @@
 	})
 }
 
-func baseline(o *Options, name string, limit time.Duration, fetch func(context.Context, *fleet, int) error) (*result, error) {
+func runBaseline(o *Options, name string, limit time.Duration, fetch func(context.Context, *fleet, int) error) (*result, error) {
 	fl, err := newFleet(o, 1, faults{}, false)
 	if err != nil {
 		return nil, err
@@ -92,11 +92,11 @@
 	return newResult(name, start, fl), nil
 }
 
-// readAll reads each chunk whose index is first modulo step from the origin.
-func readAll(ctx context.Context, fl *fleet, a *agent, first, step int) error {
+// fetchFromOrigin reads each chunk whose index is first modulo step from the origin.
+func fetchFromOrigin(ctx context.Context, fl *fleet, a *agent, first, step int) error {
 	for i := first; i < len(fl.manifest.Chunks); i += step {
 		c := fl.manifest.Chunks[i]
-		r, err := (originFor{fl.origin, a.node}).ReadRange(ctx, weightsObject, fl.manifest.Offset(i), int64(c.Size))
+		r, err := (originClient{fl.origin, a.node}).ReadRange(ctx, weightsObject, fl.manifest.Offset(i), int64(c.Size))
 		if err != nil {
 			return err
 		}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// pullAll takes each chunk whose index is first modulo step from the parent.
-func pullAll(ctx context.Context, fl *fleet, a, parent *agent, first, step int) error {
+// fetchFromParent takes each chunk whose index is first modulo step from the parent.
+func fetchFromParent(ctx context.Context, fl *fleet, a, parent *agent, first, step int) error {
 	conn, err := a.dial(ctx, fl, parent)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 		data, ok := m.(*wire.ChunkData)
 		if !ok {
 			select {
-			case <-time.After(treePoll):
+			case <-time.After(treePollInterval):
 				continue
 			case <-ctx.Done():
 				return ctx.Err()
--- a/internal/measure/distribute/command.go
+++ b/internal/measure/distribute/command.go
@@ -20,10 +20,10 @@
 
 // Bounds from the stated target.
 const (
-	timeFactor      = 1.25 // of the lower bound
-	copiesPerDomain = 1.05
-	disturbedFactor = 2.0 // of the undisturbed time
-	disturbedCopies = 1.2 // per failure domain
+	maxTimeFactor               = 1.25 // of the lower bound
+	maxCopiesPerDomain          = 1.05
+	maxDisturbedTimeFactor      = 2.0 // of the undisturbed time
+	maxDisturbedCopiesPerDomain = 1.2 // per failure domain
 )
 
 // New returns the subcommand.
@@ -51,34 +51,34 @@
 	runs []*result
 }
 
-func (e *experiment) wants(run string) bool {
-	return e.o.Only == "" || strings.Contains(","+e.o.Only+",", ","+run+",")
+func (e *experiment) selected(run string) bool {
+	return e.o.Runs == "" || strings.Contains(","+e.o.Runs+",", ","+run+",")
 }
 
 // run executes the runs one after the other: they share the machine's cores.
 func (e *experiment) run() error {
-	fixed, err := e.fixedTree()
+	fixed, err := e.runFixedTree()
 	if err == nil {
-		err = e.own(fixed)
+		err = e.runSystem(fixed)
 	}
-	if err == nil && e.wants("origin") {
+	if err == nil && e.selected("origin") {
 		var alone *result
-		if alone, err = originOnly(e.o); err == nil {
+		if alone, err = runOriginOnly(e.o); err == nil {
 			e.runs = append(e.runs, alone)
 			err = e.report(alone, "origin_only", nil, nil)
 		}
 	}
-	if err == nil && e.o.Plot != "" {
-		err = drawPlot(e.o.Plot, e.o, e.runs)
+	if err == nil && e.o.PlotPath != "" {
+		err = drawPlot(e.o.PlotPath, e.o, e.runs)
 	}
 	return err
 }
 
-func (e *experiment) fixedTree() (*result, error) {
-	if !e.wants("tree") {
+func (e *experiment) runFixedTree() (*result, error) {
+	if !e.selected("tree") {
 		return nil, nil
 	}
-	r, err := tree(e.o)
+	r, err := runTree(e.o)
 	if err != nil {
 		return nil, err
 	}
@@ -86,29 +86,29 @@
 	return r, e.report(r, "fixed_tree", nil, nil)
 }
 
-// own runs the system undisturbed with time favoured, with origin bytes
+// runSystem runs the system undisturbed with time favoured, with origin bytes
 // favoured, and disturbed. The baseline of its figures is the fixed tree.
-func (e *experiment) own(fixed *result) error {
+func (e *experiment) runSystem(fixed *result) error {
 	o := e.o
 	bound := o.lowerBound()
 	if err := e.p.Print(figure.Figure{Name: "distribute/lower_bound", Value: bound.Seconds(), Unit: "s"}); err != nil {
 		return err
 	}
-	undisturbed := time.Duration(timeFactor * float64(bound))
-	if e.wants("time") {
-		r, _, err := swarm(o, "time favoured", 1, 0, faults{})
+	undisturbed := time.Duration(maxTimeFactor * float64(bound))
+	if e.selected("time") {
+		r, _, err := runSwarm(o, "time favoured", 1, 0, faults{})
 		if err != nil {
 			return err
 		}
-		undisturbed = r.last()
+		undisturbed = r.timeToLast()
 		e.runs = append(e.runs, r)
-		limits := limit{time: timeFactor * bound.Seconds(), copies: copiesPerDomain * float64(o.Domains)}
+		limits := bounds{time: maxTimeFactor * bound.Seconds(), copies: maxCopiesPerDomain * float64(o.Domains)}
 		if err := e.report(r, "time_favoured", &limits, fixed); err != nil {
 			return err
 		}
 	}
-	if e.wants("bytes") {
-		r, plan, err := swarm(o, "origin bytes favoured", 0, 0, faults{})
+	if e.selected("bytes") {
+		r, plan, err := runSwarm(o, "origin bytes favoured", 0, 0, faults{})
 		if err != nil {
 			return err
 		}
@@ -116,43 +116,43 @@
 		if err := e.p.Print(figure.Figure{Name: "distribute/bytes_favoured/predicted_time", Value: plan.EstimatedTime.Seconds(), Unit: "s"}); err != nil {
 			return err
 		}
-		limits := limit{time: timeFactor * plan.EstimatedTime.Seconds(), copies: copiesPerDomain * float64(plan.Policy.Copies)}
+		limits := bounds{time: maxTimeFactor * plan.EstimatedTime.Seconds(), copies: maxCopiesPerDomain * float64(plan.Policy.Copies)}
 		if err := e.report(r, "bytes_favoured", &limits, fixed); err != nil {
 			return err
 		}
 	}
-	if !e.wants("faults") {
+	if !e.selected("faults") {
 		return nil
 	}
-	r, _, err := swarm(o, "disturbed", o.TimeWeight, o.Kill, faults{corrupt: o.Corrupt, stall: o.Stall, within: undisturbed})
+	r, _, err := runSwarm(o, "disturbed", o.TimeWeight, o.KillShare, faults{corruptShare: o.CorruptShare, stallShare: o.StallShare, stallWindow: undisturbed})
 	if err != nil {
 		return err
 	}
 	e.runs = append(e.runs, r)
-	limits := limit{time: disturbedFactor * undisturbed.Seconds(), copies: disturbedCopies * float64(o.Domains)}
+	limits := bounds{time: maxDisturbedTimeFactor * undisturbed.Seconds(), copies: maxDisturbedCopiesPerDomain * float64(o.Domains)}
 	return e.report(r, "disturbed", &limits, nil)
 }
 
-// limit holds the bounds of a run.
-type limit struct{ time, copies float64 }
+// bounds holds the bounds of a run.
+type bounds struct{ time, copies float64 }
 
-func (e *experiment) report(r *result, name string, l *limit, base *result) error {
+func (e *experiment) report(r *result, name string, l *bounds, base *result) error {
 	done := figure.Figure{
 		Name: "distribute/" + name + "/complete_share", Unit: "share of survivors",
 		Value: float64(r.survivors-r.incomplete) / float64(r.survivors),
 	}
-	last := figure.Figure{Name: "distribute/" + name + "/time_to_n", Value: r.last().Seconds(), Unit: "s"}
+	last := figure.Figure{Name: "distribute/" + name + "/time_to_n", Value: r.timeToLast().Seconds(), Unit: "s"}
 	median := figure.Figure{Name: "distribute/" + name + "/time_to_half", Unit: "s"}
-	if n := len(r.done); n > 0 {
-		median.Value = r.done[n/2].Seconds()
+	if n := len(r.completionTimes); n > 0 {
+		median.Value = r.completionTimes[n/2].Seconds()
 	}
-	copies := figure.Figure{Name: "distribute/" + name + "/origin_copies", Value: r.copies(e.o), Unit: "copies"}
+	copies := figure.Figure{Name: "distribute/" + name + "/origin_copies", Value: r.originCopies(e.o), Unit: "copies"}
 	if l != nil {
 		done.Bound = figure.AtLeast(1)
 		last.Bound, copies.Bound = figure.AtMost(l.time), figure.AtMost(l.copies)
 	}
 	if base != nil {
-		t, c := base.last().Seconds(), base.copies(e.o)
+		t, c := base.timeToLast().Seconds(), base.originCopies(e.o)
 		last.Baseline, copies.Baseline = &t, &c
 	}
 	for _, f := range []figure.Figure{done, last, median, copies} {
--- a/internal/measure/distribute/fleet.go
+++ b/internal/measure/distribute/fleet.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	fl := &fleet{
 		o: o, net: n, manifest: m, digest: model.Sum(encoded), ctx: ctx, cancel: cancel,
-		origin: &origin{n: n, up: bucket(o.rate(o.OriginCopies)), objects: map[string][]byte{weightsObject: data, manifestObject: encoded}},
+		origin: &origin{network: n, up: newLinkLimiter(o.rate(o.OriginCopies)), objects: map[string][]byte{weightsObject: data, manifestObject: encoded}},
 		plan:   decide.MakePlan(planInput(o, timeWeight)),
 	}
 	if swarm {
@@ -132,16 +132,16 @@
 		})
 		fl.net.add(e.address, &node{name: fmt.Sprintf("entry-%d", i), location: e.location})
 		fl.entries = append(fl.entries, e)
-		fl.accept(fl.ctx, l, fl.net.node(e.address), wire.Hello{Role: wire.RoleEntry}, e.service.Serve)
+		fl.serveConns(fl.ctx, l, fl.net.node(e.address), wire.Hello{Role: wire.RoleEntry}, e.service.Serve)
 	}
 	fl.wg.Add(1)
-	go fl.tick()
+	go fl.runPeriodicTasks()
 	return nil
 }
 
-// tick does what an entry daemon does periodically: it expires state and sends
+// runPeriodicTasks does what an entry daemon does periodically: it expires state and sends
 // summaries to the trackers of the other failure domains.
-func (fl *fleet) tick() {
+func (fl *fleet) runPeriodicTasks() {
 	defer fl.wg.Done()
 	// Entries of a run share a process, so summaries skip the connection.
 	sessions := make(map[[2]*entry]*tracker.Session)
@@ -181,7 +181,7 @@
 	location := locationOf(i % fl.o.Domains)
 	a := &agent{
 		address: l.Addr().String(), listener: l, chunks: weights.NewStore(weights.StoreConfig{}),
-		node: &node{name: fmt.Sprintf("agent-%d", i), location: location, up: bucket(link), down: bucket(link)},
+		node: &node{name: fmt.Sprintf("agent-%d", i), location: location, up: newLinkLimiter(link), down: newLinkLimiter(link)},
 	}
 	a.ctx, a.cancel = context.WithCancel(fl.ctx)
 	fl.net.add(a.address, a.node)
@@ -191,14 +191,14 @@
 	}
 	a.service = transfer.New(transfer.Config{
 		Seed: fl.o.Seed*1000 + int64(i) + 1, Identity: identity, Pool: "pool",
-		Origin: originFor{fl.origin, a.node}, Chunks: a.chunks,
-		Downloader: decide.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.Ahead, MinAnnounceInterval: 2 * time.Millisecond},
+		Origin: originClient{fl.origin, a.node}, Chunks: a.chunks,
+		Downloader: decide.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.QueueDepth, MinAnnounceInterval: 2 * time.Millisecond},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 			if err != nil {
 				return nil, err
 			}
-			return fl.net.wrap(nc, a.node, fl.net.node(address), fl.o.ChunkSize), nil
+			return fl.net.wrapConn(nc, a.node, fl.net.node(address), fl.o.ChunkSize), nil
 		},
 	})
 	var addresses []string
@@ -209,14 +209,14 @@
 	}
 	a.service.SetEntries(addresses)
 	fl.agents = append(fl.agents, a)
-	fl.accept(a.ctx, l, a.node, wire.Hello{Role: wire.RoleAgent, Identity: identity}, func(c *wire.Conn, _ wire.Hello) error {
+	fl.serveConns(a.ctx, l, a.node, wire.Hello{Role: wire.RoleAgent, Identity: identity}, func(c *wire.Conn, _ wire.Hello) error {
 		return a.service.ServePeer(c)
 	})
 	return nil
 }
 
-// accept serves connections until the context ends.
-func (fl *fleet) accept(ctx context.Context, l net.Listener, local *node, hello wire.Hello, serve func(*wire.Conn, wire.Hello) error) {
+// serveConns serves connections until the context ends.
+func (fl *fleet) serveConns(ctx context.Context, l net.Listener, local *node, hello wire.Hello, serve func(*wire.Conn, wire.Hello) error) {
 	fl.wg.Add(1)
 	go func() {
 		defer fl.wg.Done()
@@ -229,7 +229,7 @@
 			fl.wg.Add(1)
 			go func() {
 				defer fl.wg.Done()
-				c := fl.net.wrap(nc, local, nil, fl.o.ChunkSize)
+				c := fl.net.wrapConn(nc, local, nil, fl.o.ChunkSize)
 				stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 				defer stop()
 				conn, peer, err := wire.Handshake(c, hello)
@@ -263,7 +263,7 @@
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
-	c := fl.net.wrap(nc, a.node, to.node, fl.o.ChunkSize)
+	c := fl.net.wrapConn(nc, a.node, to.node, fl.o.ChunkSize)
 	context.AfterFunc(ctx, func() { _ = c.Close() })
 	conn, _, err := wire.Handshake(c, wire.Hello{Role: wire.RoleAgent, Identity: model.Identity{Address: a.address}})
 	return conn, err
--- a/internal/measure/distribute/network.go
+++ b/internal/measure/distribute/network.go
@@ -17,13 +17,13 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// slice is the number of bytes that pass a limited link at once. It is small
+// linkQuantum is the number of bytes that pass a limited link at once. It is small
 // against a chunk, so that concurrent transfers share a link evenly.
-const slice = 8 << 10
+const linkQuantum = 8 << 10
 
-// bucket returns the token bucket of a link.
-func bucket(bytesPerSecond float64) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(bytesPerSecond), 2*slice)
+// newLinkLimiter returns the token bucket of a link.
+func newLinkLimiter(bytesPerSecond float64) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(bytesPerSecond), 2*linkQuantum)
 }
 
 // node is one end of emulated links.
@@ -36,33 +36,33 @@
 // network emulates links: a bucket for each direction of each node's link, and
 // one for each direction between two regions. Directed pairs may stall for good.
 type network struct {
-	mu      sync.Mutex
-	nodes   map[string]*node // by address
-	regions map[[2]model.Region]*rate.Limiter
-	between float64
-	faults  faults
-	stalls  map[[2]string]*stall
-	seed    int64
-	rand    *rand.Rand
+	mu               sync.Mutex
+	nodes            map[string]*node // by address
+	interRegionLinks map[[2]model.Region]*rate.Limiter
+	interRegionRate  float64
+	faults           faults
+	stalls           map[[2]string]*stall
+	seed             int64
+	rand             *rand.Rand
 }
 
 // faults of a run.
 type faults struct {
-	corrupt, stall float64
-	// within is the time after the start in which stalls begin.
-	within time.Duration
-	start  time.Time
+	corruptShare, stallShare float64
+	// stallWindow is the time after the start in which stalls begin.
+	stallWindow time.Duration
+	start       time.Time
 }
 
 // stall is the state of a directed pair of nodes.
 type stall struct {
-	at time.Time // zero for never
+	startAt time.Time // zero for never
 }
 
 func newNetwork(between float64, f faults, seed int64) *network {
 	return &network{
-		nodes: make(map[string]*node), regions: make(map[[2]model.Region]*rate.Limiter),
-		between: between, faults: f, stalls: make(map[[2]string]*stall), seed: seed, rand: rand.New(rand.NewSource(seed)),
+		nodes: make(map[string]*node), interRegionLinks: make(map[[2]model.Region]*rate.Limiter),
+		interRegionRate: between, faults: f, stalls: make(map[[2]string]*stall), seed: seed, rand: rand.New(rand.NewSource(seed)),
 	}
 }
 
@@ -78,25 +78,25 @@
 	return n.nodes[address]
 }
 
-// interRegion returns the bucket from one region to another, or nil within one.
-func (n *network) interRegion(from, to model.Region) *rate.Limiter {
+// interRegionLink returns the bucket from one region to another, or nil within one.
+func (n *network) interRegionLink(from, to model.Region) *rate.Limiter {
 	if from == to || from == "" || to == "" {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	key := [2]model.Region{from, to}
-	l, ok := n.regions[key]
+	l, ok := n.interRegionLinks[key]
 	if !ok {
-		l = bucket(n.between)
-		n.regions[key] = l
+		l = newLinkLimiter(n.interRegionRate)
+		n.interRegionLinks[key] = l
 	}
 	return l
 }
 
-// stalled reports whether bytes from one node to another are held back.
-func (n *network) stalled(from, to string) bool {
-	if n.faults.stall <= 0 {
+// isStalled reports whether bytes from one node to another are held back.
+func (n *network) isStalled(from, to string) bool {
+	if n.faults.stallShare <= 0 {
 		return false
 	}
 	n.mu.Lock()
@@ -109,26 +109,26 @@
 		_, _ = fmt.Fprintf(h, "%d %s %s", n.seed, from, to)
 		draw := rand.New(rand.NewSource(int64(h.Sum64())))
 		s = new(stall)
-		if draw.Float64() < n.faults.stall {
-			s.at = n.faults.start.Add(time.Duration(draw.Int63n(int64(n.faults.within))))
+		if draw.Float64() < n.faults.stallShare {
+			s.startAt = n.faults.start.Add(time.Duration(draw.Int63n(int64(n.faults.stallWindow))))
 		}
 		n.stalls[key] = s
 	}
-	return !s.at.IsZero() && time.Now().After(s.at)
+	return !s.startAt.IsZero() && time.Now().After(s.startAt)
 }
 
-// corrupts draws whether a chunk transfer is damaged.
-func (n *network) corrupts() bool {
-	if n.faults.corrupt <= 0 {
+// drawCorruption draws whether a chunk transfer is damaged.
+func (n *network) drawCorruption() bool {
+	if n.faults.corruptShare <= 0 {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rand.Float64() < n.faults.corrupt
+	return n.rand.Float64() < n.faults.corruptShare
 }
 
-// pass waits until some bytes may pass all buckets.
-func pass(ctx context.Context, bytes int, buckets ...*rate.Limiter) error {
+// waitForLinks waits until some bytes may pass all buckets.
+func waitForLinks(ctx context.Context, bytes int, buckets ...*rate.Limiter) error {
 	var wait time.Duration
 	now := time.Now()
 	for _, b := range buckets {
@@ -152,17 +152,17 @@
 // limitedConn is a connection over emulated links.
 type limitedConn struct {
 	net.Conn
-	n           *network
-	local       *node
-	remote      atomic.Pointer[node]
-	ctx         context.Context
-	cancel      context.CancelFunc
-	damagedFrom int // writes from this size on carry a chunk
+	network       *network
+	local         *node
+	remote        atomic.Pointer[node]
+	ctx           context.Context
+	cancel        context.CancelFunc
+	minChunkWrite int // writes from this size on carry a chunk
 }
 
-func (n *network) wrap(nc net.Conn, local, remote *node, chunkSize int) *limitedConn {
+func (n *network) wrapConn(nc net.Conn, local, remote *node, chunkSize int) *limitedConn {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &limitedConn{Conn: nc, n: n, local: local, ctx: ctx, cancel: cancel, damagedFrom: chunkSize / 2}
+	c := &limitedConn{Conn: nc, network: n, local: local, ctx: ctx, cancel: cancel, minChunkWrite: chunkSize / 2}
 	c.remote.Store(remote)
 	return c
 }
@@ -176,19 +176,19 @@
 	remote := c.remote.Load()
 	var between *rate.Limiter
 	if remote != nil {
-		between = c.n.interRegion(c.local.location.Region, remote.location.Region)
+		between = c.network.interRegionLink(c.local.location.Region, remote.location.Region)
 	}
-	if len(p) >= c.damagedFrom && c.n.corrupts() {
+	if len(p) >= c.minChunkWrite && c.network.drawCorruption() {
 		p = append([]byte(nil), p...)
 		p[len(p)/2] ^= 0x55
 	}
 	for sent := 0; sent < len(p); {
-		if remote != nil && c.n.stalled(c.local.name, remote.name) {
+		if remote != nil && c.network.isStalled(c.local.name, remote.name) {
 			<-c.ctx.Done()
 			return sent, errors.Join(os.ErrClosed, c.ctx.Err())
 		}
-		end := min(sent+slice, len(p))
-		if err := pass(c.ctx, end-sent, c.local.up, between); err != nil {
+		end := min(sent+linkQuantum, len(p))
+		if err := waitForLinks(c.ctx, end-sent, c.local.up, between); err != nil {
 			return sent, err
 		}
 		n, err := c.Conn.Write(p[sent:end])
@@ -201,9 +201,9 @@
 }
 
 func (c *limitedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p[:min(len(p), slice)])
+	n, err := c.Conn.Read(p[:min(len(p), linkQuantum)])
 	if n > 0 {
-		if waitErr := pass(c.ctx, n, c.local.down); waitErr != nil {
+		if waitErr := waitForLinks(c.ctx, n, c.local.down); waitErr != nil {
 			return 0, waitErr
 		}
 	}
--- a/internal/measure/distribute/options.go
+++ b/internal/measure/distribute/options.go
@@ -17,15 +17,15 @@
 	InterRegionCopies float64
 	LinkShare         float64
 	TimeWeight        float64
-	Kill              float64
-	Corrupt           float64
-	Stall             float64
+	KillShare         float64
+	CorruptShare      float64
+	StallShare        float64
 	Seed              int64
-	Plot              string
-	Only              string
+	PlotPath          string
+	Runs              string
 	Streams           int
 	UploadSlots       int
-	Ahead             int
+	QueueDepth        int
 	OriginStreams     int
 	RemoteStreams     int
 }
@@ -43,14 +43,14 @@
 	f.Float64Var(&o.InterRegionCopies, "inter-region-copies", 0.5, "copies that the link between two regions carries in a window, in each direction")
 	f.Float64Var(&o.LinkShare, "link-share", 0.8, "share of the links between regions that transfers use")
 	f.Float64Var(&o.TimeWeight, "time-weight", 1, "weight of time against origin bytes in the disturbed run, 0 to 1")
-	f.Float64Var(&o.Kill, "kill", 0.10, "share of instances killed at random times in the disturbed run")
-	f.Float64Var(&o.Corrupt, "corrupt", 0.05, "share of chunk transfers that arrive corrupt in the disturbed run")
-	f.Float64Var(&o.Stall, "stall", 0.10, "share of directed links between two instances, or the origin and one, that stall for good in the disturbed run")
+	f.Float64Var(&o.KillShare, "kill", 0.10, "share of instances killed at random times in the disturbed run")
+	f.Float64Var(&o.CorruptShare, "corrupt", 0.05, "share of chunk transfers that arrive corrupt in the disturbed run")
+	f.Float64Var(&o.StallShare, "stall", 0.10, "share of directed links between two instances, or the origin and one, that stall for good in the disturbed run")
 	f.Int64Var(&o.Seed, "seed", 1, "seed of all random choices")
-	f.StringVar(&o.Plot, "plot", "", "file for an SVG of complete instances over time")
-	f.StringVar(&o.Only, "only", "", "comma-separated runs: time, bytes, faults, origin, tree; all when empty")
+	f.StringVar(&o.PlotPath, "plot", "", "file for an SVG of complete instances over time")
+	f.StringVar(&o.Runs, "only", "", "comma-separated runs: time, bytes, faults, origin, tree; all when empty")
 	f.IntVar(&o.Streams, "streams", 5, "chunks that an instance fetches at one time")
-	f.IntVar(&o.Ahead, "ahead", 1, "assignments of an instance that wait for a free place")
+	f.IntVar(&o.QueueDepth, "ahead", 1, "assignments of an instance that wait for a free place")
 	f.IntVar(&o.UploadSlots, "upload-slots", 6, "assignments that name one instance as source at one time")
 	f.IntVar(&o.OriginStreams, "origin-streams", 3, "origin fetches of a failure domain at one time")
 	f.IntVar(&o.RemoteStreams, "remote-streams", 4, "fetches of a failure domain from one other region at one time")
--- a/internal/measure/distribute/origin.go
+++ b/internal/measure/distribute/origin.go
@@ -15,20 +15,20 @@
 
 // origin serves objects over its one link.
 type origin struct {
-	n       *network
-	up      *rate.Limiter
-	objects map[string][]byte
-	bytes   atomic.Int64
+	network     *network
+	up          *rate.Limiter
+	objects     map[string][]byte
+	bytesServed atomic.Int64
 }
 
-// originFor is the origin as one instance sees it.
-type originFor struct {
+// originClient is the origin as one instance sees it.
+type originClient struct {
 	*origin
-	to *node
+	instance *node
 }
 
 // ReadRange opens a range; reads beyond the end find nothing.
-func (o originFor) ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error) {
+func (o originClient) ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error) {
 	data, ok := o.objects[object]
 	if !ok {
 		return nil, backing.ErrNotFound
@@ -36,7 +36,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	offset = min(offset, int64(len(data)))
 	r := &originReader{o: o, ctx: ctx, cancel: cancel, data: data[offset:min(offset+length, int64(len(data)))]}
-	if length > 0 && o.n.corrupts() && len(r.data) > 0 {
+	if length > 0 && o.network.drawCorruption() && len(r.data) > 0 {
 		r.data = append([]byte(nil), r.data...)
 		r.data[len(r.data)/2] ^= 0x55
 	}
@@ -44,7 +44,7 @@
 }
 
 type originReader struct {
-	o      originFor
+	o      originClient
 	ctx    context.Context
 	cancel context.CancelFunc
 	data   []byte
@@ -54,17 +54,17 @@
 	if len(r.data) == 0 {
 		return 0, io.EOF
 	}
-	if r.o.n.stalled(originName, r.o.to.name) {
+	if r.o.network.isStalled(originName, r.o.instance.name) {
 		<-r.ctx.Done()
 		return 0, r.ctx.Err()
 	}
-	n := min(len(p), slice, len(r.data))
-	if err := pass(r.ctx, n, r.o.up, r.o.to.down); err != nil {
+	n := min(len(p), linkQuantum, len(r.data))
+	if err := waitForLinks(r.ctx, n, r.o.up, r.o.instance.down); err != nil {
 		return 0, err
 	}
 	copy(p, r.data[:n])
 	r.data = r.data[n:]
-	r.o.bytes.Add(int64(n))
+	r.o.bytesServed.Add(int64(n))
 	return n, nil
 }
 
--- a/internal/measure/distribute/plot.go
+++ b/internal/measure/distribute/plot.go
@@ -22,12 +22,12 @@
 	end := time.Duration(0)
 	for _, r := range runs {
 		if r.name != "origin only" {
-			end = max(end, r.last())
+			end = max(end, r.timeToLast())
 		}
 	}
 	p.X.Max = end.Seconds() * 1.3
 	for i, r := range runs {
-		line, err := plotter.NewLine(steps(r))
+		line, err := plotter.NewLine(stepPoints(r))
 		if err != nil {
 			return merry.Wrap(err)
 		}
@@ -46,9 +46,9 @@
 	return merry.Wrap(p.Save(18*vg.Centimeter, 11*vg.Centimeter, path))
 }
 
-func steps(r *result) plotter.XYs {
+func stepPoints(r *result) plotter.XYs {
 	points := plotter.XYs{{X: 0, Y: 0}}
-	for i, t := range r.done {
+	for i, t := range r.completionTimes {
 		points = append(points, plotter.XY{X: t.Seconds(), Y: float64(i)}, plotter.XY{X: t.Seconds(), Y: float64(i + 1)})
 	}
 	return points
--- a/internal/measure/distribute/swarm.go
+++ b/internal/measure/distribute/swarm.go
@@ -9,18 +9,18 @@
 	decide "github.com/auburnbend/auburnbend/lib/distribute"
 )
 
-// runLimit bounds one run, so that the experiment ends in time whatever happens.
-const runLimit = 30 * time.Second
+// runTimeout bounds one run, so that the experiment ends in time whatever happens.
+const runTimeout = 30 * time.Second
 
-// swarm runs the system itself. Killed instances die at random times within the
+// runSwarm runs the system itself. Killed instances die at random times within the
 // given time after the start.
-func swarm(o *Options, name string, timeWeight, kill float64, f faults) (*result, decide.Plan, error) {
+func runSwarm(o *Options, name string, timeWeight, kill float64, f faults) (*result, decide.Plan, error) {
 	fl, err := newFleet(o, timeWeight, f, true)
 	if err != nil {
 		return nil, decide.Plan{}, err
 	}
 	defer fl.close()
-	ctx, cancel := context.WithTimeout(fl.ctx, runLimit)
+	ctx, cancel := context.WithTimeout(fl.ctx, runTimeout)
 	defer cancel()
 	rng := rand.New(rand.NewSource(o.Seed + 7))
 	victims := rng.Perm(o.Agents)[:int(kill*float64(o.Agents))]
@@ -28,7 +28,7 @@
 	var wg sync.WaitGroup
 	for _, v := range victims {
 		fl.agents[v].killed = true
-		delay := time.Duration(rng.Int63n(int64(f.within)))
+		delay := time.Duration(rng.Int63n(int64(f.stallWindow)))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// noWorkAfter is the time after its notice from which a leaving instance must
+	// noWorkDelay is the time after its notice from which a leaving instance must
 	// get no new work.
-	noWorkAfter = 3 * time.Second
-	// watchFor is how long the entries are watched after that.
-	watchFor  = 3 * time.Second
-	watchStep = 10 * time.Millisecond
+	noWorkDelay = 3 * time.Second
+	// watchTime is how long the entries are watched after that.
+	watchTime    = 3 * time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
 type options struct {
@@ -82,7 +82,7 @@
 func measure(ctx context.Context, d *deployment.Deployment, o options, p *figure.Printer) error {
 	load := newLoad(d, o)
 	load.start(ctx)
-	if err := measurerun.Pause(ctx, 2*time.Second); err != nil {
+	if err := measurerun.Sleep(ctx, 2*time.Second); err != nil {
 		return err
 	}
 	leaving := d.ModelAgents()[0]
@@ -90,10 +90,10 @@
 	notice := time.Now()
 	drained := make(chan error, 1)
 	go func() { drained <- leaving.Stop(ctx) }()
-	if err := measurerun.Pause(ctx, noWorkAfter); err != nil {
+	if err := measurerun.Sleep(ctx, noWorkDelay); err != nil {
 		return err
 	}
-	sentLater, err := watch(ctx, func() int { return d.AttemptsSentTo(leaving) })
+	sentLater, err := countIncreases(ctx, func() int { return d.AttemptsSentTo(leaving) })
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 		{Name: "requests_cut_off", Value: float64(load.count(cutOff)), Unit: "requests", Bound: figure.AtMost(0)},
 		{Name: "requests_completed", Value: float64(load.count(completed)), Unit: "requests", Bound: figure.AtLeast(1)},
 		{Name: "requests_not_run", Value: float64(load.count(notRun)), Unit: "requests"},
-		{Name: "answers_wrong", Value: float64(load.count(wrong)), Unit: "requests", Bound: figure.AtMost(0)},
+		{Name: "answers_wrong", Value: float64(load.count(wrongResponse)), Unit: "requests", Bound: figure.AtMost(0)},
 		{Name: "both_drains", Value: took.Seconds(), Unit: "s"},
 	} {
 		if err := p.Print(f); err != nil {
@@ -122,12 +122,12 @@
 	return p.Err()
 }
 
-// watch sums the increases of a counter, which starts again at zero when an entry
+// countIncreases sums the increases of a counter, which starts again at zero when an entry
 // forgets the agent.
-func watch(ctx context.Context, count func() int) (increase int, err error) {
+func countIncreases(ctx context.Context, count func() int) (increase int, err error) {
 	before := count()
-	for end := time.Now().Add(watchFor); time.Now().Before(end); {
-		if err := measurerun.Pause(ctx, watchStep); err != nil {
+	for end := time.Now().Add(watchTime); time.Now().Before(end); {
+		if err := measurerun.Sleep(ctx, pollInterval); err != nil {
 			return increase, err
 		}
 		now := count()
--- a/internal/measure/drain/load.go
+++ b/internal/measure/drain/load.go
@@ -9,16 +9,16 @@
 	"github.com/auburnbend/auburnbend/internal/deployment"
 )
 
-// verdict is what became of a request.
-type verdict int
+// requestResult is what became of a request.
+type requestResult int
 
 const (
-	completed verdict = iota
+	completed requestResult = iota
 	notRun
 	// cutOff is any other end.
 	cutOff
-	// wrong is an answer that is complete and not that of one version.
-	wrong
+	// wrongResponse is an answer that is complete and not that of one version.
+	wrongResponse
 )
 
 // load is a number of callers that send drafts until they are stopped.
@@ -27,25 +27,25 @@
 	o       options
 	client  *deployment.Client
 	stopped chan struct{}
-	tasks   sync.WaitGroup
+	callers sync.WaitGroup
 
 	mu     sync.Mutex
-	counts map[verdict]int
+	counts map[requestResult]int
 }
 
 func newLoad(d *deployment.Deployment, o options) *load {
-	return &load{d: d, o: o, client: deployment.NewClient(), stopped: make(chan struct{}), counts: make(map[verdict]int)}
+	return &load{d: d, o: o, client: deployment.NewClient(), stopped: make(chan struct{}), counts: make(map[requestResult]int)}
 }
 
 func (l *load) start(ctx context.Context) {
 	for i := range l.o.callers {
-		l.tasks.Go(func() { l.call(ctx, i) })
+		l.callers.Go(func() { l.call(ctx, i) })
 	}
 }
 
 func (l *load) stop() {
 	close(l.stopped)
-	l.tasks.Wait()
+	l.callers.Wait()
 	l.client.Close()
 }
 
@@ -62,15 +62,15 @@
 			Service: deployment.DraftService, Tenant: deployment.TenantLarge,
 			RequestID: fmt.Sprintf("draft-%d-%d", caller, n), Body: body, Stream: true,
 		})
-		l.add(l.judge(a, body))
+		l.record(l.classify(a, body))
 	}
 }
 
-func (l *load) judge(a deployment.Answer, body []byte) verdict {
+func (l *load) classify(a deployment.Answer, body []byte) requestResult {
 	switch a.Outcome {
 	case "completed":
 		if _, whole := l.d.VersionOfAnswer(a.Body, body); !whole {
-			return wrong
+			return wrongResponse
 		}
 		return completed
 	case "not_run":
@@ -80,13 +80,13 @@
 	}
 }
 
-func (l *load) add(v verdict) {
+func (l *load) record(v requestResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[v]++
 }
 
-func (l *load) count(v verdict) int {
+func (l *load) count(v requestResult) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[v]
--- a/internal/measure/figure/figure.go
+++ b/internal/measure/figure/figure.go
@@ -33,8 +33,8 @@
 	Baseline *float64 `json:"baseline"`
 }
 
-// Within reports whether the value keeps its bound.
-func (f Figure) Within() bool {
+// WithinBound reports whether the value keeps its bound.
+func (f Figure) WithinBound() bool {
 	if f.Bound == nil {
 		return true
 	}
@@ -43,8 +43,8 @@
 
 // Printer writes figures. It is not safe for concurrent use.
 type Printer struct {
-	out    io.Writer
-	missed []string
+	out         io.Writer
+	outOfBounds []string
 }
 
 // NewPrinter returns a Printer that writes to out.
@@ -52,16 +52,16 @@
 
 // Print writes one figure as a line.
 func (p *Printer) Print(f Figure) error {
-	if !f.Within() {
-		p.missed = append(p.missed, f.Name)
+	if !f.WithinBound() {
+		p.outOfBounds = append(p.outOfBounds, f.Name)
 	}
 	return merry.Wrap(json.NewEncoder(p.out).Encode(f))
 }
 
 // Err returns an error that names the figures that missed their bounds, or nil.
 func (p *Printer) Err() error {
-	if len(p.missed) == 0 {
+	if len(p.outOfBounds) == 0 {
 		return nil
 	}
-	return merry.Errorf("figures out of bounds: %s", strings.Join(p.missed, ", "))
+	return merry.Errorf("figures out of bounds: %s", strings.Join(p.outOfBounds, ", "))
 }
--- a/internal/measure/fleet/block_cache.go
+++ b/internal/measure/fleet/block_cache.go
@@ -5,10 +5,10 @@
 // blockCache is a prefix cache of limited size with least recently used
 // eviction. It records changes for cache events.
 type blockCache struct {
-	limit  int
-	order  *list.List // of uint64, most recently used in front
-	blocks map[uint64]*list.Element
-	log    []cacheChange
+	capacity int
+	lru      *list.List // of uint64, most recently used in front
+	blocks   map[uint64]*list.Element
+	changes  []cacheChange
 }
 
 // cacheChange is one block that was stored or removed.
@@ -20,7 +20,7 @@
 // changesAfter returns the net changes since a position in the log.
 func (c *blockCache) changesAfter(position int) (stored, removed []uint64) {
 	seen := make(map[uint64]bool)
-	for _, ch := range c.log[position:] {
+	for _, ch := range c.changes[position:] {
 		if seen[ch.block] {
 			continue
 		}
@@ -35,7 +35,7 @@
 }
 
 func newBlockCache(limit int) *blockCache {
-	return &blockCache{limit: limit, order: list.New(), blocks: make(map[uint64]*list.Element)}
+	return &blockCache{capacity: limit, lru: list.New(), blocks: make(map[uint64]*list.Element)}
 }
 
 // lookup returns how many leading blocks are cached and marks them as used,
@@ -46,7 +46,7 @@
 		n++
 	}
 	for i := n - 1; i >= 0; i-- {
-		c.order.MoveToFront(c.blocks[blocks[i]])
+		c.lru.MoveToFront(c.blocks[blocks[i]])
 	}
 	return n
 }
@@ -55,23 +55,23 @@
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
 		if el := c.blocks[b]; el != nil {
-			c.order.MoveToFront(el)
+			c.lru.MoveToFront(el)
 			continue
 		}
-		c.blocks[b] = c.order.PushFront(b)
-		c.log = append(c.log, cacheChange{block: b})
+		c.blocks[b] = c.lru.PushFront(b)
+		c.changes = append(c.changes, cacheChange{block: b})
 	}
-	for len(c.blocks) > c.limit {
-		last := c.order.Back()
-		b := c.order.Remove(last).(uint64)
+	for len(c.blocks) > c.capacity {
+		last := c.lru.Back()
+		b := c.lru.Remove(last).(uint64)
 		delete(c.blocks, b)
-		c.log = append(c.log, cacheChange{block: b, removed: true})
+		c.changes = append(c.changes, cacheChange{block: b, removed: true})
 	}
 }
 
 func (c *blockCache) all() []uint64 {
 	out := make([]uint64, 0, len(c.blocks))
-	for el := c.order.Front(); el != nil; el = el.Next() {
+	for el := c.lru.Front(); el != nil; el = el.Next() {
 		out = append(out, el.Value.(uint64))
 	}
 	return out
--- a/internal/measure/fleet/capacity.go
+++ b/internal/measure/fleet/capacity.go
@@ -6,34 +6,34 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Tenants is the number of teams that share a deployment.
-const Tenants = 10
+// NumTenants is the number of teams that share a deployment.
+const NumTenants = 10
 
 // InTimeTarget is the share of answers that must be in time.
 const InTimeTarget = 0.95
 
-// Tenant returns the name of the n-th team.
-func Tenant(n int) model.Tenant { return model.Tenant("team-" + strconv.Itoa(n)) }
+// TenantName returns the name of the n-th team.
+func TenantName(n int) model.Tenant { return model.Tenant("team-" + strconv.Itoa(n)) }
 
 // EvenRates divides a rate over all teams.
 func EvenRates(perSecond float64) map[model.Tenant]float64 {
-	rates := make(map[model.Tenant]float64, Tenants)
-	for n := range Tenants {
-		rates[Tenant(n)] = perSecond / Tenants
+	rates := make(map[model.Tenant]float64, NumTenants)
+	for n := range NumTenants {
+		rates[TenantName(n)] = perSecond / NumTenants
 	}
 	return rates
 }
 
-// Capacity finds the highest rate in requests per second at which 95 in 100
+// FindCapacity finds the highest rate in requests per second at which 95 in 100
 // answers are in time, to within step, for all seeds.
-func Capacity(cfg Config, seeds []uint64, step float64) float64 {
+func FindCapacity(cfg Config, seeds []uint64, step float64) float64 {
 	low, high := step, step
-	for keeps(cfg, seeds, high) {
+	for meetsTarget(cfg, seeds, high) {
 		low, high = high, 2*high
 	}
 	for high-low > step {
 		mid := (low + high) / 2
-		if keeps(cfg, seeds, mid) {
+		if meetsTarget(cfg, seeds, mid) {
 			low = mid
 		} else {
 			high = mid
@@ -42,7 +42,7 @@
 	return low
 }
 
-func keeps(cfg Config, seeds []uint64, perSecond float64) bool {
+func meetsTarget(cfg Config, seeds []uint64, perSecond float64) bool {
 	cfg.Rates = EvenRates(perSecond)
 	for _, seed := range seeds {
 		cfg.Seed = seed
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -12,23 +12,23 @@
 
 // Network delays between entry and engine and the timer of an entry.
 const (
-	oneWay    = time.Millisecond
-	entryTick = 50 * time.Millisecond
+	oneWayDelay       = time.Millisecond
+	entryTickInterval = 50 * time.Millisecond
 )
 
-// pool is the only pool of the model.
-const pool = "model"
+// poolName is the only pool of the model.
+const poolName = "model"
 
 // entry runs the real Queue, Limiter and Picker.
 type entry struct {
-	sim      *simulation
-	queue    *admit.Queue
-	picker   *route.Picker
-	limiters map[route.Key]*admit.Limiter
-	engines  map[route.Key]*engine
-	keys     []route.Key
-	estimate admit.StartEstimator
-	jobs     map[model.RequestID]*job
+	sim            *simulation
+	queue          *admit.Queue
+	picker         *route.Picker
+	limiters       map[route.Key]*admit.Limiter
+	engines        map[route.Key]*engine
+	keys           []route.Key
+	startEstimator admit.StartEstimator
+	jobs           map[model.RequestID]*job
 }
 
 func newEntry(s *simulation, number int) *entry {
@@ -46,7 +46,7 @@
 		e.keys = append(e.keys, key)
 		e.engines[key] = eng
 		e.limiters[key] = admit.NewLimiter(admit.LimiterConfig{})
-		e.picker.Update(s.time.now, route.Instance{ID: key.Instance, Generation: key.Generation, Pool: pool})
+		e.picker.Update(s.clock.now, route.Instance{ID: key.Instance, Generation: key.Generation, Pool: poolName})
 	}
 	return e
 }
@@ -55,59 +55,59 @@
 func (e *entry) start() {
 	var tick func()
 	tick = func() {
-		e.pump()
-		e.sim.time.after(entryTick, tick)
+		e.dispatchQueued()
+		e.sim.clock.after(entryTickInterval, tick)
 	}
 	tick()
 	for i, key := range e.keys {
 		// Engines report at different times.
-		offset := e.sim.cfg.Engine.ReportEvery * time.Duration(i) / time.Duration(len(e.keys))
-		e.sim.time.after(offset, func() { e.reports(key) })
+		offset := e.sim.cfg.Engine.ReportInterval * time.Duration(i) / time.Duration(len(e.keys))
+		e.sim.clock.after(offset, func() { e.reportLoad(key) })
 	}
 	if !e.sim.cfg.NoAffinity {
-		e.cacheEvents()
+		e.startCacheFeeds()
 	}
 }
 
-// reports samples an engine's load and delivers it late.
-func (e *entry) reports(key route.Key) {
+// reportLoad samples an engine's load and delivers it late.
+func (e *entry) reportLoad(key route.Key) {
 	cfg, eng := e.sim.cfg.Engine, e.engines[key]
-	r := route.LoadReport{Running: len(eng.running), Queued: len(eng.waiting), Capacity: cfg.Slots, Age: cfg.ReportLag}
-	e.sim.time.after(cfg.ReportLag, func() { e.picker.RecordLoad(e.sim.time.now, key, r) })
-	e.sim.time.after(cfg.ReportEvery, func() { e.reports(key) })
+	r := route.LoadReport{Running: len(eng.running), Queued: len(eng.waiting), Capacity: cfg.MaxBatch, Age: cfg.ReportDelay}
+	e.sim.clock.after(cfg.ReportDelay, func() { e.picker.RecordLoad(e.sim.clock.now, key, r) })
+	e.sim.clock.after(cfg.ReportInterval, func() { e.reportLoad(key) })
 }
 
 // arrive takes a request from the balancer.
 func (e *entry) arrive(j *job) {
-	now := e.sim.time.now
+	now := e.sim.clock.now
 	r := admit.Request{
 		ID: j.id, Tenant: j.tenant, Class: "interactive", Tokens: estimatedTokens,
-		StartBy: e.estimate.StartBy(now, FirstTokenTarget),
+		StartBy: e.startEstimator.StartBy(now, FirstTokenTarget),
 	}
 	if _, ok := e.queue.Enqueue(now, r); !ok {
-		e.sim.refused(j)
+		e.sim.recordRefusal(j)
 		return
 	}
 	e.jobs[j.id] = j
-	e.pump()
+	e.dispatchQueued()
 }
 
-// pump starts what can start now and answers what is too late.
-func (e *entry) pump() {
-	now := e.sim.time.now
+// dispatchQueued starts what can start now and answers what is too late.
+func (e *entry) dispatchQueued() {
+	now := e.sim.clock.now
 	for _, shed := range e.queue.Expire(now) {
-		e.sim.refused(e.take(shed.Request.ID))
+		e.sim.recordRefusal(e.removeJob(shed.Request.ID))
 	}
 	for {
 		r, ok := e.queue.Next(now, e.place)
 		if !ok {
 			return
 		}
-		e.take(r.ID)
+		e.removeJob(r.ID)
 	}
 }
 
-func (e *entry) take(id model.RequestID) *job {
+func (e *entry) removeJob(id model.RequestID) *job {
 	j := e.jobs[id]
 	delete(e.jobs, id)
 	return j
@@ -115,13 +115,13 @@
 
 // place picks an engine and sends the request to it.
 func (e *entry) place(r admit.Request) admit.Placement {
-	now, j := e.sim.time.now, e.jobs[r.ID]
+	now, j := e.sim.clock.now, e.jobs[r.ID]
 	request := route.Request{
-		Pool: pool, OfferedAt: r.OfferedAt,
+		Pool: poolName, OfferedAt: r.OfferedAt,
 		HasCapacity: func(k route.Key) bool { return e.limiters[k].CanAcquire() },
 	}
 	if !e.sim.cfg.NoAffinity {
-		request.Prefix, request.AffinityBlocks = j.blocks[:sharedBlocks], sharedBlocks
+		request.Prefix, request.AffinityBlocks = j.blocks[:sharedPrefixBlocks], sharedPrefixBlocks
 	}
 	choice, err := e.picker.Pick(now, &request)
 	if err != nil {
@@ -132,32 +132,32 @@
 	}
 	e.limiters[choice.Key].Acquire()
 	e.picker.Started(now, choice.Key, request.Prefix)
-	e.sim.time.after(oneWay, func() { e.send(choice.Key, j, now) })
+	e.sim.clock.after(oneWayDelay, func() { e.send(choice.Key, j, now) })
 	return admit.Placed
 }
 
 func (e *entry) send(key route.Key, j *job, dispatched time.Time) {
 	limiter := e.limiters[key]
 	q := &sequence{job: j}
-	later := func(f func()) { e.sim.time.after(oneWay, f) }
-	q.onFirst = func() {
+	later := func(f func()) { e.sim.clock.after(oneWayDelay, f) }
+	q.onFirstToken = func() {
 		later(func() {
-			now := e.sim.time.now
-			e.estimate.Observe(now.Sub(dispatched))
+			now := e.sim.clock.now
+			e.startEstimator.Observe(now.Sub(dispatched))
 			limiter.ObserveFirstToken(now, now.Sub(dispatched))
 		})
 	}
 	q.onProgress = func(tokens int, took time.Duration) {
-		later(func() { limiter.ObserveBetweenTokens(e.sim.time.now, took/time.Duration(tokens)) })
+		later(func() { limiter.ObserveBetweenTokens(e.sim.clock.now, took/time.Duration(tokens)) })
 	}
 	q.onDone = func() {
 		later(func() {
-			now := e.sim.time.now
+			now := e.sim.clock.now
 			limiter.Release()
 			e.picker.Finished(now, key, route.ResultOK)
-			e.queue.CorrectCharge(j.tenant, estimatedTokens, j.promptTokens+j.answerTokens)
-			e.sim.answered(j, q.firstAt.Add(oneWay), q.lastAt.Add(oneWay))
-			e.pump()
+			e.queue.CorrectCharge(j.tenant, estimatedTokens, j.promptTokens+j.outputTokens)
+			e.sim.recordResponse(j, q.firstTokenAt.Add(oneWayDelay), q.lastTokenAt.Add(oneWayDelay))
+			e.dispatchQueued()
 		})
 	}
 	e.engines[key].submit(q)
--- a/internal/measure/fleet/figure.go
+++ b/internal/measure/fleet/figure.go
@@ -6,14 +6,14 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// Against sets the baseline of a figure.
-func Against(f figure.Figure, baseline float64) figure.Figure {
+// WithBaseline sets the baseline of a figure.
+func WithBaseline(f figure.Figure, baseline float64) figure.Figure {
 	f.Baseline = &baseline
 	return f
 }
 
-// Print writes the figures and returns an error that names those out of bounds.
-func Print(w io.Writer, figures []figure.Figure) error {
+// PrintFigures writes the figures and returns an error that names those out of bounds.
+func PrintFigures(w io.Writer, figures []figure.Figure) error {
 	p := figure.NewPrinter(w)
 	for _, f := range figures {
 		if err := p.Print(f); err != nil {
--- a/internal/measure/fleet/result.go
+++ b/internal/measure/fleet/result.go
@@ -20,8 +20,8 @@
 // Result is the outcome of one run.
 type Result struct {
 	Tenants map[model.Tenant]Counts
-	// Measured is the time in which the counted requests arrived.
-	Measured time.Duration
+	// Window is the time in which the counted requests arrived.
+	Window time.Duration
 	// FirstToken holds the times to first token of all counted answers, from
 	// the arrival of the request.
 	FirstToken []time.Duration
@@ -29,8 +29,8 @@
 	BetweenTokens []time.Duration
 	// RefusalDelay holds the times from arrival to refusal.
 	RefusalDelay []time.Duration
-	// HitShare is the share of prompt tokens that came from prefix caches.
-	HitShare float64
+	// PrefixHitRatio is the share of prompt tokens that came from prefix caches.
+	PrefixHitRatio float64
 	// Imbalance is the mean number of sequences on the fullest engine over the
 	// mean of all engines.
 	Imbalance float64
@@ -50,7 +50,7 @@
 
 // Goodput returns the answers in time per second.
 func (r *Result) Goodput() float64 {
-	return float64(r.Total().InTime) / r.Measured.Seconds()
+	return float64(r.Total().InTime) / r.Window.Seconds()
 }
 
 // InTimeShare returns the share of offered requests that were answered in time.
--- a/internal/measure/fleet/run.go
+++ b/internal/measure/fleet/run.go
@@ -22,12 +22,12 @@
 	// equal shares.
 	Rates map[model.Tenant]float64
 	// Warmup is run but not counted; Measured is counted.
-	Warmup, Measured time.Duration
+	Warmup, Window time.Duration
 	// Baseline replaces the system by round robin with unlimited queues and
 	// three retries.
 	Baseline bool
-	// Uneven makes every third engine slower by half.
-	Uneven bool
+	// UnevenEngines makes every third engine slower by half.
+	UnevenEngines bool
 	// NoAffinity makes the system ignore prefixes.
 	NoAffinity bool
 }
@@ -42,8 +42,8 @@
 	if c.Warmup == 0 {
 		c.Warmup = 20 * time.Second
 	}
-	if c.Measured == 0 {
-		c.Measured = 60 * time.Second
+	if c.Window == 0 {
+		c.Window = 60 * time.Second
 	}
 	c.Engine.applyDefaults()
 }
@@ -59,32 +59,32 @@
 
 // simulation is the state of one run.
 type simulation struct {
-	cfg     Config
-	time    schedule
-	work    *workload
-	engines []*engine
-	entries []entryNode
-	result  Result
-	begin   time.Time
-	end     time.Time
-	turn    int // entry that gets the next arrival
+	cfg         Config
+	clock       scheduler
+	workload    *workload
+	engines     []*engine
+	entries     []entryNode
+	result      Result
+	windowStart time.Time
+	windowEnd   time.Time
+	nextEntry   int // entry that gets the next arrival
 }
 
 // Run runs the model once.
 func Run(cfg Config) Result {
 	cfg.applyDefaults()
-	s := &simulation{cfg: cfg, work: newWorkload(cfg.Seed)}
+	s := &simulation{cfg: cfg, workload: newWorkload(cfg.Seed)}
 	start := time.Unix(0, 0)
-	s.time.now = start
-	s.begin = start.Add(cfg.Warmup)
-	s.end = s.begin.Add(cfg.Measured)
-	s.result = Result{Tenants: make(map[model.Tenant]Counts), Measured: cfg.Measured}
+	s.clock.now = start
+	s.windowStart = start.Add(cfg.Warmup)
+	s.windowEnd = s.windowStart.Add(cfg.Window)
+	s.result = Result{Tenants: make(map[model.Tenant]Counts), Window: cfg.Window}
 	for i := range cfg.Engines {
 		engine := cfg.Engine
-		if cfg.Uneven && i%3 == 0 {
+		if cfg.UnevenEngines && i%3 == 0 {
 			engine = engine.slower()
 		}
-		s.engines = append(s.engines, newEngine(engine, &s.time))
+		s.engines = append(s.engines, newEngine(engine, &s.clock))
 	}
 	for i := range cfg.Entries {
 		if cfg.Baseline {
@@ -97,60 +97,60 @@
 		e.start()
 	}
 	for _, t := range sortedTenants(cfg.Rates) {
-		s.arrivals(t, cfg.Rates[t])
+		s.startArrivals(t, cfg.Rates[t])
 	}
-	s.time.runUntil(s.end)
-	s.summarise()
-	s.time.runUntil(s.end.Add(drainTime))
-	s.closeUnanswered()
+	s.clock.runUntil(s.windowEnd)
+	s.collectEngineStats()
+	s.clock.runUntil(s.windowEnd.Add(drainTime))
+	s.countUnanswered()
 	return s.result
 }
 
-// arrivals schedules a tenant's requests.
-func (s *simulation) arrivals(tenant model.Tenant, perSecond float64) {
+// startArrivals schedules a tenant's requests.
+func (s *simulation) startArrivals(tenant model.Tenant, perSecond float64) {
 	if perSecond <= 0 {
 		return
 	}
 	var next func()
 	next = func() {
-		if s.time.now.After(s.end) {
+		if s.clock.now.After(s.windowEnd) {
 			return
 		}
-		j := s.work.next(s.time.now, tenant)
-		if s.counted(j) {
-			s.count(j, func(c *Counts) { c.Offered++ })
+		j := s.workload.newJob(s.clock.now, tenant)
+		if s.inWindow(j) {
+			s.updateCounts(j, func(c *Counts) { c.Offered++ })
 		}
 		// The platform's balancer spreads requests evenly.
-		s.entries[s.turn%len(s.entries)].arrive(j)
-		s.turn++
-		s.time.after(s.work.gap(perSecond), next)
+		s.entries[s.nextEntry%len(s.entries)].arrive(j)
+		s.nextEntry++
+		s.clock.after(s.workload.drawInterval(perSecond), next)
 	}
-	s.time.after(s.work.gap(perSecond), next)
+	s.clock.after(s.workload.drawInterval(perSecond), next)
 }
 
-func (s *simulation) counted(j *job) bool {
-	return !j.arrival.Before(s.begin) && j.arrival.Before(s.end)
+func (s *simulation) inWindow(j *job) bool {
+	return !j.arrival.Before(s.windowStart) && j.arrival.Before(s.windowEnd)
 }
 
-func (s *simulation) count(j *job, change func(*Counts)) {
+func (s *simulation) updateCounts(j *job, change func(*Counts)) {
 	c := s.result.Tenants[j.tenant]
 	change(&c)
 	s.result.Tenants[j.tenant] = c
 }
 
-// answered counts a complete answer. first and last are when its first and last
+// recordResponse counts a complete answer. first and last are when its first and last
 // token reached the entry.
-func (s *simulation) answered(j *job, first, last time.Time) {
-	if j.answered || !s.counted(j) {
+func (s *simulation) recordResponse(j *job, first, last time.Time) {
+	if j.recorded || !s.inWindow(j) {
 		return
 	}
-	j.answered = true
+	j.recorded = true
 	toFirst := first.Sub(j.arrival)
-	between := last.Sub(first) / time.Duration(max(1, j.answerTokens-1))
+	between := last.Sub(first) / time.Duration(max(1, j.outputTokens-1))
 	s.result.FirstToken = append(s.result.FirstToken, toFirst)
 	s.result.BetweenTokens = append(s.result.BetweenTokens, between)
 	inTime := toFirst <= FirstTokenTarget && between <= BetweenTokensTarget
-	s.count(j, func(c *Counts) {
+	s.updateCounts(j, func(c *Counts) {
 		if inTime {
 			c.InTime++
 		} else {
@@ -159,35 +159,35 @@
 	})
 }
 
-// refused counts a request that was not run.
-func (s *simulation) refused(j *job) {
-	if j.answered || !s.counted(j) {
+// recordRefusal counts a request that was not run.
+func (s *simulation) recordRefusal(j *job) {
+	if j.recorded || !s.inWindow(j) {
 		return
 	}
-	j.answered = true
-	s.result.RefusalDelay = append(s.result.RefusalDelay, s.time.now.Sub(j.arrival))
-	s.count(j, func(c *Counts) { c.Refused++ })
+	j.recorded = true
+	s.result.RefusalDelay = append(s.result.RefusalDelay, s.clock.now.Sub(j.arrival))
+	s.updateCounts(j, func(c *Counts) { c.Refused++ })
 }
 
-// closeUnanswered counts what had no answer at the end as late.
-func (s *simulation) closeUnanswered() {
+// countUnanswered counts what had no answer at the end as late.
+func (s *simulation) countUnanswered() {
 	for t, c := range s.result.Tenants {
 		c.Late = c.Offered - c.InTime - c.Refused
 		s.result.Tenants[t] = c
 	}
 }
 
-// summarise takes the figures of the engines.
-func (s *simulation) summarise() {
+// collectEngineStats takes the figures of the engines.
+func (s *simulation) collectEngineStats() {
 	var cached, prefilled int
 	var busiest, sum time.Duration
 	for _, e := range s.engines {
-		cached += e.cached
-		prefilled += e.prefilled
-		busiest = max(busiest, e.occupied)
-		sum += e.occupied
+		cached += e.cachedTokens
+		prefilled += e.prefilledTokens
+		busiest = max(busiest, e.sequenceTime)
+		sum += e.sequenceTime
 	}
-	s.result.HitShare = float64(cached) / float64(max(1, cached+prefilled))
+	s.result.PrefixHitRatio = float64(cached) / float64(max(1, cached+prefilled))
 	s.result.Imbalance = float64(busiest) * float64(len(s.engines)) / float64(max(1, sum))
 }
 
--- a/internal/measure/fleet/run_test.go
+++ b/internal/measure/fleet/run_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("Run", func() {
 	config := func(rate float64) fleet.Config {
-		return fleet.Config{Seed: 5, Rates: fleet.EvenRates(rate), Warmup: 5 * time.Second, Measured: 10 * time.Second}
+		return fleet.Config{Seed: 5, Rates: fleet.EvenRates(rate), Warmup: 5 * time.Second, Window: 10 * time.Second}
 	}
 
 	It("depends only on its config", func() {
--- a/internal/measure/fleet/schedule.go
+++ b/internal/measure/fleet/scheduler.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// schedule runs functions in simulated time. Functions at the same time run in
+// scheduler runs functions in simulated time. Functions at the same time run in
 // the order in which they were added.
-type schedule struct {
+type scheduler struct {
 	now    time.Time
 	queue  eventHeap
 	serial uint64
@@ -19,13 +19,13 @@
 	run    func()
 }
 
-func (s *schedule) after(d time.Duration, run func()) {
+func (s *scheduler) after(d time.Duration, run func()) {
 	s.serial++
 	heap.Push(&s.queue, event{s.now.Add(d), s.serial, run})
 }
 
 // runUntil runs all events up to end.
-func (s *schedule) runUntil(end time.Time) {
+func (s *scheduler) runUntil(end time.Time) {
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
--- a/internal/measure/fleet/workload.go
+++ b/internal/measure/fleet/workload.go
@@ -17,16 +17,16 @@
 // Shape of the requests. Prompts share a prefix by kind of request, as the
 // instructions of a service do; the popularity of kinds follows Zipf's law.
 const (
-	kinds           = 96
-	sharedBlocks    = 16
-	uniqueTokens    = 160
-	meanAnswer      = 120
-	minAnswer       = 16
-	maxAnswer       = 480
-	zipfExponent    = 0.8
-	uniqueBlocks    = uniqueTokens / BlockTokens
-	promptTokens    = sharedBlocks*BlockTokens + uniqueTokens
-	estimatedTokens = promptTokens + meanAnswer
+	promptKinds        = 96
+	sharedPrefixBlocks = 16
+	uniqueTokens       = 160
+	meanOutputTokens   = 120
+	minOutputTokens    = 16
+	maxOutputTokens    = 480
+	zipfExponent       = 0.8
+	uniqueBlocks       = uniqueTokens / TokensPerBlock
+	promptTokens       = sharedPrefixBlocks*TokensPerBlock + uniqueTokens
+	estimatedTokens    = promptTokens + meanOutputTokens
 )
 
 // job is one request of a caller.
@@ -36,54 +36,54 @@
 	arrival      time.Time
 	blocks       []uint64
 	promptTokens int
-	answerTokens int
-	answered     bool // counted already
+	outputTokens int
+	recorded     bool // counted already
 }
 
 // workload draws requests with Poisson arrivals.
 type workload struct {
-	rng     *rand.Rand
-	serial  uint64
-	popular []float64 // cumulative probability of kinds
+	rng               *rand.Rand
+	lastSerial        uint64
+	cumulativeWeights []float64 // cumulative probability of kinds
 }
 
 func newWorkload(seed uint64) *workload {
 	w := &workload{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15))}
 	sum := 0.0
-	for i := range kinds {
+	for i := range promptKinds {
 		sum += math.Pow(float64(i+1), -zipfExponent)
-		w.popular = append(w.popular, sum)
+		w.cumulativeWeights = append(w.cumulativeWeights, sum)
 	}
 	return w
 }
 
-// gap draws the time to the next arrival.
-func (w *workload) gap(perSecond float64) time.Duration {
+// drawInterval draws the time to the next arrival.
+func (w *workload) drawInterval(perSecond float64) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-func (w *workload) kind() int {
-	x := w.rng.Float64() * w.popular[kinds-1]
-	for i, sum := range w.popular {
+func (w *workload) drawKind() int {
+	x := w.rng.Float64() * w.cumulativeWeights[promptKinds-1]
+	for i, sum := range w.cumulativeWeights {
 		if x < sum {
 			return i
 		}
 	}
-	return kinds - 1
+	return promptKinds - 1
 }
 
-func (w *workload) next(now time.Time, tenant model.Tenant) *job {
-	w.serial++
-	kind := uint64(w.kind())
+func (w *workload) newJob(now time.Time, tenant model.Tenant) *job {
+	w.lastSerial++
+	kind := uint64(w.drawKind())
 	j := &job{tenant: tenant, arrival: now, promptTokens: promptTokens}
-	j.id = requestID(w.serial)
-	for b := range uint64(sharedBlocks) {
+	j.id = requestID(w.lastSerial)
+	for b := range uint64(sharedPrefixBlocks) {
 		j.blocks = append(j.blocks, (kind+1)<<40|b+1)
 	}
 	for b := range uint64(uniqueBlocks) {
-		j.blocks = append(j.blocks, 1<<62|w.serial<<8|b)
+		j.blocks = append(j.blocks, 1<<62|w.lastSerial<<8|b)
 	}
-	length := w.rng.ExpFloat64() * (meanAnswer - minAnswer)
-	j.answerTokens = min(maxAnswer, minAnswer+int(length))
+	length := w.rng.ExpFloat64() * (meanOutputTokens - minOutputTokens)
+	j.outputTokens = min(maxOutputTokens, minOutputTokens+int(length))
 	return j
 }
--- a/internal/measure/latency/latency.go
+++ b/internal/measure/latency/latency.go
@@ -24,8 +24,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// maxMedian is the target for the added time at the median, in microseconds.
-const maxMedian = 300
+// maxAddedMedianMicros is the target for the added time at the median, in microseconds.
+const maxAddedMedianMicros = 300
 
 type options struct {
 	requests, callers int
@@ -67,20 +67,20 @@
 	}
 	client := deployment.NewClient()
 	defer client.Close()
-	through := func(i int) error { return call(ctx, client, d, i) }
+	through := func(i int) error { return sendThroughEntry(ctx, client, d, i) }
 	if err := waitReady(ctx, through); err != nil {
 		return err
 	}
-	direct := func(int) error { return post(ctx, d.Agents[0].Service.URL()+"/"+deployment.OrderService) }
-	before, err := timed(o.requests, direct)
+	direct := func(int) error { return sendDirect(ctx, d.Agents[0].Service.URL()+"/"+deployment.OrderService) }
+	before, err := measureTimes(o.requests, direct)
 	if err != nil {
 		return err
 	}
-	after, err := timed(o.requests, through)
+	after, err := measureTimes(o.requests, through)
 	if err != nil {
 		return err
 	}
-	rate, err := perCore(o, through)
+	rate, err := measureRequestsPerCore(o, through)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 		name  string
 		at    float64
 		bound *figure.Bound
-	}{{"added_time_median", 0.5, figure.AtMost(maxMedian)}, {"added_time_p99", 0.99, nil}} {
+	}{{"added_time_median", 0.5, figure.AtMost(maxAddedMedianMicros)}, {"added_time_p99", 0.99, nil}} {
 		base := micros(quantile(direct, q.at))
 		f := figure.Figure{Name: q.name, Value: micros(quantile(through, q.at)) - base, Unit: "us", Bound: q.bound, Baseline: &base}
 		if err := p.Print(f); err != nil {
@@ -126,8 +126,8 @@
 	}
 }
 
-// timed sends requests one after another and returns their sorted times.
-func timed(n int, send func(int) error) ([]time.Duration, error) {
+// measureTimes sends requests one after another and returns their sorted times.
+func measureTimes(n int, send func(int) error) ([]time.Duration, error) {
 	times := make([]time.Duration, 0, n)
 	for i := range n {
 		begun := time.Now()
@@ -140,12 +140,12 @@
 	return times, nil
 }
 
-// perCore returns the requests per second and core of the whole process: callers,
+// measureRequestsPerCore returns the requests per second and core of the whole process: callers,
 // entry, agent and backend server together, so it is a lower bound for an entry.
-func perCore(o options, send func(int) error) (float64, error) {
+func measureRequestsPerCore(o options, send func(int) error) (float64, error) {
 	var callers sync.WaitGroup
 	errs := make(chan error, o.callers)
-	cpu := measurerun.ProcessorTime()
+	cpu := measurerun.CPUTime()
 	for c := range o.callers {
 		callers.Go(func() {
 			for i := range o.requests / o.callers {
@@ -161,10 +161,10 @@
 	if err := <-errs; err != nil {
 		return 0, err
 	}
-	return float64(o.requests) / (measurerun.ProcessorTime() - cpu).Seconds(), nil
+	return float64(o.requests) / (measurerun.CPUTime() - cpu).Seconds(), nil
 }
 
-func call(ctx context.Context, client *deployment.Client, d *deployment.Deployment, i int) error {
+func sendThroughEntry(ctx context.Context, client *deployment.Client, d *deployment.Deployment, i int) error {
 	a := client.Send(ctx, d.Entries[0].URL, deployment.Call{
 		Service: deployment.OrderService, Tenant: deployment.TenantLarge,
 		RequestID: fmt.Sprintf("request-%d", i), Body: []byte("{}"),
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func post(ctx context.Context, url string) error {
+func sendDirect(ctx context.Context, url string) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte("{}")))
 	if err != nil {
 		return err
--- a/internal/measure/overload/command.go
+++ b/internal/measure/overload/command.go
@@ -15,10 +15,10 @@
 
 // Stated targets.
 const (
-	overloadFactor   = 1.5
-	goodputTarget    = 0.9
-	aggressorFactor  = 10
-	withinShareLimit = 0.95
+	overloadFactor  = 1.5
+	minGoodputRatio = 0.9
+	aggressorFactor = 10
+	minInTimeShare  = 0.95
 )
 
 // searchStep is the precision of the capacity search in requests per second.
@@ -40,13 +40,13 @@
 }
 
 func run(w io.Writer, seed uint64) error {
-	capacity := fleet.Capacity(fleet.Config{}, fleet.SearchSeeds(seed), searchStep)
-	figures := append(goodput(seed, capacity), fairness(seed, capacity)...)
-	return fleet.Print(w, figures)
+	capacity := fleet.FindCapacity(fleet.Config{}, fleet.SearchSeeds(seed), searchStep)
+	figures := append(measureGoodput(seed, capacity), measureFairness(seed, capacity)...)
+	return fleet.PrintFigures(w, figures)
 }
 
-// goodput compares the answers in time at and past capacity.
-func goodput(seed uint64, capacity float64) []figure.Figure {
+// measureGoodput compares the answers in time at and past capacity.
+func measureGoodput(seed uint64, capacity float64) []figure.Figure {
 	at := func(rate float64, baseline bool) fleet.Result {
 		return fleet.Run(fleet.Config{Seed: seed, Rates: fleet.EvenRates(rate), Baseline: baseline})
 	}
@@ -55,45 +55,45 @@
 	refusal := float64(fleet.Quantile(over.RefusalDelay, 0.99).Microseconds()) / 1000
 	total := over.Total()
 	return []figure.Figure{
-		fleet.Against(figure.Figure{Name: "overload_goodput_at_capacity", Value: full.Goodput(), Unit: "answers/s"}, plainFull.Goodput()),
-		fleet.Against(figure.Figure{Name: "overload_goodput_at_1_5x", Value: over.Goodput(), Unit: "answers/s"}, plainOver.Goodput()),
-		fleet.Against(figure.Figure{Name: "overload_goodput_ratio", Value: over.Goodput() / full.Goodput(), Unit: "share", Bound: figure.AtLeast(goodputTarget)}, plainOver.Goodput()/full.Goodput()),
+		fleet.WithBaseline(figure.Figure{Name: "overload_goodput_at_capacity", Value: full.Goodput(), Unit: "answers/s"}, plainFull.Goodput()),
+		fleet.WithBaseline(figure.Figure{Name: "overload_goodput_at_1_5x", Value: over.Goodput(), Unit: "answers/s"}, plainOver.Goodput()),
+		fleet.WithBaseline(figure.Figure{Name: "overload_goodput_ratio", Value: over.Goodput() / full.Goodput(), Unit: "share", Bound: figure.AtLeast(minGoodputRatio)}, plainOver.Goodput()/full.Goodput()),
 		{Name: "overload_late_share_at_1_5x", Value: float64(total.Late) / float64(total.Offered), Unit: "share"},
 		{Name: "overload_refusal_delay_p99", Value: refusal, Unit: "ms"},
-		{Name: "overload_prefix_hit_share_at_1_5x", Value: over.HitShare, Unit: "share"},
+		{Name: "overload_prefix_hit_share_at_1_5x", Value: over.PrefixHitRatio, Unit: "share"},
 	}
 }
 
-// fairnessTime is long enough for the arrivals of a tenant to come close to
+// fairnessWindow is long enough for the arrivals of a tenant to come close to
 // their mean: some 3000 requests.
-const fairnessTime = 180 * time.Second
+const fairnessWindow = 180 * time.Second
 
-// fairness has one tenant send a multiple of its share while all others send
+// measureFairness has one tenant send a multiple of its share while all others send
 // theirs on average. Arrivals are random, so some of the others send more than
 // their share; these are not within it and count in the second figure only.
-func fairness(seed uint64, capacity float64) []figure.Figure {
+func measureFairness(seed uint64, capacity float64) []figure.Figure {
 	rates := fleet.EvenRates(capacity)
-	rates[fleet.Tenant(0)] *= aggressorFactor
-	share := int(capacity / fleet.Tenants * fairnessTime.Seconds())
+	rates[fleet.TenantName(0)] *= aggressorFactor
+	share := int(capacity / fleet.NumTenants * fairnessWindow.Seconds())
 	lowest := func(baseline bool) (within, all, mean float64) {
-		r := fleet.Run(fleet.Config{Seed: seed, Rates: rates, Measured: fairnessTime, Baseline: baseline})
+		r := fleet.Run(fleet.Config{Seed: seed, Rates: rates, Window: fairnessWindow, Baseline: baseline})
 		within, all = 1, 1
-		for n := 1; n < fleet.Tenants; n++ {
-			counts := r.Tenants[fleet.Tenant(n)]
+		for n := 1; n < fleet.NumTenants; n++ {
+			counts := r.Tenants[fleet.TenantName(n)]
 			inTime := counts.InTimeShare()
 			if counts.Offered <= share {
 				within = min(within, inTime)
 			}
 			all = min(all, inTime)
-			mean += inTime / (fleet.Tenants - 1)
+			mean += inTime / (fleet.NumTenants - 1)
 		}
 		return within, all, mean
 	}
 	within, all, mean := lowest(false)
 	plainWithin, plainAll, plainMean := lowest(true)
 	return []figure.Figure{
-		fleet.Against(figure.Figure{Name: "overload_within_share_in_time_min", Value: within, Unit: "share", Bound: figure.AtLeast(withinShareLimit)}, plainWithin),
-		fleet.Against(figure.Figure{Name: "overload_about_share_in_time_min", Value: all, Unit: "share"}, plainAll),
-		fleet.Against(figure.Figure{Name: "overload_about_share_in_time_mean", Value: mean, Unit: "share"}, plainMean),
+		fleet.WithBaseline(figure.Figure{Name: "overload_within_share_in_time_min", Value: within, Unit: "share", Bound: figure.AtLeast(minInTimeShare)}, plainWithin),
+		fleet.WithBaseline(figure.Figure{Name: "overload_about_share_in_time_min", Value: all, Unit: "share"}, plainAll),
+		fleet.WithBaseline(figure.Figure{Name: "overload_about_share_in_time_mean", Value: mean, Unit: "share"}, plainMean),
 	}
 }
--- a/internal/measure/poison/poison.go
+++ b/internal/measure/poison/poison.go
@@ -31,9 +31,9 @@
 			ours, plain := Total{}, Total{}
 			for i := range rounds {
 				p.Seed = seed + uint64(i)
-				p.Plain = false
+				p.Baseline = false
 				ours.add(Simulate(p))
-				p.Plain = true
+				p.Baseline = true
 				plain.add(Simulate(p))
 			}
 			return printFigures(cmd.OutOrStdout(), ours, plain)
@@ -42,10 +42,10 @@
 	flags := cmd.Flags()
 	flags.IntVar(&p.Entries, "entries", defaultEntries, "entry instances")
 	flags.IntVar(&p.Agents, "agents", defaultAgents, "backend servers")
-	flags.IntVar(&p.Sends, "sends", defaultSends, "times that the caller sends the request")
+	flags.IntVar(&p.SendsPerCaller, "sends", defaultSends, "times that the caller sends the request")
 	flags.IntVar(&p.Callers, "callers", 1, "callers that send the request at the same time")
 	flags.DurationVar(&p.Settle, "settle", 500*time.Millisecond, "poison.Config.Settle")
-	flags.DurationVar(&p.Start, "start", time.Second, "simulated time at which the callers begin")
+	flags.DurationVar(&p.StartDelay, "start", time.Second, "simulated time at which the callers begin")
 	flags.IntVar(&rounds, "rounds", rounds, "simulated runs")
 	flags.Uint64Var(&seed, "seed", seed, "seed of the first run")
 	return cmd
--- a/internal/measure/poison/simulate.go
+++ b/internal/measure/poison/simulate.go
@@ -17,33 +17,33 @@
 	rng     *rand.Rand
 	now     time.Time
 	start   time.Time
-	queue   schedule
+	queue   eventQueue
 	entries []*poison.Monitor
-	agents  []*server
+	agents  []*backendServer
 	result  Result
 }
 
-// server is one backend server with its agent.
-type server struct {
-	id          model.InstanceID
-	incarnation uint64
-	down        bool
-	running     map[*request]int // value: entry
-	entries     []int            // that the agent is connected to, besides dispatchers
+// backendServer is one backend server with its agent.
+type backendServer struct {
+	id               model.InstanceID
+	incarnation      uint64
+	down             bool
+	running          map[*request]int // value: entry
+	connectedEntries []int            // that the agent is connected to, besides dispatchers
 }
 
 // request is one sending of a request.
 type request struct {
-	finger  model.Fingerprint
-	poison  bool
-	suspect bool // of the current dispatch
-	begun   time.Time
-	retries int
-	done    func(outcome.Outcome)
+	fingerprint model.Fingerprint
+	poison      bool
+	suspect     bool // of the current dispatch
+	startedAt   time.Time
+	retries     int
+	onDone      func(outcome.Outcome)
 }
 
 // runsSuspect is the check of the agent's gate.
-func (a *server) runsSuspect() bool {
+func (a *backendServer) runsSuspect() bool {
 	for r := range a.running {
 		if r.suspect {
 			return true
@@ -60,47 +60,47 @@
 		s.entries = append(s.entries, poison.New(poison.Config{Settle: p.Settle}, model.InstanceID(fmt.Sprintf("entry-%d", i)), model.Generation(i+1)))
 	}
 	for i := range p.Agents {
-		a := &server{id: model.InstanceID(fmt.Sprintf("agent-%d", i)), running: make(map[*request]int)}
-		a.entries = []int{s.rng.IntN(p.Entries), s.rng.IntN(p.Entries)}
+		a := &backendServer{id: model.InstanceID(fmt.Sprintf("agent-%d", i)), running: make(map[*request]int)}
+		a.connectedEntries = []int{s.rng.IntN(p.Entries), s.rng.IntN(p.Entries)}
 		s.agents = append(s.agents, a)
 	}
-	s.after(0, s.innocent)
-	s.after(s.Start, func() {
+	s.after(0, s.sendInnocent)
+	s.after(s.StartDelay, func() {
 		for range max(p.Callers, 1) {
-			s.sendPoison(p.Sends)
+			s.sendPoison(p.SendsPerCaller)
 		}
 	})
 	for s.queue.Len() > 0 {
 		e := s.queue.next()
-		if e.at.Sub(s.start) > duration {
+		if e.at.Sub(s.start) > simulatedTime {
 			break
 		}
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	return s.result
 }
 
 func (s *simulation) after(d time.Duration, do func()) { s.queue.add(s.now.Add(d), do) }
 
-func (s *simulation) upTo(d time.Duration) time.Duration {
+func (s *simulation) randomDelay(d time.Duration) time.Duration {
 	return time.Duration(s.rng.Int64N(int64(d))) + 1
 }
 
-func (s *simulation) innocent() {
-	if s.now.Sub(s.start) < duration-giveUpAfter-innocentRun {
-		s.after(s.upTo(2*innocentEvery), s.innocent)
+func (s *simulation) sendInnocent() {
+	if s.now.Sub(s.start) < simulatedTime-requestTimeout-maxInnocentRunTime {
+		s.after(s.randomDelay(2*innocentInterval), s.sendInnocent)
 	}
-	body := fmt.Appendf(nil, "content %d", s.rng.IntN(contents))
+	body := fmt.Appendf(nil, "content %d", s.rng.IntN(innocentContents))
 	s.result.Innocents++
-	r := &request{finger: model.FingerprintOf("t", "s", body), begun: s.now}
-	r.done = func(o outcome.Outcome) {
+	r := &request{fingerprint: model.FingerprintOf("t", "s", body), startedAt: s.now}
+	r.onDone = func(o outcome.Outcome) {
 		if o == outcome.Completed {
 			s.result.Answered++
-			s.result.MaxDelay = max(s.result.MaxDelay, s.now.Sub(r.begun))
+			s.result.MaxDelay = max(s.result.MaxDelay, s.now.Sub(r.startedAt))
 		}
 	}
-	s.try(s.rng.IntN(s.Entries), r)
+	s.attempt(s.rng.IntN(s.Entries), r)
 }
 
 // sendPoison is a caller that sends its request again as soon as it has the
@@ -109,26 +109,26 @@
 	if left == 0 {
 		return
 	}
-	r := &request{finger: model.FingerprintOf("t", "s", []byte("poison")), poison: true, begun: s.now}
-	r.done = func(outcome.Outcome) { s.after(s.upTo(2*latency), func() { s.sendPoison(left - 1) }) }
-	s.try(s.rng.IntN(s.Entries), r)
+	r := &request{fingerprint: model.FingerprintOf("t", "s", []byte("poison")), poison: true, startedAt: s.now}
+	r.onDone = func(outcome.Outcome) { s.after(s.randomDelay(2*maxLatency), func() { s.sendPoison(left - 1) }) }
+	s.attempt(s.rng.IntN(s.Entries), r)
 }
 
-// try dispatches a request at an entry, or asks again when it is held.
-func (s *simulation) try(entry int, r *request) {
-	if s.now.Sub(r.begun) > giveUpAfter {
-		s.broadcast(entry, s.entries[entry].Withdraw(s.now, r.finger))
-		r.done(outcome.NotRun)
+// attempt dispatches a request at an entry, or asks again when it is held.
+func (s *simulation) attempt(entry int, r *request) {
+	if s.now.Sub(r.startedAt) > requestTimeout {
+		s.broadcast(entry, s.entries[entry].Withdraw(s.now, r.fingerprint))
+		r.onDone(outcome.NotRun)
 		return
 	}
 	for _, i := range s.rng.Perm(len(s.agents)) {
 		a := s.agents[i]
-		if a.down || len(a.running) >= slots {
+		if a.down || len(a.running) >= serverSlots {
 			continue
 		}
 		v := poison.Verdict{}
-		if !s.Plain {
-			v = s.entries[entry].Verdict(s.now, r.finger, a.id)
+		if !s.Baseline {
+			v = s.entries[entry].Verdict(s.now, r.fingerprint, a.id)
 			s.broadcast(entry, v.Update)
 		}
 		switch v.Decision {
@@ -137,63 +137,63 @@
 			s.dispatch(entry, a, r)
 			return
 		case poison.Hold:
-			s.queue.add(v.Until, func() { s.try(entry, r) })
+			s.queue.add(v.Until, func() { s.attempt(entry, r) })
 			return
 		case poison.Quarantined:
 			if !r.poison {
 				s.result.Quarantined++
 			}
-			r.done(outcome.NotRun)
+			r.onDone(outcome.NotRun)
 			return
 		}
 	}
-	s.after(latency, func() { s.try(entry, r) })
+	s.after(maxLatency, func() { s.attempt(entry, r) })
 }
 
-func (s *simulation) dispatch(entry int, a *server, r *request) {
-	s.broadcast(entry, s.entries[entry].Started(s.now, r.finger, a.id))
+func (s *simulation) dispatch(entry int, a *backendServer, r *request) {
+	s.broadcast(entry, s.entries[entry].Started(s.now, r.fingerprint, a.id))
 	if r.suspect && a.runsSuspect() {
-		s.after(s.upTo(2*latency), func() { s.finish(entry, a, r, outcome.NotRun) })
+		s.after(s.randomDelay(2*maxLatency), func() { s.finish(entry, a, r, outcome.NotRun) })
 		return
 	}
 	a.running[r] = entry
 	if r.poison && !r.suspect {
-		s.result.Unsuspected++
+		s.result.UnsuspectedDispatches++
 	}
 	incarnation := a.incarnation
 	if r.poison {
-		s.after(s.upTo(crashAfter), func() {
+		s.after(s.randomDelay(maxCrashDelay), func() {
 			if _, running := a.running[r]; running && a.incarnation == incarnation {
-				s.result.Lost++
+				s.result.LostServers++
 				s.crash(a)
 			}
 		})
 		return
 	}
-	s.after(s.upTo(innocentRun), func() {
+	s.after(s.randomDelay(maxInnocentRunTime), func() {
 		if _, running := a.running[r]; running && a.incarnation == incarnation {
 			delete(a.running, r)
-			s.after(s.upTo(latency), func() { s.finish(entry, a, r, outcome.Completed) })
+			s.after(s.randomDelay(maxLatency), func() { s.finish(entry, a, r, outcome.Completed) })
 		}
 	})
 }
 
 // crash ends everything on a backend server. Each entry hears of the end of its
 // attempts and of the crash itself in any order.
-func (s *simulation) crash(a *server) {
+func (s *simulation) crash(a *backendServer) {
 	report := wire.CrashReport{Incarnation: a.incarnation}
 	entries := make(map[int]bool)
-	for _, e := range a.entries {
+	for _, e := range a.connectedEntries {
 		entries[e] = true
 	}
 	for r, entry := range a.running {
-		report.InFlight = append(report.InFlight, r.finger)
+		report.InFlight = append(report.InFlight, r.fingerprint)
 		entries[entry] = true
-		s.after(s.upTo(latency), func() { s.finish(entry, a, r, outcome.Unknown) })
+		s.after(s.randomDelay(maxLatency), func() { s.finish(entry, a, r, outcome.Unknown) })
 	}
 	for e := range s.Entries {
-		if entries[e] && !s.Plain {
-			s.after(s.upTo(latency), func() { s.broadcast(e, s.entries[e].Crashed(s.now, a.id, 1, report)) })
+		if entries[e] && !s.Baseline {
+			s.after(s.randomDelay(maxLatency), func() { s.broadcast(e, s.entries[e].Crashed(s.now, a.id, 1, report)) })
 		}
 	}
 	a.running = make(map[*request]int)
@@ -202,28 +202,28 @@
 	s.after(restartTime, func() { a.down = false })
 }
 
-func (s *simulation) finish(entry int, a *server, r *request, o outcome.Outcome) {
-	s.broadcast(entry, s.entries[entry].Finished(s.now, r.finger, a.id, o))
-	if o == outcome.Completed || s.Plain && r.retries >= plainRetries {
-		r.done(o)
+func (s *simulation) finish(entry int, a *backendServer, r *request, o outcome.Outcome) {
+	s.broadcast(entry, s.entries[entry].Finished(s.now, r.fingerprint, a.id, o))
+	if o == outcome.Completed || s.Baseline && r.retries >= baselineRetries {
+		r.onDone(o)
 		return
 	}
 	r.retries++
-	s.try(entry, r)
+	s.attempt(entry, r)
 }
 
 // broadcast sends an update to all other entries, each after its own latency.
 func (s *simulation) broadcast(from int, update *wire.SuspectUpdate) {
-	if update == nil || s.Plain {
+	if update == nil || s.Baseline {
 		return
 	}
-	delay := latency
+	delay := maxLatency
 	if s.SlowUpdates {
 		delay = s.Settle / 2
 	}
 	for to := range s.entries {
 		if to != from {
-			s.after(s.upTo(delay), func() { s.broadcast(to, s.entries[to].Merge(s.now, *update)) })
+			s.after(s.randomDelay(delay), func() { s.broadcast(to, s.entries[to].Merge(s.now, *update)) })
 		}
 	}
 }
--- a/internal/measure/poison/suite_test.go
+++ b/internal/measure/poison/suite_test.go
@@ -21,7 +21,7 @@
 
 var _ = Describe("one poison request, 4 entries, 30 agents", func() {
 	params := func(callers int, slow bool, seed uint64) Params {
-		return Params{Entries: 4, Agents: 30, Callers: callers, Sends: 10, Settle: testSettle, Start: time.Second, SlowUpdates: slow, Seed: seed}
+		return Params{Entries: 4, Agents: 30, Callers: callers, SendsPerCaller: 10, Settle: testSettle, StartDelay: time.Second, SlowUpdates: slow, Seed: seed}
 	}
 
 	// Guards against more than two lost backend servers when the caller sends
@@ -29,8 +29,8 @@
 	DescribeTable("loses at most two backend servers and no innocent request", func(slow bool) {
 		for seed := range uint64(testSeeds) {
 			r := Simulate(params(1, slow, seed))
-			Expect(r.Lost).To(Equal(2), "seed %d", seed)
-			Expect(r.Unsuspected).To(Equal(1), "seed %d", seed)
+			Expect(r.LostServers).To(Equal(2), "seed %d", seed)
+			Expect(r.UnsuspectedDispatches).To(Equal(1), "seed %d", seed)
 			Expect(r.Quarantined).To(BeZero(), "seed %d", seed)
 			Expect(r.Answered).To(Equal(r.Innocents), "seed %d", seed)
 		}
@@ -41,8 +41,8 @@
 	DescribeTable("loses no more than the concurrent first dispatches, or two", func(callers int) {
 		for seed := range uint64(testSeeds) {
 			r := Simulate(params(callers, true, seed))
-			Expect(r.Unsuspected).To(BeNumerically("<=", callers), "seed %d", seed)
-			Expect(r.Lost).To(BeNumerically("<=", max(2, callers)), "seed %d", seed)
+			Expect(r.UnsuspectedDispatches).To(BeNumerically("<=", callers), "seed %d", seed)
+			Expect(r.LostServers).To(BeNumerically("<=", max(2, callers)), "seed %d", seed)
 		}
 	}, Entry("two", 2), Entry("four", 4))
 
@@ -51,7 +51,7 @@
 	It("does not quarantine content that was answered before", func() {
 		for seed := range uint64(testSeeds) {
 			p := params(2, false, seed)
-			p.Start = 15 * time.Second
+			p.StartDelay = 15 * time.Second
 			Expect(Simulate(p).Quarantined).To(BeZero(), "seed %d", seed)
 		}
 	})
@@ -59,8 +59,8 @@
 	// Guards against a simulation that would pass whatever the monitors do.
 	It("loses more without the monitors", func() {
 		p := params(1, false, 1)
-		p.Plain = true
-		Expect(Simulate(p).Lost).To(Equal(p.Sends * (1 + plainRetries)))
+		p.Baseline = true
+		Expect(Simulate(p).LostServers).To(Equal(p.SendsPerCaller * (1 + baselineRetries)))
 	})
 
 	It("prints its figures", func() {
--- a/internal/measure/poison/total.go
+++ b/internal/measure/poison/total.go
@@ -5,14 +5,14 @@
 // Total sums the results of several runs.
 type Total struct {
 	Result
-	Rounds  int
-	MaxLost int
+	Rounds         int
+	MaxLostServers int
 }
 
 func (t *Total) add(r Result) {
 	t.Rounds++
-	t.Lost += r.Lost
-	t.MaxLost = max(t.MaxLost, r.Lost)
+	t.LostServers += r.LostServers
+	t.MaxLostServers = max(t.MaxLostServers, r.LostServers)
 	t.Innocents += r.Innocents
 	t.Answered += r.Answered
 	t.Quarantined += r.Quarantined
@@ -21,14 +21,14 @@
 
 func (t *Total) mean(sum int) float64 { return float64(sum) / float64(max(t.Rounds, 1)) }
 
-func (t *Total) answered() float64 { return float64(t.Answered) / float64(max(t.Innocents, 1)) }
+func (t *Total) answeredShare() float64 { return float64(t.Answered) / float64(max(t.Innocents, 1)) }
 
 // Result is what one run came to.
 type Result struct {
-	// Lost counts backend servers that the request crashed.
-	Lost int
-	// Unsuspected counts its dispatches at entries that knew of no crash.
-	Unsuspected int
+	// LostServers counts backend servers that the request crashed.
+	LostServers int
+	// UnsuspectedDispatches counts its dispatches at entries that knew of no crash.
+	UnsuspectedDispatches int
 	// Innocents counts the other requests, Answered those that were answered,
 	// Quarantined those that were refused as quarantined.
 	Innocents   int
--- a/internal/measure/route/command.go
+++ b/internal/measure/route/command.go
@@ -31,19 +31,19 @@
 const searchStep = 2
 
 func run(w io.Writer, seed uint64) error {
-	figures := atCapacity(seed)
-	figures = append(figures, pickTime(seed))
-	figures = append(figures, subsets(seed)...)
-	return fleet.Print(w, figures)
+	figures := measureAtCapacity(seed)
+	figures = append(figures, measurePickTime(seed))
+	figures = append(figures, measureSubsets(seed)...)
+	return fleet.PrintFigures(w, figures)
 }
 
-// atCapacity runs the system and both baselines at the system's capacity.
-func atCapacity(seed uint64) []figure.Figure {
+// measureAtCapacity runs the system and both baselines at the system's capacity.
+func measureAtCapacity(seed uint64) []figure.Figure {
 	seeds := fleet.SearchSeeds(seed)
-	capacity := fleet.Capacity(fleet.Config{}, seeds, searchStep)
-	plain := fleet.Capacity(fleet.Config{Baseline: true}, seeds, searchStep)
-	uneven := fleet.Capacity(fleet.Config{Uneven: true}, seeds, searchStep)
-	plainUneven := fleet.Capacity(fleet.Config{Uneven: true, Baseline: true}, seeds, searchStep)
+	capacity := fleet.FindCapacity(fleet.Config{}, seeds, searchStep)
+	plain := fleet.FindCapacity(fleet.Config{Baseline: true}, seeds, searchStep)
+	uneven := fleet.FindCapacity(fleet.Config{UnevenEngines: true}, seeds, searchStep)
+	plainUneven := fleet.FindCapacity(fleet.Config{UnevenEngines: true, Baseline: true}, seeds, searchStep)
 	rates := fleet.EvenRates(capacity)
 	system := fleet.Run(fleet.Config{Seed: seed, Rates: rates})
 	baseline := fleet.Run(fleet.Config{Seed: seed, Rates: rates, Baseline: true})
@@ -59,14 +59,14 @@
 	first := float64(fleet.FirstTokenTarget.Milliseconds())
 	between := float64(fleet.BetweenTokensTarget.Milliseconds())
 	return []figure.Figure{
-		fleet.Against(figure.Figure{Name: "route_capacity", Value: capacity, Unit: "requests/s"}, plain),
-		fleet.Against(figure.Figure{Name: "route_capacity_uneven_engines", Value: uneven, Unit: "requests/s"}, plainUneven),
-		fleet.Against(figure.Figure{Name: "route_in_time_at_capacity", Value: system.Total().InTimeShare(), Unit: "share", Bound: figure.AtLeast(fleet.InTimeTarget)}, baseline.Total().InTimeShare()),
-		fleet.Against(figure.Figure{Name: "route_first_token_p95_at_capacity", Value: millis(system, false), Unit: "ms", Bound: figure.AtMost(first)}, millis(baseline, false)),
-		fleet.Against(figure.Figure{Name: "route_between_tokens_p95_at_capacity", Value: millis(system, true), Unit: "ms", Bound: figure.AtMost(between)}, millis(baseline, true)),
-		fleet.Against(figure.Figure{Name: "route_prefix_hit_share", Value: system.HitShare, Unit: "share"}, baseline.HitShare),
-		fleet.Against(figure.Figure{Name: "route_prefix_hit_share_without_affinity", Value: blind.HitShare, Unit: "share"}, baseline.HitShare),
-		fleet.Against(figure.Figure{Name: "route_in_time_without_affinity", Value: blind.Total().InTimeShare(), Unit: "share"}, baseline.Total().InTimeShare()),
-		fleet.Against(figure.Figure{Name: "route_imbalance", Value: system.Imbalance, Unit: "max/mean"}, baseline.Imbalance),
+		fleet.WithBaseline(figure.Figure{Name: "route_capacity", Value: capacity, Unit: "requests/s"}, plain),
+		fleet.WithBaseline(figure.Figure{Name: "route_capacity_uneven_engines", Value: uneven, Unit: "requests/s"}, plainUneven),
+		fleet.WithBaseline(figure.Figure{Name: "route_in_time_at_capacity", Value: system.Total().InTimeShare(), Unit: "share", Bound: figure.AtLeast(fleet.InTimeTarget)}, baseline.Total().InTimeShare()),
+		fleet.WithBaseline(figure.Figure{Name: "route_first_token_p95_at_capacity", Value: millis(system, false), Unit: "ms", Bound: figure.AtMost(first)}, millis(baseline, false)),
+		fleet.WithBaseline(figure.Figure{Name: "route_between_tokens_p95_at_capacity", Value: millis(system, true), Unit: "ms", Bound: figure.AtMost(between)}, millis(baseline, true)),
+		fleet.WithBaseline(figure.Figure{Name: "route_prefix_hit_share", Value: system.PrefixHitRatio, Unit: "share"}, baseline.PrefixHitRatio),
+		fleet.WithBaseline(figure.Figure{Name: "route_prefix_hit_share_without_affinity", Value: blind.PrefixHitRatio, Unit: "share"}, baseline.PrefixHitRatio),
+		fleet.WithBaseline(figure.Figure{Name: "route_in_time_without_affinity", Value: blind.Total().InTimeShare(), Unit: "share"}, baseline.Total().InTimeShare()),
+		fleet.WithBaseline(figure.Figure{Name: "route_imbalance", Value: system.Imbalance, Unit: "max/mean"}, baseline.Imbalance),
 	}
 }
--- a/internal/measure/route/pick_time.go
+++ b/internal/measure/route/pick_time.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	pickInstances = 60
-	pickBatches   = 9
-	pickRounds    = 20_000 // per batch
-	pickBlocks    = 16
-	pickKinds     = 64
-	// pickBudget is the aim for one pick in microseconds.
-	pickBudget = 5
+	pickInstances    = 60
+	pickBatches      = 9
+	picksPerBatch    = 20_000 // per batch
+	pickPrefixBlocks = 16
+	pickPrefixes     = 64
+	// maxPickMicros is the aim for one pick in microseconds.
+	maxPickMicros = 5
 )
 
-// pickTime measures the time of one Pick, Started and Finished with 60 instances.
-func pickTime(seed uint64) figure.Figure {
+// measurePickTime measures the time of one Pick, Started and Finished with 60 instances.
+func measurePickTime(seed uint64) figure.Figure {
 	p := route.New(route.Config{}, rand.New(rand.NewPCG(seed, seed)))
 	now := time.Unix(0, 0)
 	weights := model.Weights{Base: model.Sum([]byte("base"))}
@@ -31,10 +31,10 @@
 		p.Update(now, route.Instance{ID: id, Generation: 1, Pool: "model", Live: []model.Weights{weights}})
 		p.RecordLoad(now, route.Key{Instance: id, Generation: 1}, route.LoadReport{Running: i % 16, Capacity: 64})
 	}
-	requests := make([]route.Request, pickKinds)
+	requests := make([]route.Request, pickPrefixes)
 	for k := range requests {
-		requests[k] = route.Request{Pool: "model", Weights: weights, AffinityBlocks: pickBlocks}
-		for b := range uint64(pickBlocks) {
+		requests[k] = route.Request{Pool: "model", Weights: weights, AffinityBlocks: pickPrefixBlocks}
+		for b := range uint64(pickPrefixBlocks) {
 			requests[k].Prefix = append(requests[k].Prefix, uint64(k)<<32|b)
 		}
 	}
@@ -42,8 +42,8 @@
 	batches := make([]time.Duration, pickBatches)
 	for b := range batches {
 		begin := time.Now()
-		for i := range pickRounds {
-			r := &requests[i%pickKinds]
+		for i := range picksPerBatch {
+			r := &requests[i%pickPrefixes]
 			choice, err := p.Pick(now, r)
 			if err != nil {
 				continue
@@ -51,8 +51,8 @@
 			p.Started(now, choice.Key, r.Prefix)
 			p.Finished(now, choice.Key, route.ResultOK)
 		}
-		batches[b] = time.Since(begin) / pickRounds
+		batches[b] = time.Since(begin) / picksPerBatch
 	}
 	micros := float64(fleet.Quantile(batches, 0.5).Nanoseconds()) / 1000
-	return figure.Figure{Name: "route_pick_time", Value: micros, Unit: "us", Bound: figure.AtMost(pickBudget)}
+	return figure.Figure{Name: "route_pick_time", Value: micros, Unit: "us", Bound: figure.AtMost(maxPickMicros)}
 }
--- a/internal/measure/route/subsets.go
+++ b/internal/measure/route/subsets.go
@@ -15,11 +15,11 @@
 const (
 	domainEntries = 40
 	domainAgents  = 667
-	// domainChanges is the number of changes over which movement is averaged.
+	// membershipChanges is the number of changes over which movement is averaged.
 	// Entries change in proportion to their number.
-	domainChanges = 1000
-	// maxMoved is the target for the connections that move per change.
-	maxMoved = 2
+	membershipChanges = 1000
+	// maxMovedPerChange is the target for the connections that move per change.
+	maxMovedPerChange = 2
 )
 
 // pools and the share of agents in each.
@@ -32,10 +32,10 @@
 type domain struct {
 	rng    *rand.Rand
 	serial int
-	// replaced counts the members that have left.
-	replaced int
-	entries  []model.InstanceID
-	agents   []subset.Agent
+	// departures counts the members that have left.
+	departures int
+	entries    []model.InstanceID
+	agents     []subset.Agent
 }
 
 func newDomain(seed uint64) *domain {
@@ -49,12 +49,12 @@
 	return d
 }
 
-func (d *domain) name(kind string) model.InstanceID {
+func (d *domain) newID(kind string) model.InstanceID {
 	d.serial++
 	return model.InstanceID(kind + strconv.Itoa(d.serial))
 }
 
-func (d *domain) addEntry() { d.entries = append(d.entries, d.name("entry-")) }
+func (d *domain) addEntry() { d.entries = append(d.entries, d.newID("entry-")) }
 
 func (d *domain) addAgent() {
 	x, pool := d.rng.Float64(), pools[0].name
@@ -64,34 +64,34 @@
 			break
 		}
 	}
-	d.agents = append(d.agents, subset.Agent{ID: d.name("agent-"), Pool: pool})
+	d.agents = append(d.agents, subset.Agent{ID: d.newID("agent-"), Pool: pool})
 }
 
-// change replaces members in turn: one leaves, then one of its kind joins.
+// applyChange replaces members in turn: one leaves, then one of its kind joins.
 // Entries are replaced in proportion to their number. It returns the number of
 // connections that the change takes from others.
-func (d *domain) change(plan subset.Plan) (lost int) {
+func (d *domain) applyChange(plan subset.Plan) (lost int) {
 	switch {
 	case len(d.entries) < domainEntries:
 		d.addEntry()
 	case len(d.agents) < domainAgents:
 		d.addAgent()
-	case d.replaced%((domainEntries+domainAgents)/domainEntries) == 0:
-		d.replaced++
+	case d.departures%((domainEntries+domainAgents)/domainEntries) == 0:
+		d.departures++
 		i := d.rng.IntN(len(d.entries))
 		lost = len(plan.Agents(d.entries[i]))
 		d.entries = slices.Delete(d.entries, i, i+1)
 	default:
-		d.replaced++
+		d.departures++
 		i := d.rng.IntN(len(d.agents))
 		d.agents = slices.Delete(d.agents, i, i+1)
 	}
 	return lost
 }
 
-// rehash is the baseline: members are dealt in order of their position, so a
+// assignByPosition is the baseline: members are dealt in order of their position, so a
 // change shifts all that follow.
-func (d *domain) rehash() map[[2]model.InstanceID]bool {
+func (d *domain) assignByPosition() map[[2]model.InstanceID]bool {
 	pairs := make(map[[2]model.InstanceID]bool)
 	for i, a := range d.agents {
 		for k := range subset.DefaultMinPerAgent {
@@ -101,14 +101,14 @@
 	return pairs
 }
 
-// subsets measures connections and their movement.
-func subsets(seed uint64) []figure.Figure {
+// measureSubsets measures connections and their movement.
+func measureSubsets(seed uint64) []figure.Figure {
 	d := newDomain(seed)
 	plan := subset.Assign(subset.Config{}, d.entries, d.agents)
-	dealt := d.rehash()
+	dealt := d.assignByPosition()
 	most, fewest := 0, len(d.entries)
 	moved, dealtMoved, lost := 0, 0, 0
-	for range domainChanges {
+	for range membershipChanges {
 		old := make(map[model.InstanceID]bool)
 		for _, e := range d.entries {
 			old[e] = true
@@ -116,11 +116,11 @@
 		for _, a := range d.agents {
 			old[a.ID] = true
 		}
-		lost += d.change(plan)
+		lost += d.applyChange(plan)
 		next := subset.Assign(subset.Config{}, d.entries, d.agents)
 		moved += next.CountMoved(plan, func(id model.InstanceID) bool { return !old[id] })
 		plan = next
-		now := d.rehash()
+		now := d.assignByPosition()
 		for pair := range now {
 			if !dealt[pair] && old[pair[0]] && old[pair[1]] {
 				dealtMoved++
@@ -138,11 +138,11 @@
 			fewest = min(fewest, reached[a.ID])
 		}
 	}
-	per := func(n int) float64 { return float64(n) / domainChanges }
+	per := func(n int) float64 { return float64(n) / membershipChanges }
 	return []figure.Figure{
 		{Name: "subset_connections_per_entry_max", Value: float64(most), Unit: "connections", Bound: figure.AtMost(subset.DefaultMaxPerEntry)},
 		{Name: "subset_entries_per_agent_min", Value: float64(fewest), Unit: "entries", Bound: figure.AtLeast(subset.DefaultMinPerAgent)},
-		fleet.Against(figure.Figure{Name: "subset_moved_per_change", Value: per(moved), Unit: "connections", Bound: figure.AtMost(maxMoved)}, per(dealtMoved)),
+		fleet.WithBaseline(figure.Figure{Name: "subset_moved_per_change", Value: per(moved), Unit: "connections", Bound: figure.AtMost(maxMovedPerChange)}, per(dealtMoved)),
 		// Agents that lose an entry need another: this part cannot be avoided.
 		{Name: "subset_lost_per_change", Value: per(lost), Unit: "connections"},
 	}
--- a/internal/measure/run/run.go
+++ b/internal/measure/run/run.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Pause waits, or returns the error of ctx.
-func Pause(ctx context.Context, d time.Duration) error {
+// Sleep waits, or returns the error of ctx.
+func Sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -17,8 +17,8 @@
 	}
 }
 
-// ProcessorTime returns the user and system time of this process.
-func ProcessorTime() time.Duration {
+// CPUTime returns the user and system time of this process.
+func CPUTime() time.Duration {
 	var usage syscall.Rusage
 	// Getrusage of the own process does not fail.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
