--- a/internal/measure/figure/figure.go
+++ b/internal/measure/figure/figure.go
@@ -1,5 +1,5 @@
-// Package figure prints measured figures, one JSON object a line, and remembers
-// which of them miss their bound.
+// Package figure prints measured figures as JSON lines and keeps track of those
+// outside their bounds.
 package figure
 
 import (
@@ -10,16 +10,17 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Bound limits a figure. It comes from the stated target.
+// Bound is the range that a stated target allows for a figure. Both limits are
+// inclusive.
 type Bound struct {
 	Max *float64 `json:"max,omitempty"`
 	Min *float64 `json:"min,omitempty"`
 }
 
-// AtMost returns an upper bound.
+// AtMost returns a Bound with the upper limit v.
 func AtMost(v float64) *Bound { return &Bound{Max: &v} }
 
-// AtLeast returns a lower bound.
+// AtLeast returns a Bound with the lower limit v.
 func AtLeast(v float64) *Bound { return &Bound{Min: &v} }
 
 // Figure is one measured value.
@@ -27,13 +28,13 @@
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	// Bound is null for a figure that is only reported.
+	// Bound is nil for a figure without a target.
 	Bound *Bound `json:"bound"`
-	// Baseline is the same figure of the compared method, or null.
+	// Baseline is the same figure for the method compared with, or nil.
 	Baseline *float64 `json:"baseline"`
 }
 
-// WithinBound reports whether the value keeps its bound.
+// WithinBound reports whether the value is within its bound, if it has one.
 func (f Figure) WithinBound() bool {
 	if f.Bound == nil {
 		return true
@@ -41,16 +42,17 @@
 	return (f.Bound.Max == nil || f.Value <= *f.Bound.Max) && (f.Bound.Min == nil || f.Value >= *f.Bound.Min)
 }
 
-// Printer writes figures. It is not safe for concurrent use.
+// Printer writes figures as JSON lines. It is not safe for concurrent use.
 type Printer struct {
 	out         io.Writer
-	outOfBounds []string
+	outOfBounds []string // names
 }
 
 // NewPrinter returns a Printer that writes to out.
 func NewPrinter(out io.Writer) *Printer { return &Printer{out: out} }
 
-// Print writes one figure as a line.
+// Print writes one figure as a line. A figure out of bounds is not an error here
+// but in Err.
 func (p *Printer) Print(f Figure) error {
 	if !f.WithinBound() {
 		p.outOfBounds = append(p.outOfBounds, f.Name)
@@ -58,7 +60,8 @@
 	return merry.Wrap(json.NewEncoder(p.out).Encode(f))
 }
 
-// Err returns an error that names the figures that missed their bounds, or nil.
+// Err returns an error that names the printed figures out of bounds, or nil if
+// there are none.
 func (p *Printer) Err() error {
 	if len(p.outOfBounds) == 0 {
 		return nil
