--- a/internal/measure/run/run.go
+++ b/internal/measure/run/run.go
@@ -1,4 +1,4 @@
-// Package run holds what several experiments need while they run.
+// Package run provides helpers shared by the experiments.
 package run
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits, or returns the error of ctx.
+// Sleep waits for d, or returns the error of ctx if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -17,10 +17,10 @@
 	}
 }
 
-// CPUTime returns the user and system time of this process.
+// CPUTime returns the user and system CPU time of this process.
 func CPUTime() time.Duration {
 	var usage syscall.Rusage
-	// Getrusage of the own process does not fail.
+	// Getrusage with RUSAGE_SELF does not fail.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
