--- a/internal/measure/fleet/block_cache.go
+++ b/internal/measure/fleet/block_cache.go
@@ -2,22 +2,22 @@
 
 import "container/list"
 
-// blockCache is a prefix cache of limited size with least recently used
-// eviction. It records changes for cache events.
+// blockCache is a prefix cache of limited size that evicts the least recently
+// used block. It logs its changes for cache events.
 type blockCache struct {
-	capacity int
+	capacity int        // in blocks
 	lru      *list.List // of uint64, most recently used in front
 	blocks   map[uint64]*list.Element
 	changes  []cacheChange
 }
 
-// cacheChange is one block that was stored or removed.
+// cacheChange records that one block was stored or removed.
 type cacheChange struct {
 	block   uint64
 	removed bool
 }
 
-// changesAfter returns the net changes since a position in the log.
+// changesAfter returns the net effect of the changes from position on.
 func (c *blockCache) changesAfter(position int) (stored, removed []uint64) {
 	seen := make(map[uint64]bool)
 	for _, ch := range c.changes[position:] {
@@ -34,12 +34,12 @@
 	return stored, removed
 }
 
-func newBlockCache(limit int) *blockCache {
-	return &blockCache{capacity: limit, lru: list.New(), blocks: make(map[uint64]*list.Element)}
+func newBlockCache(capacity int) *blockCache {
+	return &blockCache{capacity: capacity, lru: list.New(), blocks: make(map[uint64]*list.Element)}
 }
 
-// lookup returns how many leading blocks are cached and marks them as used,
-// tail first, so that a chain is evicted from its tail.
+// lookup returns how many leading blocks are cached. It marks them as used from
+// the last to the first, so that a prefix is evicted from its end.
 func (c *blockCache) lookup(blocks []uint64) int {
 	n := 0
 	for n < len(blocks) && c.blocks[blocks[n]] != nil {
--- a/internal/measure/fleet/cache_feed.go
+++ b/internal/measure/fleet/cache_feed.go
@@ -6,18 +6,18 @@
 	"github.com/auburnbend/auburnbend/lib/route"
 )
 
-// cacheFeed publishes the cache events of one engine to one entry: late, and
-// with losses that show as gaps.
+// cacheFeed delivers the cache events of one engine to one entry, with a delay
+// and with losses. The entry sees a loss as a gap in the sequence numbers.
 type cacheFeed struct {
 	entry     *entry
 	key       route.Key
 	rng       *rand.Rand
 	sequence  uint64
-	published int // changes of the cache that were published
+	published int // cache changes published so far
 	syncing   bool
 }
 
-// startCacheFeeds begins the feeds of all engines.
+// startCacheFeeds starts a feed from each engine.
 func (e *entry) startCacheFeeds() {
 	for i, key := range e.keys {
 		seed := e.sim.cfg.Seed + uint64(i)<<32
--- a/internal/measure/fleet/capacity.go
+++ b/internal/measure/fleet/capacity.go
@@ -6,16 +6,16 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// NumTenants is the number of teams that share a deployment.
+// NumTenants is the number of tenants that share a deployment.
 const NumTenants = 10
 
-// InTimeTarget is the share of answers that must be in time.
+// InTimeTarget is the share of requests that must have a response in time.
 const InTimeTarget = 0.95
 
-// TenantName returns the name of the n-th team.
+// TenantName returns the name of the n-th tenant.
 func TenantName(n int) model.Tenant { return model.Tenant("team-" + strconv.Itoa(n)) }
 
-// EvenRates divides a rate over all teams.
+// EvenRates divides a rate in requests per second evenly among all tenants.
 func EvenRates(perSecond float64) map[model.Tenant]float64 {
 	rates := make(map[model.Tenant]float64, NumTenants)
 	for n := range NumTenants {
@@ -24,8 +24,9 @@
 	return rates
 }
 
-// FindCapacity finds the highest rate in requests per second at which 95 in 100
-// answers are in time, to within step, for all seeds.
+// FindCapacity returns the highest rate in requests per second, to within step,
+// at which the share of requests with a response in time reaches InTimeTarget for
+// every seed.
 func FindCapacity(cfg Config, seeds []uint64, step float64) float64 {
 	low, high := step, step
 	for meetsTarget(cfg, seeds, high) {
@@ -54,7 +55,6 @@
 	return true
 }
 
-// SearchSeeds returns the seeds on which capacity is searched. They differ from
-// the seed of the measurement, so that the figures at capacity are not those
-// that the search selected.
+// SearchSeeds returns the seeds for FindCapacity. They differ from the seed of
+// the measurement, so that the search does not select the figures at capacity.
 func SearchSeeds(seed uint64) []uint64 { return []uint64{seed + 1001, seed + 1002} }
--- a/internal/measure/fleet/engine.go
+++ b/internal/measure/fleet/engine.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// sequence is one request on an engine.
+// sequence is the run of one request on an engine.
 type sequence struct {
 	job              *job
-	prefillRemaining int // prompt tokens that are not prefilled yet
-	generated        int // answer tokens
+	prefillRemaining int // prompt tokens not yet prefilled
+	generated        int // output tokens generated so far
 	submittedAt      time.Time
 	firstTokenAt     time.Time
 	lastTokenAt      time.Time
 	onFirstToken     func()
-	onProgress       func(tokens int, took time.Duration)
+	onProgress       func(tokens int, elapsed time.Duration)
 	onDone           func()
-	reportedAt       time.Time
+	reportedAt       time.Time // of the last onFirstToken or onProgress
 	reportedTokens   int
 }
 
-// tokensPerProgress is the number of tokens between two progress reports, which an
-// entry sees as frames.
+// tokensPerProgress is the number of tokens between two progress reports. An
+// entry receives each report as a frame.
 const tokensPerProgress = 8
 
-// engine batches continuously: each step gives one token to each decoding
-// sequence and prefills one chunk of waiting prompts.
+// engine models continuous batching: each step generates one token for each
+// decoding sequence and prefills up to one chunk of prompt tokens.
 type engine struct {
 	cfg      EngineConfig
 	clock    *scheduler
@@ -31,8 +31,9 @@
 	running  []*sequence
 	stepping bool
 
-	prefilledTokens, cachedTokens int // prompt tokens of all sequences
-	// sequenceTime sums the time that all sequences spent on the engine.
+	// prefilledTokens and cachedTokens count the prompt tokens of all sequences.
+	prefilledTokens, cachedTokens int
+	// sequenceTime sums the time spent on the engine over all sequences.
 	sequenceTime time.Duration
 }
 
@@ -49,7 +50,8 @@
 	}
 }
 
-// admit moves sequences into the batch and looks up their cached prefix.
+// admit moves waiting sequences into the batch while it has room and looks up
+// their cached prefixes.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.MaxBatch {
 		q := e.waiting[0]
@@ -62,7 +64,7 @@
 	}
 }
 
-// step runs one step and schedules the next.
+// step runs one step and schedules the next. It stops when no sequence is left.
 func (e *engine) step() {
 	e.admit()
 	if len(e.running) == 0 {
@@ -70,7 +72,7 @@
 		return
 	}
 	budget, decoding := e.cfg.PrefillChunk, 0
-	var finished []*sequence
+	var prefilled []*sequence // with the last of their prompt in this step
 	for _, q := range e.running {
 		if q.prefillRemaining == 0 {
 			decoding++
@@ -80,22 +82,23 @@
 		budget -= n
 		q.prefillRemaining -= n
 		if n > 0 && q.prefillRemaining == 0 {
-			finished = append(finished, q)
+			prefilled = append(prefilled, q)
 		}
 	}
-	took := e.cfg.stepTime(decoding, e.cfg.PrefillChunk-budget)
-	e.sequenceTime += took * time.Duration(len(e.running)+len(e.waiting))
-	e.clock.after(took, func() {
-		for _, q := range finished {
+	elapsed := e.cfg.stepTime(decoding, e.cfg.PrefillChunk-budget)
+	e.sequenceTime += elapsed * time.Duration(len(e.running)+len(e.waiting))
+	e.clock.after(elapsed, func() {
+		for _, q := range prefilled {
 			e.cache.store(q.job.blocks)
 		}
-		e.emit()
+		e.decode()
 		e.step()
 	})
 }
 
-// emit gives a token to each sequence whose prompt is prefilled.
-func (e *engine) emit() {
+// decode generates one token for each sequence whose prompt is prefilled and
+// removes the completed sequences from the batch.
+func (e *engine) decode() {
 	now := e.clock.now
 	kept := e.running[:0]
 	for _, q := range e.running {
--- a/internal/measure/fleet/engine_config.go
+++ b/internal/measure/fleet/engine_config.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// EngineConfig describes the model of one engine. The defaults make the time
-// between tokens reach 53 ms at about 35 sequences with one prefill running.
+// EngineConfig describes one modelled engine. Zero fields take defaults, with
+// which the time between tokens reaches 53 ms at about 35 sequences with one
+// prefill running.
 type EngineConfig struct {
-	// MaxBatch is the largest batch.
+	// MaxBatch is the maximum number of sequences in a batch.
 	MaxBatch int
-	// StepBase is the time of a step without work, StepPerSequence the time
-	// that each decoding sequence adds, StepPerToken that of a prefilled token.
+	// StepBase is the duration of a step without work. Each decoding sequence
+	// adds StepPerSequence and each prefilled token StepPerPrefillToken.
 	StepBase, StepPerSequence, StepPerPrefillToken time.Duration
-	// PrefillChunk is the most prompt tokens that one step prefills.
+	// PrefillChunk is the maximum number of prompt tokens prefilled in one step.
 	PrefillChunk int
 	// CacheBlocks is the size of the prefix cache in blocks.
 	CacheBlocks int
-	// ReportInterval and ReportLag say how often load is sampled and how late it
-	// arrives. CacheLag is the delay of cache events.
+	// ReportInterval is the time between two load samples and ReportDelay the
+	// time until a sample reaches the entries. CacheEventDelay is both the
+	// interval and the delay of cache events.
 	ReportInterval, ReportDelay, CacheEventDelay time.Duration
 	// CacheEventLoss is the share of cache events that are lost.
 	CacheEventLoss float64
 }
 
-// TokensPerBlock is the number of tokens in a prefix block.
+// TokensPerBlock is the number of tokens in a block of a prefix.
 const TokensPerBlock = 64
 
 func (c *EngineConfig) applyDefaults() {
@@ -57,13 +59,14 @@
 	}
 }
 
-// stepTime returns the time of a step.
+// stepTime returns the duration of a step with the given number of decoding
+// sequences and prefilled tokens.
 func (c *EngineConfig) stepTime(decoding, prefilled int) time.Duration {
 	return c.StepBase + time.Duration(decoding)*c.StepPerSequence + time.Duration(prefilled)*c.StepPerPrefillToken
 }
 
-// slower returns the same engine on an accelerator that takes half as long
-// again for everything.
+// slower returns the same engine on an accelerator whose steps take 1.5 times as
+// long.
 func (c EngineConfig) slower() EngineConfig {
 	c.StepBase += c.StepBase / 2
 	c.StepPerSequence += c.StepPerSequence / 2
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -10,16 +10,17 @@
 	"github.com/auburnbend/auburnbend/lib/route"
 )
 
-// Network delays between entry and engine and the timer of an entry.
 const (
+	// oneWayDelay is the network delay between entry and engine.
 	oneWayDelay       = time.Millisecond
 	entryTickInterval = 50 * time.Millisecond
 )
 
-// poolName is the only pool of the model.
+// poolName is the pool of all modelled engines.
 const poolName = "model"
 
-// entry runs the real Queue, Limiter and Picker.
+// entry is a modelled entry with the real admit.Queue, admit.Limiter and
+// route.Picker.
 type entry struct {
 	sim            *simulation
 	queue          *admit.Queue
@@ -51,7 +52,7 @@
 	return e
 }
 
-// start begins the timers of the entry and of the reports to it.
+// start starts the entry's timer, the load reports and the cache events.
 func (e *entry) start() {
 	var tick func()
 	tick = func() {
@@ -60,7 +61,7 @@
 	}
 	tick()
 	for i, key := range e.keys {
-		// Engines report at different times.
+		// Spread the reports of the engines over the interval.
 		offset := e.sim.cfg.Engine.ReportInterval * time.Duration(i) / time.Duration(len(e.keys))
 		e.sim.clock.after(offset, func() { e.reportLoad(key) })
 	}
@@ -69,7 +70,8 @@
 	}
 }
 
-// reportLoad samples an engine's load and delivers it late.
+// reportLoad samples an engine's load, delivers the sample after ReportDelay and
+// schedules the next one.
 func (e *entry) reportLoad(key route.Key) {
 	cfg, eng := e.sim.cfg.Engine, e.engines[key]
 	r := route.LoadReport{Running: len(eng.running), Queued: len(eng.waiting), Capacity: cfg.MaxBatch, Age: cfg.ReportDelay}
@@ -77,7 +79,7 @@
 	e.sim.clock.after(cfg.ReportInterval, func() { e.reportLoad(key) })
 }
 
-// arrive takes a request from the balancer.
+// arrive queues a request from the load balancer, or refuses it.
 func (e *entry) arrive(j *job) {
 	now := e.sim.clock.now
 	r := admit.Request{
@@ -92,11 +94,12 @@
 	e.dispatchQueued()
 }
 
-// dispatchQueued starts what can start now and answers what is too late.
+// dispatchQueued refuses the queued requests that can no longer start in time
+// and dispatches those that can run now.
 func (e *entry) dispatchQueued() {
 	now := e.sim.clock.now
-	for _, shed := range e.queue.Expire(now) {
-		e.sim.recordRefusal(e.removeJob(shed.Request.ID))
+	for _, refusal := range e.queue.Expire(now) {
+		e.sim.recordRefusal(e.removeJob(refusal.Request.ID))
 	}
 	for {
 		r, ok := e.queue.Next(now, e.place)
@@ -113,7 +116,8 @@
 	return j
 }
 
-// place picks an engine and sends the request to it.
+// place picks an engine and sends the request to it. It is the callback of
+// admit.Queue.Next.
 func (e *entry) place(r admit.Request) admit.Placement {
 	now, j := e.sim.clock.now, e.jobs[r.ID]
 	request := route.Request{
@@ -139,19 +143,19 @@
 func (e *entry) send(key route.Key, j *job, dispatched time.Time) {
 	limiter := e.limiters[key]
 	q := &sequence{job: j}
-	later := func(f func()) { e.sim.clock.after(oneWayDelay, f) }
+	afterDelay := func(f func()) { e.sim.clock.after(oneWayDelay, f) }
 	q.onFirstToken = func() {
-		later(func() {
+		afterDelay(func() {
 			now := e.sim.clock.now
 			e.startEstimator.Observe(now.Sub(dispatched))
 			limiter.ObserveFirstToken(now, now.Sub(dispatched))
 		})
 	}
-	q.onProgress = func(tokens int, took time.Duration) {
-		later(func() { limiter.ObserveBetweenTokens(e.sim.clock.now, took/time.Duration(tokens)) })
+	q.onProgress = func(tokens int, elapsed time.Duration) {
+		afterDelay(func() { limiter.ObserveBetweenTokens(e.sim.clock.now, elapsed/time.Duration(tokens)) })
 	}
 	q.onDone = func() {
-		later(func() {
+		afterDelay(func() {
 			now := e.sim.clock.now
 			limiter.Release()
 			e.picker.Finished(now, key, route.ResultOK)
--- a/internal/measure/fleet/figure.go
+++ b/internal/measure/fleet/figure.go
@@ -6,13 +6,14 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// WithBaseline sets the baseline of a figure.
+// WithBaseline returns f with the given baseline.
 func WithBaseline(f figure.Figure, baseline float64) figure.Figure {
 	f.Baseline = &baseline
 	return f
 }
 
-// PrintFigures writes the figures and returns an error that names those out of bounds.
+// PrintFigures writes the figures as JSON lines and returns an error that names
+// those out of bounds.
 func PrintFigures(w io.Writer, figures []figure.Figure) error {
 	p := figure.NewPrinter(w)
 	for _, f := range figures {
--- a/internal/measure/fleet/result.go
+++ b/internal/measure/fleet/result.go
@@ -12,27 +12,29 @@
 	return model.RequestID(strconv.FormatUint(serial, 10))
 }
 
-// Counts are the requests of one tenant that arrived in the measured time.
+// Counts holds the number of requests that arrived in the measurement window, by
+// outcome. Offered is their total.
 type Counts struct {
+	// Late includes the requests without a response at the end of the run.
 	Offered, InTime, Late, Refused int
 }
 
-// Result is the outcome of one run.
+// Result holds the counts and figures of one run.
 type Result struct {
 	Tenants map[model.Tenant]Counts
-	// Window is the time in which the counted requests arrived.
+	// Window is the measurement window, in which the counted requests arrived.
 	Window time.Duration
-	// FirstToken holds the times to first token of all counted answers, from
-	// the arrival of the request.
+	// FirstToken holds the time from arrival to first token of each counted
+	// response.
 	FirstToken []time.Duration
-	// BetweenTokens holds the mean time between tokens of each answer.
+	// BetweenTokens holds the mean time between tokens of each counted response.
 	BetweenTokens []time.Duration
-	// RefusalDelay holds the times from arrival to refusal.
+	// RefusalDelay holds the time from arrival to refusal of each refused request.
 	RefusalDelay []time.Duration
-	// PrefixHitRatio is the share of prompt tokens that came from prefix caches.
+	// PrefixHitRatio is the share of prompt tokens served from prefix caches.
 	PrefixHitRatio float64
-	// Imbalance is the mean number of sequences on the fullest engine over the
-	// mean of all engines.
+	// Imbalance is the mean number of sequences on the busiest engine divided by
+	// the mean over all engines.
 	Imbalance float64
 }
 
@@ -48,12 +50,13 @@
 	return sum
 }
 
-// Goodput returns the answers in time per second.
+// Goodput returns the responses in time per second.
 func (r *Result) Goodput() float64 {
 	return float64(r.Total().InTime) / r.Window.Seconds()
 }
 
-// InTimeShare returns the share of offered requests that were answered in time.
+// InTimeShare returns the share of offered requests with a response in time, or
+// 0 if none were offered.
 func (c Counts) InTimeShare() float64 {
 	if c.Offered == 0 {
 		return 0
@@ -61,7 +64,7 @@
 	return float64(c.InTime) / float64(c.Offered)
 }
 
-// Quantile returns a quantile of durations, 0 without any.
+// Quantile returns the q-quantile of unsorted values, or 0 if there are none.
 func Quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/internal/measure/fleet/round_robin.go
+++ b/internal/measure/fleet/round_robin.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Behaviour of the baseline: an attempt without a first token within the
-// timeout is sent again, three times at most, while the old one goes on.
+// The baseline sends a request again, up to baselineRetries times, when an
+// attempt yields no first token within the timeout. Earlier attempts go on.
 const (
 	baselineFirstTokenTimeout = 5 * time.Second
 	baselineRetries           = 3
 )
 
-// roundRobin sends requests to the engines in turn, without a queue or a limit
-// of its own.
+// roundRobin is the baseline entry: it sends requests to the engines in turn,
+// without a queue or a concurrency limit.
 type roundRobin struct {
 	sim        *simulation
 	nextEngine int
@@ -28,15 +28,15 @@
 	eng := r.sim.engines[r.nextEngine%len(r.sim.engines)]
 	r.nextEngine++
 	q := &sequence{job: j, onProgress: func(int, time.Duration) {}}
-	begun := false
-	q.onFirstToken = func() { begun = true }
+	firstToken := false
+	q.onFirstToken = func() { firstToken = true }
 	q.onDone = func() { r.sim.recordResponse(j, q.firstTokenAt.Add(oneWayDelay), q.lastTokenAt.Add(oneWayDelay)) }
 	r.sim.clock.after(oneWayDelay, func() { eng.submit(q) })
 	if retries == baselineRetries {
 		return
 	}
 	r.sim.clock.after(baselineFirstTokenTimeout, func() {
-		if !begun && !j.recorded {
+		if !firstToken && !j.recorded {
 			r.attempt(j, retries+1)
 		}
 	})
--- a/internal/measure/fleet/run.go
+++ b/internal/measure/fleet/run.go
@@ -1,7 +1,7 @@
-// Package fleet is a model of callers, entries and engines in simulated time.
-// It runs the real Picker, Queue and Limiter, or plain round robin, against
-// engines that batch continuously, cache prefixes in limited memory and report
-// late. A run depends only on its Config.
+// Package fleet simulates callers, entries and engines in simulated time. Entries
+// use the real route.Picker, admit.Queue and admit.Limiter, or plain round robin
+// as a baseline. Engines batch continuously, cache prefixes in limited memory and
+// report their load with a delay. A run depends only on its Config.
 package fleet
 
 import (
@@ -12,23 +12,23 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Config describes one run. Zero fields take the defaults.
+// Config describes one run. Zero fields take defaults, except for Seed and Rates.
 type Config struct {
 	Seed    uint64
 	Engines int
 	Entries int
 	Engine  EngineConfig
-	// Rates holds the requests per second of each tenant. All tenants have
-	// equal shares.
+	// Rates holds the mean request rate of each tenant in requests per second.
+	// All tenants have equal shares.
 	Rates map[model.Tenant]float64
-	// Warmup is run but not counted; Measured is counted.
+	// Warmup is the time before the measurement window and Window the length of
+	// that window. Only requests that arrive in the window are counted.
 	Warmup, Window time.Duration
-	// Baseline replaces the system by round robin with unlimited queues and
-	// three retries.
+	// Baseline selects round robin with unlimited queues and three retries.
 	Baseline bool
-	// UnevenEngines makes every third engine slower by half.
+	// UnevenEngines makes the steps of every third engine take 1.5 times as long.
 	UnevenEngines bool
-	// NoAffinity makes the system ignore prefixes.
+	// NoAffinity makes entries ignore prefixes when they pick an engine.
 	NoAffinity bool
 }
 
@@ -48,16 +48,17 @@
 	c.Engine.applyDefaults()
 }
 
-// drainTime is run after the measured time so that its answers end.
+// drainTime is simulated after the measurement window, so that responses to its
+// requests can complete.
 const drainTime = 60 * time.Second
 
-// entryNode is an entry of either kind.
+// entryNode is implemented by entry and by the baseline, roundRobin.
 type entryNode interface {
 	arrive(j *job)
 	start()
 }
 
-// simulation is the state of one run.
+// simulation holds the state of one run.
 type simulation struct {
 	cfg         Config
 	clock       scheduler
@@ -67,10 +68,10 @@
 	result      Result
 	windowStart time.Time
 	windowEnd   time.Time
-	nextEntry   int // entry that gets the next arrival
+	nextEntry   int // index of the entry for the next arrival, modulo their number
 }
 
-// Run runs the model once.
+// Run simulates the configuration once.
 func Run(cfg Config) Result {
 	cfg.applyDefaults()
 	s := &simulation{cfg: cfg, workload: newWorkload(cfg.Seed)}
@@ -106,7 +107,7 @@
 	return s.result
 }
 
-// startArrivals schedules a tenant's requests.
+// startArrivals schedules a tenant's requests until the end of the window.
 func (s *simulation) startArrivals(tenant model.Tenant, perSecond float64) {
 	if perSecond <= 0 {
 		return
@@ -120,7 +121,7 @@
 		if s.inWindow(j) {
 			s.updateCounts(j, func(c *Counts) { c.Offered++ })
 		}
-		// The platform's balancer spreads requests evenly.
+		// The platform's load balancer spreads requests evenly.
 		s.entries[s.nextEntry%len(s.entries)].arrive(j)
 		s.nextEntry++
 		s.clock.after(s.workload.drawInterval(perSecond), next)
@@ -138,8 +139,9 @@
 	s.result.Tenants[j.tenant] = c
 }
 
-// recordResponse counts a complete answer. first and last are when its first and last
-// token reached the entry.
+// recordResponse counts a complete response, unless the request is counted
+// already. first and last are the times at which its first and last token
+// reached the entry.
 func (s *simulation) recordResponse(j *job, first, last time.Time) {
 	if j.recorded || !s.inWindow(j) {
 		return
@@ -159,7 +161,7 @@
 	})
 }
 
-// recordRefusal counts a request that was not run.
+// recordRefusal counts a request that was refused and not run.
 func (s *simulation) recordRefusal(j *job) {
 	if j.recorded || !s.inWindow(j) {
 		return
@@ -169,7 +171,7 @@
 	s.updateCounts(j, func(c *Counts) { c.Refused++ })
 }
 
-// countUnanswered counts what had no answer at the end as late.
+// countUnanswered counts the requests without a response at the end as late.
 func (s *simulation) countUnanswered() {
 	for t, c := range s.result.Tenants {
 		c.Late = c.Offered - c.InTime - c.Refused
@@ -177,7 +179,7 @@
 	}
 }
 
-// collectEngineStats takes the figures of the engines.
+// collectEngineStats sets the prefix hit ratio and the imbalance of the result.
 func (s *simulation) collectEngineStats() {
 	var cached, prefilled int
 	var busiest, sum time.Duration
--- a/internal/measure/fleet/run_test.go
+++ b/internal/measure/fleet/run_test.go
@@ -15,11 +15,12 @@
 	}
 
 	It("depends only on its config", func() {
-		// Guards against map order in decisions, which makes figures unrepeatable.
+		// Guards against decisions that depend on map iteration order: runs with
+		// the same seed would give different figures.
 		Expect(fleet.Run(config(150))).To(Equal(fleet.Run(config(150))))
 	})
 
-	It("counts each request once and refuses instead of answering late", func() {
+	It("counts each request once and refuses requests rather than responding late", func() {
 		r := fleet.Run(config(260))
 		total := r.Total()
 		Expect(total.Offered).To(BeNumerically("~", 2600, 200))
--- a/internal/measure/fleet/scheduler.go
+++ b/internal/measure/fleet/scheduler.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// scheduler runs functions in simulated time. Functions at the same time run in
-// the order in which they were added.
+// scheduler runs functions in simulated time. Functions scheduled for the same
+// time run in the order in which they were added.
 type scheduler struct {
 	now    time.Time
 	queue  eventHeap
@@ -24,7 +24,7 @@
 	heap.Push(&s.queue, event{s.now.Add(d), s.serial, run})
 }
 
-// runUntil runs all events up to end.
+// runUntil runs all events up to and including end and sets the time to end.
 func (s *scheduler) runUntil(end time.Time) {
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
 		e := heap.Pop(&s.queue).(event)
@@ -47,10 +47,10 @@
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends x, for container/heap.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop removes the last event, for container/heap.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
--- a/internal/measure/fleet/workload.go
+++ b/internal/measure/fleet/workload.go
@@ -8,14 +8,16 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Targets for an answer in time, from the design size.
+// A response is in time when its time to first token and its mean time between
+// tokens are within these targets of the design size.
 const (
 	FirstTokenTarget    = 1400 * time.Millisecond
 	BetweenTokensTarget = 53 * time.Millisecond
 )
 
-// Shape of the requests. Prompts share a prefix by kind of request, as the
-// instructions of a service do; the popularity of kinds follows Zipf's law.
+// Shape of the requests, in tokens unless a name says blocks. Prompts of the same
+// kind share a prefix, as requests with the same service instructions do. The
+// popularity of kinds follows Zipf's law.
 const (
 	promptKinds        = 96
 	sharedPrefixBlocks = 16
@@ -37,14 +39,14 @@
 	blocks       []uint64
 	promptTokens int
 	outputTokens int
-	recorded     bool // counted already
+	recorded     bool // counted in the result
 }
 
-// workload draws requests with Poisson arrivals.
+// workload generates random requests with Poisson arrivals.
 type workload struct {
 	rng               *rand.Rand
 	lastSerial        uint64
-	cumulativeWeights []float64 // cumulative probability of kinds
+	cumulativeWeights []float64 // of the prompt kinds, not normalised
 }
 
 func newWorkload(seed uint64) *workload {
@@ -57,7 +59,7 @@
 	return w
 }
 
-// drawInterval draws the time to the next arrival.
+// drawInterval draws the time until the next arrival.
 func (w *workload) drawInterval(perSecond float64) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
