--- a/internal/measure/route/pick_time.go
+++ b/internal/measure/route/pick_time.go
@@ -14,14 +14,15 @@
 const (
 	pickInstances    = 60
 	pickBatches      = 9
-	picksPerBatch    = 20_000 // per batch
+	picksPerBatch    = 20_000
 	pickPrefixBlocks = 16
 	pickPrefixes     = 64
-	// maxPickMicros is the aim for one pick in microseconds.
+	// maxPickMicros is the target for the time of one pick in microseconds.
 	maxPickMicros = 5
 )
 
-// measurePickTime measures the time of one Pick, Started and Finished with 60 instances.
+// measurePickTime measures the time of one Pick with its Started and Finished,
+// with 60 instances.
 func measurePickTime(seed uint64) figure.Figure {
 	p := route.New(route.Config{}, rand.New(rand.NewPCG(seed, seed)))
 	now := time.Unix(0, 0)
@@ -38,10 +39,10 @@
 			requests[k].Prefix = append(requests[k].Prefix, uint64(k)<<32|b)
 		}
 	}
-	// The median over batches leaves out pauses of a busy machine.
+	// The median over batches excludes pauses caused by other load on the machine.
 	batches := make([]time.Duration, pickBatches)
 	for b := range batches {
-		begin := time.Now()
+		start := time.Now()
 		for i := range picksPerBatch {
 			r := &requests[i%pickPrefixes]
 			choice, err := p.Pick(now, r)
@@ -51,7 +52,7 @@
 			p.Started(now, choice.Key, r.Prefix)
 			p.Finished(now, choice.Key, route.ResultOK)
 		}
-		batches[b] = time.Since(begin) / picksPerBatch
+		batches[b] = time.Since(start) / picksPerBatch
 	}
 	micros := float64(fleet.Quantile(batches, 0.5).Nanoseconds()) / 1000
 	return figure.Figure{Name: "route_pick_time", Value: micros, Unit: "us", Bound: figure.AtMost(maxPickMicros)}
--- a/internal/measure/route/subsets.go
+++ b/internal/measure/route/subsets.go
@@ -11,18 +11,19 @@
 	"github.com/auburnbend/auburnbend/lib/subset"
 )
 
-// Sizes of one of 15 failure domains of the design size.
 const (
+	// domainEntries and domainAgents are the size of one of the 15 failure
+	// domains of the design size.
 	domainEntries = 40
 	domainAgents  = 667
-	// membershipChanges is the number of changes over which movement is averaged.
-	// Entries change in proportion to their number.
+	// membershipChanges is the number of changes over which the moved connections
+	// are averaged.
 	membershipChanges = 1000
-	// maxMovedPerChange is the target for the connections that move per change.
+	// maxMovedPerChange is the target for the moved connections per change.
 	maxMovedPerChange = 2
 )
 
-// pools and the share of agents in each.
+// pools holds the pools and the share of agents in each.
 var pools = []struct {
 	name  string
 	share float64
@@ -32,7 +33,7 @@
 type domain struct {
 	rng    *rand.Rand
 	serial int
-	// departures counts the members that have left.
+	// departures counts the entries and agents that have left.
 	departures int
 	entries    []model.InstanceID
 	agents     []subset.Agent
@@ -67,9 +68,10 @@
 	d.agents = append(d.agents, subset.Agent{ID: d.newID("agent-"), Pool: pool})
 }
 
-// applyChange replaces members in turn: one leaves, then one of its kind joins.
-// Entries are replaced in proportion to their number. It returns the number of
-// connections that the change takes from others.
+// applyChange makes one membership change: a random entry or agent leaves, or one
+// of the same kind joins after that. Entries are replaced in proportion to their
+// number. It returns the number of connections that agents lose to a leaving
+// entry.
 func (d *domain) applyChange(plan subset.Plan) (lost int) {
 	switch {
 	case len(d.entries) < domainEntries:
@@ -89,8 +91,8 @@
 	return lost
 }
 
-// assignByPosition is the baseline: members are dealt in order of their position, so a
-// change shifts all that follow.
+// assignByPosition is the baseline: it assigns entries to agents by their
+// positions in the lists, so a change shifts the connections of all that follow.
 func (d *domain) assignByPosition() map[[2]model.InstanceID]bool {
 	pairs := make(map[[2]model.InstanceID]bool)
 	for i, a := range d.agents {
@@ -101,13 +103,14 @@
 	return pairs
 }
 
-// measureSubsets measures connections and their movement.
+// measureSubsets measures the numbers of connections and how many of them move
+// with a membership change.
 func measureSubsets(seed uint64) []figure.Figure {
 	d := newDomain(seed)
 	plan := subset.Assign(subset.Config{}, d.entries, d.agents)
-	dealt := d.assignByPosition()
-	most, fewest := 0, len(d.entries)
-	moved, dealtMoved, lost := 0, 0, 0
+	baseline := d.assignByPosition()
+	maxConnections, minEntries := 0, len(d.entries)
+	moved, baselineMoved, lost := 0, 0, 0
 	for range membershipChanges {
 		old := make(map[model.InstanceID]bool)
 		for _, e := range d.entries {
@@ -120,30 +123,31 @@
 		next := subset.Assign(subset.Config{}, d.entries, d.agents)
 		moved += next.CountMoved(plan, func(id model.InstanceID) bool { return !old[id] })
 		plan = next
-		now := d.assignByPosition()
-		for pair := range now {
-			if !dealt[pair] && old[pair[0]] && old[pair[1]] {
-				dealtMoved++
+		nextBaseline := d.assignByPosition()
+		for pair := range nextBaseline {
+			if !baseline[pair] && old[pair[0]] && old[pair[1]] {
+				baselineMoved++
 			}
 		}
-		dealt = now
-		reached := make(map[model.InstanceID]int)
+		baseline = nextBaseline
+		entryCounts := make(map[model.InstanceID]int)
 		for _, e := range d.entries {
-			most = max(most, len(plan.Agents(e)))
+			maxConnections = max(maxConnections, len(plan.Agents(e)))
 			for _, a := range plan.Agents(e) {
-				reached[a]++
+				entryCounts[a]++
 			}
 		}
 		for _, a := range d.agents {
-			fewest = min(fewest, reached[a.ID])
+			minEntries = min(minEntries, entryCounts[a.ID])
 		}
 	}
-	per := func(n int) float64 { return float64(n) / membershipChanges }
+	perChange := func(n int) float64 { return float64(n) / membershipChanges }
 	return []figure.Figure{
-		{Name: "subset_connections_per_entry_max", Value: float64(most), Unit: "connections", Bound: figure.AtMost(subset.DefaultMaxPerEntry)},
-		{Name: "subset_entries_per_agent_min", Value: float64(fewest), Unit: "entries", Bound: figure.AtLeast(subset.DefaultMinPerAgent)},
-		fleet.WithBaseline(figure.Figure{Name: "subset_moved_per_change", Value: per(moved), Unit: "connections", Bound: figure.AtMost(maxMovedPerChange)}, per(dealtMoved)),
-		// Agents that lose an entry need another: this part cannot be avoided.
-		{Name: "subset_lost_per_change", Value: per(lost), Unit: "connections"},
+		{Name: "subset_connections_per_entry_max", Value: float64(maxConnections), Unit: "connections", Bound: figure.AtMost(subset.DefaultMaxPerEntry)},
+		{Name: "subset_entries_per_agent_min", Value: float64(minEntries), Unit: "entries", Bound: figure.AtLeast(subset.DefaultMinPerAgent)},
+		fleet.WithBaseline(figure.Figure{Name: "subset_moved_per_change", Value: perChange(moved), Unit: "connections", Bound: figure.AtMost(maxMovedPerChange)}, perChange(baselineMoved)),
+		// Agents that lose an entry need another one, so this part of the moved
+		// connections cannot be avoided.
+		{Name: "subset_lost_per_change", Value: perChange(lost), Unit: "connections"},
 	}
 }
