--- a/internal/measure/config/command.go
+++ b/internal/measure/config/command.go
@@ -1,4 +1,5 @@
-// Package config measures the spread of the configuration in simulated time.
+// Package config measures how the configuration propagates to all nodes, in
+// simulated time.
 package config
 
 import (
@@ -8,23 +9,24 @@
 )
 
 const (
-	// maxPropagationSeconds is the time within which a change is in force, in seconds.
+	// maxPropagationSeconds is the target for the time until a change is in force
+	// on all nodes.
 	maxPropagationSeconds = 9
-	// maxStoreReadsPerSecond is a tenth of the store's 2,000 reads/s.
+	// maxStoreReadsPerSecond is a tenth of the 2,000 reads/s of the table service.
 	maxStoreReadsPerSecond = 200
-	// maxControlBytesPerSecond is what a node may spend on control, in bytes per second.
+	// maxControlBytesPerSecond limits the control traffic of a node.
 	maxControlBytesPerSecond = 8 << 10
 )
 
-// New returns the subcommand.
+// New returns the config subcommand.
 func New() *cobra.Command {
 	var seed int64
 	cmd := &cobra.Command{
 		Use:     "config",
-		Short:   "Measure the spread of the configuration: time, bytes and store reads",
+		Short:   "Measure configuration propagation: time, bytes and store reads",
 		Example: "  auburnbend-measure config --seed 1",
 		Args:    cobra.NoArgs,
-		// A missed bound is no mistake on the command line.
+		// A figure out of bounds is not a usage error.
 		SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			printer := figure.NewPrinter(cmd.OutOrStdout())
--- a/internal/measure/config/reads.go
+++ b/internal/measure/config/reads.go
@@ -7,11 +7,12 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// observationTime is the time over which rates are measured.
+// observationTime is the simulated time over which rates are measured.
 const observationTime = 10 * time.Minute
 
-// reportReads measures the load of the store at 600 entries and 6,000 changes a day.
-// Agents take the configuration from entries and never read the store.
+// reportReads measures the load on the store with 600 entries and 6,000 changes a
+// day. The simulation has no agents: they receive the configuration from entries
+// and never read the store.
 func reportReads(printer *figure.Printer, seed int64) error {
 	jittered, writes, err := measureReads(seed, false)
 	if err != nil {
@@ -41,34 +42,34 @@
 	s.StartAll()
 	s.Run(warmupTime)
 	before := s.Table.Stats()
-	from := s.ElapsedSeconds()
+	start := s.ElapsedSeconds()
 	if err := applyChanges(s, o, changeLoad{interval: dailyInterval, count: int(observationTime / dailyInterval)}); err != nil {
 		return 0, 0, err
 	}
 	total := 0
 	for second, n := range s.ReadsBySecond() {
-		if second >= from {
+		if second >= start {
 			total += n
 		}
 	}
-	elapsed := float64(s.ElapsedSeconds() - from)
+	elapsed := float64(s.ElapsedSeconds() - start)
 	return float64(total) / elapsed, float64(s.Table.Stats().Writes-before.Writes) / elapsed, nil
 }
 
-// reportOutage measures the peak of reads per second at 600 entries over an outage of
-// the store of 10 min, 2 min of slow answers and its return.
+// reportOutage measures the peak of store reads per second with 600 entries: the
+// store is down for 10 min, responds slowly for 2 min and then recovers.
 func reportOutage(printer *figure.Printer, seed int64) error {
-	peak, back, err := measureOutage(seed, false)
+	peak, recoveryPeak, err := measureOutage(seed, false)
 	if err != nil {
 		return err
 	}
-	fixedPeak, fixedBack, err := measureOutage(seed, true)
+	fixedPeak, fixedRecoveryPeak, err := measureOutage(seed, true)
 	if err != nil {
 		return err
 	}
 	for _, f := range []figure.Figure{
 		{Name: "config_peak_reads_outage", Value: peak, Unit: "reads/s", Bound: figure.AtMost(maxStoreReadsPerSecond), Baseline: &fixedPeak},
-		{Name: "config_peak_reads_at_return", Value: back, Unit: "reads/s", Bound: figure.AtMost(maxStoreReadsPerSecond), Baseline: &fixedBack},
+		{Name: "config_peak_reads_at_return", Value: recoveryPeak, Unit: "reads/s", Bound: figure.AtMost(maxStoreReadsPerSecond), Baseline: &fixedRecoveryPeak},
 	} {
 		if err := printer.Print(f); err != nil {
 			return err
@@ -77,7 +78,9 @@
 	return nil
 }
 
-func measureOutage(seed int64, fixed bool) (whole, atReturn float64, err error) {
+// measureOutage returns the peak of store reads per second over the whole run and
+// after the recovery of the store.
+func measureOutage(seed int64, fixed bool) (peak, recoveryPeak float64, err error) {
 	s := configsim.New(configsim.Config{Domains: 15, EntriesPerDomain: 40, FixedIntervals: fixed, Seed: seed})
 	o := s.NewOperator()
 	if err := o.ApplyChange(s); err != nil {
@@ -90,7 +93,7 @@
 	s.StoreState = configsim.StoreSlow
 	s.Run(2 * time.Minute)
 	s.StoreState = configsim.StoreUp
-	back := s.ElapsedSeconds()
+	recovery := s.ElapsedSeconds()
 	s.Run(time.Minute)
-	return float64(s.PeakReads(0)), float64(s.PeakReads(back)), nil
+	return float64(s.PeakReads(0)), float64(s.PeakReads(recovery)), nil
 }
--- a/internal/measure/config/traffic.go
+++ b/internal/measure/config/traffic.go
@@ -7,20 +7,22 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// nodeBytes is the average of sent and received bytes of one kind of node.
+// nodeBytes holds the mean of the bytes sent and received by an entry and by an
+// agent.
 type nodeBytes struct{ entry, agent float64 }
 
-// reportTraffic measures the bytes per change and node, against whole snapshots. It
-// simulates 3 of 15 domains with 40 entries and 667 agents each, which gives
-// each node the connections that it has among 600 entries and 10,000 agents.
+// reportTraffic measures the bytes per change and node. The baseline sends full
+// snapshots. The simulation has 3 of 15 domains with 40 entries and 667 agents
+// each, which gives each node as many connections as it has among 600 entries and
+// 10,000 agents.
 func reportTraffic(printer *figure.Printer, seed int64) error {
 	const changes = 10
-	pace := changeLoad{"daily", dailyInterval, changes}
-	deltas, err := measureTraffic(seed, pace, false)
+	daily := changeLoad{"daily", dailyInterval, changes}
+	deltas, err := measureTraffic(seed, daily, false)
 	if err != nil {
 		return err
 	}
-	snapshots, err := measureTraffic(seed, pace, true)
+	snapshots, err := measureTraffic(seed, daily, true)
 	if err != nil {
 		return err
 	}
@@ -28,13 +30,13 @@
 	if err != nil {
 		return err
 	}
-	daily := dailyInterval.Seconds()
+	dailySeconds := dailyInterval.Seconds()
 	burstSeconds := (burstChanges * burstInterval).Seconds()
 	for _, f := range []figure.Figure{
 		{Name: "config_bytes_per_change_entry", Value: deltas.entry / changes, Unit: "bytes", Baseline: ptr(snapshots.entry / changes)},
 		{Name: "config_bytes_per_change_agent", Value: deltas.agent / changes, Unit: "bytes", Baseline: ptr(snapshots.agent / changes)},
-		{Name: "config_daily_rate_entry", Value: deltas.entry / changes / daily, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond), Baseline: ptr(snapshots.entry / changes / daily)},
-		{Name: "config_daily_rate_agent", Value: deltas.agent / changes / daily, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond), Baseline: ptr(snapshots.agent / changes / daily)},
+		{Name: "config_daily_rate_entry", Value: deltas.entry / changes / dailySeconds, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond), Baseline: ptr(snapshots.entry / changes / dailySeconds)},
+		{Name: "config_daily_rate_agent", Value: deltas.agent / changes / dailySeconds, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond), Baseline: ptr(snapshots.agent / changes / dailySeconds)},
 		{Name: "config_burst_rate_entry", Value: burst.entry / burstSeconds, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond)},
 		{Name: "config_burst_rate_agent", Value: burst.agent / burstSeconds, Unit: "bytes/s", Bound: figure.AtMost(maxControlBytesPerSecond)},
 	} {
@@ -45,8 +47,8 @@
 	return nil
 }
 
-func measureTraffic(seed int64, l changeLoad, whole bool) (nodeBytes, error) {
-	s := configsim.New(configsim.Config{Domains: 3, EntriesPerDomain: 40, AgentsPerDomain: 667, FullSnapshots: whole, Seed: seed})
+func measureTraffic(seed int64, l changeLoad, fullSnapshots bool) (nodeBytes, error) {
+	s := configsim.New(configsim.Config{Domains: 3, EntriesPerDomain: 40, AgentsPerDomain: 667, FullSnapshots: fullSnapshots, Seed: seed})
 	o := s.NewOperator()
 	if err := o.ApplyChange(s); err != nil {
 		return nodeBytes{}, err
