--- a/internal/measure/poison/event_queue.go
+++ b/internal/measure/poison/event_queue.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a point in simulated time.
 type event struct {
 	at       time.Time
 	sequence int
 	run      func()
 }
 
-// eventQueue is a queue of events in order of time.
+// eventQueue is a queue of events ordered by time. Events at the same time keep
+// the order in which they were added.
 type eventQueue struct {
 	events       []event
 	lastSequence int
@@ -30,19 +31,19 @@
 
 func (s *eventQueue) Swap(i, j int) { s.events[i], s.events[j] = s.events[j], s.events[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (s *eventQueue) Push(x any) { s.events = append(s.events, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (s *eventQueue) Pop() any {
 	last := s.events[len(s.events)-1]
 	s.events = s.events[:len(s.events)-1]
 	return last
 }
 
-func (s *eventQueue) add(at time.Time, do func()) {
+func (s *eventQueue) add(at time.Time, run func()) {
 	s.lastSequence++
-	heap.Push(s, event{at, s.lastSequence, do})
+	heap.Push(s, event{at, s.lastSequence, run})
 }
 
 func (s *eventQueue) next() event { return heap.Pop(s).(event) }
--- a/internal/measure/poison/params.go
+++ b/internal/measure/poison/params.go
@@ -2,46 +2,52 @@
 
 import "time"
 
-// Params describes one run.
+// Params describes one run. An innocent request is one that crashes nothing; the
+// poison request crashes the backend server that runs it.
 type Params struct {
 	Entries int
 	Agents  int
-	// Callers send the poison request at the same time, each Sends times in
-	// sequence, under new ids and to random entries.
+	// Callers is the number of callers that send the poison request at the same
+	// time. Each sends it SendsPerCaller times in sequence, each time under a new
+	// request ID to a random entry.
 	Callers        int
 	SendsPerCaller int
-	Settle         time.Duration
-	// StartDelay is when the callers begin. The later, the more of the innocent
-	// contents were answered before.
+	// Settle is poison.Config.Settle of the entries' monitors.
+	Settle time.Duration
+	// StartDelay is the simulated time at which the callers start. The later they
+	// start, the more innocent contents have completed before.
 	StartDelay time.Duration
 	Seed       uint64
-	// Baseline replaces the monitors by three plain retries per sending.
+	// Baseline replaces the monitors by up to baselineRetries retries of each
+	// request.
 	Baseline bool
-	// SlowUpdates delays the updates between entries by up to half of Settle,
-	// which is the limit of the stated guarantee.
+	// SlowUpdates delays the updates between entries by up to half of Settle, the
+	// longest delay for which the guarantee holds.
 	SlowUpdates bool
 }
 
 const (
-	// baselineRetries is the baseline's number of retries.
+	// baselineRetries is the number of retries of a request in the baseline.
 	baselineRetries = 3
 	// serverSlots is the number of requests that a backend server runs at once.
 	serverSlots = 8
-	// restartTime is the time until a crashed backend server serves again.
+	// restartTime is the time that a crashed backend server is down.
 	restartTime = 5 * time.Second
-	// simulatedTime is the simulated time of one run.
+	// simulatedTime is the length of one run.
 	simulatedTime = 40 * time.Second
-	// innocentInterval is the time between two innocent requests.
+	// innocentInterval is the mean time between two innocent requests.
 	innocentInterval = 10 * time.Millisecond
-	// maxInnocentRunTime bounds the run time of an innocent request.
+	// maxInnocentRunTime is the maximum run time of an innocent request.
 	maxInnocentRunTime = 1500 * time.Millisecond
-	// maxCrashDelay bounds the time from a poison dispatch to the crash.
+	// maxCrashDelay is the maximum time from the dispatch of a poison request to
+	// the crash.
 	maxCrashDelay = 400 * time.Millisecond
-	// maxLatency bounds the one-way latency of a message.
+	// maxLatency is the maximum one-way latency of a message.
 	maxLatency = 5 * time.Millisecond
-	// requestTimeout is the deadline of every request.
+	// requestTimeout is the time from the arrival of a request to its deadline.
 	requestTimeout = 8 * time.Second
-	// innocentContents is the number of different innocent requests: some are sent again
-	// and again, and are in flight in several places.
+	// innocentContents is the number of different innocent request bodies. It is
+	// small enough that bodies are sent repeatedly and are in flight on several
+	// backend servers.
 	innocentContents = 400
 )
--- a/internal/measure/poison/simulate.go
+++ b/internal/measure/poison/simulate.go
@@ -11,7 +11,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// simulation is one run in simulated time.
+// simulation holds the state of one run.
 type simulation struct {
 	Params
 	rng     *rand.Rand
@@ -28,21 +28,22 @@
 	id               model.InstanceID
 	incarnation      uint64
 	down             bool
-	running          map[*request]int // value: entry
-	connectedEntries []int            // that the agent is connected to, besides dispatchers
+	running          map[*request]int // value: index of the dispatching entry
+	connectedEntries []int            // indices; crashes are reported to them and to the dispatching entries
 }
 
-// request is one sending of a request.
+// request is one request ID: a body sent once by a caller.
 type request struct {
 	fingerprint model.Fingerprint
 	poison      bool
-	suspect     bool // of the current dispatch
+	suspect     bool // in the current attempt
 	startedAt   time.Time
 	retries     int
 	onDone      func(outcome.Outcome)
 }
 
-// runsSuspect is the check of the agent's gate.
+// runsSuspect reports whether a suspect is running. The agent's gate then rejects
+// another suspect.
 func (a *backendServer) runsSuspect() bool {
 	for r := range a.running {
 		if r.suspect {
@@ -52,7 +53,7 @@
 	return false
 }
 
-// Simulate runs one simulation.
+// Simulate runs one simulation. The result depends only on p.
 func Simulate(p Params) Result {
 	s := &simulation{Params: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), start: time.Unix(1_800_000_000, 0)}
 	s.now = s.start
@@ -81,10 +82,10 @@
 	return s.result
 }
 
-func (s *simulation) after(d time.Duration, do func()) { s.queue.add(s.now.Add(d), do) }
+func (s *simulation) after(d time.Duration, run func()) { s.queue.add(s.now.Add(d), run) }
 
-func (s *simulation) randomDelay(d time.Duration) time.Duration {
-	return time.Duration(s.rng.Int64N(int64(d))) + 1
+func (s *simulation) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(limit))) + 1
 }
 
 func (s *simulation) sendInnocent() {
@@ -103,18 +104,19 @@
 	s.attempt(s.rng.IntN(s.Entries), r)
 }
 
-// sendPoison is a caller that sends its request again as soon as it has the
-// answer to the last sending.
-func (s *simulation) sendPoison(left int) {
-	if left == 0 {
+// sendPoison runs a caller that sends the poison request a number of times, each
+// time as soon as the last request has ended.
+func (s *simulation) sendPoison(remaining int) {
+	if remaining == 0 {
 		return
 	}
 	r := &request{fingerprint: model.FingerprintOf("t", "s", []byte("poison")), poison: true, startedAt: s.now}
-	r.onDone = func(outcome.Outcome) { s.after(s.randomDelay(2*maxLatency), func() { s.sendPoison(left - 1) }) }
+	r.onDone = func(outcome.Outcome) { s.after(s.randomDelay(2*maxLatency), func() { s.sendPoison(remaining - 1) }) }
 	s.attempt(s.rng.IntN(s.Entries), r)
 }
 
-// attempt dispatches a request at an entry, or asks again when it is held.
+// attempt dispatches a request from an entry to a random backend server with a
+// free slot. It schedules another attempt if there is none or the request is held.
 func (s *simulation) attempt(entry int, r *request) {
 	if s.now.Sub(r.startedAt) > requestTimeout {
 		s.broadcast(entry, s.entries[entry].Withdraw(s.now, r.fingerprint))
@@ -178,8 +180,8 @@
 	})
 }
 
-// crash ends everything on a backend server. Each entry hears of the end of its
-// attempts and of the crash itself in any order.
+// crash ends all requests on a backend server. The end of an entry's attempts and
+// the crash report reach the entry in any order.
 func (s *simulation) crash(a *backendServer) {
 	report := wire.CrashReport{Incarnation: a.incarnation}
 	entries := make(map[int]bool)
@@ -212,7 +214,7 @@
 	s.attempt(entry, r)
 }
 
-// broadcast sends an update to all other entries, each after its own latency.
+// broadcast sends an update to all other entries, each with its own latency.
 func (s *simulation) broadcast(from int, update *wire.SuspectUpdate) {
 	if update == nil || s.Baseline {
 		return
--- a/internal/measure/poison/suite_test.go
+++ b/internal/measure/poison/suite_test.go
@@ -19,13 +19,14 @@
 	testSeeds  = 8
 )
 
-var _ = Describe("one poison request, 4 entries, 30 agents", func() {
+var _ = Describe("a poison request with 4 entries and 30 agents", func() {
 	params := func(callers int, slow bool, seed uint64) Params {
 		return Params{Entries: 4, Agents: 30, Callers: callers, SendsPerCaller: 10, Settle: testSettle, StartDelay: time.Second, SlowUpdates: slow, Seed: seed}
 	}
 
-	// Guards against more than two lost backend servers when the caller sends
-	// again under new ids to any entry, also when reports and updates cross.
+	// Guards against losing more than two backend servers when the caller sends
+	// the request again under new request IDs to any entry, including when crash
+	// reports and updates between entries arrive out of order.
 	DescribeTable("loses at most two backend servers and no innocent request", func(slow bool) {
 		for seed := range uint64(testSeeds) {
 			r := Simulate(params(1, slow, seed))
@@ -34,11 +35,11 @@
 			Expect(r.Quarantined).To(BeZero(), "seed %d", seed)
 			Expect(r.Answered).To(Equal(r.Innocents), "seed %d", seed)
 		}
-	}, Entry("with fast updates", false), Entry("with updates as slow as the guarantee allows", true))
+	}, Entry("with fast updates", false), Entry("with the slowest updates for which the guarantee holds", true))
 
-	// Guards the stated guarantee for dispatches of the unknown fingerprint at
-	// the same time on several entries.
-	DescribeTable("loses no more than the concurrent first dispatches, or two", func(callers int) {
+	// Guards the guarantee when several entries dispatch the fingerprint at the
+	// same time, before any of them knows of a crash.
+	DescribeTable("loses at most two backend servers, or one for each concurrent first dispatch", func(callers int) {
 		for seed := range uint64(testSeeds) {
 			r := Simulate(params(callers, true, seed))
 			Expect(r.UnsuspectedDispatches).To(BeNumerically("<=", callers), "seed %d", seed)
@@ -46,9 +47,9 @@
 		}
 	}, Entry("two", 2), Entry("four", 4))
 
-	// Guards innocent content that is sent again and again and is in flight on two
-	// backend servers that crash at the same time.
-	It("does not quarantine content that was answered before", func() {
+	// Guards against the quarantine of innocent content that is sent repeatedly and
+	// is in flight on two backend servers that crash at the same time.
+	It("does not quarantine content that has completed before", func() {
 		for seed := range uint64(testSeeds) {
 			p := params(2, false, seed)
 			p.StartDelay = 15 * time.Second
@@ -56,8 +57,8 @@
 		}
 	})
 
-	// Guards against a simulation that would pass whatever the monitors do.
-	It("loses more without the monitors", func() {
+	// Guards against a simulation in which the specs above pass without monitors.
+	It("loses more backend servers without the monitors", func() {
 		p := params(1, false, 1)
 		p.Baseline = true
 		Expect(Simulate(p).LostServers).To(Equal(p.SendsPerCaller * (1 + baselineRetries)))
--- a/internal/measure/poison/total.go
+++ b/internal/measure/poison/total.go
@@ -23,17 +23,19 @@
 
 func (t *Total) answeredShare() float64 { return float64(t.Answered) / float64(max(t.Innocents, 1)) }
 
-// Result is what one run came to.
+// Result holds the counts of one run.
 type Result struct {
-	// LostServers counts backend servers that the request crashed.
+	// LostServers counts crashes of backend servers by the poison request.
 	LostServers int
-	// UnsuspectedDispatches counts its dispatches at entries that knew of no crash.
+	// UnsuspectedDispatches counts the dispatches of the poison request that the
+	// dispatching entry did not treat as a suspect.
 	UnsuspectedDispatches int
-	// Innocents counts the other requests, Answered those that were answered,
+	// Innocents counts the innocent requests, Answered those that completed and
 	// Quarantined those that were refused as quarantined.
 	Innocents   int
 	Answered    int
 	Quarantined int
-	// MaxDelay is the longest time to the answer of an innocent request.
+	// MaxDelay is the longest time from arrival to completion of an innocent
+	// request.
 	MaxDelay time.Duration
 }
