--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -1,5 +1,5 @@
-// Package drain measures what a leaving instance still gets and what its
-// graceful shutdown cuts off.
+// Package drain measures the new work that a draining instance still receives and
+// the requests that its graceful shutdown cuts off.
 package drain
 
 import (
@@ -19,10 +19,10 @@
 )
 
 const (
-	// noWorkDelay is the time after its notice from which a leaving instance must
-	// get no new work.
+	// noWorkDelay is the time after the start of its drain from which an instance
+	// must not receive new work.
 	noWorkDelay = 3 * time.Second
-	// watchTime is how long the entries are watched after that.
+	// watchTime is the time after noWorkDelay in which new work is counted.
 	watchTime    = 3 * time.Second
 	pollInterval = 10 * time.Millisecond
 )
@@ -32,12 +32,12 @@
 	seed                    int64
 }
 
-// New returns the command.
+// New returns the drain subcommand.
 func New() *cobra.Command {
 	var o options
 	c := &cobra.Command{
 		Use:   "drain",
-		Short: "Measure what a leaving instance still gets and what its shutdown cuts off",
+		Short: "Measure the new work of a draining instance and the requests cut off by its shutdown",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			hlog.SetLevel(hlog.LevelFatal)
@@ -45,9 +45,9 @@
 		},
 	}
 	flags := c.Flags()
-	flags.IntVar(&o.agents, "agents", 4, "model runners in each of 2 failure domains")
-	flags.IntVar(&o.callers, "callers", 16, "callers that send at the same time")
-	flags.IntVar(&o.tokens, "tokens", 60, "tokens of an answer")
+	flags.IntVar(&o.agents, "agents", 4, "agents of model engines in each of 2 failure domains")
+	flags.IntVar(&o.callers, "callers", 16, "number of concurrent callers")
+	flags.IntVar(&o.tokens, "tokens", 60, "tokens in a response")
 	flags.Int64Var(&o.seed, "seed", 1, "seed of all random choices")
 	return c
 }
@@ -85,35 +85,35 @@
 	if err := measurerun.Sleep(ctx, 2*time.Second); err != nil {
 		return err
 	}
-	leaving := d.ModelAgents()[0]
-	leaving.BlackholeHalf()
-	notice := time.Now()
+	first := d.ModelAgents()[0]
+	first.BlackholeHalf()
+	start := time.Now()
 	drained := make(chan error, 1)
-	go func() { drained <- leaving.Stop(ctx) }()
+	go func() { drained <- first.Stop(ctx) }()
 	if err := measurerun.Sleep(ctx, noWorkDelay); err != nil {
 		return err
 	}
-	sentLater, err := countIncreases(ctx, func() int { return d.AttemptsSentTo(leaving) })
+	sentLate, err := countIncreases(ctx, func() int { return d.AttemptsSentTo(first) })
 	if err != nil {
 		return err
 	}
-	graceful := d.ModelAgents()[1]
-	err = graceful.Stop(ctx)
-	took := time.Since(notice)
+	second := d.ModelAgents()[1]
+	err = second.Stop(ctx)
+	elapsed := time.Since(start)
 	load.stop()
-	if again := <-drained; err == nil {
-		err = again
+	if firstErr := <-drained; err == nil {
+		err = firstErr
 	}
 	if err != nil {
 		return err
 	}
 	for _, f := range []figure.Figure{
-		{Name: "requests_sent_after_3s", Value: float64(sentLater), Unit: "requests", Bound: figure.AtMost(0)},
+		{Name: "requests_sent_after_3s", Value: float64(sentLate), Unit: "requests", Bound: figure.AtMost(0)},
 		{Name: "requests_cut_off", Value: float64(load.count(cutOff)), Unit: "requests", Bound: figure.AtMost(0)},
 		{Name: "requests_completed", Value: float64(load.count(completed)), Unit: "requests", Bound: figure.AtLeast(1)},
 		{Name: "requests_not_run", Value: float64(load.count(notRun)), Unit: "requests"},
 		{Name: "answers_wrong", Value: float64(load.count(wrongResponse)), Unit: "requests", Bound: figure.AtMost(0)},
-		{Name: "both_drains", Value: took.Seconds(), Unit: "s"},
+		{Name: "both_drains", Value: elapsed.Seconds(), Unit: "s"},
 	} {
 		if err := p.Print(f); err != nil {
 			return err
@@ -122,8 +122,8 @@
 	return p.Err()
 }
 
-// countIncreases sums the increases of a counter, which starts again at zero when an entry
-// forgets the agent.
+// countIncreases sums the increases of a counter over watchTime. The counter
+// restarts at zero when an entry forgets the agent.
 func countIncreases(ctx context.Context, count func() int) (increase int, err error) {
 	before := count()
 	for end := time.Now().Add(watchTime); time.Now().Before(end); {
--- a/internal/measure/drain/load.go
+++ b/internal/measure/drain/load.go
@@ -9,19 +9,19 @@
 	"github.com/auburnbend/auburnbend/internal/deployment"
 )
 
-// requestResult is what became of a request.
+// requestResult is the outcome of a request as its caller sees it.
 type requestResult int
 
 const (
 	completed requestResult = iota
 	notRun
-	// cutOff is any other end.
+	// cutOff is any other outcome.
 	cutOff
-	// wrongResponse is an answer that is complete and not that of one version.
+	// wrongResponse is a completed response that is not that of a single version.
 	wrongResponse
 )
 
-// load is a number of callers that send drafts until they are stopped.
+// load runs callers that send draft requests until they are stopped.
 type load struct {
 	d       *deployment.Deployment
 	o       options
@@ -58,18 +58,18 @@
 		default:
 		}
 		body := deployment.DraftBody(rng, l.o.tokens)
-		a := l.client.Send(ctx, l.d.Entries[rng.Intn(len(l.d.Entries))].URL, deployment.Call{
+		response := l.client.Send(ctx, l.d.Entries[rng.Intn(len(l.d.Entries))].URL, deployment.Call{
 			Service: deployment.DraftService, Tenant: deployment.TenantLarge,
 			RequestID: fmt.Sprintf("draft-%d-%d", caller, n), Body: body, Stream: true,
 		})
-		l.record(l.classify(a, body))
+		l.record(l.classify(response, body))
 	}
 }
 
-func (l *load) classify(a deployment.Answer, body []byte) requestResult {
-	switch a.Outcome {
+func (l *load) classify(response deployment.Answer, body []byte) requestResult {
+	switch response.Outcome {
 	case "completed":
-		if _, whole := l.d.VersionOfAnswer(a.Body, body); !whole {
+		if _, ok := l.d.VersionOfAnswer(response.Body, body); !ok {
 			return wrongResponse
 		}
 		return completed
@@ -80,14 +80,14 @@
 	}
 }
 
-func (l *load) record(v requestResult) {
+func (l *load) record(r requestResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts[v]++
+	l.counts[r]++
 }
 
-func (l *load) count(v requestResult) int {
+func (l *load) count(r requestResult) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.counts[v]
+	return l.counts[r]
 }
