--- a/internal/measure/capacity/agents.go
+++ b/internal/measure/capacity/agents.go
@@ -19,12 +19,13 @@
 	"github.com/auburnbend/auburnbend/lib/settings"
 )
 
-// location is where the measured entry and its agents stand.
+// location is the location of the measured entry and its agents.
 var location = model.Location{Region: "kigali", FailureDomain: "kigali"}
 
-// newAgentsCommand returns the command of the child process that runs the
-// agents, so that their cost is not counted as the entry's. It prints the agents
-// as one line, and its usage for each line that it reads.
+// newAgentsCommand returns the subcommand for the child process that runs the
+// agents; a process of their own keeps their cost apart from the entry's. It
+// writes the agents' instances as a JSON line, then its usage as a JSON line for
+// each line that it reads.
 func newAgentsCommand() *cobra.Command {
 	var count int
 	c := &cobra.Command{
@@ -40,19 +41,19 @@
 }
 
 func runAgents(count int, in io.Reader, out *json.Encoder) error {
-	var list []backing.Instance
+	var instances []backing.Instance
 	for i := range count {
 		a, instance, err := startAgent(i)
 		if err != nil {
 			return err
 		}
 		defer func() { _ = a.Close() }()
-		list = append(list, instance)
+		instances = append(instances, instance)
 	}
-	if err := out.Encode(list); err != nil {
+	if err := out.Encode(instances); err != nil {
 		return merry.Wrap(err)
 	}
-	for lines := bufio.NewScanner(in); lines.Scan(); {
+	for requests := bufio.NewScanner(in); requests.Scan(); {
 		if err := out.Encode(readUsage()); err != nil {
 			return merry.Wrap(err)
 		}
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// startAgent starts an agent of a plain service that is never called.
+// startAgent starts an agent for a plain service that receives no requests.
 func startAgent(index int) (*agent.Agent, backing.Instance, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity measures what connections without requests cost an entry and
-// an agent, and works the slopes out to the planned size.
+// Package capacity measures the cost of idle connections for an entry and an
+// agent, and extrapolates it to the planned deployment size.
 package capacity
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-// The planned size and its budget for control, from the users' letter.
+// The planned deployment size and the budget of a node for control, as the users
+// require.
 const (
 	plannedEntries    = 600
 	plannedAgents     = 10_000
@@ -18,10 +19,10 @@
 	maxCoreShare      = 0.01
 	maxMemoryBytes    = 256e6
 	maxBytesPerSecond = 8_000.0
-	// entryConnections are 60 agents, and 4 entries of the own failure domain and
-	// one of each other domain in both directions.
+	// entryConnections counts an entry's connections: to 60 agents and, in both
+	// directions, 4 entries of its own failure domain and one of each other domain.
 	entryConnections = 60 + 2*(4+plannedDomains-1)
-	// agentConnections is the largest number of entries that reach one agent.
+	// agentConnections is the maximum number of entries connected to one agent.
 	agentConnections = 4
 )
 
@@ -33,15 +34,15 @@
 	seed   int64
 }
 
-// New returns the command.
+// New returns the capacity subcommand.
 func New() *cobra.Command {
 	var o options
 	c := &cobra.Command{
 		Use:   "capacity",
-		Short: "Measure the control cost of connections and work it out to the planned size",
-		Long: `Runs one entry with a growing number of agents on loopback, without requests,
-and measures processor time, bytes and memory. The agents run in a process of
-their own.`,
+		Short: "Measure the control cost of connections and extrapolate it to the planned size",
+		Long: `Runs one entry with each of the given numbers of agents on loopback, without
+requests, and measures CPU time, bytes and memory. The agents run in a separate
+process.`,
 		Example: "  auburnbend-measure capacity\n  auburnbend-measure capacity --sizes 10,20,40,80 --window 10s",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -50,29 +51,29 @@
 	}
 	flags := c.Flags()
 	flags.IntSliceVar(&o.sizes, "sizes", []int{15, 30, 45, 60}, "numbers of agents")
-	flags.DurationVar(&o.settle, "settle", 8*time.Second, "time for the instance list to be read and connections to be opened")
-	flags.DurationVar(&o.window, "window", 9*time.Second, "time that is measured at each size; three idle heartbeats")
+	flags.DurationVar(&o.settle, "settle", 8*time.Second, "time before a measurement for reading the instance list and opening connections")
+	flags.DurationVar(&o.window, "window", 9*time.Second, "length of the measurement at each size; the default is three idle heartbeats")
 	flags.Int64Var(&o.seed, "seed", 1, "seed of all random choices")
 	c.AddCommand(newAgentsCommand())
 	return c
 }
 
 func run(ctx context.Context, o options, p *figure.Printer) error {
-	var x, entryCore, entryMemory, agentCore, agentMemory, bytes []float64
+	var x, entryCPU, entryMemory, agentCPU, agentMemory, bytes []float64
 	for _, n := range o.sizes {
 		s, err := measure(ctx, n, o)
 		if err != nil {
 			return err
 		}
 		x = append(x, float64(n))
-		entryCore, entryMemory = append(entryCore, s.entry.coreShare), append(entryMemory, s.entry.memoryBytes)
-		agentCore, agentMemory = append(agentCore, s.agents.coreShare), append(agentMemory, s.agents.memoryBytes)
+		entryCPU, entryMemory = append(entryCPU, s.entry.coreShare), append(entryMemory, s.entry.memoryBytes)
+		agentCPU, agentMemory = append(agentCPU, s.agents.coreShare), append(agentMemory, s.agents.memoryBytes)
 		bytes = append(bytes, s.bytesPerSecond)
 	}
 	return fittedCosts{
-		entryCore:   fit(x, entryCore),
+		entryCPU:    fit(x, entryCPU),
 		entryMemory: fit(x, entryMemory),
-		agentCore:   fit(x, agentCore),
+		agentCPU:    fit(x, agentCPU),
 		agentMemory: fit(x, agentMemory),
 		bytes:       fit(x, bytes),
 	}.print(p)
--- a/internal/measure/capacity/child.go
+++ b/internal/measure/capacity/child.go
@@ -46,7 +46,7 @@
 	return c, nil
 }
 
-// usage asks the child what it has used so far.
+// usage requests the child's resource usage.
 func (c *child) usage() (usage, error) {
 	var u usage
 	if _, err := io.WriteString(c.in, "usage\n"); err != nil {
@@ -55,7 +55,7 @@
 	return u, merry.Wrap(c.out.Decode(&u))
 }
 
-// stop lets the child end.
+// stop closes the child's standard input, which ends it, and waits for its exit.
 func (c *child) stop() {
 	_ = c.in.Close()
 	_ = c.command.Wait()
--- a/internal/measure/capacity/sample.go
+++ b/internal/measure/capacity/sample.go
@@ -13,21 +13,21 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// cost is what a process uses in a window.
+// cost is the resource usage of a process in a window.
 type cost struct {
-	// coreShare is the share of a core, memory in bytes.
+	// coreShare is the share of one core, 1 for a whole core.
 	coreShare, memoryBytes float64
 }
 
-// sample is the cost of one entry, of all its agents together, and the bytes
-// per second between them.
+// sample holds the cost of one entry and of all its agents together, and the bytes
+// per second that the entry sends and receives.
 type sample struct {
 	entry, agents  cost
 	bytesPerSecond float64
 }
 
-// measure runs one entry here and a number of agents in another process, and
-// takes the cost of a window in which nothing happens.
+// measure runs one entry in this process and a number of agents in another, and
+// samples their cost over an idle window.
 func measure(ctx context.Context, agents int, o options) (sample, error) {
 	d, err := deployment.Start(deployment.Options{
 		Domains: []model.FailureDomain{location.FailureDomain}, EntriesPerDomain: 1,
@@ -37,44 +37,44 @@
 		return sample{}, err
 	}
 	defer d.Close()
-	others, err := startChild(ctx, agents)
+	c, err := startChild(ctx, agents)
 	if err != nil {
 		return sample{}, err
 	}
-	defer others.stop()
-	for _, i := range others.instances {
+	defer c.stop()
+	for _, i := range c.instances {
 		d.InstanceList.Set(i)
 	}
 	if err := measurerun.Sleep(ctx, o.settle); err != nil {
 		return sample{}, err
 	}
 	if usable := d.Entries[0].Entry.UsableAgents(); usable != agents {
-		return sample{}, merry.Errorf("%d of %d agents are connected", usable, agents)
+		return sample{}, merry.Errorf("%d of %d agents are usable after %v", usable, agents, o.settle)
 	}
-	return measureWindow(ctx, d, others, o.window)
+	return measureWindow(ctx, d, c, o.window)
 }
 
-func measureWindow(ctx context.Context, d *deployment.Deployment, others *child, length time.Duration) (sample, error) {
-	agentsBefore, err := others.usage()
+func measureWindow(ctx context.Context, d *deployment.Deployment, c *child, length time.Duration) (sample, error) {
+	agentsBefore, err := c.usage()
 	if err != nil {
 		return sample{}, err
 	}
-	entryBefore, begun := readUsage(), time.Now()
+	entryBefore, start := readUsage(), time.Now()
 	sent, received := d.Entries[0].Entry.Traffic()
 	if err := measurerun.Sleep(ctx, length); err != nil {
 		return sample{}, err
 	}
 	sentAfter, receivedAfter := d.Entries[0].Entry.Traffic()
-	took := time.Since(begun)
+	elapsed := time.Since(start)
 	entryAfter := readUsage()
-	agentsAfter, err := others.usage()
+	agentsAfter, err := c.usage()
 	return sample{
-		entry:          costBetween(entryBefore, entryAfter, took),
-		agents:         costBetween(agentsBefore, agentsAfter, took),
-		bytesPerSecond: float64(sentAfter-sent+receivedAfter-received) / took.Seconds(),
+		entry:          costBetween(entryBefore, entryAfter, elapsed),
+		agents:         costBetween(agentsBefore, agentsAfter, elapsed),
+		bytesPerSecond: float64(sentAfter-sent+receivedAfter-received) / elapsed.Seconds(),
 	}, err
 }
 
-func costBetween(before, after usage, took time.Duration) cost {
-	return cost{coreShare: (after.CPUTime - before.CPUTime).Seconds() / took.Seconds(), memoryBytes: after.MemoryBytes}
+func costBetween(before, after usage, elapsed time.Duration) cost {
+	return cost{coreShare: (after.CPUTime - before.CPUTime).Seconds() / elapsed.Seconds(), memoryBytes: after.MemoryBytes}
 }
--- a/internal/measure/capacity/usage.go
+++ b/internal/measure/capacity/usage.go
@@ -7,11 +7,11 @@
 	measurerun "github.com/auburnbend/auburnbend/internal/measure/run"
 )
 
-// usage is what a process has used so far.
+// usage is the resource usage of a process. The child process sends it as JSON.
 type usage struct {
-	// CPUTime is user and system time.
+	// CPUTime is the user and system time since the start of the process.
 	CPUTime time.Duration `json:"processor"`
-	// MemoryBytes is the heap in use after a collection and the stacks, in bytes.
+	// MemoryBytes is the heap in use after a garbage collection plus the stacks.
 	MemoryBytes float64 `json:"memory"`
 }
 
