--- a/internal/measure/latency/latency.go
+++ b/internal/measure/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency measures what entry and agent add to a request, against a
-// direct call of the same backend server in the same run.
+// Package latency measures the time that entry and agent add to a request. The
+// baseline is a direct call to the same backend server in the same run.
 package latency
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// maxAddedMedianMicros is the target for the added time at the median, in microseconds.
+// maxAddedMedianMicros is the target for the time added at the median.
 const maxAddedMedianMicros = 300
 
 type options struct {
@@ -32,7 +32,7 @@
 	seed              int64
 }
 
-// New returns the command.
+// New returns the latency subcommand.
 func New() *cobra.Command {
 	var o options
 	c := &cobra.Command{
@@ -45,7 +45,7 @@
 			return run(c.Context(), o, figure.NewPrinter(c.OutOrStdout()))
 		},
 	}
-	c.Flags().IntVar(&o.requests, "requests", 3000, "requests that are sent each way")
+	c.Flags().IntVar(&o.requests, "requests", 3000, "requests in each run")
 	c.Flags().IntVar(&o.callers, "callers", 16, "callers in the run that measures requests per core")
 	c.Flags().Int64Var(&o.seed, "seed", 1, "seed of all random choices")
 	return c
@@ -67,39 +67,40 @@
 	}
 	client := deployment.NewClient()
 	defer client.Close()
-	through := func(i int) error { return sendThroughEntry(ctx, client, d, i) }
-	if err := waitReady(ctx, through); err != nil {
+	viaEntry := func(i int) error { return sendThroughEntry(ctx, client, d, i) }
+	if err := waitReady(ctx, viaEntry); err != nil {
 		return err
 	}
 	direct := func(int) error { return sendDirect(ctx, d.Agents[0].Service.URL()+"/"+deployment.OrderService) }
-	before, err := measureTimes(o.requests, direct)
+	directTimes, err := measureTimes(o.requests, direct)
 	if err != nil {
 		return err
 	}
-	after, err := measureTimes(o.requests, through)
+	viaEntryTimes, err := measureTimes(o.requests, viaEntry)
 	if err != nil {
 		return err
 	}
-	rate, err := measureRequestsPerCore(o, through)
+	perCore, err := measureRequestsPerCore(o, viaEntry)
 	if err != nil {
 		return err
 	}
-	return report(p, before, after, rate)
+	return report(p, directTimes, viaEntryTimes, perCore)
 }
 
-func report(p *figure.Printer, direct, through []time.Duration, rate float64) error {
-	for _, q := range []struct {
+// report prints the figures. Both slices of times must be sorted.
+func report(p *figure.Printer, direct, viaEntry []time.Duration, requestsPerCore float64) error {
+	for _, row := range []struct {
 		name  string
-		at    float64
+		q     float64
 		bound *figure.Bound
 	}{{"added_time_median", 0.5, figure.AtMost(maxAddedMedianMicros)}, {"added_time_p99", 0.99, nil}} {
-		base := micros(quantile(direct, q.at))
-		f := figure.Figure{Name: q.name, Value: micros(quantile(through, q.at)) - base, Unit: "us", Bound: q.bound, Baseline: &base}
+		baseline := micros(quantile(direct, row.q))
+		f := figure.Figure{Name: row.name, Value: micros(quantile(viaEntry, row.q)) - baseline, Unit: "us", Bound: row.bound, Baseline: &baseline}
 		if err := p.Print(f); err != nil {
 			return err
 		}
 	}
-	if err := p.Print(figure.Figure{Name: "requests_per_core", Value: rate, Unit: "1/s"}); err != nil {
+	if err := p.Print(figure.Figure{Name: "requests_per_core", Value: requestsPerCore, Unit: "1/s"}); err != nil {
 		return err
 	}
 	return p.Err()
@@ -111,7 +112,8 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// waitReady waits until the path works.
+// waitReady sends requests until one succeeds. If ctx ends first, it returns the
+// error of the last request.
 func waitReady(ctx context.Context, send func(int) error) error {
 	for i := 0; ; i++ {
 		err := send(-i)
@@ -126,26 +128,27 @@
 	}
 }
 
-// measureTimes sends requests one after another and returns their sorted times.
+// measureTimes sends n requests one after another and returns their times, sorted.
 func measureTimes(n int, send func(int) error) ([]time.Duration, error) {
 	times := make([]time.Duration, 0, n)
 	for i := range n {
-		begun := time.Now()
+		start := time.Now()
 		if err := send(i); err != nil {
 			return nil, err
 		}
-		times = append(times, time.Since(begun))
+		times = append(times, time.Since(start))
 	}
 	slices.Sort(times)
 	return times, nil
 }
 
-// measureRequestsPerCore returns the requests per second and core of the whole process: callers,
-// entry, agent and backend server together, so it is a lower bound for an entry.
+// measureRequestsPerCore returns the requests per second of CPU time of the whole
+// process. Callers, entry, agent and backend server share it, so the result is a
+// lower bound for an entry.
 func measureRequestsPerCore(o options, send func(int) error) (float64, error) {
 	var callers sync.WaitGroup
 	errs := make(chan error, o.callers)
-	cpu := measurerun.CPUTime()
+	cpuBefore := measurerun.CPUTime()
 	for c := range o.callers {
 		callers.Go(func() {
 			for i := range o.requests / o.callers {
@@ -161,16 +164,16 @@
 	if err := <-errs; err != nil {
 		return 0, err
 	}
-	return float64(o.requests) / (measurerun.CPUTime() - cpu).Seconds(), nil
+	return float64(o.requests) / (measurerun.CPUTime() - cpuBefore).Seconds(), nil
 }
 
 func sendThroughEntry(ctx context.Context, client *deployment.Client, d *deployment.Deployment, i int) error {
-	a := client.Send(ctx, d.Entries[0].URL, deployment.Call{
+	response := client.Send(ctx, d.Entries[0].URL, deployment.Call{
 		Service: deployment.OrderService, Tenant: deployment.TenantLarge,
 		RequestID: fmt.Sprintf("request-%d", i), Body: []byte("{}"),
 	})
-	if a.Outcome != "completed" {
-		return merry.Errorf("request was %s: %s", a.Outcome, a.Reason)
+	if response.Outcome != "completed" {
+		return merry.Errorf("request ended with outcome %s: %s", response.Outcome, response.Reason)
 	}
 	return nil
 }
