--- a/internal/measure/distribute/baselines.go
+++ b/internal/measure/distribute/baselines.go
@@ -13,22 +13,25 @@
 const (
 	// treeFanOut is the number of children of an instance in the fixed tree.
 	treeFanOut = 2
-	// treePollInterval is the wait before a child asks its parent again for a chunk that
-	// the parent does not hold yet.
-	treePollInterval  = 5 * time.Millisecond
+	// treePollInterval is the time after which a child again requests a chunk that
+	// its parent did not hold yet.
+	treePollInterval = 5 * time.Millisecond
+	// originOnlySpeedup is the factor by which links are faster in the origin-only
+	// run.
 	originOnlySpeedup = 4
-	// originOnlyTimeout bounds the slowest baseline.
+	// originOnlyTimeout limits the origin-only run, the slowest baseline.
 	originOnlyTimeout = 50 * time.Second
 )
 
-// runOriginOnly lets each instance read everything from the origin. All links are
-// originOnlySpeed times as fast and the times are multiplied by it, which keeps
-// the whole experiment within two minutes: this time is N copies at the origin's
-// rate, whatever the rate is.
+// runOriginOnly has each instance read everything from the origin. All links are
+// originOnlySpeedup times as fast and the measured times are multiplied by the
+// same factor, so that the whole experiment ends within two minutes. The scaling
+// is valid because the time is that of N copies at the origin's rate, whatever
+// that rate is.
 func runOriginOnly(o *Options) (*result, error) {
-	fast := *o
-	fast.Window /= originOnlySpeedup
-	r, err := runBaseline(&fast, "origin only", originOnlyTimeout, func(ctx context.Context, fl *fleet, i int) error {
+	scaled := *o
+	scaled.Window /= originOnlySpeedup
+	r, err := runBaseline(&scaled, "origin only", originOnlyTimeout, func(ctx context.Context, fl *fleet, i int) error {
 		return fetchFromOrigin(ctx, fl, fl.agents[i], 0, 1)
 	})
 	if err != nil {
@@ -40,12 +43,13 @@
 	return r, nil
 }
 
-// runTree passes the weights down a fixed binary tree in each failure domain.
-// Parents pass each chunk on as soon as they hold it.
+// runTree distributes the weights along a fixed binary tree in each failure domain,
+// whose root reads from the origin. Children can fetch each chunk as soon as their
+// parent holds it.
 func runTree(o *Options) (*result, error) {
 	return runBaseline(o, "fixed tree", runTimeout*2, func(ctx context.Context, fl *fleet, i int) error {
 		a := fl.agents[i]
-		position := i / o.Domains // in its failure domain
+		position := i / o.Domains // in the tree of its failure domain
 		var wg sync.WaitGroup
 		errs := make([]error, o.Streams)
 		for s := range o.Streams {
@@ -70,6 +74,7 @@
 	})
 }
 
+// runBaseline runs fetch for all agents at once, without entries.
 func runBaseline(o *Options, name string, limit time.Duration, fetch func(context.Context, *fleet, int) error) (*result, error) {
 	fl, err := newFleet(o, 1, faults{}, false)
 	if err != nil {
@@ -92,7 +97,7 @@
 	return newResult(name, start, fl), nil
 }
 
-// fetchFromOrigin reads each chunk whose index is first modulo step from the origin.
+// fetchFromOrigin reads the chunks first, first+step and so on from the origin.
 func fetchFromOrigin(ctx context.Context, fl *fleet, a *agent, first, step int) error {
 	for i := first; i < len(fl.manifest.Chunks); i += step {
 		c := fl.manifest.Chunks[i]
@@ -111,7 +116,7 @@
 	return nil
 }
 
-// fetchFromParent takes each chunk whose index is first modulo step from the parent.
+// fetchFromParent fetches the chunks first, first+step and so on from the parent.
 func fetchFromParent(ctx context.Context, fl *fleet, a, parent *agent, first, step int) error {
 	conn, err := a.dial(ctx, fl, parent)
 	if err != nil {
--- a/internal/measure/distribute/command.go
+++ b/internal/measure/distribute/command.go
@@ -1,12 +1,12 @@
-// Package distribute measures the distribution of weights: the real tracker and
-// transfer code on loopback, over links that token buckets limit, against
-// downloads from the origin only and a fixed tree in each failure domain.
+// Package distribute measures the distribution of weights. It runs the real
+// tracker and transfer code on loopback, over links whose rate token buckets
+// limit. The baselines are downloads from the origin only and a fixed tree in each
+// failure domain.
 //
-// Link rates follow from a distribution window, so that a run takes seconds and
-// keeps the proportions of the stated target: the origin's link carries about
-// four copies in a window and an instance's link two. The origin is reached
-// from each region directly; only traffic between instances uses the links
-// between regions.
+// Link rates are derived from a distribution window, so that a run takes seconds
+// and keeps the proportions of the stated target: the origin's link carries about
+// four copies in a window and an instance's link two. Each region reaches the
+// origin directly; only traffic between instances uses the links between regions.
 package distribute
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// Bounds from the stated target.
+// Bounds of the stated target.
 const (
 	maxTimeFactor               = 1.25 // of the lower bound
 	maxCopiesPerDomain          = 1.05
-	maxDisturbedTimeFactor      = 2.0 // of the undisturbed time
+	maxDisturbedTimeFactor      = 2.0 // of the time without faults
 	maxDisturbedCopiesPerDomain = 1.2 // per failure domain
 )
 
-// New returns the subcommand.
+// New returns the distribute subcommand.
 func New() *cobra.Command {
 	o := new(Options)
 	cmd := &cobra.Command{
 		Use:   "distribute",
-		Short: "Measure time to N instances and origin bytes",
+		Short: "Measure the time until all instances have the weights, and the origin bytes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := figure.NewPrinter(cmd.OutOrStdout())
@@ -51,21 +51,23 @@
 	runs []*result
 }
 
+// selected reports whether Options.Runs includes a run.
 func (e *experiment) selected(run string) bool {
 	return e.o.Runs == "" || strings.Contains(","+e.o.Runs+",", ","+run+",")
 }
 
-// run executes the runs one after the other: they share the machine's cores.
+// run executes the selected runs one after another, since each needs the cores of
+// the machine.
 func (e *experiment) run() error {
-	fixed, err := e.runFixedTree()
+	fixedTree, err := e.runFixedTree()
 	if err == nil {
-		err = e.runSystem(fixed)
+		err = e.runSystem(fixedTree)
 	}
 	if err == nil && e.selected("origin") {
-		var alone *result
-		if alone, err = runOriginOnly(e.o); err == nil {
-			e.runs = append(e.runs, alone)
-			err = e.report(alone, "origin_only", nil, nil)
+		var r *result
+		if r, err = runOriginOnly(e.o); err == nil {
+			e.runs = append(e.runs, r)
+			err = e.report(r, "origin_only", nil, nil)
 		}
 	}
 	if err == nil && e.o.PlotPath != "" {
@@ -74,6 +76,7 @@
 	return err
 }
 
+// runFixedTree returns nil if the run is not selected.
 func (e *experiment) runFixedTree() (*result, error) {
 	if !e.selected("tree") {
 		return nil, nil
@@ -86,24 +89,25 @@
 	return r, e.report(r, "fixed_tree", nil, nil)
 }
 
-// runSystem runs the system undisturbed with time favoured, with origin bytes
-// favoured, and disturbed. The baseline of its figures is the fixed tree.
-func (e *experiment) runSystem(fixed *result) error {
+// runSystem runs the system without faults, once favouring time and once favouring
+// origin bytes, and then with faults. The fixed tree is the baseline of the figures
+// without faults; it may be nil.
+func (e *experiment) runSystem(fixedTree *result) error {
 	o := e.o
-	bound := o.lowerBound()
-	if err := e.p.Print(figure.Figure{Name: "distribute/lower_bound", Value: bound.Seconds(), Unit: "s"}); err != nil {
+	lowerBound := o.lowerBound()
+	if err := e.p.Print(figure.Figure{Name: "distribute/lower_bound", Value: lowerBound.Seconds(), Unit: "s"}); err != nil {
 		return err
 	}
-	undisturbed := time.Duration(maxTimeFactor * float64(bound))
+	undisturbedTime := time.Duration(maxTimeFactor * float64(lowerBound))
 	if e.selected("time") {
 		r, _, err := runSwarm(o, "time favoured", 1, 0, faults{})
 		if err != nil {
 			return err
 		}
-		undisturbed = r.timeToLast()
+		undisturbedTime = r.timeToLast()
 		e.runs = append(e.runs, r)
-		limits := bounds{time: maxTimeFactor * bound.Seconds(), copies: maxCopiesPerDomain * float64(o.Domains)}
-		if err := e.report(r, "time_favoured", &limits, fixed); err != nil {
+		limits := bounds{time: maxTimeFactor * lowerBound.Seconds(), copies: maxCopiesPerDomain * float64(o.Domains)}
+		if err := e.report(r, "time_favoured", &limits, fixedTree); err != nil {
 			return err
 		}
 	}
@@ -117,45 +121,48 @@
 			return err
 		}
 		limits := bounds{time: maxTimeFactor * plan.EstimatedTime.Seconds(), copies: maxCopiesPerDomain * float64(plan.Policy.Copies)}
-		if err := e.report(r, "bytes_favoured", &limits, fixed); err != nil {
+		if err := e.report(r, "bytes_favoured", &limits, fixedTree); err != nil {
 			return err
 		}
 	}
 	if !e.selected("faults") {
 		return nil
 	}
-	r, _, err := runSwarm(o, "disturbed", o.TimeWeight, o.KillShare, faults{corruptShare: o.CorruptShare, stallShare: o.StallShare, stallWindow: undisturbed})
+	r, _, err := runSwarm(o, "disturbed", o.TimeWeight, o.KillShare, faults{corruptShare: o.CorruptShare, stallShare: o.StallShare, stallWindow: undisturbedTime})
 	if err != nil {
 		return err
 	}
 	e.runs = append(e.runs, r)
-	limits := bounds{time: maxDisturbedTimeFactor * undisturbed.Seconds(), copies: maxDisturbedCopiesPerDomain * float64(o.Domains)}
+	limits := bounds{time: maxDisturbedTimeFactor * undisturbedTime.Seconds(), copies: maxDisturbedCopiesPerDomain * float64(o.Domains)}
 	return e.report(r, "disturbed", &limits, nil)
 }
 
-// bounds holds the bounds of a run.
+// bounds holds the upper bounds of a run: its time in seconds and the number of
+// copies read from the origin.
 type bounds struct{ time, copies float64 }
 
-func (e *experiment) report(r *result, name string, l *bounds, base *result) error {
-	done := figure.Figure{
+// report prints the figures of a run. Without limits they have no bounds, and
+// without a baseline no baseline figures.
+func (e *experiment) report(r *result, name string, limits *bounds, baseline *result) error {
+	complete := figure.Figure{
 		Name: "distribute/" + name + "/complete_share", Unit: "share of survivors",
 		Value: float64(r.survivors-r.incomplete) / float64(r.survivors),
 	}
-	last := figure.Figure{Name: "distribute/" + name + "/time_to_n", Value: r.timeToLast().Seconds(), Unit: "s"}
-	median := figure.Figure{Name: "distribute/" + name + "/time_to_half", Unit: "s"}
+	timeToAll := figure.Figure{Name: "distribute/" + name + "/time_to_n", Value: r.timeToLast().Seconds(), Unit: "s"}
+	timeToHalf := figure.Figure{Name: "distribute/" + name + "/time_to_half", Unit: "s"}
 	if n := len(r.completionTimes); n > 0 {
-		median.Value = r.completionTimes[n/2].Seconds()
+		timeToHalf.Value = r.completionTimes[n/2].Seconds()
 	}
 	copies := figure.Figure{Name: "distribute/" + name + "/origin_copies", Value: r.originCopies(e.o), Unit: "copies"}
-	if l != nil {
-		done.Bound = figure.AtLeast(1)
-		last.Bound, copies.Bound = figure.AtMost(l.time), figure.AtMost(l.copies)
+	if limits != nil {
+		complete.Bound = figure.AtLeast(1)
+		timeToAll.Bound, copies.Bound = figure.AtMost(limits.time), figure.AtMost(limits.copies)
 	}
-	if base != nil {
-		t, c := base.timeToLast().Seconds(), base.originCopies(e.o)
-		last.Baseline, copies.Baseline = &t, &c
+	if baseline != nil {
+		t, c := baseline.timeToLast().Seconds(), baseline.originCopies(e.o)
+		timeToAll.Baseline, copies.Baseline = &t, &c
 	}
-	for _, f := range []figure.Figure{done, last, median, copies} {
+	for _, f := range []figure.Figure{complete, timeToAll, timeToHalf, copies} {
 		if err := e.p.Print(f); err != nil {
 			return err
 		}
--- a/internal/measure/distribute/fleet.go
+++ b/internal/measure/distribute/fleet.go
@@ -12,18 +12,18 @@
 
 	"github.com/auburnbend/auburnbend/agent/transfer"
 	"github.com/auburnbend/auburnbend/entry/tracker"
-	decide "github.com/auburnbend/auburnbend/lib/distribute"
+	libdistribute "github.com/auburnbend/auburnbend/lib/distribute"
 	"github.com/auburnbend/auburnbend/lib/model"
 	"github.com/auburnbend/auburnbend/lib/weights"
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// fleet is one run's entries and agents on loopback.
+// fleet holds the entries and agents of one run, connected over loopback.
 type fleet struct {
 	o        *Options
 	net      *network
 	origin   *origin
-	plan     decide.Plan
+	plan     libdistribute.Plan
 	manifest *weights.Manifest
 	digest   model.Digest
 
@@ -59,9 +59,9 @@
 	manifestObject = "manifest"
 )
 
-// newFleet starts entries and agents. With swarm unset there are no entries and
-// the agents only serve chunks.
-func newFleet(o *Options, timeWeight float64, f faults, swarm bool) (*fleet, error) {
+// newFleet starts the agents and, if withEntries is set, the entries. Without
+// entries the agents only serve chunks.
+func newFleet(o *Options, timeWeight float64, f faults, withEntries bool) (*fleet, error) {
 	data := make([]byte, o.Size)
 	rand.New(rand.NewSource(o.Seed)).Read(data)
 	m, err := weights.BuildBytes(data, weightsObject, model.Digest{}, o.ChunkSize)
@@ -72,16 +72,16 @@
 	if err != nil {
 		return nil, err
 	}
-	between := o.rate(o.InterRegionCopies)
+	interRegionRate := o.rate(o.InterRegionCopies)
 	f.start = time.Now()
-	n := newNetwork(between, f, o.Seed)
+	n := newNetwork(interRegionRate, f, o.Seed)
 	ctx, cancel := context.WithCancel(context.Background())
 	fl := &fleet{
 		o: o, net: n, manifest: m, digest: model.Sum(encoded), ctx: ctx, cancel: cancel,
 		origin: &origin{network: n, up: newLinkLimiter(o.rate(o.OriginCopies)), objects: map[string][]byte{weightsObject: data, manifestObject: encoded}},
-		plan:   decide.MakePlan(planInput(o, timeWeight)),
+		plan:   libdistribute.MakePlan(planInput(o, timeWeight)),
 	}
-	if swarm {
+	if withEntries {
 		err = fl.startEntries()
 	}
 	for i := 0; err == nil && i < o.Agents; i++ {
@@ -100,14 +100,14 @@
 	}
 }
 
-func planInput(o *Options, timeWeight float64) decide.PlanInput {
+func planInput(o *Options, timeWeight float64) libdistribute.PlanInput {
 	link := o.rate(o.InstanceCopies)
-	in := decide.PlanInput{
+	in := libdistribute.PlanInput{
 		Size: int64(o.Size), ChunkSize: int64(o.ChunkSize), OriginRate: o.rate(o.OriginCopies),
 		InterRegionRate: o.rate(o.InterRegionCopies) * o.LinkShare, TimeWeight: timeWeight,
 	}
 	for d := range o.Domains {
-		in.Domains = append(in.Domains, decide.DomainInput{
+		in.Domains = append(in.Domains, libdistribute.DomainInput{
 			Location: locationOf(d), Instances: (o.Agents + o.Domains - 1 - d) / o.Domains, DownloadRate: link, UploadRate: link,
 		})
 	}
@@ -124,11 +124,11 @@
 		e := &entry{address: l.Addr().String(), location: locationOf(d), listener: l}
 		e.service = tracker.New(tracker.Config{
 			Seed: fl.o.Seed + int64(i), Location: e.location,
-			Tracker: decide.TrackerConfig{
+			Tracker: libdistribute.TrackerConfig{
 				UploadSlots: fl.o.UploadSlots, OriginStreams: fl.o.OriginStreams, RemoteStreams: fl.o.RemoteStreams,
 				RemoteRate: int64(fl.o.rate(fl.o.InterRegionCopies) * fl.o.LinkShare),
 			},
-			Policy: func(model.Digest) decide.Policy { return fl.plan.Policy },
+			Policy: func(model.Digest) libdistribute.Policy { return fl.plan.Policy },
 		})
 		fl.net.add(e.address, &node{name: fmt.Sprintf("entry-%d", i), location: e.location})
 		fl.entries = append(fl.entries, e)
@@ -139,11 +139,12 @@
 	return nil
 }
 
-// runPeriodicTasks does what an entry daemon does periodically: it expires state and sends
-// summaries to the trackers of the other failure domains.
+// runPeriodicTasks performs the periodic tasks of an entry process for all entries:
+// it expires state and sends summaries to the trackers of the other entries.
 func (fl *fleet) runPeriodicTasks() {
 	defer fl.wg.Done()
-	// Entries of a run share a process, so summaries skip the connection.
+	// All entries are in this process, so summaries are passed by a direct call and
+	// not over a connection.
 	sessions := make(map[[2]*entry]*tracker.Session)
 	for _, from := range fl.entries {
 		for _, to := range fl.entries {
@@ -192,7 +193,7 @@
 	a.service = transfer.New(transfer.Config{
 		Seed: fl.o.Seed*1000 + int64(i) + 1, Identity: identity, Pool: "pool",
 		Origin: originClient{fl.origin, a.node}, Chunks: a.chunks,
-		Downloader: decide.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.QueueDepth, MinAnnounceInterval: 2 * time.Millisecond},
+		Downloader: libdistribute.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.QueueDepth, MinAnnounceInterval: 2 * time.Millisecond},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 			if err != nil {
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// serveConns serves connections until the context ends.
+// serveConns accepts and serves connections in the background until ctx ends.
 func (fl *fleet) serveConns(ctx context.Context, l net.Listener, local *node, hello wire.Hello, serve func(*wire.Conn, wire.Hello) error) {
 	fl.wg.Add(1)
 	go func() {
@@ -244,11 +245,13 @@
 	}()
 }
 
+// kill ends the agent's connections and transfers.
 func (a *agent) kill() {
 	a.cancel()
 	a.service.Close()
 }
 
+// close ends all agents and entries and waits for their goroutines.
 func (fl *fleet) close() {
 	fl.cancel()
 	for _, a := range fl.agents {
@@ -257,7 +260,8 @@
 	fl.wg.Wait()
 }
 
-// dial opens a connection over the emulated links, for baselines.
+// dial opens a connection to another agent over the emulated links. The baselines
+// use it.
 func (a *agent) dial(ctx context.Context, fl *fleet, to *agent) (*wire.Conn, error) {
 	nc, err := new(net.Dialer).DialContext(ctx, "tcp", to.address)
 	if err != nil {
--- a/internal/measure/distribute/network.go
+++ b/internal/measure/distribute/network.go
@@ -17,8 +17,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// linkQuantum is the number of bytes that pass a limited link at once. It is small
-// against a chunk, so that concurrent transfers share a link evenly.
+// linkQuantum is the maximum number of bytes that pass a link at once. It is small
+// compared with a chunk, so that concurrent transfers share a link evenly.
 const linkQuantum = 8 << 10
 
 // newLinkLimiter returns the token bucket of a link.
@@ -26,15 +26,16 @@
 	return rate.NewLimiter(rate.Limit(bytesPerSecond), 2*linkQuantum)
 }
 
-// node is one end of emulated links.
+// node is an endpoint of emulated links.
 type node struct {
 	name     string
 	location model.Location
 	up, down *rate.Limiter
 }
 
-// network emulates links: a bucket for each direction of each node's link, and
-// one for each direction between two regions. Directed pairs may stall for good.
+// network emulates links: a token bucket for each direction of a node's link, and
+// one for each direction between two regions. The link from one node to another
+// may stall for the rest of the run. It is safe for concurrent use.
 type network struct {
 	mu               sync.Mutex
 	nodes            map[string]*node // by address
@@ -46,23 +47,25 @@
 	rand             *rand.Rand
 }
 
-// faults of a run.
+// faults describes the faults of a run.
 type faults struct {
+	// corruptShare is the share of chunk transfers that are corrupted, stallShare
+	// the share of directed pairs of nodes whose link stalls.
 	corruptShare, stallShare float64
-	// stallWindow is the time after the start in which stalls begin.
+	// stallWindow is the time after start within which stalls begin.
 	stallWindow time.Duration
 	start       time.Time
 }
 
-// stall is the state of a directed pair of nodes.
+// stall holds when the link of a directed pair of nodes stalls.
 type stall struct {
-	startAt time.Time // zero for never
+	startAt time.Time // zero if it never stalls
 }
 
-func newNetwork(between float64, f faults, seed int64) *network {
+func newNetwork(interRegionRate float64, f faults, seed int64) *network {
 	return &network{
 		nodes: make(map[string]*node), interRegionLinks: make(map[[2]model.Region]*rate.Limiter),
-		interRegionRate: between, faults: f, stalls: make(map[[2]string]*stall), seed: seed, rand: rand.New(rand.NewSource(seed)),
+		interRegionRate: interRegionRate, faults: f, stalls: make(map[[2]string]*stall), seed: seed, rand: rand.New(rand.NewSource(seed)),
 	}
 }
 
@@ -78,7 +81,8 @@
 	return n.nodes[address]
 }
 
-// interRegionLink returns the bucket from one region to another, or nil within one.
+// interRegionLink returns the bucket of the link from one region to another, or nil
+// if they are the same or one is unknown.
 func (n *network) interRegionLink(from, to model.Region) *rate.Limiter {
 	if from == to || from == "" || to == "" {
 		return nil
@@ -94,7 +98,7 @@
 	return l
 }
 
-// isStalled reports whether bytes from one node to another are held back.
+// isStalled reports whether the link from one node to another is stalled.
 func (n *network) isStalled(from, to string) bool {
 	if n.faults.stallShare <= 0 {
 		return false
@@ -104,20 +108,21 @@
 	key := [2]string{from, to}
 	s, ok := n.stalls[key]
 	if !ok {
-		// The draw depends on the pair only, not on which pair is used first.
+		// The random choice depends on the seed and the pair, not on the order in
+		// which pairs are first used.
 		h := fnv.New64a()
 		_, _ = fmt.Fprintf(h, "%d %s %s", n.seed, from, to)
-		draw := rand.New(rand.NewSource(int64(h.Sum64())))
+		rng := rand.New(rand.NewSource(int64(h.Sum64())))
 		s = new(stall)
-		if draw.Float64() < n.faults.stallShare {
-			s.startAt = n.faults.start.Add(time.Duration(draw.Int63n(int64(n.faults.stallWindow))))
+		if rng.Float64() < n.faults.stallShare {
+			s.startAt = n.faults.start.Add(time.Duration(rng.Int63n(int64(n.faults.stallWindow))))
 		}
 		n.stalls[key] = s
 	}
 	return !s.startAt.IsZero() && time.Now().After(s.startAt)
 }
 
-// drawCorruption draws whether a chunk transfer is damaged.
+// drawCorruption decides at random whether a chunk transfer is corrupted.
 func (n *network) drawCorruption() bool {
 	if n.faults.corruptShare <= 0 {
 		return false
@@ -127,7 +132,8 @@
 	return n.rand.Float64() < n.faults.corruptShare
 }
 
-// waitForLinks waits until some bytes may pass all buckets.
+// waitForLinks waits until the given number of bytes may pass all buckets; nil
+// buckets are ignored. It returns the error of ctx if ctx ends first.
 func waitForLinks(ctx context.Context, bytes int, buckets ...*rate.Limiter) error {
 	var wait time.Duration
 	now := time.Now()
@@ -149,7 +155,8 @@
 	}
 }
 
-// limitedConn is a connection over emulated links.
+// limitedConn is a connection over emulated links. Writes pass the local node's
+// uplink and the link between the regions, reads the local node's downlink.
 type limitedConn struct {
 	net.Conn
 	network       *network
@@ -157,7 +164,7 @@
 	remote        atomic.Pointer[node]
 	ctx           context.Context
 	cancel        context.CancelFunc
-	minChunkWrite int // writes from this size on carry a chunk
+	minChunkWrite int // writes of at least this size carry a chunk
 }
 
 func (n *network) wrapConn(nc net.Conn, local, remote *node, chunkSize int) *limitedConn {
@@ -174,9 +181,9 @@
 
 func (c *limitedConn) Write(p []byte) (int, error) {
 	remote := c.remote.Load()
-	var between *rate.Limiter
+	var interRegion *rate.Limiter
 	if remote != nil {
-		between = c.network.interRegionLink(c.local.location.Region, remote.location.Region)
+		interRegion = c.network.interRegionLink(c.local.location.Region, remote.location.Region)
 	}
 	if len(p) >= c.minChunkWrite && c.network.drawCorruption() {
 		p = append([]byte(nil), p...)
@@ -188,7 +195,7 @@
 			return sent, errors.Join(os.ErrClosed, c.ctx.Err())
 		}
 		end := min(sent+linkQuantum, len(p))
-		if err := waitForLinks(c.ctx, end-sent, c.local.up, between); err != nil {
+		if err := waitForLinks(c.ctx, end-sent, c.local.up, interRegion); err != nil {
 			return sent, err
 		}
 		n, err := c.Conn.Write(p[sent:end])
--- a/internal/measure/distribute/origin.go
+++ b/internal/measure/distribute/origin.go
@@ -10,10 +10,10 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// originName names the origin in directed links.
+// originName is the node name of the origin.
 const originName = "origin"
 
-// origin serves objects over its one link.
+// origin serves objects to all instances over one shared link.
 type origin struct {
 	network     *network
 	up          *rate.Limiter
@@ -21,13 +21,14 @@
 	bytesServed atomic.Int64
 }
 
-// originClient is the origin as one instance sees it.
+// originClient reads from the origin on behalf of one instance.
 type originClient struct {
 	*origin
 	instance *node
 }
 
-// ReadRange opens a range; reads beyond the end find nothing.
+// ReadRange opens a byte range of an object, cut at the end of the object. It
+// returns backing.ErrNotFound for an unknown object.
 func (o originClient) ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error) {
 	data, ok := o.objects[object]
 	if !ok {
@@ -43,6 +44,7 @@
 	return r, nil
 }
 
+// originReader reads an open range over the emulated links.
 type originReader struct {
 	o      originClient
 	ctx    context.Context
--- a/internal/measure/distribute/plot.go
+++ b/internal/measure/distribute/plot.go
@@ -10,22 +10,22 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// drawPlot writes an SVG of complete instances over time and the lower bound.
-// The time axis ends at twice the slowest run but the origin-only one, which
-// would squeeze the others.
+// drawPlot writes an SVG plot of complete instances over time, with the lower
+// bound. The time axis ends at 1.3 times the slowest run, except for the
+// origin-only run, which would compress the others.
 func drawPlot(path string, o *Options, runs []*result) error {
 	p := plot.New()
 	p.Title.Text = "Instances complete over time"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "instances"
 	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, float64(o.Agents)*1.05
 	p.Legend.Top, p.Legend.Left = false, false
-	end := time.Duration(0)
+	slowest := time.Duration(0)
 	for _, r := range runs {
 		if r.name != "origin only" {
-			end = max(end, r.timeToLast())
+			slowest = max(slowest, r.timeToLast())
 		}
 	}
-	p.X.Max = end.Seconds() * 1.3
+	p.X.Max = slowest.Seconds() * 1.3
 	for i, r := range runs {
 		line, err := plotter.NewLine(stepPoints(r))
 		if err != nil {
@@ -35,8 +35,8 @@
 		p.Add(line)
 		p.Legend.Add(r.name, line)
 	}
-	bound := o.lowerBound().Seconds()
-	line, err := plotter.NewLine(plotter.XYs{{X: bound, Y: 0}, {X: bound, Y: float64(o.Agents)}})
+	lowerBound := o.lowerBound().Seconds()
+	line, err := plotter.NewLine(plotter.XYs{{X: lowerBound, Y: 0}, {X: lowerBound, Y: float64(o.Agents)}})
 	if err != nil {
 		return merry.Wrap(err)
 	}
--- a/internal/measure/distribute/result.go
+++ b/internal/measure/distribute/result.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// result is what one run showed.
+// result holds the measurements of one run.
 type result struct {
 	name string
-	// completionTimes holds the times at which instances were complete, sorted.
+	// completionTimes holds the times from the start of the run at which surviving
+	// instances were complete, sorted.
 	completionTimes []time.Duration
 	originBytes     int64
-	// incomplete counts surviving instances that did not complete whole.
+	// incomplete counts the survivors that failed or hold incomplete weights.
 	incomplete int
-	survivors  int
+	// survivors counts the instances that were not killed.
+	survivors int
 }
 
 func newResult(name string, start time.Time, fl *fleet) *result {
@@ -33,7 +35,8 @@
 	return r
 }
 
-// timeToLast is the time to the last instance.
+// timeToLast returns the time until the last instance was complete, or 0 if none
+// was.
 func (r *result) timeToLast() time.Duration {
 	if len(r.completionTimes) == 0 {
 		return 0
@@ -41,5 +44,5 @@
 	return r.completionTimes[len(r.completionTimes)-1]
 }
 
-// originCopies is the number of copies read from the origin.
+// originCopies returns the number of copies of the weights read from the origin.
 func (r *result) originCopies(o *Options) float64 { return float64(r.originBytes) / float64(o.Size) }
--- a/internal/measure/distribute/swarm.go
+++ b/internal/measure/distribute/swarm.go
@@ -6,33 +6,33 @@
 	"sync"
 	"time"
 
-	decide "github.com/auburnbend/auburnbend/lib/distribute"
+	libdistribute "github.com/auburnbend/auburnbend/lib/distribute"
 )
 
-// runTimeout bounds one run, so that the experiment ends in time whatever happens.
+// runTimeout limits one run, so that the experiment ends even if a run hangs.
 const runTimeout = 30 * time.Second
 
-// runSwarm runs the system itself. Killed instances die at random times within the
-// given time after the start.
-func runSwarm(o *Options, name string, timeWeight, kill float64, f faults) (*result, decide.Plan, error) {
+// runSwarm runs the system. The share killShare of the instances is killed at
+// random times within f.stallWindow after the start.
+func runSwarm(o *Options, name string, timeWeight, killShare float64, f faults) (*result, libdistribute.Plan, error) {
 	fl, err := newFleet(o, timeWeight, f, true)
 	if err != nil {
-		return nil, decide.Plan{}, err
+		return nil, libdistribute.Plan{}, err
 	}
 	defer fl.close()
 	ctx, cancel := context.WithTimeout(fl.ctx, runTimeout)
 	defer cancel()
 	rng := rand.New(rand.NewSource(o.Seed + 7))
-	victims := rng.Perm(o.Agents)[:int(kill*float64(o.Agents))]
+	victims := rng.Perm(o.Agents)[:int(killShare*float64(o.Agents))]
 	start := time.Now()
 	var wg sync.WaitGroup
 	for _, v := range victims {
 		fl.agents[v].killed = true
-		delay := time.Duration(rng.Int63n(int64(f.stallWindow)))
+		killAfter := time.Duration(rng.Int63n(int64(f.stallWindow)))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			time.Sleep(delay)
+			time.Sleep(killAfter)
 			fl.agents[v].kill()
 		}()
 	}
