--- a/internal/measure/poison/simulate.go
+++ b/internal/measure/poison/simulate.go
@@ -53,7 +53,7 @@
 	return false
 }
 
-// Simulate runs one simulation. The result depends only on p.
+// Simulate simulates one run and returns its counts.
 func Simulate(p Params) Result {
 	s := &simulation{Params: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), start: time.Unix(1_800_000_000, 0)}
 	s.now = s.start
