--- a/internal/measure/capacity/usage.go
+++ b/internal/measure/capacity/usage.go
@@ -7,12 +7,12 @@
 	measurerun "github.com/auburnbend/auburnbend/internal/measure/run"
 )
 
-// usage is what a process has used so far.
+// usage is the resource usage of a process. The child process sends it as JSON.
 type usage struct {
-	// Processor is user and system time.
-	Processor time.Duration `json:"processor"`
-	// Memory is the heap in use after a collection and the stacks, in bytes.
-	Memory float64 `json:"memory"`
+	// CPUTime is the user and system time since the start of the process.
+	CPUTime time.Duration `json:"processor"`
+	// MemoryBytes is the heap in use after a garbage collection plus the stacks.
+	MemoryBytes float64 `json:"memory"`
 }
 
 func readUsage() usage {
@@ -20,7 +20,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return usage{
-		Processor: measurerun.ProcessorTime(),
-		Memory:    float64(m.HeapAlloc + m.StackInuse),
+		CPUTime:     measurerun.CPUTime(),
+		MemoryBytes: float64(m.HeapAlloc + m.StackInuse),
 	}
 }
--- a/internal/measure/distribute/command.go
+++ b/internal/measure/distribute/command.go
@@ -1,12 +1,12 @@
-// Package distribute measures the distribution of weights: the real tracker and
-// transfer code on loopback, over links that token buckets limit, against
-// downloads from the origin only and a fixed tree in each failure domain.
+// Package distribute measures the distribution of weights. It runs the real
+// tracker and transfer code on loopback, over links whose rate token buckets
+// limit. The baselines are downloads from the origin only and a fixed tree in each
+// failure domain.
 //
-// Link rates follow from a distribution window, so that a run takes seconds and
-// keeps the proportions of the stated target: the origin's link carries about
-// four copies in a window and an instance's link two. The origin is reached
-// from each region directly; only traffic between instances uses the links
-// between regions.
+// Link rates are derived from a distribution window, so that a run takes seconds
+// and keeps the proportions of the stated target: the origin's link carries about
+// four copies in a window and an instance's link two. Each region reaches the
+// origin directly; only traffic between instances uses the links between regions.
 package distribute
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// Bounds from the stated target.
+// Bounds of the stated target.
 const (
-	timeFactor      = 1.25 // of the lower bound
-	copiesPerDomain = 1.05
-	disturbedFactor = 2.0 // of the undisturbed time
-	disturbedCopies = 1.2 // per failure domain
+	maxTimeFactor               = 1.25 // of the lower bound
+	maxCopiesPerDomain          = 1.05
+	maxDisturbedTimeFactor      = 2.0 // of the time without faults
+	maxDisturbedCopiesPerDomain = 1.2 // per failure domain
 )
 
-// New returns the subcommand.
+// New returns the distribute subcommand.
 func New() *cobra.Command {
 	o := new(Options)
 	cmd := &cobra.Command{
 		Use:   "distribute",
-		Short: "Measure time to N instances and origin bytes",
+		Short: "Measure the time until all instances have the weights, and the origin bytes",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			p := figure.NewPrinter(cmd.OutOrStdout())
@@ -51,34 +51,37 @@
 	runs []*result
 }
 
-func (e *experiment) wants(run string) bool {
-	return e.o.Only == "" || strings.Contains(","+e.o.Only+",", ","+run+",")
+// selected reports whether Options.Runs includes a run.
+func (e *experiment) selected(run string) bool {
+	return e.o.Runs == "" || strings.Contains(","+e.o.Runs+",", ","+run+",")
 }
 
-// run executes the runs one after the other: they share the machine's cores.
+// run executes the selected runs one after another, since each needs the cores of
+// the machine.
 func (e *experiment) run() error {
-	fixed, err := e.fixedTree()
+	fixedTree, err := e.runFixedTree()
 	if err == nil {
-		err = e.own(fixed)
+		err = e.runSystem(fixedTree)
 	}
-	if err == nil && e.wants("origin") {
-		var alone *result
-		if alone, err = originOnly(e.o); err == nil {
-			e.runs = append(e.runs, alone)
-			err = e.report(alone, "origin_only", nil, nil)
+	if err == nil && e.selected("origin") {
+		var r *result
+		if r, err = runOriginOnly(e.o); err == nil {
+			e.runs = append(e.runs, r)
+			err = e.report(r, "origin_only", nil, nil)
 		}
 	}
-	if err == nil && e.o.Plot != "" {
-		err = drawPlot(e.o.Plot, e.o, e.runs)
+	if err == nil && e.o.PlotPath != "" {
+		err = drawPlot(e.o.PlotPath, e.o, e.runs)
 	}
 	return err
 }
 
-func (e *experiment) fixedTree() (*result, error) {
-	if !e.wants("tree") {
+// runFixedTree returns nil if the run is not selected.
+func (e *experiment) runFixedTree() (*result, error) {
+	if !e.selected("tree") {
 		return nil, nil
 	}
-	r, err := tree(e.o)
+	r, err := runTree(e.o)
 	if err != nil {
 		return nil, err
 	}
@@ -86,29 +89,30 @@
 	return r, e.report(r, "fixed_tree", nil, nil)
 }
 
-// own runs the system undisturbed with time favoured, with origin bytes
-// favoured, and disturbed. The baseline of its figures is the fixed tree.
-func (e *experiment) own(fixed *result) error {
+// runSystem runs the system without faults, once favouring time and once favouring
+// origin bytes, and then with faults. The fixed tree is the baseline of the figures
+// without faults; it may be nil.
+func (e *experiment) runSystem(fixedTree *result) error {
 	o := e.o
-	bound := o.lowerBound()
-	if err := e.p.Print(figure.Figure{Name: "distribute/lower_bound", Value: bound.Seconds(), Unit: "s"}); err != nil {
+	lowerBound := o.lowerBound()
+	if err := e.p.Print(figure.Figure{Name: "distribute/lower_bound", Value: lowerBound.Seconds(), Unit: "s"}); err != nil {
 		return err
 	}
-	undisturbed := time.Duration(timeFactor * float64(bound))
-	if e.wants("time") {
-		r, _, err := swarm(o, "time favoured", 1, 0, faults{})
+	undisturbedTime := time.Duration(maxTimeFactor * float64(lowerBound))
+	if e.selected("time") {
+		r, _, err := runSwarm(o, "time favoured", 1, 0, faults{})
 		if err != nil {
 			return err
 		}
-		undisturbed = r.last()
+		undisturbedTime = r.timeToLast()
 		e.runs = append(e.runs, r)
-		limits := limit{time: timeFactor * bound.Seconds(), copies: copiesPerDomain * float64(o.Domains)}
-		if err := e.report(r, "time_favoured", &limits, fixed); err != nil {
+		limits := bounds{time: maxTimeFactor * lowerBound.Seconds(), copies: maxCopiesPerDomain * float64(o.Domains)}
+		if err := e.report(r, "time_favoured", &limits, fixedTree); err != nil {
 			return err
 		}
 	}
-	if e.wants("bytes") {
-		r, plan, err := swarm(o, "origin bytes favoured", 0, 0, faults{})
+	if e.selected("bytes") {
+		r, plan, err := runSwarm(o, "origin bytes favoured", 0, 0, faults{})
 		if err != nil {
 			return err
 		}
@@ -116,46 +120,49 @@
 		if err := e.p.Print(figure.Figure{Name: "distribute/bytes_favoured/predicted_time", Value: plan.EstimatedTime.Seconds(), Unit: "s"}); err != nil {
 			return err
 		}
-		limits := limit{time: timeFactor * plan.EstimatedTime.Seconds(), copies: copiesPerDomain * float64(plan.Policy.Copies)}
-		if err := e.report(r, "bytes_favoured", &limits, fixed); err != nil {
+		limits := bounds{time: maxTimeFactor * plan.EstimatedTime.Seconds(), copies: maxCopiesPerDomain * float64(plan.Policy.Copies)}
+		if err := e.report(r, "bytes_favoured", &limits, fixedTree); err != nil {
 			return err
 		}
 	}
-	if !e.wants("faults") {
+	if !e.selected("faults") {
 		return nil
 	}
-	r, _, err := swarm(o, "disturbed", o.TimeWeight, o.Kill, faults{corrupt: o.Corrupt, stall: o.Stall, within: undisturbed})
+	r, _, err := runSwarm(o, "disturbed", o.TimeWeight, o.KillShare, faults{corruptShare: o.CorruptShare, stallShare: o.StallShare, stallWindow: undisturbedTime})
 	if err != nil {
 		return err
 	}
 	e.runs = append(e.runs, r)
-	limits := limit{time: disturbedFactor * undisturbed.Seconds(), copies: disturbedCopies * float64(o.Domains)}
+	limits := bounds{time: maxDisturbedTimeFactor * undisturbedTime.Seconds(), copies: maxDisturbedCopiesPerDomain * float64(o.Domains)}
 	return e.report(r, "disturbed", &limits, nil)
 }
 
-// limit holds the bounds of a run.
-type limit struct{ time, copies float64 }
+// bounds holds the upper bounds of a run: its time in seconds and the number of
+// copies read from the origin.
+type bounds struct{ time, copies float64 }
 
-func (e *experiment) report(r *result, name string, l *limit, base *result) error {
-	done := figure.Figure{
+// report prints the figures of a run. Without limits they have no bounds, and
+// without a baseline no baseline figures.
+func (e *experiment) report(r *result, name string, limits *bounds, baseline *result) error {
+	complete := figure.Figure{
 		Name: "distribute/" + name + "/complete_share", Unit: "share of survivors",
 		Value: float64(r.survivors-r.incomplete) / float64(r.survivors),
 	}
-	last := figure.Figure{Name: "distribute/" + name + "/time_to_n", Value: r.last().Seconds(), Unit: "s"}
-	median := figure.Figure{Name: "distribute/" + name + "/time_to_half", Unit: "s"}
-	if n := len(r.done); n > 0 {
-		median.Value = r.done[n/2].Seconds()
+	timeToAll := figure.Figure{Name: "distribute/" + name + "/time_to_n", Value: r.timeToLast().Seconds(), Unit: "s"}
+	timeToHalf := figure.Figure{Name: "distribute/" + name + "/time_to_half", Unit: "s"}
+	if n := len(r.completionTimes); n > 0 {
+		timeToHalf.Value = r.completionTimes[n/2].Seconds()
 	}
-	copies := figure.Figure{Name: "distribute/" + name + "/origin_copies", Value: r.copies(e.o), Unit: "copies"}
-	if l != nil {
-		done.Bound = figure.AtLeast(1)
-		last.Bound, copies.Bound = figure.AtMost(l.time), figure.AtMost(l.copies)
+	copies := figure.Figure{Name: "distribute/" + name + "/origin_copies", Value: r.originCopies(e.o), Unit: "copies"}
+	if limits != nil {
+		complete.Bound = figure.AtLeast(1)
+		timeToAll.Bound, copies.Bound = figure.AtMost(limits.time), figure.AtMost(limits.copies)
 	}
-	if base != nil {
-		t, c := base.last().Seconds(), base.copies(e.o)
-		last.Baseline, copies.Baseline = &t, &c
+	if baseline != nil {
+		t, c := baseline.timeToLast().Seconds(), baseline.originCopies(e.o)
+		timeToAll.Baseline, copies.Baseline = &t, &c
 	}
-	for _, f := range []figure.Figure{done, last, median, copies} {
+	for _, f := range []figure.Figure{complete, timeToAll, timeToHalf, copies} {
 		if err := e.p.Print(f); err != nil {
 			return err
 		}
--- a/internal/measure/distribute/fleet.go
+++ b/internal/measure/distribute/fleet.go
@@ -12,18 +12,18 @@
 
 	"github.com/auburnbend/auburnbend/agent/transfer"
 	"github.com/auburnbend/auburnbend/entry/tracker"
-	decide "github.com/auburnbend/auburnbend/lib/distribute"
+	libdistribute "github.com/auburnbend/auburnbend/lib/distribute"
 	"github.com/auburnbend/auburnbend/lib/model"
 	"github.com/auburnbend/auburnbend/lib/weights"
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// fleet is one run's entries and agents on loopback.
+// fleet holds the entries and agents of one run, connected over loopback.
 type fleet struct {
 	o        *Options
 	net      *network
 	origin   *origin
-	plan     decide.Plan
+	plan     libdistribute.Plan
 	manifest *weights.Manifest
 	digest   model.Digest
 
@@ -59,9 +59,9 @@
 	manifestObject = "manifest"
 )
 
-// newFleet starts entries and agents. With swarm unset there are no entries and
-// the agents only serve chunks.
-func newFleet(o *Options, timeWeight float64, f faults, swarm bool) (*fleet, error) {
+// newFleet starts the agents and, if withEntries is set, the entries. Without
+// entries the agents only serve chunks.
+func newFleet(o *Options, timeWeight float64, f faults, withEntries bool) (*fleet, error) {
 	data := make([]byte, o.Size)
 	rand.New(rand.NewSource(o.Seed)).Read(data)
 	m, err := weights.BuildBytes(data, weightsObject, model.Digest{}, o.ChunkSize)
@@ -72,16 +72,16 @@
 	if err != nil {
 		return nil, err
 	}
-	between := o.rate(o.InterRegionCopies)
+	interRegionRate := o.rate(o.InterRegionCopies)
 	f.start = time.Now()
-	n := newNetwork(between, f, o.Seed)
+	n := newNetwork(interRegionRate, f, o.Seed)
 	ctx, cancel := context.WithCancel(context.Background())
 	fl := &fleet{
 		o: o, net: n, manifest: m, digest: model.Sum(encoded), ctx: ctx, cancel: cancel,
-		origin: &origin{n: n, up: bucket(o.rate(o.OriginCopies)), objects: map[string][]byte{weightsObject: data, manifestObject: encoded}},
-		plan:   decide.MakePlan(planInput(o, timeWeight)),
+		origin: &origin{network: n, up: newLinkLimiter(o.rate(o.OriginCopies)), objects: map[string][]byte{weightsObject: data, manifestObject: encoded}},
+		plan:   libdistribute.MakePlan(planInput(o, timeWeight)),
 	}
-	if swarm {
+	if withEntries {
 		err = fl.startEntries()
 	}
 	for i := 0; err == nil && i < o.Agents; i++ {
@@ -100,14 +100,14 @@
 	}
 }
 
-func planInput(o *Options, timeWeight float64) decide.PlanInput {
+func planInput(o *Options, timeWeight float64) libdistribute.PlanInput {
 	link := o.rate(o.InstanceCopies)
-	in := decide.PlanInput{
+	in := libdistribute.PlanInput{
 		Size: int64(o.Size), ChunkSize: int64(o.ChunkSize), OriginRate: o.rate(o.OriginCopies),
 		InterRegionRate: o.rate(o.InterRegionCopies) * o.LinkShare, TimeWeight: timeWeight,
 	}
 	for d := range o.Domains {
-		in.Domains = append(in.Domains, decide.DomainInput{
+		in.Domains = append(in.Domains, libdistribute.DomainInput{
 			Location: locationOf(d), Instances: (o.Agents + o.Domains - 1 - d) / o.Domains, DownloadRate: link, UploadRate: link,
 		})
 	}
@@ -124,26 +124,27 @@
 		e := &entry{address: l.Addr().String(), location: locationOf(d), listener: l}
 		e.service = tracker.New(tracker.Config{
 			Seed: fl.o.Seed + int64(i), Location: e.location,
-			Tracker: decide.TrackerConfig{
+			Tracker: libdistribute.TrackerConfig{
 				UploadSlots: fl.o.UploadSlots, OriginStreams: fl.o.OriginStreams, RemoteStreams: fl.o.RemoteStreams,
 				RemoteRate: int64(fl.o.rate(fl.o.InterRegionCopies) * fl.o.LinkShare),
 			},
-			Policy: func(model.Digest) decide.Policy { return fl.plan.Policy },
+			Policy: func(model.Digest) libdistribute.Policy { return fl.plan.Policy },
 		})
 		fl.net.add(e.address, &node{name: fmt.Sprintf("entry-%d", i), location: e.location})
 		fl.entries = append(fl.entries, e)
-		fl.accept(fl.ctx, l, fl.net.node(e.address), wire.Hello{Role: wire.RoleEntry}, e.service.Serve)
+		fl.serveConns(fl.ctx, l, fl.net.node(e.address), wire.Hello{Role: wire.RoleEntry}, e.service.Serve)
 	}
 	fl.wg.Add(1)
-	go fl.tick()
+	go fl.runPeriodicTasks()
 	return nil
 }
 
-// tick does what an entry daemon does periodically: it expires state and sends
-// summaries to the trackers of the other failure domains.
-func (fl *fleet) tick() {
+// runPeriodicTasks performs the periodic tasks of an entry process for all entries:
+// it expires state and sends summaries to the trackers of the other entries.
+func (fl *fleet) runPeriodicTasks() {
 	defer fl.wg.Done()
-	// Entries of a run share a process, so summaries skip the connection.
+	// All entries are in this process, so summaries are passed by a direct call and
+	// not over a connection.
 	sessions := make(map[[2]*entry]*tracker.Session)
 	for _, from := range fl.entries {
 		for _, to := range fl.entries {
@@ -181,7 +182,7 @@
 	location := locationOf(i % fl.o.Domains)
 	a := &agent{
 		address: l.Addr().String(), listener: l, chunks: weights.NewStore(weights.StoreConfig{}),
-		node: &node{name: fmt.Sprintf("agent-%d", i), location: location, up: bucket(link), down: bucket(link)},
+		node: &node{name: fmt.Sprintf("agent-%d", i), location: location, up: newLinkLimiter(link), down: newLinkLimiter(link)},
 	}
 	a.ctx, a.cancel = context.WithCancel(fl.ctx)
 	fl.net.add(a.address, a.node)
@@ -191,14 +192,14 @@
 	}
 	a.service = transfer.New(transfer.Config{
 		Seed: fl.o.Seed*1000 + int64(i) + 1, Identity: identity, Pool: "pool",
-		Origin: originFor{fl.origin, a.node}, Chunks: a.chunks,
-		Downloader: decide.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.Ahead, MinAnnounceInterval: 2 * time.Millisecond},
+		Origin: originClient{fl.origin, a.node}, Chunks: a.chunks,
+		Downloader: libdistribute.DownloaderConfig{Window: fl.o.Streams, QueueDepth: fl.o.QueueDepth, MinAnnounceInterval: 2 * time.Millisecond},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 			if err != nil {
 				return nil, err
 			}
-			return fl.net.wrap(nc, a.node, fl.net.node(address), fl.o.ChunkSize), nil
+			return fl.net.wrapConn(nc, a.node, fl.net.node(address), fl.o.ChunkSize), nil
 		},
 	})
 	var addresses []string
@@ -209,14 +210,14 @@
 	}
 	a.service.SetEntries(addresses)
 	fl.agents = append(fl.agents, a)
-	fl.accept(a.ctx, l, a.node, wire.Hello{Role: wire.RoleAgent, Identity: identity}, func(c *wire.Conn, _ wire.Hello) error {
+	fl.serveConns(a.ctx, l, a.node, wire.Hello{Role: wire.RoleAgent, Identity: identity}, func(c *wire.Conn, _ wire.Hello) error {
 		return a.service.ServePeer(c)
 	})
 	return nil
 }
 
-// accept serves connections until the context ends.
-func (fl *fleet) accept(ctx context.Context, l net.Listener, local *node, hello wire.Hello, serve func(*wire.Conn, wire.Hello) error) {
+// serveConns accepts and serves connections in the background until ctx ends.
+func (fl *fleet) serveConns(ctx context.Context, l net.Listener, local *node, hello wire.Hello, serve func(*wire.Conn, wire.Hello) error) {
 	fl.wg.Add(1)
 	go func() {
 		defer fl.wg.Done()
@@ -229,7 +230,7 @@
 			fl.wg.Add(1)
 			go func() {
 				defer fl.wg.Done()
-				c := fl.net.wrap(nc, local, nil, fl.o.ChunkSize)
+				c := fl.net.wrapConn(nc, local, nil, fl.o.ChunkSize)
 				stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 				defer stop()
 				conn, peer, err := wire.Handshake(c, hello)
@@ -244,11 +245,13 @@
 	}()
 }
 
+// kill ends the agent's connections and transfers.
 func (a *agent) kill() {
 	a.cancel()
 	a.service.Close()
 }
 
+// close ends all agents and entries and waits for their goroutines.
 func (fl *fleet) close() {
 	fl.cancel()
 	for _, a := range fl.agents {
@@ -257,13 +260,14 @@
 	fl.wg.Wait()
 }
 
-// dial opens a connection over the emulated links, for baselines.
+// dial opens a connection to another agent over the emulated links. The baselines
+// use it.
 func (a *agent) dial(ctx context.Context, fl *fleet, to *agent) (*wire.Conn, error) {
 	nc, err := new(net.Dialer).DialContext(ctx, "tcp", to.address)
 	if err != nil {
 		return nil, merry.Wrap(err)
 	}
-	c := fl.net.wrap(nc, a.node, to.node, fl.o.ChunkSize)
+	c := fl.net.wrapConn(nc, a.node, to.node, fl.o.ChunkSize)
 	context.AfterFunc(ctx, func() { _ = c.Close() })
 	conn, _, err := wire.Handshake(c, wire.Hello{Role: wire.RoleAgent, Identity: model.Identity{Address: a.address}})
 	return conn, err
--- a/internal/measure/distribute/origin.go
+++ b/internal/measure/distribute/origin.go
@@ -10,25 +10,26 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// originName names the origin in directed links.
+// originName is the node name of the origin.
 const originName = "origin"
 
-// origin serves objects over its one link.
+// origin serves objects to all instances over one shared link.
 type origin struct {
-	n       *network
-	up      *rate.Limiter
-	objects map[string][]byte
-	bytes   atomic.Int64
+	network     *network
+	up          *rate.Limiter
+	objects     map[string][]byte
+	bytesServed atomic.Int64
 }
 
-// originFor is the origin as one instance sees it.
-type originFor struct {
+// originClient reads from the origin on behalf of one instance.
+type originClient struct {
 	*origin
-	to *node
+	instance *node
 }
 
-// ReadRange opens a range; reads beyond the end find nothing.
-func (o originFor) ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error) {
+// ReadRange opens a byte range of an object, cut at the end of the object. It
+// returns backing.ErrNotFound for an unknown object.
+func (o originClient) ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error) {
 	data, ok := o.objects[object]
 	if !ok {
 		return nil, backing.ErrNotFound
@@ -36,15 +37,16 @@
 	ctx, cancel := context.WithCancel(ctx)
 	offset = min(offset, int64(len(data)))
 	r := &originReader{o: o, ctx: ctx, cancel: cancel, data: data[offset:min(offset+length, int64(len(data)))]}
-	if length > 0 && o.n.corrupts() && len(r.data) > 0 {
+	if length > 0 && o.network.drawCorruption() && len(r.data) > 0 {
 		r.data = append([]byte(nil), r.data...)
 		r.data[len(r.data)/2] ^= 0x55
 	}
 	return r, nil
 }
 
+// originReader reads an open range over the emulated links.
 type originReader struct {
-	o      originFor
+	o      originClient
 	ctx    context.Context
 	cancel context.CancelFunc
 	data   []byte
@@ -54,17 +56,17 @@
 	if len(r.data) == 0 {
 		return 0, io.EOF
 	}
-	if r.o.n.stalled(originName, r.o.to.name) {
+	if r.o.network.isStalled(originName, r.o.instance.name) {
 		<-r.ctx.Done()
 		return 0, r.ctx.Err()
 	}
-	n := min(len(p), slice, len(r.data))
-	if err := pass(r.ctx, n, r.o.up, r.o.to.down); err != nil {
+	n := min(len(p), linkQuantum, len(r.data))
+	if err := waitForLinks(r.ctx, n, r.o.up, r.o.instance.down); err != nil {
 		return 0, err
 	}
 	copy(p, r.data[:n])
 	r.data = r.data[n:]
-	r.o.bytes.Add(int64(n))
+	r.o.bytesServed.Add(int64(n))
 	return n, nil
 }
 
--- a/internal/measure/distribute/result.go
+++ b/internal/measure/distribute/result.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// result is what one run showed.
+// result holds the measurements of one run.
 type result struct {
 	name string
-	// done holds the times at which instances were complete, sorted.
-	done        []time.Duration
-	originBytes int64
-	// incomplete counts surviving instances that did not complete whole.
+	// completionTimes holds the times from the start of the run at which surviving
+	// instances were complete, sorted.
+	completionTimes []time.Duration
+	originBytes     int64
+	// incomplete counts the survivors that failed or hold incomplete weights.
 	incomplete int
-	survivors  int
+	// survivors counts the instances that were not killed.
+	survivors int
 }
 
 func newResult(name string, start time.Time, fl *fleet) *result {
-	r := &result{name: name, originBytes: fl.origin.bytes.Load()}
+	r := &result{name: name, originBytes: fl.origin.bytesServed.Load()}
 	for _, a := range fl.agents {
 		if a.killed {
 			continue
@@ -27,19 +29,20 @@
 			r.incomplete++
 			continue
 		}
-		r.done = append(r.done, a.finished.Sub(start))
+		r.completionTimes = append(r.completionTimes, a.finished.Sub(start))
 	}
-	slices.Sort(r.done)
+	slices.Sort(r.completionTimes)
 	return r
 }
 
-// last is the time to the last instance.
-func (r *result) last() time.Duration {
-	if len(r.done) == 0 {
+// timeToLast returns the time until the last instance was complete, or 0 if none
+// was.
+func (r *result) timeToLast() time.Duration {
+	if len(r.completionTimes) == 0 {
 		return 0
 	}
-	return r.done[len(r.done)-1]
+	return r.completionTimes[len(r.completionTimes)-1]
 }
 
-// copies is the number of copies read from the origin.
-func (r *result) copies(o *Options) float64 { return float64(r.originBytes) / float64(o.Size) }
+// originCopies returns the number of copies of the weights read from the origin.
+func (r *result) originCopies(o *Options) float64 { return float64(r.originBytes) / float64(o.Size) }
--- a/internal/measure/drain/load.go
+++ b/internal/measure/drain/load.go
@@ -9,43 +9,43 @@
 	"github.com/auburnbend/auburnbend/internal/deployment"
 )
 
-// verdict is what became of a request.
-type verdict int
+// requestResult is the outcome of a request as its caller sees it.
+type requestResult int
 
 const (
-	completed verdict = iota
+	completed requestResult = iota
 	notRun
-	// cutOff is any other end.
+	// cutOff is any other outcome.
 	cutOff
-	// wrong is an answer that is complete and not that of one version.
-	wrong
+	// wrongResponse is a completed response that is not that of a single version.
+	wrongResponse
 )
 
-// load is a number of callers that send drafts until they are stopped.
+// load runs callers that send draft requests until they are stopped.
 type load struct {
 	d       *deployment.Deployment
 	o       options
 	client  *deployment.Client
 	stopped chan struct{}
-	tasks   sync.WaitGroup
+	callers sync.WaitGroup
 
 	mu     sync.Mutex
-	counts map[verdict]int
+	counts map[requestResult]int
 }
 
 func newLoad(d *deployment.Deployment, o options) *load {
-	return &load{d: d, o: o, client: deployment.NewClient(), stopped: make(chan struct{}), counts: make(map[verdict]int)}
+	return &load{d: d, o: o, client: deployment.NewClient(), stopped: make(chan struct{}), counts: make(map[requestResult]int)}
 }
 
 func (l *load) start(ctx context.Context) {
 	for i := range l.o.callers {
-		l.tasks.Go(func() { l.call(ctx, i) })
+		l.callers.Go(func() { l.call(ctx, i) })
 	}
 }
 
 func (l *load) stop() {
 	close(l.stopped)
-	l.tasks.Wait()
+	l.callers.Wait()
 	l.client.Close()
 }
 
@@ -58,19 +58,19 @@
 		default:
 		}
 		body := deployment.DraftBody(rng, l.o.tokens)
-		a := l.client.Send(ctx, l.d.Entries[rng.Intn(len(l.d.Entries))].URL, deployment.Call{
+		response := l.client.Send(ctx, l.d.Entries[rng.Intn(len(l.d.Entries))].URL, deployment.Call{
 			Service: deployment.DraftService, Tenant: deployment.TenantLarge,
 			RequestID: fmt.Sprintf("draft-%d-%d", caller, n), Body: body, Stream: true,
 		})
-		l.add(l.judge(a, body))
+		l.record(l.classify(response, body))
 	}
 }
 
-func (l *load) judge(a deployment.Answer, body []byte) verdict {
-	switch a.Outcome {
+func (l *load) classify(response deployment.Answer, body []byte) requestResult {
+	switch response.Outcome {
 	case "completed":
-		if _, whole := l.d.VersionOfAnswer(a.Body, body); !whole {
-			return wrong
+		if _, ok := l.d.VersionOfAnswer(response.Body, body); !ok {
+			return wrongResponse
 		}
 		return completed
 	case "not_run":
@@ -80,14 +80,14 @@
 	}
 }
 
-func (l *load) add(v verdict) {
+func (l *load) record(r requestResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counts[v]++
+	l.counts[r]++
 }
 
-func (l *load) count(v verdict) int {
+func (l *load) count(r requestResult) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.counts[v]
+	return l.counts[r]
 }
--- a/internal/measure/fleet/run_test.go
+++ b/internal/measure/fleet/run_test.go
@@ -11,15 +11,16 @@
 
 var _ = Describe("Run", func() {
 	config := func(rate float64) fleet.Config {
-		return fleet.Config{Seed: 5, Rates: fleet.EvenRates(rate), Warmup: 5 * time.Second, Measured: 10 * time.Second}
+		return fleet.Config{Seed: 5, Rates: fleet.EvenRates(rate), Warmup: 5 * time.Second, Window: 10 * time.Second}
 	}
 
 	It("depends only on its config", func() {
-		// Guards against map order in decisions, which makes figures unrepeatable.
+		// Guards against decisions that depend on map iteration order: runs with
+		// the same seed would give different figures.
 		Expect(fleet.Run(config(150))).To(Equal(fleet.Run(config(150))))
 	})
 
-	It("counts each request once and refuses instead of answering late", func() {
+	It("counts each request once and refuses requests rather than responding late", func() {
 		r := fleet.Run(config(260))
 		total := r.Total()
 		Expect(total.Offered).To(BeNumerically("~", 2600, 200))
--- a/internal/measure/fleet/schedule.go
+++ b/internal/measure/fleet/scheduler.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// schedule runs functions in simulated time. Functions at the same time run in
-// the order in which they were added.
-type schedule struct {
+// scheduler runs functions in simulated time. Functions scheduled for the same
+// time run in the order in which they were added.
+type scheduler struct {
 	now    time.Time
 	queue  eventHeap
 	serial uint64
@@ -19,13 +19,13 @@
 	run    func()
 }
 
-func (s *schedule) after(d time.Duration, run func()) {
+func (s *scheduler) after(d time.Duration, run func()) {
 	s.serial++
 	heap.Push(&s.queue, event{s.now.Add(d), s.serial, run})
 }
 
-// runUntil runs all events up to end.
-func (s *schedule) runUntil(end time.Time) {
+// runUntil runs all events up to and including end and sets the time to end.
+func (s *scheduler) runUntil(end time.Time) {
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
@@ -47,10 +47,10 @@
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends x, for container/heap.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop removes the last event, for container/heap.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
--- a/internal/measure/poison/total.go
+++ b/internal/measure/poison/total.go
@@ -5,14 +5,14 @@
 // Total sums the results of several runs.
 type Total struct {
 	Result
-	Rounds  int
-	MaxLost int
+	Rounds         int
+	MaxLostServers int
 }
 
 func (t *Total) add(r Result) {
 	t.Rounds++
-	t.Lost += r.Lost
-	t.MaxLost = max(t.MaxLost, r.Lost)
+	t.LostServers += r.LostServers
+	t.MaxLostServers = max(t.MaxLostServers, r.LostServers)
 	t.Innocents += r.Innocents
 	t.Answered += r.Answered
 	t.Quarantined += r.Quarantined
@@ -21,19 +21,21 @@
 
 func (t *Total) mean(sum int) float64 { return float64(sum) / float64(max(t.Rounds, 1)) }
 
-func (t *Total) answered() float64 { return float64(t.Answered) / float64(max(t.Innocents, 1)) }
+func (t *Total) answeredShare() float64 { return float64(t.Answered) / float64(max(t.Innocents, 1)) }
 
-// Result is what one run came to.
+// Result holds the counts of one run.
 type Result struct {
-	// Lost counts backend servers that the request crashed.
-	Lost int
-	// Unsuspected counts its dispatches at entries that knew of no crash.
-	Unsuspected int
-	// Innocents counts the other requests, Answered those that were answered,
+	// LostServers counts crashes of backend servers by the poison request.
+	LostServers int
+	// UnsuspectedDispatches counts the dispatches of the poison request that the
+	// dispatching entry did not treat as a suspect.
+	UnsuspectedDispatches int
+	// Innocents counts the innocent requests, Answered those that completed and
 	// Quarantined those that were refused as quarantined.
 	Innocents   int
 	Answered    int
 	Quarantined int
-	// MaxDelay is the longest time to the answer of an innocent request.
+	// MaxDelay is the longest time from arrival to completion of an innocent
+	// request.
 	MaxDelay time.Duration
 }
