--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -21,12 +21,12 @@
 
 // Config configures a View. Zero fields get default values.
 type Config struct {
-	// ProbeTimeout is how long a member may be without a working connection
+	// ReconnectTimeout is how long a member may be without a working connection
 	// before it is considered gone.
-	ProbeTimeout time.Duration
-	// MaxProbeFailures is the number of failed connection attempts after which a
+	ReconnectTimeout time.Duration
+	// MaxDialFailures is the number of failed connection attempts after which a
 	// member without a working connection is considered gone.
-	MaxProbeFailures int
+	MaxDialFailures int
 	// PathFaultWindow is the period within which connections have to go silent to
 	// count towards the same path fault.
 	PathFaultWindow time.Duration
@@ -39,11 +39,11 @@
 }
 
 func (c *Config) applyDefaults() {
-	if c.ProbeTimeout <= 0 {
-		c.ProbeTimeout = 2 * time.Second
+	if c.ReconnectTimeout <= 0 {
+		c.ReconnectTimeout = 2 * time.Second
 	}
-	if c.MaxProbeFailures <= 0 {
-		c.MaxProbeFailures = 2
+	if c.MaxDialFailures <= 0 {
+		c.MaxDialFailures = 2
 	}
 	if c.PathFaultWindow <= 0 {
 		c.PathFaultWindow = 3 * time.Second
--- a/lib/member/connection.go
+++ b/lib/member/connection.go
@@ -25,10 +25,10 @@
 	return BusyInterval
 }
 
-// silentSince returns the time from which missed heartbeats are counted. That is not
+// awaitingSince returns the time from which the next heartbeat is awaited. That is not
 // before the first request in flight, because the peer switches to the short
 // interval only when that request arrives.
-func (c *connection) silentSince() time.Time {
+func (c *connection) awaitingSince() time.Time {
 	if c.busySince.After(c.lastFrameAt) {
 		return c.busySince
 	}
@@ -39,7 +39,7 @@
 // interval applies from the time of a probe, because the peer answers it
 // immediately.
 func (c *connection) deadline() time.Time {
-	deadline := c.silentSince().Add(MaxMissedHeartbeats * c.interval())
+	deadline := c.awaitingSince().Add(MaxMissedHeartbeats * c.interval())
 	if probed := c.probedAt.Add(MaxMissedHeartbeats * BusyInterval); !c.probedAt.IsZero() && probed.Before(deadline) {
 		return probed
 	}
@@ -49,7 +49,7 @@
 // overdue reports whether at least one heartbeat or the answer to a probe is
 // overdue.
 func (c *connection) overdue(now time.Time) bool {
-	return now.Sub(c.silentSince()) > c.interval() || c.probeOverdue(now)
+	return now.Sub(c.awaitingSince()) > c.interval() || c.probeOverdue(now)
 }
 
 // probeOverdue reports whether a probe is unanswered for longer than a round trip on
--- a/lib/member/signs.go
+++ b/lib/member/connection_events.go
@@ -12,7 +12,7 @@
 // connection that the view has dropped, such as one of a replaced generation, are
 // ignored.
 func (v *View) Heartbeat(now time.Time, conn ConnID, hb wire.Heartbeat) []Event {
-	events, c, e := v.frameReceived(now, conn)
+	events, c, m := v.frameReceived(now, conn)
 	if c == nil {
 		return nil
 	}
@@ -20,10 +20,10 @@
 		return events
 	}
 	c.lastSeq = hb.Sequence
-	e.Heartbeat = hb
-	e.HeartbeatAt = now
-	if hb.Draining && !e.Draining {
-		e.Draining = true
+	m.Heartbeat = hb
+	m.HeartbeatAt = now
+	if hb.Draining && !m.Draining {
+		m.Draining = true
 		events = append(events, Event{Kind: Draining, Instance: c.instance, Generation: c.generation})
 	}
 	return events
@@ -43,21 +43,21 @@
 	if !ok {
 		return nil, nil, nil
 	}
-	e := v.members[c.instance]
+	m := v.members[c.instance]
 	c.lastFrameAt = now
 	c.probedAt = time.Time{}
 	if !c.silent {
-		return nil, c, e
+		return nil, c, m
 	}
 	// The connection still works: it was considered silent too early.
 	c.silent = false
-	e.conns++
-	if e.State != StateProbing {
-		return nil, c, e
+	m.conns++
+	if m.State != StateProbing {
+		return nil, c, m
 	}
-	e.State = StateLive
-	e.probeFailures = 0
-	return []Event{{Kind: Restored, Instance: c.instance, Generation: c.generation}}, c, e
+	m.State = StateLive
+	m.dialFailures = 0
+	return []Event{{Kind: Restored, Instance: c.instance, Generation: c.generation}}, c, m
 }
 
 // SetInFlight sets the number of requests that wait for frames on a connection. The
@@ -91,21 +91,21 @@
 // connectionLost processes a connection that was closed or went silent. A draining
 // member whose last connection closes has finished and is gone.
 func (v *View) connectionLost(now time.Time, c *connection, event Event) []Event {
-	e := v.members[c.instance]
-	e.conns--
-	if e.conns > 0 {
+	m := v.members[c.instance]
+	m.conns--
+	if m.conns > 0 {
 		if event.Kind == Silent {
 			return []Event{event}
 		}
 		return nil
 	}
-	if e.Draining && event.Kind == Disconnected {
-		return v.markGone(now, e)
+	if m.Draining && event.Kind == Disconnected {
+		return v.markGone(now, m)
 	}
-	e.State = StateProbing
-	e.HeartbeatAt = time.Time{}
-	e.probeSince = now
-	e.probeFailures = 0
+	m.State = StateProbing
+	m.HeartbeatAt = time.Time{}
+	m.disconnectedSince = now
+	m.dialFailures = 0
 	return []Event{event}
 }
 
@@ -114,27 +114,27 @@
 // connection of this process works, in which case this process may be the one that
 // is cut off.
 func (v *View) DialFailed(now time.Time, id model.InstanceID) []Event {
-	e, ok := v.members[id]
-	if !ok || e.State != StateProbing {
+	m, ok := v.members[id]
+	if !ok || m.State != StateProbing {
 		return nil
 	}
-	e.probeFailures++
-	if e.probeFailures < v.cfg.MaxProbeFailures || !v.hasWorkingConn(now) {
+	m.dialFailures++
+	if m.dialFailures < v.cfg.MaxDialFailures || !v.hasWorkingConn(now) {
 		return nil
 	}
-	return v.markGone(now, e)
+	return v.markGone(now, m)
 }
 
 // markGone marks a member as gone and drops its connections. Silent ones may still
 // be open.
-func (v *View) markGone(now time.Time, e *memberState) []Event {
-	id, generation := e.Identity.Instance, e.Identity.Generation
+func (v *View) markGone(now time.Time, m *memberState) []Event {
+	id, generation := m.Identity.Instance, m.Identity.Generation
 	for conn, c := range v.conns {
 		if c.instance == id {
 			delete(v.conns, conn)
 		}
 	}
-	e.conns = 0
-	e.State, e.goneAt = StateGone, now
+	m.conns = 0
+	m.State, m.goneAt = StateGone, now
 	return []Event{{Kind: Left, Instance: id, Generation: generation}}
 }
--- a/lib/member/member.go
+++ b/lib/member/member.go
@@ -53,9 +53,9 @@
 // memberState is the state of a member in a View.
 type memberState struct {
 	Member
-	listed        bool
-	conns         int // number of connections that are not silent
-	probeSince    time.Time
-	probeFailures int
-	goneAt        time.Time
+	listed            bool
+	conns             int // number of connections that are not silent
+	disconnectedSince time.Time
+	dialFailures      int
+	goneAt            time.Time
 }
--- a/lib/member/fault.go
+++ b/lib/member/path_fault.go
@@ -26,8 +26,9 @@
 	return []Event{{Kind: PathFault}}
 }
 
-// suspected reports whether many of the given number of connections have gone
-// silent at the same time.
+// suspected records the number of connections and reports whether many of them
+// have gone silent at the same time. Once that is over, the next path fault is
+// reported again.
 func (d *pathFaultDetector) suspected(now time.Time, cfg Config, conns int) bool {
 	d.totalConns = conns
 	many := d.manySilent(now, cfg, conns)
--- a/lib/member/retired.go
+++ b/lib/member/replaced.go
@@ -10,21 +10,21 @@
 // exceed the delay of late messages, which is a few seconds.
 const replacedRetention = 10 * time.Minute
 
-// incarnation is one generation of an instance.
-type incarnation struct {
+// instanceGeneration identifies one generation of an instance.
+type instanceGeneration struct {
 	instance   model.InstanceID
 	generation model.Generation
 }
 
 // replacedSet holds the generations that were replaced, and when.
-type replacedSet map[incarnation]time.Time
+type replacedSet map[instanceGeneration]time.Time
 
 func (r replacedSet) add(now time.Time, id model.InstanceID, g model.Generation) {
-	r[incarnation{id, g}] = now
+	r[instanceGeneration{id, g}] = now
 }
 
 func (r replacedSet) contains(id model.InstanceID, g model.Generation) bool {
-	_, ok := r[incarnation{id, g}]
+	_, ok := r[instanceGeneration{id, g}]
 	return ok
 }
 
--- a/lib/member/tick.go
+++ b/lib/member/tick.go
@@ -25,9 +25,9 @@
 		events = append(events, v.markSilent(now, func(c *connection) bool { return c.overdue(now) })...)
 	}
 	for _, id := range v.sortedMembers() {
-		e := v.members[id]
-		if e.State == StateProbing && now.Sub(e.probeSince) >= v.cfg.ProbeTimeout && v.hasWorkingConn(now) {
-			events = append(events, v.markGone(now, e)...)
+		m := v.members[id]
+		if m.State == StateProbing && now.Sub(m.disconnectedSince) >= v.cfg.ReconnectTimeout && v.hasWorkingConn(now) {
+			events = append(events, v.markGone(now, m)...)
 		}
 	}
 	v.replaced.prune(now)
@@ -66,8 +66,8 @@
 }
 
 // probeIdle requests probes on the idle connections if a heartbeat is overdue on a
-// busy one. If they are silent too, that is known by the time the busy connection
-// counts as silent.
+// busy one. An idle connection that is broken too is then detected by the time the
+// busy connection counts as silent.
 func (v *View) probeIdle(now time.Time) []Event {
 	busyOverdue := false
 	for _, c := range v.conns {
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -38,11 +38,11 @@
 
 // Member returns the member with the given ID.
 func (v *View) Member(id model.InstanceID) (Member, bool) {
-	e, ok := v.members[id]
+	m, ok := v.members[id]
 	if !ok {
 		return Member{}, false
 	}
-	return e.Member, true
+	return m.Member, true
 }
 
 // Members returns the members of a role that are not gone, sorted by ID, including
@@ -50,9 +50,9 @@
 // computed from them.
 func (v *View) Members(role backing.InstanceRole) []Member {
 	var out []Member
-	for _, e := range v.members {
-		if e.Role == role && e.State != StateGone {
-			out = append(out, e.Member)
+	for _, m := range v.members {
+		if m.Role == role && m.State != StateGone {
+			out = append(out, m.Member)
 		}
 	}
 	slices.SortFunc(out, func(a, b Member) int {
@@ -68,9 +68,9 @@
 // platform's instance list. They may have come back.
 func (v *View) GoneListed(role backing.InstanceRole) []Member {
 	var out []Member
-	for _, e := range v.members {
-		if e.Role == role && e.State == StateGone && e.listed {
-			out = append(out, e.Member)
+	for _, m := range v.members {
+		if m.Role == role && m.State == StateGone && m.listed {
+			out = append(out, m.Member)
 		}
 	}
 	return out
@@ -81,8 +81,8 @@
 // hashing.
 func (v *View) LiveIDs(role backing.InstanceRole, domain model.FailureDomain) []model.InstanceID {
 	var out []model.InstanceID
-	for id, e := range v.members {
-		if e.Role == role && e.State == StateLive && !e.Draining && e.Identity.Location.FailureDomain == domain {
+	for id, m := range v.members {
+		if m.Role == role && m.State == StateLive && !m.Draining && m.Identity.Location.FailureDomain == domain {
 			out = append(out, id)
 		}
 	}
@@ -96,24 +96,24 @@
 //   - Members with a working connection are not changed, because the list may be
 //     older than the information from connections.
 //   - Probing members that were on the list before and no longer are become gone.
-//   - Members that are gone and still listed are reported with a Listed event each
-//     time, so that the owner may try a new connection.
+//   - Members that are gone and still listed are reported with a Listed event on
+//     each call, so that the owner may try a new connection.
 func (v *View) ApplyList(now time.Time, instances []backing.Instance) []Event {
 	var events []Event
 	onList := make(map[model.InstanceID]bool, len(instances))
 	for _, in := range instances {
 		onList[in.ID] = true
-		e, ok := v.members[in.ID]
+		m, ok := v.members[in.ID]
 		if ok {
-			if e.State == StateListed || e.State == StateGone {
-				e.Identity.Address = in.Address
+			if m.State == StateListed || m.State == StateGone {
+				m.Identity.Address = in.Address
 				if in.Pool != "" {
-					e.Pool = in.Pool
+					m.Pool = in.Pool
 				}
-				e.Draining = e.Draining || (in.Leaving && e.State == StateListed)
+				m.Draining = m.Draining || (in.Leaving && m.State == StateListed)
 			}
-			e.listed = true
-			if e.State == StateGone && !in.Leaving {
+			m.listed = true
+			if m.State == StateGone && !in.Leaving {
 				events = append(events, Event{Kind: Listed, Instance: in.ID})
 			}
 			continue
@@ -121,24 +121,24 @@
 		if in.Leaving {
 			continue
 		}
-		e = &memberState{listed: true}
-		e.Role = in.Role
-		e.Pool = in.Pool
-		e.Identity = model.Identity{Instance: in.ID, Location: in.Location, Address: in.Address}
-		v.members[in.ID] = e
+		m = &memberState{listed: true}
+		m.Role = in.Role
+		m.Pool = in.Pool
+		m.Identity = model.Identity{Instance: in.ID, Location: in.Location, Address: in.Address}
+		v.members[in.ID] = m
 		events = append(events, Event{Kind: Listed, Instance: in.ID})
 	}
-	for id, e := range v.members {
+	for id, m := range v.members {
 		if onList[id] {
 			continue
 		}
-		if e.State == StateProbing && e.listed {
-			events = append(events, v.markGone(now, e)...)
+		if m.State == StateProbing && m.listed {
+			events = append(events, v.markGone(now, m)...)
 		}
-		e.listed = false
+		m.listed = false
 		// The generation of a member that is gone is remembered for a while, so
 		// that it is recognized as replaced when another one connects.
-		if e.State == StateListed || (e.State == StateGone && now.Sub(e.goneAt) > replacedRetention) {
+		if m.State == StateListed || (m.State == StateGone && now.Sub(m.goneAt) > replacedRetention) {
 			delete(v.members, id)
 		}
 	}
@@ -159,75 +159,75 @@
 		return nil, ErrGenerationReplaced
 	}
 	events := v.replaceAtAddress(now, hello.Identity)
-	e, ok := v.members[id]
+	m, ok := v.members[id]
 	if !ok {
-		e = &memberState{}
-		v.members[id] = e
+		m = &memberState{}
+		v.members[id] = m
 	}
-	known := e.State == StateLive || e.State == StateProbing
+	known := m.State == StateLive || m.State == StateProbing
 	switch {
-	case known && e.Identity.Generation == generation:
-		if e.State == StateProbing {
+	case known && m.Identity.Generation == generation:
+		if m.State == StateProbing {
 			events = append(events, Event{Kind: Restored, Instance: id, Generation: generation})
 		}
 	case known:
-		events = append(events, Event{Kind: Left, Instance: id, Generation: e.Identity.Generation})
-		v.replaceGeneration(now, e)
+		events = append(events, Event{Kind: Left, Instance: id, Generation: m.Identity.Generation})
+		v.replaceGeneration(now, m)
 		events = append(events, Event{Kind: Joined, Instance: id, Generation: generation})
 	default:
-		if e.State == StateGone && e.Identity.Generation != generation {
-			v.replaceGeneration(now, e)
+		if m.State == StateGone && m.Identity.Generation != generation {
+			v.replaceGeneration(now, m)
 		}
 		events = append(events, Event{Kind: Joined, Instance: id, Generation: generation})
 	}
-	if e.Identity.Generation != generation {
+	if m.Identity.Generation != generation {
 		// Draining applies only to the generation that reported it.
-		e.Draining = false
+		m.Draining = false
 	}
-	if e.State != StateLive || e.Identity.Generation != generation {
-		e.HeartbeatAt = time.Time{}
+	if m.State != StateLive || m.Identity.Generation != generation {
+		m.HeartbeatAt = time.Time{}
 	}
-	e.Identity = hello.Identity
-	e.Pool = hello.Pool
-	e.Role = backing.RoleAgent
+	m.Identity = hello.Identity
+	m.Pool = hello.Pool
+	m.Role = backing.RoleAgent
 	if hello.Role == wire.RoleEntry {
-		e.Role = backing.RoleEntry
+		m.Role = backing.RoleEntry
 	}
-	e.State = StateLive
-	e.conns++
-	e.probeFailures = 0
-	e.probeSince = time.Time{}
+	m.State = StateLive
+	m.conns++
+	m.dialFailures = 0
+	m.disconnectedSince = time.Time{}
 	v.conns[conn] = &connection{instance: id, generation: generation, lastFrameAt: now}
 	return append(events, v.pathFault.addConnected(now, v.cfg)...), nil
 }
 
 // replaceGeneration records the current generation of a member as replaced and drops
 // its connections.
-func (v *View) replaceGeneration(now time.Time, e *memberState) {
-	v.replaced.add(now, e.Identity.Instance, e.Identity.Generation)
+func (v *View) replaceGeneration(now time.Time, m *memberState) {
+	v.replaced.add(now, m.Identity.Instance, m.Identity.Generation)
 	for id, c := range v.conns {
-		if c.instance == e.Identity.Instance {
+		if c.instance == m.Identity.Instance {
 			delete(v.conns, id)
 		}
 	}
-	e.conns = 0
+	m.conns = 0
 }
 
 // replaceAtAddress marks members as gone if they have the address of a newly
 // connected instance.
 func (v *View) replaceAtAddress(now time.Time, newer model.Identity) []Event {
 	var events []Event
-	for id, e := range v.members {
-		if id == newer.Instance || e.Identity.Address != newer.Address || newer.Address == "" {
+	for id, m := range v.members {
+		if id == newer.Instance || m.Identity.Address != newer.Address || newer.Address == "" {
 			continue
 		}
-		if e.State == StateLive || e.State == StateProbing {
-			events = append(events, Event{Kind: Left, Instance: id, Generation: e.Identity.Generation})
+		if m.State == StateLive || m.State == StateProbing {
+			events = append(events, Event{Kind: Left, Instance: id, Generation: m.Identity.Generation})
 		}
-		if e.State != StateListed {
-			v.replaceGeneration(now, e)
+		if m.State != StateListed {
+			v.replaceGeneration(now, m)
 		}
-		e.State, e.goneAt = StateGone, now
+		m.State, m.goneAt = StateGone, now
 	}
 	sortEvents(events)
 	return events
