--- a/lib/settings/backend.go
+++ b/lib/settings/backend.go
@@ -20,7 +20,7 @@
 	FencingIgnored Fencing = "ignored"
 )
 
-// maxCapacity is far above the batch size of any engine in use. It catches numbers
+// maxCapacity is far above the batch size of any engine in use. It rejects values
 // that were meant for another key.
 const maxCapacity = 4096
 
--- a/lib/settings/finish.go
+++ b/lib/settings/finish.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if !ok {
-			r.addViolation(s.Name(), "", "section is unknown", r.sections())
+			r.addViolation(s.Name(), "", "section is unknown", r.knownSections())
 			continue
 		}
 		for _, key := range s.KeyStrings() {
@@ -53,8 +53,8 @@
 	return &InvalidError{Violations: r.violations}
 }
 
-// sections returns the names of all known sections.
-func (r *reader) sections() string {
+// knownSections returns the names of all known sections.
+func (r *reader) knownSections() string {
 	names := make([]string, 0, len(r.known))
 	for name := range r.known {
 		names = append(names, name)
--- a/lib/settings/listen.go
+++ b/lib/settings/listen.go
@@ -7,8 +7,7 @@
 type Listen struct {
 	// Callers is the HTTP listener for callers. It is empty for agents.
 	Callers string
-	// Operators is the listener for the remote procedure calls of operators. It
-	// is empty for agents.
+	// Operators is the listener for RPCs from operators. It is empty for agents.
 	Operators string
 	// Peers is the listener for connections from other entries and agents.
 	Peers string
@@ -40,13 +39,13 @@
 // advertise reads the advertised address and checks that peers can dial it.
 func (r *reader) advertise(peers string) string {
 	value := r.text("listen", "advertise", peers)
-	at, err := netip.ParseAddrPort(value)
+	addr, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
 		if r.isSet("listen", "advertise") {
 			r.addViolation("listen", "advertise", "value is not an IP address and port", "an IP address and port such as 10.0.0.7:7400")
 		}
-	case at.Addr().IsUnspecified():
+	case addr.Addr().IsUnspecified():
 		r.addViolation("listen", "advertise", "peers cannot dial a wildcard address", "the instance's own IP address and port when peers is a wildcard")
 	}
 	return value
@@ -56,16 +55,16 @@
 // use.
 func (r *reader) distinctListeners(l Listen) {
 	seen := map[string]string{}
-	for _, x := range []struct{ key, value string }{
+	for _, listener := range []struct{ key, value string }{
 		{"callers", l.Callers}, {"operators", l.Operators}, {"peers", l.Peers}, {"metrics", l.Metrics},
 	} {
-		at, err := netip.ParseAddrPort(x.value)
-		if err != nil || at.Port() == 0 {
+		addr, err := netip.ParseAddrPort(listener.value)
+		if err != nil || addr.Port() == 0 {
 			continue
 		}
-		if other, ok := seen[x.value]; ok {
-			r.addViolation("listen", x.key, "address is already used by "+other, "a different address for each listener")
+		if other, ok := seen[listener.value]; ok {
+			r.addViolation("listen", listener.key, "address is already used by "+other, "a different address for each listener")
 		}
-		seen[x.value] = x.key
+		seen[listener.value] = listener.key
 	}
 }
--- a/lib/settings/reader.go
+++ b/lib/settings/reader.go
@@ -17,7 +17,7 @@
 type reader struct {
 	name       string
 	file       *ini.File
-	lines      map[keyPosition]int // line numbers, starting at 1
+	lines      map[keyName]int     // line numbers, starting at 1
 	known      map[string][]string // keys read so far, by section
 	violations []Violation
 }
@@ -38,9 +38,9 @@
 
 // addViolation adds a violation of a key, or of a section if key is empty.
 func (r *reader) addViolation(section, key, problem, allowed string) {
-	line, ok := r.lines[keyPosition{section, key}]
+	line, ok := r.lines[keyName{section, key}]
 	if !ok {
-		line = r.lines[keyPosition{section: section}]
+		line = r.lines[keyName{section: section}]
 	}
 	value := ""
 	if key != "" {
@@ -195,7 +195,7 @@
 	return value
 }
 
-// names returns the elements of a comma-separated list.
+// names returns the non-empty elements of a comma-separated list.
 func (r *reader) names(section, key string) []string {
 	var names []string
 	for name := range strings.SplitSeq(r.text(section, key, ""), ",") {
