--- a/lib/config/config.go
+++ b/lib/config/config.go
@@ -80,7 +80,7 @@
 const (
 	// KindModel marks a service that runs on model engines.
 	KindModel ServiceKind = "model"
-	// KindPlain marks a service that runs on a plain service.
+	// KindPlain marks a service whose backend servers are plain services.
 	KindPlain ServiceKind = "plain"
 )
 
--- a/lib/config/diff.go
+++ b/lib/config/diff.go
@@ -27,19 +27,19 @@
 // Diff returns the differences between two configurations: first the changed and
 // added values, then the removed ones, each in the order of the declaration file.
 func Diff(from, to *Config) []Difference {
-	type position struct{ object, key string }
-	before := make(map[position]string)
+	type keyName struct{ object, key string }
+	before := make(map[keyName]string)
 	old := from.sections()
 	for _, s := range old {
 		for _, f := range s.fields {
-			before[position{s.name, f.key}] = f.value
+			before[keyName{s.name, f.key}] = f.value
 		}
 	}
 	var differences []Difference
-	kept := make(map[position]bool)
+	kept := make(map[keyName]bool)
 	for _, s := range to.sections() {
 		for _, f := range s.fields {
-			p := position{s.name, f.key}
+			p := keyName{s.name, f.key}
 			kept[p] = true
 			if was := before[p]; was != f.value {
 				differences = append(differences, Difference{Object: s.name, Key: f.key, Old: was, New: f.value})
@@ -48,7 +48,7 @@
 	}
 	for _, s := range old {
 		for _, f := range s.fields {
-			if !kept[position{s.name, f.key}] {
+			if !kept[keyName{s.name, f.key}] {
 				differences = append(differences, Difference{Object: s.name, Key: f.key, Old: f.value})
 			}
 		}
--- a/lib/config/peers.go
+++ b/lib/config/peers.go
@@ -71,8 +71,8 @@
 
 // Reject excludes a peer from fetches until it reports its head again.
 func (p *Peers) Reject(id PeerID) {
-	if known := p.peers[id]; known != nil {
-		known.head = Head{}
+	if state := p.peers[id]; state != nil {
+		state.head = Head{}
 	}
 	p.FetchAnswered(id)
 	p.answeredFetchSentAt = time.Time{}
@@ -96,8 +96,8 @@
 
 // MarkAnnounced records that a heartbeat with the head was sent to a peer.
 func (p *Peers) MarkAnnounced(id PeerID, head Head, now time.Time) {
-	known := p.getOrAdd(id)
-	known.announced, known.announcedAt = head, now
+	state := p.getOrAdd(id)
+	state.announced, state.announcedAt = head, now
 }
 
 // AnnounceTargets returns the peers that hold a lower revision than head and are
@@ -105,15 +105,15 @@
 // MarkAnnounced.
 func (p *Peers) AnnounceTargets(head Head, now time.Time) []PeerID {
 	var ids []PeerID
-	for id, known := range p.peers {
-		if known.leaf && !known.fetches {
+	for id, state := range p.peers {
+		if state.leaf && !state.fetches {
 			continue
 		}
 		interval := p.cfg.AnnounceInterval
-		if known.leaf {
+		if state.leaf {
 			interval = p.cfg.LeafInterval
 		}
-		if known.head.Number < head.Number && known.announced != head && now.Sub(known.announcedAt) >= interval {
+		if state.head.Number < head.Number && state.announced != head && now.Sub(state.announcedAt) >= interval {
 			ids = append(ids, id)
 		}
 	}
@@ -130,8 +130,8 @@
 		if now.Sub(p.fetchSentAt) < p.cfg.FetchTimeout {
 			return PeerID{}, false
 		}
-		if known := p.peers[p.fetchPeer]; known != nil {
-			known.failedAt = now
+		if state := p.peers[p.fetchPeer]; state != nil {
+			state.failedAt = now
 		}
 	}
 	id, ok := p.bestSource(head, now)
@@ -155,14 +155,14 @@
 	}
 	var ids []PeerID
 	var highest uint64
-	for _, failed := range []bool{false, true} {
-		for id, known := range p.peers {
-			recent := !known.failedAt.IsZero() && now.Sub(known.failedAt) < 3*p.cfg.FetchTimeout
-			if recent != failed || known.head.Number <= head.Number || known.head.Number < highest {
+	for _, useFailed := range []bool{false, true} {
+		for id, state := range p.peers {
+			failedRecently := !state.failedAt.IsZero() && now.Sub(state.failedAt) < 3*p.cfg.FetchTimeout
+			if failedRecently != useFailed || state.head.Number <= head.Number || state.head.Number < highest {
 				continue
 			}
-			if known.head.Number > highest {
-				ids, highest = ids[:0], known.head.Number
+			if state.head.Number > highest {
+				ids, highest = ids[:0], state.head.Number
 			}
 			ids = append(ids, id)
 		}
@@ -182,12 +182,12 @@
 
 // getOrAdd returns the state of a peer and creates it if necessary.
 func (p *Peers) getOrAdd(id PeerID) *peer {
-	known := p.peers[id]
-	if known == nil {
-		known = &peer{}
-		p.peers[id] = known
+	state := p.peers[id]
+	if state == nil {
+		state = &peer{}
+		p.peers[id] = state
 	}
-	return known
+	return state
 }
 
 func comparePeers(a, b PeerID) int {
--- a/lib/config/poller.go
+++ b/lib/config/poller.go
@@ -9,8 +9,8 @@
 	// readsPerFirstPoll is the number of reads in the first poll of an entry.
 	readsPerFirstPoll = 2
 	// maxBackoffFactor limits the wait after failures in large domains, as a
-	// multiple of the regular interval. The wait before further revisions are
-	// read is the regular interval divided by it.
+	// multiple of the regular interval. It is also the factor by which the wait is
+	// shorter than the regular interval while the store holds further revisions.
 	maxBackoffFactor = 4
 	// smallDomainEntries is the number of entries in a failure domain up to which
 	// MaxBackoff applies unchanged. With more entries the domain as a whole polls
--- a/lib/config/poller_config.go
+++ b/lib/config/poller_config.go
@@ -5,9 +5,9 @@
 const (
 	// defaultInterval is the time between two polls in a small deployment.
 	defaultInterval = 2 * time.Second
-	// defaultReadRate is half of the tenth of the store's 2,000 reads/s that the
-	// configuration may use. The other half is reserved for jitter, starting
-	// entries and operators.
+	// defaultReadRate is half of the configuration's read budget, which is a tenth
+	// of the store's 2,000 reads/s. The other half is reserved for jitter,
+	// starting entries and operators.
 	defaultReadRate = 100
 	// defaultMaxBackoff lets the only entry of a failure domain learn of changes
 	// within 9 s after the store has recovered.
--- a/lib/config/replica.go
+++ b/lib/config/replica.go
@@ -33,9 +33,9 @@
 	highestReported uint64
 	retained        []retainedStep
 	retainedBytes   int
-	// responses caches the encoded answers since the last revision, by the index
-	// of their first retained step, because many agents request the same
-	// revisions in a burst of changes.
+	// responses caches what RevisionsAfter has encoded since the last revision was
+	// applied, by the index of the first retained step, because many agents
+	// request the same revisions in a burst of changes.
 	responses map[int][]byte
 }
 
--- a/lib/config/replica_serve.go
+++ b/lib/config/replica_serve.go
@@ -58,8 +58,9 @@
 	if base.Number+1 == revision.Number {
 		revision.PreviousDigest, revision.MergedDelta, revision.BaseNumber, revision.BaseDigest = nil, nil, 0, nil
 	} else {
-		// The base of the received revision may be older. This replica can
-		// only vouch for the revision that it applied the step to.
+		// The received revision may have an older base, whose digest this
+		// replica cannot check. It has checked the revision that it applied
+		// the step to, and stores that as the base.
 		revision.BaseNumber, revision.BaseDigest = base.Number, &base.Digest
 	}
 	data, err := revision.Encode()
--- a/lib/config/section_reader.go
+++ b/lib/config/section_reader.go
@@ -28,8 +28,8 @@
 	return r
 }
 
-// addTo adds the declared object to a configuration. Keys that the kind of object
-// does not have are violations.
+// addTo adds the declared object to a configuration. It adds a violation for each
+// key that this kind of object does not have.
 func (r *sectionReader) addTo(c *Config) {
 	words := strings.Fields(r.name)
 	kind := ""
--- a/lib/config/store.go
+++ b/lib/config/store.go
@@ -139,8 +139,8 @@
 	return &state, nil
 }
 
-// readSnapshot sets state to that of the newest snapshot up to number if that is
-// later.
+// readSnapshot replaces state by the newest snapshot whose revision is not higher
+// than number, unless state is at least as new.
 func (s *Store) readSnapshot(ctx context.Context, number uint64, state *storeState) error {
 	rows, err := s.table.Scan(ctx, Table, snapshotPrefix, snapshotKey(number+1), 1)
 	if err != nil {
--- a/lib/config/store_poll.go
+++ b/lib/config/store_poll.go
@@ -6,7 +6,7 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// PollResult contains the revisions that the store holds beyond that of a replica.
+// PollResult contains the revisions that the store holds and a replica lacks.
 type PollResult struct {
 	// Head is the newest revision read. It equals that of the replica if there is
 	// nothing new, and is zero if the store returned an older state than the
@@ -76,7 +76,8 @@
 	return revision.Number, nil
 }
 
-// add sets the head to that of the last row and appends the rows above at.
+// add sets the head to the revision of the last row and appends the revisions that
+// are higher than at.
 func (p *PollResult) add(rows []backing.Row, at Head) error {
 	for _, row := range rows {
 		revision, err := DecodeRevision(row.Value)
--- a/lib/config/store_test.go
+++ b/lib/config/store_test.go
@@ -33,7 +33,7 @@
 		return store.Apply(ctx, config.Request{Config: sampleConfig(1, variant), Expected: expected, Operation: operation, Author: "ops"})
 	}
 
-	It("reports the differences to the loser of a race", func() {
+	It("reports the differences to a request that lost to a concurrent one", func() {
 		Expect(apply(0, 0, "a")).To(HaveField("Head.Number", uint64(1)))
 		Expect(apply(1, 1, "b")).To(HaveField("Head.Number", uint64(2)))
 		_, err := apply(2, 1, "c")
