--- a/entry/link/event.go
+++ b/entry/link/event.go
@@ -19,7 +19,7 @@
 	AgentReplaced
 )
 
-// Event is an event in the course of one attempt.
+// Event reports a message or a change of the connection to one attempt.
 type Event struct {
 	Kind EventKind
 	// Message is set for MessageReceived.
--- a/entry/link/link.go
+++ b/entry/link/link.go
@@ -95,15 +95,15 @@
 	defer l.handler.Disconnected(id, peer)
 	beats := heartbeat.Sender{Conn: conn, Heartbeat: l.cfg.Heartbeat, InFlight: l.InFlight, RequestStarted: l.becameBusy}
 	go beats.Run()
-	var heard time.Time
+	var reportedAt time.Time
 	for {
 		m, err := conn.Receive()
 		if err != nil {
 			return
 		}
 		if attempt, ok := wire.AttemptOf(m); ok {
-			if now := time.Now(); now.Sub(heard) >= frameReportInterval {
-				heard = now
+			if now := time.Now(); now.Sub(reportedAt) >= frameReportInterval {
+				reportedAt = now
 				l.handler.FrameReceived(id)
 			}
 			l.deliver(attempt, m)
@@ -113,7 +113,7 @@
 	}
 }
 
-// setConn sets the current connection, not yet for attempts.
+// setConn sets the current connection. Attempts may use it only after accept.
 func (l *Link) setConn(conn *wire.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/link/link_test.go
+++ b/entry/link/link_test.go
@@ -20,22 +20,22 @@
 // recorder is a Handler that counts the reports of a link.
 type recorder struct {
 	connected, failed atomic.Int32
-	// refuse, if set, is called in Connected, which then returns an error.
-	refuse atomic.Pointer[func()]
+	// rejectCheck, if set, is called by Connected, which then rejects the connection.
+	rejectCheck atomic.Pointer[func()]
 }
 
-func (e *recorder) Connected(member.ConnID, wire.Hello) error {
-	e.connected.Add(1)
-	if check := e.refuse.Load(); check != nil {
+func (r *recorder) Connected(member.ConnID, wire.Hello) error {
+	r.connected.Add(1)
+	if check := r.rejectCheck.Load(); check != nil {
 		(*check)()
 		return member.ErrGenerationReplaced
 	}
 	return nil
 }
-func (e *recorder) Disconnected(member.ConnID, wire.Hello)                                    {}
-func (e *recorder) ConnectFailed(model.InstanceID, error)                                     { e.failed.Add(1) }
-func (e *recorder) FrameReceived(member.ConnID)                                               {}
-func (e *recorder) Message(member.ConnID, wire.Hello, wire.Message, func(wire.Message) error) {}
+func (r *recorder) Disconnected(member.ConnID, wire.Hello)                                    {}
+func (r *recorder) ConnectFailed(model.InstanceID, error)                                     { r.failed.Add(1) }
+func (r *recorder) FrameReceived(member.ConnID)                                               {}
+func (r *recorder) Message(member.ConnID, wire.Hello, wire.Message, func(wire.Message) error) {}
 
 var _ = Describe("Link", func() {
 	var (
@@ -61,13 +61,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(agent.Stop)
 		handler = &recorder{}
-		attempts := make(chan time.Time, 1024)
-		dials = attempts
+		dialTimes := make(chan time.Time, 1024)
+		dials = dialTimes
 		var conns atomic.Uint64
 		l = link.New(link.Config{
 			Instance: "runner", Address: agent.Identity().Address,
 			Dial: func(_ context.Context, address string) (*wire.Conn, wire.Hello, error) {
-				attempts <- time.Now()
+				dialTimes <- time.Now()
 				nc, err := net.Dial("tcp", address)
 				if err != nil {
 					return nil, wire.Hello{}, err
@@ -198,14 +198,14 @@
 	// Guards against sending attempts to a generation that the membership view has
 	// rejected.
 	It("sends no attempt over a rejected connection", func() {
-		refused := make(chan error, 1024)
+		startErrs := make(chan error, 1024)
 		check := func() {
 			_, err := l.Start(&wire.RequestStart{Attempt: "refused"})
 			l.Finish("refused")
-			refused <- err
+			startErrs <- err
 		}
-		handler.refuse.Store(&check)
+		handler.rejectCheck.Store(&check)
 		agent.CloseConns()
-		Eventually(refused).Should(Receive(MatchError(link.ErrNotSent)))
+		Eventually(startErrs).Should(Receive(MatchError(link.ErrNotSent)))
 	})
 })
