--- a/lib/eventlog/async.go
+++ b/lib/eventlog/async.go
@@ -9,14 +9,14 @@
 const (
 	// asyncQueueLines is the number of lines that may be queued for a slow writer.
 	asyncQueueLines = 512
-	// asyncBatchBytes is the size from which a write takes no further lines.
+	// asyncBatchBytes is the size of a write from which no further lines are added.
 	asyncBatchBytes = 16 << 10
 	// closeTimeout bounds how long Close waits for queued lines.
 	closeTimeout = 200 * time.Millisecond
 )
 
 // AsyncWriter writes lines in the background, so that a slow or blocked writer
-// never delays the caller. It drops and counts lines that don't fit into its
+// never delays the caller. It drops and counts lines that do not fit into its
 // queue. Write and Dropped are safe for concurrent use.
 type AsyncWriter struct {
 	lines    chan []byte
@@ -66,7 +66,8 @@
 		select {
 		case line := <-a.lines:
 			batch = a.appendQueued(append(batch[:0], line...))
-			// Nowhere to report a failed write; the lines are lost.
+			// The lines of a failed write are lost, because there is no other
+			// place to report the error.
 			_, _ = w.Write(batch)
 		case <-a.closing:
 			if batch = a.appendQueued(batch[:0]); len(batch) == 0 {
--- a/lib/eventlog/events_member.go
+++ b/lib/eventlog/events_member.go
@@ -2,7 +2,7 @@
 
 // Events 5000 to 5999: membership.
 var (
-	EntryLost            = Event{5001, Info, "entry left or was lost", "Nothing; its peers take over its trackers."}
+	EntryLost            = Event{5001, Info, "entry left or was lost", "Nothing; other entries take over as trackers."}
 	AgentLost            = Event{5002, Info, "agent left or was lost", "Nothing; the platform replaces it."}
 	ConnectionSilent     = Event{5003, Warn, "connection timed out without data", "Nothing unless frequent; then check the network path."}
 	PathFault            = Event{5004, Warn, "many connections timed out at once while new ones work", "Check the network path; no backend server is ejected because of it."}
--- a/lib/eventlog/events_serving.go
+++ b/lib/eventlog/events_serving.go
@@ -24,10 +24,10 @@
 	ServerDraining      = Event{7208, Info, "backend server is draining and gets no new requests", "Nothing."}
 	ServerPaused        = Event{7209, Info, "backend server asked this entry to pause sending requests", "Nothing unless it repeats; then add servers of the service."}
 	ReplicaPhase        = Event{7301, Info, "phase of the replica changed", "Nothing."}
-	LoadOrdered         = Event{7302, Info, "engine ordered to load a version", "Nothing; err tells whether it refused."}
+	LoadOrdered         = Event{7302, Info, "engine ordered to load a version", "Nothing; err is set if the order failed."}
 	ReplicaFetched      = Event{7306, Info, "all pieces of a version fetched", "Nothing."}
 	FetchFailed         = Event{7307, Warn, "fetch of a version failed", "Nothing unless it repeats; then check the origin and the peers."}
-	OriginLost          = Event{7308, Warn, "origin of weights does not answer this instance", "Check the origin; pieces held by any instance still spread."}
+	OriginLost          = Event{7308, Warn, "origin of weights does not answer this instance", "Check the origin; instances still fetch pieces from one another."}
 	OriginRegained      = Event{7309, Info, "origin of weights answers again", "Nothing."}
 	PieceCorrupt        = Event{7303, Warn, "piece of weights does not match the manifest", "Check the named source if it repeats."}
 	PeerListUnavailable = Event{7304, Warn, "list of peers unavailable", "Check the platform; the origin is used instead."}
--- a/lib/eventlog/events_weight.go
+++ b/lib/eventlog/events_weight.go
@@ -11,7 +11,7 @@
 	ChunkCorrupt        = Event{3104, Warn, "chunk does not match its digest", "Check the named source if it repeats."}
 	ManifestCorrupt     = Event{3105, Warn, "manifest does not match its digest", "Check the manifest object at the origin."}
 	VersionReplaced     = Event{3106, Info, "wanted version changed during transfers", "Nothing."}
-	GrantExpired        = Event{3107, Info, "result arrived for an expired assignment", "Nothing."}
+	GrantExpired        = Event{3107, Info, "result of a transfer arrived after its grant expired", "Nothing."}
 	FencingIgnored      = Event{3108, Info, "backend server does not check fencing numbers", "Nothing; the agent reads its state before and after each order."}
 	SourceThrottled     = Event{3109, Info, "source of weights asked to retry later", "Nothing; if a rollout is late, check the limits of the source."}
 	RoleNotSet          = Event{3111, Warn, "backend server did not switch to its declared role", "Check the backend server; the agent repeats the order."}
--- a/lib/eventlog/level.go
+++ b/lib/eventlog/level.go
@@ -1,7 +1,7 @@
 package eventlog
 
 // severity returns the rank of a level; higher is more severe. Unknown levels
-// rank lowest, so that a misspelt filter drops no events.
+// rank lowest, so that an invalid minimum level drops no events.
 func (l Level) severity() int {
 	switch l {
 	case Error:
