--- a/entry/fleet/accept.go
+++ b/entry/fleet/accept.go
@@ -7,9 +7,9 @@
 
 // ServePeer serves a connection that another entry opened. It returns when the
 // connection ends.
-func (f *Fleet) ServePeer(conn *wire.Conn, peer wire.Hello) {
+func (f *Fleet) ServePeer(conn *wire.Conn, hello wire.Hello) {
 	id := f.newConnID()
-	c := &connection{id: id, hello: peer, send: conn.TrySend, close: func() { _ = conn.Close() }}
+	c := &connection{id: id, hello: hello, send: conn.TrySend, close: func() { _ = conn.Close() }}
 	if f.connected(c) != nil {
 		return
 	}
@@ -25,7 +25,7 @@
 		if beat, ok := m.(*wire.Heartbeat); ok && beat.Probe {
 			requestHeartbeat(wake)
 		}
-		f.handleMessage(id, peer, m, conn.TrySend)
+		f.handleMessage(id, hello, m, conn.TrySend)
 	}
 }
 
--- a/entry/fleet/cache.go
+++ b/entry/fleet/cache.go
@@ -11,14 +11,14 @@
 
 // handleCacheUpdate processes a change or snapshot of the prefix cache of an agent's
 // engine. It ignores updates that exceed the limits of the protocol.
-func (f *Fleet) handleCacheUpdate(peer wire.Hello, m *wire.CacheUpdate) {
+func (f *Fleet) handleCacheUpdate(hello wire.Hello, m *wire.CacheUpdate) {
 	if len(m.Stored) > wire.MaxCacheSnapshot || len(m.Removed) > wire.MaxCacheChanges {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
-	key := route.Key{Instance: peer.Identity.Instance, Generation: peer.Identity.Generation}
+	key := route.Key{Instance: hello.Identity.Instance, Generation: hello.Identity.Generation}
 	if m.Snapshot {
 		f.picker.ApplyCacheSnapshot(now, key, route.CacheSnapshot{Sequence: m.Sequence, Blocks: blockNumbers(m.Stored)})
 		return
--- a/entry/fleet/config.go
+++ b/entry/fleet/config.go
@@ -25,8 +25,9 @@
 	// need a new list of entries or a new rank.
 	entryListCheckInterval = time.Second
 	defaultTickInterval    = 200 * time.Millisecond
-	// defaultCacheFetchInterval limits the bandwidth for snapshots of up to 1.3 KB,
-	// which a starting entry needs from each agent, to a part of its 8 KB/s.
+	// defaultCacheFetchInterval limits the bandwidth that a starting entry uses. It
+	// needs a snapshot of up to 1.3 KB from each agent, and one per second takes
+	// only a part of the entry's control budget of 8 KB/s.
 	defaultCacheFetchInterval = time.Second
 	// maxEntryPeers is the maximum number of entries in its own failure domain that
 	// an entry connects to.
--- a/entry/fleet/world_test.go
+++ b/entry/fleet/fixture_test.go
@@ -24,50 +24,50 @@
 	loaded   = model.Weights{Base: model.Sum([]byte("loaded"))}
 )
 
-// world is a Fleet with fake agents.
-type world struct {
+// testFleet is a Fleet with fake agents.
+type testFleet struct {
 	list  *instances.List
 	fleet *fleet.Fleet
 }
 
-func newWorld() *world {
-	w := &world{list: instances.New(instances.Config{})}
-	w.fleet = fleet.New(agenttest.FleetConfig(location, w.list))
+func newTestFleet() *testFleet {
+	t := &testFleet{list: instances.New(instances.Config{})}
+	t.fleet = fleet.New(agenttest.FleetConfig(location, t.list))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		w.fleet.Run(ctx)
+		t.fleet.Run(ctx)
 	}()
 	DeferCleanup(func() {
 		cancel()
 		<-ended
 	})
-	return w
+	return t
 }
 
 // agent starts a fake agent and adds it to the instance list.
-func (w *world) agent(name model.InstanceID, generation model.Generation) *agenttest.Agent {
+func (t *testFleet) agent(name model.InstanceID, generation model.Generation) *agenttest.Agent {
 	a, err := agenttest.Start(model.Identity{Instance: name, Generation: generation, Location: location}, pool, loaded)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(a.Stop)
-	w.list.Set(a.Instance())
+	t.list.Set(a.Instance())
 	return a
 }
 
 // waitForUsable waits until the Fleet has n usable agents.
-func (w *world) waitForUsable(n int) {
-	Eventually(w.fleet.UsableAgents).WithTimeout(settle).Should(Equal(n))
+func (t *testFleet) waitForUsable(n int) {
+	Eventually(t.fleet.UsableAgents).WithTimeout(settle).Should(Equal(n))
 }
 
 // crash reports a crash of an agent's backend server with requests in flight and
 // waits until the Fleet has processed the report.
-func (w *world) crash(a *agenttest.Agent, f ...model.Fingerprint) {
+func (t *testFleet) crash(a *agenttest.Agent, f ...model.Fingerprint) {
 	a.Broadcast(&wire.CrashReport{Incarnation: 1, InFlight: f})
 	// The load marks a heartbeat that the agent sends after the report.
 	marked := wire.Load{Capacity: 4, FirstTokenMillis: 77}
 	a.SetLoad(marked)
-	Eventually(w.fleet.Members).WithTimeout(settle).Should(ContainElement(SatisfyAll(
+	Eventually(t.fleet.Members).WithTimeout(settle).Should(ContainElement(SatisfyAll(
 		HaveField("Identity.Instance", a.Identity().Instance), HaveField("Heartbeat.Load", marked))))
 }
 
--- a/entry/fleet/fleet.go
+++ b/entry/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet maintains the state that an entry keeps about all other processes:
+// Package fleet maintains what an entry knows about all other processes:
 // the membership view, the connections, the load and health of backend servers,
 // and the requests that are suspected of crashing them. Packages that decide on
 // this state, such as lib/member and lib/route, are not safe for concurrent use;
@@ -21,7 +21,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Fleet is the state of an entry about all other processes. It is safe for
+// Fleet is what an entry knows about all other processes. It is safe for
 // concurrent use.
 type Fleet struct {
 	cfg Config
@@ -47,7 +47,7 @@
 	cacheFetchedAt  time.Time
 	// entryListsCheckedAt is when sendEntryLists was last called by tick.
 	entryListsCheckedAt time.Time
-	tasks               sync.WaitGroup
+	runningLinks        sync.WaitGroup
 }
 
 // New returns a Fleet, which opens connections once Run is called.
@@ -97,7 +97,7 @@
 		case <-ctx.Done():
 		}
 	}
-	f.tasks.Wait()
+	f.runningLinks.Wait()
 }
 
 // listInterval returns the time between two reads of the instance list. It is
--- a/entry/fleet/fleet_test.go
+++ b/entry/fleet/fleet_test.go
@@ -17,14 +17,14 @@
 
 var _ = Describe("Fleet", func() {
 	var (
-		w    *world
+		t    *testFleet
 		a, b *agenttest.Agent
 	)
 
 	BeforeEach(func() {
-		w = newWorld()
-		a, b = w.agent("runner-a", 1), w.agent("runner-b", 2)
-		w.waitForUsable(2)
+		t = newTestFleet()
+		a, b = t.agent("runner-a", 1), t.agent("runner-b", 2)
+		t.waitForUsable(2)
 	})
 
 	// Guards against an instance that gets no more requests from this entry after a
@@ -32,19 +32,19 @@
 	It("reconnects to an agent that was gone", func() {
 		address := a.Identity().Address
 		a.Stop()
-		w.waitForUsable(1)
-		Eventually(w.fleet.Members).WithTimeout(settle).Should(HaveLen(1))
+		t.waitForUsable(1)
+		Eventually(t.fleet.Members).WithTimeout(settle).Should(HaveLen(1))
 		Expect(a.Listen(address)).To(Succeed())
-		w.waitForUsable(2)
+		t.waitForUsable(2)
 	})
 
 	// Guards against a link that keeps dialing the old address of an instance that was
 	// replaced under the same name at another address.
 	It("connects to an instance that comes back at another address", func() {
 		a.Stop()
-		w.waitForUsable(1)
-		w.agent("runner-a", 3)
-		w.waitForUsable(2)
+		t.waitForUsable(1)
+		t.agent("runner-a", 3)
+		t.waitForUsable(2)
 	})
 
 	// Guards against routing by an incomplete cache after a gap in the cache events,
@@ -60,9 +60,9 @@
 		place := func() model.InstanceID {
 			request := requirements()
 			request.Prefix = prefix
-			p, err := w.fleet.Reserve(request)
+			p, err := t.fleet.Reserve(request)
 			Expect(err).NotTo(HaveOccurred())
-			w.fleet.Finish(p, outcome.Completed, route.ResultOK)
+			t.fleet.Finish(p, outcome.Completed, route.ResultOK)
 			return p.Key.Instance
 		}
 		for range 10 {
@@ -72,27 +72,27 @@
 
 	// Guards against a request that crashes one backend server after the other.
 	It("quarantines a request after crashes on two instances", func() {
-		w.crash(a, fingerprint("poison"))
-		w.crash(b, fingerprint("poison"))
+		t.crash(a, fingerprint("poison"))
+		t.crash(b, fingerprint("poison"))
 		Eventually(func() error {
 			request := requirements()
 			request.Fingerprint = fingerprint("poison")
-			_, err := w.fleet.Reserve(request)
+			_, err := t.fleet.Reserve(request)
 			return err
 		}).WithTimeout(settle).Should(MatchError(fleet.ErrQuarantined))
-		p, err := w.fleet.Reserve(requirements())
+		p, err := t.fleet.Reserve(requirements())
 		Expect(err).NotTo(HaveOccurred())
-		w.fleet.Finish(p, outcome.Completed, route.ResultOK)
+		t.fleet.Finish(p, outcome.Completed, route.ResultOK)
 	})
 
 	// Guards against a suspect that is never placed on an instance again because
 	// another suspect ran there before.
 	It("places a suspect on an instance where another suspect has finished", func() {
-		w.crash(a, fingerprint("first"), fingerprint("second"))
+		t.crash(a, fingerprint("first"), fingerprint("second"))
 		reserve := func(body string) func() (*fleet.Slot, error) {
 			request := requirements()
 			request.Fingerprint = fingerprint(body)
-			return func() (*fleet.Slot, error) { return w.fleet.Reserve(request) }
+			return func() (*fleet.Slot, error) { return t.fleet.Reserve(request) }
 		}
 		first := new(fleet.Slot)
 		Eventually(func() (err error) {
@@ -102,7 +102,7 @@
 		Expect(first.Key.Instance).To(Equal(model.InstanceID("runner-b")))
 		second := reserve("second")
 		Consistently(func() error { _, err := second(); return err }).WithTimeout(time.Second).Should(MatchError(fleet.ErrNoInstance))
-		w.fleet.Finish(first, outcome.Completed, route.ResultOK)
+		t.fleet.Finish(first, outcome.Completed, route.ResultOK)
 		Eventually(second).WithTimeout(settle).Should(HaveField("Key.Instance", model.InstanceID("runner-b")))
 	})
 })
--- a/entry/fleet/handler.go
+++ b/entry/fleet/handler.go
@@ -18,15 +18,15 @@
 
 var _ link.Handler = linkHandler{}
 
-func (h linkHandler) Connected(id member.ConnID, peer wire.Hello) error {
+func (h linkHandler) Connected(id member.ConnID, hello wire.Hello) error {
 	f := h.fleet
 	f.mu.Lock()
-	l := f.linkOf(peer.Identity.Instance)
+	l := f.linkOf(hello.Identity.Instance)
 	f.mu.Unlock()
 	if l == nil {
 		return link.ErrNotSent
 	}
-	return f.connected(&connection{id: id, hello: peer, send: l.Send, close: l.Drop, link: l})
+	return f.connected(&connection{id: id, hello: hello, send: l.Send, close: l.Drop, link: l})
 }
 
 func (h linkHandler) Disconnected(id member.ConnID, _ wire.Hello) { h.fleet.disconnected(id) }
@@ -45,8 +45,8 @@
 	f.applyEvents(f.view.FrameReceived(f.cfg.Clock.Now(), id))
 }
 
-func (h linkHandler) Message(id member.ConnID, peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
-	h.fleet.handleMessage(id, peer, m, reply)
+func (h linkHandler) Message(id member.ConnID, hello wire.Hello, m wire.Message, reply func(wire.Message) error) {
+	h.fleet.handleMessage(id, hello, m, reply)
 }
 
 // connected adds a connection after the handshake, unless the view rejects it. It
@@ -117,44 +117,44 @@
 }
 
 // handleMessage processes a message that belongs to no attempt.
-func (f *Fleet) handleMessage(id member.ConnID, peer wire.Hello, m wire.Message, reply func(wire.Message) error) {
-	if !roleMaySend(peer.Role, m) {
-		f.cfg.Log.Log(eventlog.FrameInvalid, "instance", peer.Identity.Instance, "type", m.Type())
+func (f *Fleet) handleMessage(id member.ConnID, hello wire.Hello, m wire.Message, reply func(wire.Message) error) {
+	if !roleMaySend(hello.Role, m) {
+		f.cfg.Log.Log(eventlog.FrameInvalid, "instance", hello.Identity.Instance, "type", m.Type())
 		return
 	}
 	switch m := m.(type) {
 	case *wire.Heartbeat:
-		f.handleHeartbeat(id, peer, m)
+		f.handleHeartbeat(id, hello, m)
 	case *wire.ConfigFetch:
-		f.cfg.Follower.HandleFetch(peerID(peer), m, reply)
+		f.cfg.Follower.HandleFetch(peerID(hello), m, reply)
 	case *wire.ConfigDelta:
-		f.cfg.Follower.HandleDelta(peerID(peer), m)
+		f.cfg.Follower.HandleDelta(peerID(hello), m)
 	case *wire.CrashReport:
-		f.handleCrashReport(peer, m)
+		f.handleCrashReport(hello, m)
 	case *wire.CacheUpdate:
-		f.handleCacheUpdate(peer, m)
+		f.handleCacheUpdate(hello, m)
 	case *wire.SuspectUpdate:
 		f.mu.Lock()
 		f.broadcast(f.monitor.Merge(f.cfg.Clock.Now(), *m))
 		f.mu.Unlock()
 	default:
-		f.cfg.HandleOther(peer, m, reply)
+		f.cfg.HandleOther(hello, m, reply)
 	}
 }
 
 // handleHeartbeat updates the configuration state, the view and the picker from a
 // heartbeat.
-func (f *Fleet) handleHeartbeat(id member.ConnID, peer wire.Hello, beat *wire.Heartbeat) {
-	f.cfg.Follower.HandleHeartbeat(peerID(peer), beat)
+func (f *Fleet) handleHeartbeat(id member.ConnID, hello wire.Hello, beat *wire.Heartbeat) {
+	f.cfg.Follower.HandleHeartbeat(peerID(hello), beat)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
 	f.applyEvents(f.view.Heartbeat(now, id, *beat))
-	if peer.Role != wire.RoleAgent {
+	if hello.Role != wire.RoleAgent {
 		return
 	}
-	instance, ok := f.agents[peer.Identity.Instance]
-	if !ok || instance.Generation != peer.Identity.Generation {
+	instance, ok := f.agents[hello.Identity.Instance]
+	if !ok || instance.Generation != hello.Identity.Generation {
 		return
 	}
 	if !slices.Equal(instance.Live, beat.LiveWeights) {
@@ -178,12 +178,12 @@
 
 // handleCrashReport records the crash of an agent's backend server and the requests
 // that were in flight.
-func (f *Fleet) handleCrashReport(peer wire.Hello, report *wire.CrashReport) {
-	f.cfg.Log.Log(eventlog.BackendServerCrashed, "instance", peer.Identity.Instance, "in_flight", len(report.InFlight))
+func (f *Fleet) handleCrashReport(hello wire.Hello, report *wire.CrashReport) {
+	f.cfg.Log.Log(eventlog.BackendServerCrashed, "instance", hello.Identity.Instance, "in_flight", len(report.InFlight))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Clock.Now()
-	f.broadcast(f.monitor.Crashed(now, peer.Identity.Instance, peer.Identity.Generation, *report))
+	f.broadcast(f.monitor.Crashed(now, hello.Identity.Instance, hello.Identity.Generation, *report))
 	for _, fingerprint := range report.InFlight {
 		if f.monitor.Quarantined(now, fingerprint) {
 			f.cfg.Log.Log(eventlog.RequestQuarantined, "fingerprint", fingerprint)
--- a/entry/fleet/reconnect.go
+++ b/entry/fleet/links.go
@@ -167,9 +167,9 @@
 		NextConnID: f.newConnID,
 	}, linkHandler{fleet: f})
 	f.peers[m.Identity.Instance] = &peer{role: m.Role, address: m.Identity.Address, link: l, cancel: cancel}
-	f.tasks.Add(1)
+	f.runningLinks.Add(1)
 	go func() {
-		defer f.tasks.Done()
+		defer f.runningLinks.Done()
 		l.Run(ctx)
 	}()
 }
--- a/entry/fleet/reserve.go
+++ b/entry/fleet/reserve.go
@@ -17,8 +17,8 @@
 	"github.com/auburnbend/auburnbend/lib/route"
 )
 
-// maxPlacementTries is the maximum number of instances that one call tries for a
-// suspect.
+// maxPlacementTries is the maximum number of instances that Reserve tries for a suspect
+// with each of the weights that may serve it.
 const maxPlacementTries = 8
 
 var (
@@ -114,8 +114,8 @@
 	return nil, merry.Wrap(ErrNoInstance)
 }
 
-// routeRequest returns the request for the picker. It reads avoid whenever the picker
-// checks an instance. The caller must hold f.mu.
+// routeRequest returns the request for the picker. The picker sees instances that are
+// added to avoid later. The caller must hold f.mu.
 func (f *Fleet) routeRequest(now time.Time, need *Requirements, avoid *[]model.InstanceID, weights model.Weights) *route.Request {
 	request := &route.Request{Pool: need.Pool, Weights: weights, OfferedAt: need.OfferedAt}
 	if need.Prefix != 0 {
