--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -10,9 +10,9 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ErrSwitching means that SubmitOrder refused an order because a load is imminent or
+// ErrOrderRefused means that SubmitOrder did not accept an order because a load is imminent or
 // another order is outstanding.
-var ErrSwitching = merry.New("load imminent or another order outstanding")
+var ErrOrderRefused = merry.New("load imminent or another order outstanding")
 
 // SetWanted sets the version that should become live. If it is zero, the live weights
 // stay as they are.
@@ -109,12 +109,12 @@
 
 // SubmitOrder submits an order other than a load, such as a change of role or a
 // transfer of KV cache. The result is reported by ActionOrderDone. SubmitOrder returns
-// ErrSwitching if another order is outstanding or a load is imminent.
+// ErrOrderRefused if another order is outstanding or a load is imminent.
 func (m *Machine) SubmitOrder(now time.Time, o engine.Order) error {
 	m.now = now
 	phase := m.Phase()
 	if o.Kind == engine.OrderLoad || m.guard.Outstanding() || phase == wire.PhaseQuiescing || phase == wire.PhaseLoading {
-		return merry.Wrap(ErrSwitching)
+		return merry.Wrap(ErrOrderRefused)
 	}
 	if err := m.guard.Submit(o); err != nil {
 		return err
--- a/agent/backend/harness_test.go
+++ b/agent/backend/harness_test.go
@@ -38,6 +38,7 @@
 	finished       bool // true if the engine has executed the last order
 	replyLostAt    time.Time
 
+	// reading and permitting are true while a state read or a permit request is pending.
 	reading, permitting bool
 	lastRead            engine.State
 	fetching            model.Weights
@@ -218,8 +219,8 @@
 	h.executeActions()
 }
 
-// runToCompletion makes all operations succeed until the machine has had time to
-// reach its goal.
+// runToCompletion makes all operations succeed for long enough that the wanted version
+// becomes live.
 func (h *harness) runToCompletion() {
 	for range 200 {
 		h.completePending()
--- a/agent/backend/machine_test.go
+++ b/agent/backend/machine_test.go
@@ -133,10 +133,10 @@
 		Expect(h.m.Phase()).To(Equal(wire.PhaseLive))
 		Expect(h.served).To(Equal(version("v3")))
 	},
-		Entry("while the previous one is fetched", versionChange{wire.PhaseFetching, func(*harness) {}}),
-		Entry("while the previous one waits for its permit", versionChange{wire.PhaseVerified, fetch}),
+		Entry("while another one is fetched", versionChange{wire.PhaseFetching, func(*harness) {}}),
+		Entry("while another one waits for its permit", versionChange{wire.PhaseVerified, fetch}),
 		Entry("while the instance quiesces", versionChange{wire.PhaseQuiescing, permit}),
-		Entry("while the previous one is loaded", versionChange{wire.PhaseLoading, load}),
+		Entry("while another one is loaded", versionChange{wire.PhaseLoading, load}),
 	)
 
 	DescribeTable("keeps the live version if it is wanted again", func(c versionChange) {
@@ -148,12 +148,12 @@
 		Expect(h.served).To(Equal(version("v1")))
 		Expect(h.fetching).To(Equal(model.Weights{}))
 	},
-		Entry("while the previous one is fetched", versionChange{wire.PhaseFetching, func(*harness) {}}),
-		Entry("while the previous one waits for its permit", versionChange{wire.PhaseVerified, fetch}),
+		Entry("while another one is fetched", versionChange{wire.PhaseFetching, func(*harness) {}}),
+		Entry("while another one waits for its permit", versionChange{wire.PhaseVerified, fetch}),
 		Entry("while the instance quiesces", versionChange{wire.PhaseQuiescing, permit}),
 	)
 
-	It("keeps the version of the engine if it is wanted again before the load is sent", func() {
+	It("keeps the version that the engine has loaded if it is wanted again before the load is sent", func() {
 		want("v2")
 		permit(h)
 		h.quiesced()
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -67,7 +67,8 @@
 func (r *Runner) HandleCrash() { r.post((*Machine).HandleCrash) }
 
 // SubmitOrder submits an order other than a load. The result goes to Host.OrderDone.
-// It returns ErrSwitching if the order is refused, and context.Canceled if the runner
+// It returns ErrOrderRefused if the machine does not accept the order, and
+// context.Canceled if the runner
 // has stopped.
 func (r *Runner) SubmitOrder(o engine.Order) error {
 	submitted := make(chan error, 1)
