--- a/agent/gate/attach.go
+++ b/agent/gate/attach.go
@@ -61,7 +61,7 @@
 // or no entry reattached in time. It also drops answers whose retention has ended.
 func (c *Core) Expire(now time.Time) (cancel []model.AttemptID) {
 	c.window.expire(now)
-	c.crashed = slices.DeleteFunc(c.crashed, func(r crashedRequest) bool { return now.Sub(r.at) > crashHold })
+	c.crashed = slices.DeleteFunc(c.crashed, func(r crashedRequest) bool { return now.Sub(r.at) > crashedRetention })
 	for id, r := range c.records {
 		switch {
 		case !r.running:
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, r := range c.crashed {
-		if now.Sub(r.at) <= crashHold {
+		if now.Sub(r.at) <= crashedRetention {
 			add(r.fingerprint)
 		}
 	}
@@ -102,10 +102,10 @@
 }
 
 // StopAdmitting refuses all requests until ResumeAdmitting is called.
-func (c *Core) StopAdmitting() { c.switching = true }
+func (c *Core) StopAdmitting() { c.quiescing = true }
 
 // ResumeAdmitting ends StopAdmitting.
-func (c *Core) ResumeAdmitting() { c.switching = false }
+func (c *Core) ResumeAdmitting() { c.quiescing = false }
 
-// Switching reports whether StopAdmitting is in effect.
-func (c *Core) Switching() bool { return c.switching }
+// Quiescing reports whether StopAdmitting is in effect.
+func (c *Core) Quiescing() bool { return c.quiescing }
--- a/agent/gate/backend.go
+++ b/agent/gate/backend.go
@@ -15,8 +15,8 @@
 	ErrNotStarted = merry.New("backend server did not start the request")
 	// ErrBackendCrashed means that the backend server crashed during the request.
 	ErrBackendCrashed = merry.New("backend server crashed")
-	// ErrSwitching means that another quiesce is already running.
-	ErrSwitching = merry.New("another quiesce is running")
+	// ErrQuiescing means that another quiesce is already running.
+	ErrQuiescing = merry.New("another quiesce is running")
 )
 
 // Backend runs requests on the backend server.
--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -17,9 +17,9 @@
 	defaultReattachTimeout = 10 * time.Second
 	defaultAnswerRetention = 30 * time.Second
 	defaultRetryAfter      = 500 * time.Millisecond
-	// crashHold is the time for which the fingerprints of attempts that failed in a
+	// crashedRetention is the time for which the fingerprints of attempts that failed in a
 	// crash are kept until the crash is reported.
-	crashHold = 5 * time.Second
+	crashedRetention = 5 * time.Second
 	// maxFrameData is the maximum size of the data of one frame in bytes.
 	maxFrameData = 256 << 10
 )
--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -17,8 +17,8 @@
 	quarantine Quarantine
 	live       []model.Weights
 	draining   bool
-	// switching is true while no requests are admitted because of a quiesce.
-	switching bool
+	// quiescing is true from StopAdmitting to ResumeAdmitting.
+	quiescing bool
 
 	records map[model.AttemptID]*record
 	running int
@@ -50,7 +50,7 @@
 
 // Live returns the weights for which requests are currently admitted.
 func (c *Core) Live() []model.Weights {
-	if c.switching || c.draining {
+	if c.quiescing || c.draining {
 		return nil
 	}
 	return slices.Clone(c.live)
@@ -108,7 +108,7 @@
 		return outcome.ReasonDeadline, 0
 	case c.draining:
 		return outcome.ReasonDraining, 0
-	case c.switching || !slices.Contains(c.live, start.Weights):
+	case c.quiescing || !slices.Contains(c.live, start.Weights):
 		return outcome.ReasonWeightsMismatch, 0
 	case c.quarantine != nil && c.quarantine.Quarantined(now, start.Fingerprint):
 		return outcome.ReasonQuarantined, 0
--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -170,12 +170,12 @@
 // Quiesce refuses new requests and returns nil once none is running, so that no request
 // runs on weights that are being replaced. Requests stay refused until Serve is called,
 // even if ctx ends first; Quiesce then returns the error of ctx. It returns
-// ErrSwitching if another quiesce is running.
+// ErrQuiescing if another quiesce is running.
 func (g *Gate) Quiesce(ctx context.Context) error {
 	g.mu.Lock()
 	if g.idle != nil {
 		g.mu.Unlock()
-		return ErrSwitching
+		return ErrQuiescing
 	}
 	g.core.StopAdmitting()
 	idle := make(chan struct{})
--- a/agent/gate/gate_test.go
+++ b/agent/gate/gate_test.go
@@ -27,18 +27,18 @@
 	return b.run(ctx, start, emit)
 }
 
-// loader records whether a request was running during a load.
-type loader struct {
+// fakeEngine records whether a request was running during a load.
+type fakeEngine struct {
 	backend    *fakeBackend
 	overlapped atomic.Bool
 	loads      atomic.Int64
 }
 
-func (l *loader) Load(_ context.Context, to model.Weights) ([]model.Weights, error) {
+func (e *fakeEngine) Load(_ context.Context, to model.Weights) ([]model.Weights, error) {
 	for range 50 {
-		l.overlapped.Store(l.overlapped.Load() || l.backend.running.Load() > 0)
+		e.overlapped.Store(e.overlapped.Load() || e.backend.running.Load() > 0)
 	}
-	l.loads.Add(1)
+	e.loads.Add(1)
 	return []model.Weights{to}, nil
 }
 
@@ -65,7 +65,7 @@
 	var (
 		clk     *clock.Fake
 		backend *fakeBackend
-		load    *loader
+		engine  *fakeEngine
 		g       *Gate
 		a       *fakeEntry
 	)
@@ -74,7 +74,7 @@
 		backend = &fakeBackend{run: func(_ context.Context, start wire.RequestStart, emit func([]byte) error) (int, string, error) {
 			return 200, "text/plain", emit([]byte("answer to " + start.Attempt))
 		}}
-		load = &loader{backend: backend}
+		engine = &fakeEngine{backend: backend}
 		g = New(Config{}, clk, backend, nil)
 		g.Serve([]model.Weights{v1})
 		a = newFakeEntry()
@@ -169,10 +169,10 @@
 	// Guards against a connection that accepts no messages and blocks the agent after
 	// a crash.
 	It("reports a crash to all entries", func() {
-		b, silent := newFakeEntry(), newFakeEntry()
-		silent.messages = nil
-		defer close(silent.closed)
-		g.Connect(silent)
+		b, blocked := newFakeEntry(), newFakeEntry()
+		blocked.messages = nil
+		defer close(blocked.closed)
+		g.Connect(blocked)
 		g.Connect(b)
 		g.ReportCrash(1)
 		Expect(next(a)).To(BeAssignableToTypeOf(&wire.CrashReport{}))
@@ -201,7 +201,7 @@
 						start.Weights = v2
 					}
 					g.Handle(e, start)
-					if end, ok := (<-e.messages).(*wire.RequestRefused); !ok || end == nil {
+					if refused, ok := (<-e.messages).(*wire.RequestRefused); !ok || refused == nil {
 						<-e.messages
 						admitted.Add(1)
 						g.Handle(e, &wire.ResponseAck{Attempt: start.Attempt, NextSequence: 2})
@@ -215,7 +215,7 @@
 				to = v1
 			}
 			Expect(g.Quiesce(context.Background())).To(Succeed())
-			live, err := load.Load(context.Background(), to)
+			live, err := engine.Load(context.Background(), to)
 			Expect(err).NotTo(HaveOccurred())
 			g.Serve(live)
 			Expect(g.Live()).To(Equal([]model.Weights{to}))
@@ -223,8 +223,8 @@
 		Eventually(admitted.Load).Should(BeNumerically(">", 10))
 		close(stop)
 		callers.Wait()
-		Expect(load.loads.Load()).To(Equal(int64(200)))
-		Expect(load.overlapped.Load()).To(BeFalse())
+		Expect(engine.loads.Load()).To(Equal(int64(200)))
+		Expect(engine.overlapped.Load()).To(BeFalse())
 	})
 
 	It("admits requests for the old weights again after a canceled quiesce", func() {
