--- a/agent/cachefeed/feed.go
+++ b/agent/cachefeed/feed.go
@@ -69,8 +69,8 @@
 }
 
 // NextUpdate returns the next update, or nil if nothing has changed. Removed blocks
-// have precedence: a stale block attracts requests to an instance that may be busy
-// without any benefit, while a missing one only costs a prefill.
+// have precedence: a stale block attracts requests, without any benefit, to an instance
+// that may be busy, while a missing one only costs a prefill.
 func (f *Feed) NextUpdate() *wire.CacheUpdate {
 	u := &wire.CacheUpdate{}
 	remaining := wire.MaxCacheChanges
