--- a/agent/agent.go
+++ b/agent/agent.go
@@ -37,7 +37,7 @@
 	weights  *backend.Runner
 	cache    cacheReader
 	roles    roles
-	// fetchTimer records when the fetch of the wanted version began.
+	// fetchTimer records when the fetch of the current manifest began.
 	fetchTimer fetchTimer
 	// rank is the position of the instance in its pool, or unknownRank.
 	rank atomic.Int64
@@ -187,7 +187,7 @@
 }
 
 // Drain refuses new requests, notifies all entries immediately, and waits for running
-// attempts to end and their answers to be confirmed or given up. It returns the error
+// attempts to end and their answers to be confirmed or dropped. It returns the error
 // of ctx if that ends first.
 func (a *Agent) Drain(ctx context.Context) error {
 	empty := a.gate.Drain()
@@ -237,7 +237,8 @@
 	}
 }
 
-// tickInterval is the interval at which deadlines and announcements are checked.
+// tickInterval is the interval at which attempts and the age of the configuration are
+// checked, and at which the link share of transfers is adjusted.
 const tickInterval = 500 * time.Millisecond
 
 func (a *Agent) hello() wire.Hello {
--- a/agent/first_tokens.go
+++ b/agent/first_tokens.go
@@ -10,7 +10,7 @@
 	// is longer than the interval at which the link share of transfers is adjusted, so
 	// that every first token is counted.
 	firstTokenWindow = 2 * time.Second
-	// maxFirstTokens is the maximum number of times that are kept.
+	// maxFirstTokens is the maximum number of recent first tokens that are kept.
 	maxFirstTokens = 256
 )
 
--- a/agent/plain_server_test.go
+++ b/agent/plain_server_test.go
@@ -20,8 +20,8 @@
 		DeferCleanup(server.Close)
 		client, err := engine.NewPlainClient(engine.Config{Address: server.URL()})
 		Expect(err).NotTo(HaveOccurred())
-		now := clock.NewFake(time.Unix(1_800_000_000, 0))
-		p := newPlainServer(client, Config{Clock: now, Capacity: 9})
+		clk := clock.NewFake(time.Unix(1_800_000_000, 0))
+		p := newPlainServer(client, Config{Clock: clk, Capacity: 9})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -32,14 +32,14 @@
 			cancel()
 			<-done
 		})
-		return p, now, server
+		return p, clk, server
 	}
 
 	// Guards against routing by the agent's own calls in flight, which do not include
 	// the calls of other clients of the service.
 	It("is the service's report, whose age grows once the service stops reporting", func() {
 		const lag = 50 * time.Millisecond
-		p, now, server := startPolling(service.Config{Capacity: 4, LoadLag: lag, Delay: time.Minute})
+		p, clk, server := startPolling(service.Config{Capacity: 4, LoadLag: lag, Delay: time.Minute})
 		other, err := engine.NewPlainClient(engine.Config{Address: server.URL()})
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -54,7 +54,7 @@
 		})
 		Eventually(p.load, 5*time.Second).Should(Equal(wire.Load{Running: 1, Capacity: 4, AgeMillis: 50}))
 		Expect(server.Close()).To(Succeed())
-		now.Advance(3 * time.Second)
+		clk.Advance(3 * time.Second)
 		Expect(p.load()).To(Equal(wire.Load{Running: 1, Capacity: 4, AgeMillis: 3050}))
 	})
 
--- a/agent/roles.go
+++ b/agent/roles.go
@@ -34,9 +34,9 @@
 	r.reported = role
 }
 
-// current returns the role to report to entries. From the time that another role is
-// declared, an engine takes no requests; if the mixed role is declared again, it takes
-// none until it reports that role.
+// current returns the role to report to entries, which send requests only to engines in
+// the mixed role. It is mixed only while that role is both declared and reported by the
+// engine, so that no request arrives during a change of role.
 func (r *roles) current() model.Role {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/agent/sessions.go
+++ b/agent/sessions.go
@@ -32,12 +32,12 @@
 func (s *sessions) sendCache(update, snapshot *wire.CacheUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for entry := range s.open {
+	for each := range s.open {
 		switch {
-		case entry.snapshotRequested.Swap(false):
-			_ = entry.conn.TrySend(snapshot)
+		case each.snapshotRequested.Swap(false):
+			_ = each.conn.TrySend(snapshot)
 		case update != nil:
-			_ = entry.conn.TrySend(update)
+			_ = each.conn.TrySend(update)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 func (s *sessions) sendHeartbeats() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for entry := range s.open {
-		entry.sendHeartbeat()
+	for each := range s.open {
+		each.sendHeartbeat()
 	}
 }
