--- a/lib/wire/announce.go
+++ b/lib/wire/announce.go
@@ -17,8 +17,8 @@
 	// RequestedAssignments is the number of further chunks that the agent requests.
 	RequestedAssignments int `msgpack:"s"`
 	// ActiveAssignments is the number of assignments that the agent has received but
-	// not finished. The tracker subtracts assignments that were still on their way when
-	// this message was sent from RequestedAssignments.
+	// not finished. From RequestedAssignments, the tracker subtracts the assignments
+	// that were still in transit when this message was sent.
 	ActiveAssignments int `msgpack:"a"`
 	// Sequence numbers the announcements on one connection, starting from 1.
 	Sequence uint64 `msgpack:"q"`
--- a/lib/wire/assign.go
+++ b/lib/wire/assign.go
@@ -24,8 +24,9 @@
 	ReannounceMillis int64 `msgpack:"r"`
 	// Peers lists the addresses of agents that hold chunks, for use without a tracker.
 	Peers []string `msgpack:"p"`
-	// Sequence is the sequence number of the last Announce on the connection. It alone
-	// shows that announcements arrive, because an Assign may be unrequested.
+	// Sequence is the sequence number of the last Announce on the connection. It
+	// acknowledges the announcements, which the arrival of an Assign alone does not,
+	// because it may be unrequested.
 	Sequence uint64 `msgpack:"q"`
 }
 
--- a/lib/wire/codec.go
+++ b/lib/wire/codec.go
@@ -36,7 +36,7 @@
 	return append(buf, body...), nil
 }
 
-// Read decodes the next frame. Frames that are not valid give ErrFrameTooLarge,
+// Read decodes the next frame. For an invalid frame it returns ErrFrameTooLarge,
 // ErrUnknownType or ErrMalformed. The length is checked before memory is allocated, so
 // that a corrupt length cannot exhaust memory.
 func Read(r *bufio.Reader) (Message, error) {
--- a/lib/wire/conn.go
+++ b/lib/wire/conn.go
@@ -113,15 +113,15 @@
 }
 
 func (c *Conn) encode(m Message) ([]byte, error) {
-	if !isHint(m.Type()) {
+	if !isHeartbeatOrHint(m.Type()) {
 		c.lastData.Store(time.Now().UnixNano())
 	}
 	return Append(nil, m)
 }
 
-// isHint reports whether messages of this type do not replace heartbeats. The peer
-// does not count them as a sign that this side is alive.
-func isHint(t Type) bool {
+// isHeartbeatOrHint reports whether t is a heartbeat or a cache hint. Messages of all
+// other types tell the peer that this side is alive, and thus replace heartbeats.
+func isHeartbeatOrHint(t Type) bool {
 	return t == TypeHeartbeat || t == TypeCacheUpdate || t == TypeCacheFetch
 }
 
--- a/lib/wire/incident.go
+++ b/lib/wire/incident.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Incident is a crash of a backend server while the suspect request was in flight.
+// Incident is a crash of a backend server while a suspect was in flight.
 type Incident struct {
 	Instance    model.InstanceID `msgpack:"i"`
 	Generation  model.Generation `msgpack:"g"`
