--- a/lib/engine/config.go
+++ b/lib/engine/config.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// defaultDialTimeout is generous, because the backend server runs on the same
-	// instance.
+	// defaultDialTimeout is long for a connection within one instance, where the
+	// backend server runs.
 	defaultDialTimeout = time.Second
 	// defaultReadTimeout limits reads of state, load and cache.
 	defaultReadTimeout = 2 * time.Second
--- a/lib/engine/errors.go
+++ b/lib/engine/errors.go
@@ -10,7 +10,7 @@
 
 var (
 	// ErrNotStarted means that the request provably did not start: it was never
-	// sent, or the backend server rejected it before running it.
+	// sent, or the backend server refused it before running it.
 	ErrNotStarted = merry.New("request not started")
 	// ErrMayHaveRun means that the request was sent, but its response is
 	// missing or incomplete.
@@ -31,7 +31,7 @@
 	ErrTooLarge = merry.New("response too large")
 )
 
-// Reasons with which engines reject a request or an order.
+// Reasons with which engines refuse a request or an order.
 const (
 	RefusalWeights  = "weights_mismatch"
 	RefusalFenced   = "old_fencing_number"
@@ -41,7 +41,7 @@
 	RefusalDeadline = "deadline"
 )
 
-// RefusedError is a rejection that the backend server sent.
+// RefusedError reports that the backend server refused a request or an order.
 type RefusedError struct {
 	// Status is the HTTP status; 0 for an error event within a stream.
 	Status int
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("rejected with status %d: %s", e.Status, e.Reason)
 }
 
-// Is makes a rejection with RefusalWeights match ErrWeightsMismatch.
+// Is makes a refusal with RefusalWeights match ErrWeightsMismatch.
 func (e *RefusedError) Is(target error) bool {
 	return e.Reason == RefusalWeights && target == ErrWeightsMismatch //nolint:errorlint // Is must compare
 }
--- a/lib/engine/guard_test.go
+++ b/lib/engine/guard_test.go
@@ -24,8 +24,8 @@
 		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v2"), Base: staged})
 		Expect(result.Err).NotTo(HaveOccurred())
 		Expect(server.LoadedDigest()).To(Equal(content))
-		atOnce, outdated := server.OrderStats()
-		Expect(atOnce).To(Equal(1))
+		maxConcurrent, outdated := server.OrderStats()
+		Expect(maxConcurrent).To(Equal(1))
 		Expect(outdated).To(Equal(0))
 		Expect(server.AcceptedOrders()).To(HaveLen(2))
 	},
@@ -63,8 +63,8 @@
 		result := runOrder(client, guard, engine.Order{Kind: engine.OrderLoad, Weights: weightsOf("v3"), Base: other})
 		Expect(result.Err).NotTo(HaveOccurred())
 		Expect(server.LoadedDigest()).To(Equal(content))
-		atOnce, _ := server.OrderStats()
-		Expect(atOnce).To(Equal(1))
+		maxConcurrent, _ := server.OrderStats()
+		Expect(maxConcurrent).To(Equal(1))
 	})
 
 	It("stops an older agent generation with ErrSuperseded", func() {
@@ -76,7 +76,7 @@
 		Expect(errors.Is(runOrder(client, old, load).Err, engine.ErrSuperseded)).To(BeTrue())
 	})
 
-	It("gets an outdated fencing number rejected by an engine that checks it", func() {
+	It("relies on an engine that checks fencing to refuse an outdated fencing number", func() {
 		_, client, _, _ := startLoaded(standin.Config{}, "v1")
 		_, err := client.Order(context.Background(), engine.Order{Kind: engine.OrderRole, Role: engine.RoleDecode})
 		refused, ok := engine.AsRefused(err)
--- a/lib/engine/json.go
+++ b/lib/engine/json.go
@@ -10,10 +10,10 @@
 )
 
 // maxControlBytes limits the responses to reads of state, load and cache, and the
-// bodies of rejections.
+// bodies of refusals.
 const maxControlBytes = 16 << 20
 
-// refusalBody is the body of a response that rejects a request.
+// refusalBody is the body of a response that refuses a request or an order.
 type refusalBody struct {
 	Reason string `json:"reason"`
 }
--- a/lib/engine/plain_client_test.go
+++ b/lib/engine/plain_client_test.go
@@ -28,11 +28,11 @@
 	})
 
 	It("returns the response for its idempotency key", func() {
-		a, err := client.Call(ctx, req)
+		response, err := client.Call(ctx, req)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Status).To(Equal(200))
-		Expect(a.ContentType).To(HavePrefix("application/json"))
-		Expect(a.Body).To(Equal(service.ExpectedAnswer("/orders", "k1", req.Body)))
+		Expect(response.Status).To(Equal(200))
+		Expect(response.ContentType).To(HavePrefix("application/json"))
+		Expect(response.Body).To(Equal(service.ExpectedAnswer("/orders", "k1", req.Body)))
 	})
 
 	// Guards against retrying a call that may have run.
@@ -50,9 +50,9 @@
 
 	It("returns an error status of the service as a response", func() {
 		server.SetFaults(service.Faults{Fail: 1})
-		a, err := client.Call(ctx, req)
+		response, err := client.Call(ctx, req)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Status).To(Equal(500))
+		Expect(response.Status).To(Equal(500))
 	})
 
 	It("never sends a call twice over a connection that was closed while idle", func() {
@@ -96,7 +96,7 @@
 			_, _ = client.Call(ctx, req)
 		}()
 		Eventually(lagging.Running).Should(Equal(1))
-		begun := time.Now()
+		started := time.Now()
 		Eventually(func() int {
 			r, err := client.Load(ctx)
 			Expect(err).NotTo(HaveOccurred())
@@ -105,7 +105,7 @@
 			return r.Running
 		}, 5*time.Second, 10*time.Millisecond).Should(Equal(1))
 		// Polling Running detects the call up to 10 ms after its start.
-		Expect(time.Since(begun)).To(BeNumerically(">", lag/2))
+		Expect(time.Since(started)).To(BeNumerically(">", lag/2))
 		Eventually(done, 5*time.Second).Should(BeClosed())
 	})
 })
