--- a/cmd/auburnbend-measure/main.go
+++ b/cmd/auburnbend-measure/main.go
@@ -24,14 +24,14 @@
 		SilenceUsage: true,
 	}
 	root.AddCommand(
-		distribute.New(),
-		route.New(),
-		overload.New(),
-		poison.New(),
-		capacity.New(),
-		config.New(),
-		drain.New(),
-		latency.New(),
+		distribute.NewCommand(),
+		route.NewCommand(),
+		overload.NewCommand(),
+		poison.NewCommand(),
+		capacity.NewCommand(),
+		config.NewCommand(),
+		drain.NewCommand(),
+		latency.NewCommand(),
 	)
 	if root.Execute() != nil {
 		os.Exit(1)
--- a/internal/measure/capacity/capacity.go
+++ b/internal/measure/capacity/capacity.go
@@ -34,8 +34,8 @@
 	seed   int64
 }
 
-// New returns the capacity subcommand.
-func New() *cobra.Command {
+// NewCommand returns the capacity subcommand.
+func NewCommand() *cobra.Command {
 	var o options
 	c := &cobra.Command{
 		Use:   "capacity",
--- a/internal/measure/config/command.go
+++ b/internal/measure/config/command.go
@@ -18,8 +18,8 @@
 	maxControlBytesPerSecond = 8 << 10
 )
 
-// New returns the config subcommand.
-func New() *cobra.Command {
+// NewCommand returns the config subcommand.
+func NewCommand() *cobra.Command {
 	var seed int64
 	cmd := &cobra.Command{
 		Use:     "config",
--- a/internal/measure/distribute/command.go
+++ b/internal/measure/distribute/command.go
@@ -26,8 +26,8 @@
 	maxDisturbedCopiesPerDomain = 1.2 // per failure domain
 )
 
-// New returns the distribute subcommand.
-func New() *cobra.Command {
+// NewCommand returns the distribute subcommand.
+func NewCommand() *cobra.Command {
 	o := new(Options)
 	cmd := &cobra.Command{
 		Use:   "distribute",
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -32,8 +32,8 @@
 	seed                    int64
 }
 
-// New returns the drain subcommand.
-func New() *cobra.Command {
+// NewCommand returns the drain subcommand.
+func NewCommand() *cobra.Command {
 	var o options
 	c := &cobra.Command{
 		Use:   "drain",
--- a/internal/measure/latency/latency.go
+++ b/internal/measure/latency/latency.go
@@ -32,8 +32,8 @@
 	seed              int64
 }
 
-// New returns the latency subcommand.
-func New() *cobra.Command {
+// NewCommand returns the latency subcommand.
+func NewCommand() *cobra.Command {
 	var o options
 	c := &cobra.Command{
 		Use:     "latency",
--- a/internal/measure/overload/command.go
+++ b/internal/measure/overload/command.go
@@ -25,8 +25,8 @@
 // searchStep is the resolution of the capacity search in requests per second.
 const searchStep = 2
 
-// New returns the overload subcommand.
-func New() *cobra.Command {
+// NewCommand returns the overload subcommand.
+func NewCommand() *cobra.Command {
 	var seed uint64
 	cmd := &cobra.Command{
 		Use:   "overload",
--- a/internal/measure/poison/poison.go
+++ b/internal/measure/poison/poison.go
@@ -20,8 +20,8 @@
 	defaultRounds = 200
 )
 
-// New returns the poison subcommand.
-func New() *cobra.Command {
+// NewCommand returns the poison subcommand.
+func NewCommand() *cobra.Command {
 	p := Params{}
 	rounds, seed := defaultRounds, uint64(1)
 	cmd := &cobra.Command{
--- a/internal/measure/poison/suite_test.go
+++ b/internal/measure/poison/suite_test.go
@@ -66,7 +66,7 @@
 
 	It("prints its figures", func() {
 		var out bytes.Buffer
-		cmd := New()
+		cmd := NewCommand()
 		cmd.SetOut(&out)
 		cmd.SetArgs([]string{"--rounds", "2"})
 		Expect(cmd.Execute()).To(Succeed())
--- a/internal/measure/route/command.go
+++ b/internal/measure/route/command.go
@@ -12,8 +12,8 @@
 	"github.com/auburnbend/auburnbend/internal/measure/fleet"
 )
 
-// New returns the route subcommand.
-func New() *cobra.Command {
+// NewCommand returns the route subcommand.
+func NewCommand() *cobra.Command {
 	var seed uint64
 	cmd := &cobra.Command{
 		Use:   "route",
