--- a/entry/status.go
+++ b/entry/status.go
@@ -27,7 +27,7 @@
 }
 
 // ApplyAccepted implements operatorrpc.ConfigReplica.
-func (s status) ApplyAccepted(encoded []byte) { s.entry.follower.Accepted(encoded) }
+func (s status) ApplyAccepted(encoded []byte) { s.entry.follower.ApplyAccepted(encoded) }
 
 // Domains implements operatorrpc.FleetStatus.
 func (s status) Domains() []operatorrpc.DomainStatus {
--- a/lib/follow/follower_test.go
+++ b/lib/follow/follower_test.go
@@ -43,7 +43,7 @@
 		store := config.NewStore(table.New(), config.StoreConfig{Clock: fakeClock})
 		accepted, err := store.Apply(context.Background(), config.Request{Config: declared, Operation: "first", Author: "ops"})
 		Expect(err).NotTo(HaveOccurred())
-		f.Accepted(accepted.EncodedRevision)
+		f.ApplyAccepted(accepted.EncodedRevision)
 		confirm := func() {
 			f.HandleHeartbeat(config.PeerID{Instance: "e1"}, &wire.Heartbeat{ConfigRevision: accepted.Head.Number, ConfigDigest: accepted.Head.Digest})
 			f.Tick()
--- a/lib/follow/store_poll.go
+++ b/lib/follow/store_poll.go
@@ -73,9 +73,9 @@
 	return err == nil
 }
 
-// Accepted applies a revision that the store has just accepted from this
+// ApplyAccepted applies a revision that the store has just accepted from this
 // process, so that it need not be polled. It ignores nil.
-func (f *Follower) Accepted(encoded []byte) {
+func (f *Follower) ApplyAccepted(encoded []byte) {
 	if encoded == nil {
 		return
 	}
