--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -27,9 +27,9 @@
 }
 
 func operatorRelayConfig(b *platform.Bounds) relay.Config {
-	return relay.Config{MaxPropagation: b.ConfigTime, Wait: maxStoreWait(b, b.ConfigTime)}
+	return relay.Config{MaxPropagation: b.ConfigTime, LongPollTimeout: maxStoreWait(b, b.ConfigTime)}
 }
 
 func serversRelayConfig(b *platform.Bounds) relay.Config {
-	return relay.Config{MaxPropagation: b.DrainTime, Wait: maxStoreWait(b, b.DrainTime), BatchDelay: time.Duration(batchDelayFraction * float64(b.DrainTime))}
+	return relay.Config{MaxPropagation: b.DrainTime, LongPollTimeout: maxStoreWait(b, b.DrainTime), BatchDelay: time.Duration(batchDelayFraction * float64(b.DrainTime))}
 }
--- a/internal/node/follow_test.go
+++ b/internal/node/follow_test.go
@@ -19,8 +19,8 @@
 		func(stall, bound time.Duration) {
 			b := platform.Bounds{StallTime: stall, ConfigTime: bound, DrainTime: bound}
 			for _, c := range []relay.Config{operatorRelayConfig(&b), serversRelayConfig(&b)} {
-				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically("<", stall+bound))
-				Expect(c.Wait + watch.ResponseTimeout).To(BeNumerically(">=", stall+bound-time.Second))
+				Expect(c.LongPollTimeout + watch.ResponseTimeout).To(BeNumerically("<", stall+bound))
+				Expect(c.LongPollTimeout + watch.ResponseTimeout).To(BeNumerically(">=", stall+bound-time.Second))
 				Expect(c.BatchDelay).To(BeNumerically("<=", bound/2))
 			}
 		},
@@ -29,6 +29,6 @@
 	)
 
 	It("uses the defaults if there are no bounds", func() {
-		Expect(operatorRelayConfig(&platform.Bounds{}).Wait).To(BeZero())
+		Expect(operatorRelayConfig(&platform.Bounds{}).LongPollTimeout).To(BeZero())
 	})
 })
--- a/internal/node/tables.go
+++ b/internal/node/tables.go
@@ -50,7 +50,7 @@
 		t.log.Log(eventlog.StorePathChanged, "table", table, "direct", !through.IsValid(), "entry", through, "err", reason)
 	}
 	source := relay.NewSource(table, t.store.Table(table), t.caches[table], role, onPathChange)
-	watch.New(watch.Config{LongPollTimeout: config.Wait}, source, handler).Run(ctx)
+	watch.New(watch.Config{LongPollTimeout: config.LongPollTimeout}, source, handler).Run(ctx)
 }
 
 // role returns the role of this entry in relaying a table: it follows the first entry
--- a/lib/relay/config.go
+++ b/lib/relay/config.go
@@ -7,9 +7,9 @@
 	// MaxPropagation is the time limit within which a change must be known to
 	// all instances.
 	MaxPropagation time.Duration
-	// Wait is how long a call to the store waits for a change if no instance
+	// LongPollTimeout is how long a call to the store waits for a change if no instance
 	// follows this one.
-	Wait time.Duration
+	LongPollTimeout time.Duration
 	// BatchDelay is the pause after changes before the store is called again,
 	// so that further changes are read with the same call: each call is paid
 	// for. Zero means no pause.
@@ -46,5 +46,5 @@
 // SavesStoreCalls reports whether relaying takes fewer calls to the store than
 // n instances that each read the store themselves.
 func (c Config) SavesStoreCalls(n int) bool {
-	return time.Duration(n)*fraction(c.MaxPropagation, confirmFraction) > c.Wait
+	return time.Duration(n)*fraction(c.MaxPropagation, confirmFraction) > c.LongPollTimeout
 }
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -83,7 +83,7 @@
 
 var _ = Describe("Relay of a table", func() {
 	const bound = 400 * time.Millisecond
-	config := Config{MaxPropagation: bound, Wait: 2 * time.Second}
+	config := Config{MaxPropagation: bound, LongPollTimeout: 2 * time.Second}
 	var (
 		content *content
 		ctx     context.Context
@@ -100,7 +100,7 @@
 			choose = func() Role { return Role{Upstream: leader.address()} }
 		}
 		go NewServer(map[string]*Cache{"t": i.cache}, i.stopping.Load).Run(ctx, i.ln)
-		go watch.New(watch.Config{LongPollTimeout: config.Wait}, NewSource("t", i.store, i.cache, choose, i.countPathChange), i.received).Run(ctx)
+		go watch.New(watch.Config{LongPollTimeout: config.LongPollTimeout}, NewSource("t", i.store, i.cache, choose, i.countPathChange), i.received).Run(ctx)
 		Eventually(func() int64 {
 			i.cache.mu.Lock()
 			defer i.cache.mu.Unlock()
@@ -209,7 +209,7 @@
 	It("delays the next call to the store after changes, but not if there were none", func() {
 		const batchDelay = 150 * time.Millisecond
 		st := &store{content: content}
-		s := NewSource("t", st, NewCache(Config{MaxPropagation: bound, Wait: time.Second, BatchDelay: batchDelay}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
+		s := NewSource("t", st, NewCache(Config{MaxPropagation: bound, LongPollTimeout: time.Second, BatchDelay: batchDelay}), func() Role { return Role{} }, func(netip.AddrPort, error) {})
 		_, err := s.Changes(ctx, 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = s.Changes(ctx, 1, 0)
@@ -222,7 +222,7 @@
 
 	// Guards against more calls to the store in a small region than without a relay.
 	It("saves calls to the store only if there are many instances", func() {
-		c := Config{MaxPropagation: 4 * time.Second, Wait: 7 * time.Second}
+		c := Config{MaxPropagation: 4 * time.Second, LongPollTimeout: 7 * time.Second}
 		Expect(c.SavesStoreCalls(7)).To(BeFalse())
 		Expect(c.SavesStoreCalls(8)).To(BeTrue())
 	})
