--- a/entry/status.go
+++ b/entry/status.go
@@ -105,7 +105,7 @@
 		return "draining"
 	case m.State == member.StateLive:
 		return "live"
-	case m.State == member.StateProbing:
+	case m.State == member.StateReconnecting:
 		return "silent"
 	case m.State == member.StateGone:
 		return "gone"
--- a/lib/member/connection_events.go
+++ b/lib/member/connection_events.go
@@ -52,7 +52,7 @@
 	// The connection still works: it was considered silent too early.
 	c.silent = false
 	m.conns++
-	if m.State != StateProbing {
+	if m.State != StateReconnecting {
 		return nil, c, m
 	}
 	m.State = StateLive
@@ -102,7 +102,7 @@
 	if m.Draining && event.Kind == Disconnected {
 		return v.markGone(now, m)
 	}
-	m.State = StateProbing
+	m.State = StateReconnecting
 	m.HeartbeatAt = time.Time{}
 	m.disconnectedSince = now
 	m.dialFailures = 0
@@ -115,7 +115,7 @@
 // is cut off.
 func (v *View) DialFailed(now time.Time, id model.InstanceID) []Event {
 	m, ok := v.members[id]
-	if !ok || m.State != StateProbing {
+	if !ok || m.State != StateReconnecting {
 		return nil
 	}
 	m.dialFailures++
--- a/lib/member/member.go
+++ b/lib/member/member.go
@@ -17,9 +17,9 @@
 	StateListed State = iota
 	// StateLive means that the member has a working connection.
 	StateLive
-	// StateProbing means that the member has lost its last working connection and
+	// StateReconnecting means that the member has lost its last working connection and
 	// that new connections are being tried.
-	StateProbing
+	StateReconnecting
 	// StateGone means that the member has left or cannot be reached. It stays in
 	// the view while the platform lists it and becomes live again when it
 	// connects.
--- a/lib/member/tick.go
+++ b/lib/member/tick.go
@@ -26,7 +26,7 @@
 	}
 	for _, id := range v.sortedMembers() {
 		m := v.members[id]
-		if m.State == StateProbing && now.Sub(m.disconnectedSince) >= v.cfg.ReconnectTimeout && v.hasWorkingConn(now) {
+		if m.State == StateReconnecting && now.Sub(m.disconnectedSince) >= v.cfg.ReconnectTimeout && v.hasWorkingConn(now) {
 			events = append(events, v.markGone(now, m)...)
 		}
 	}
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -132,7 +132,7 @@
 		if onList[id] {
 			continue
 		}
-		if m.State == StateProbing && m.listed {
+		if m.State == StateReconnecting && m.listed {
 			events = append(events, v.markGone(now, m)...)
 		}
 		m.listed = false
@@ -164,10 +164,10 @@
 		m = &memberState{}
 		v.members[id] = m
 	}
-	known := m.State == StateLive || m.State == StateProbing
+	known := m.State == StateLive || m.State == StateReconnecting
 	switch {
 	case known && m.Identity.Generation == generation:
-		if m.State == StateProbing {
+		if m.State == StateReconnecting {
 			events = append(events, Event{Kind: Restored, Instance: id, Generation: generation})
 		}
 	case known:
@@ -221,7 +221,7 @@
 		if id == newer.Instance || m.Identity.Address != newer.Address || newer.Address == "" {
 			continue
 		}
-		if m.State == StateLive || m.State == StateProbing {
+		if m.State == StateLive || m.State == StateReconnecting {
 			events = append(events, Event{Kind: Left, Instance: id, Generation: m.Identity.Generation})
 		}
 		if m.State != StateListed {
