--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -74,7 +74,7 @@
 // poolState returns the state of a pool in this failure domain, which load permits
 // depend on.
 func (e *Entry) poolState(pool string) rollout.PoolState {
-	state := e.fleet.Group(pool)
+	state := e.fleet.PoolState(pool)
 	if c := e.Current(); c != nil {
 		if p, ok := c.FindPlacement(pool, e.cfg.Identity.Location.FailureDomain); ok {
 			state.MinLive = p.MinLive
--- a/entry/fleet/queries.go
+++ b/entry/fleet/queries.go
@@ -60,9 +60,9 @@
 	return false
 }
 
-// Group returns the state of a pool in the failure domain of this entry, limited to
+// PoolState returns the state of a pool in the failure domain of this entry, limited to
 // the instances that the entry is connected to.
-func (f *Fleet) Group(pool string) rollout.PoolState {
+func (f *Fleet) PoolState(pool string) rollout.PoolState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var g rollout.PoolState
