--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -138,7 +138,7 @@
 	i.StoreAddress = address(t.slot, groupStore, len(t.storeLinks), storePort)
 	i.Region, i.Regions, i.FirstPort, i.Bounds = regions[i.Domain], regions, peerPort, bounds.Bounds
 	if t.relayStore {
-		i.Bounds.StableMS = relayStableMS
+		i.Bounds.StabilityMS = relayStableMS
 	}
 	link, err := t.newLink(i.StoreAddress, t.store.Address())
 	if err != nil {
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -54,7 +54,7 @@
 func (l timeBounds) versionTime() time.Duration { return time.Duration(l.VersionMS) * time.Millisecond }
 
 var bounds = timeBounds{platformtest.Bounds{
-	DrainMS: 2000, StopMS: 8000, ConfigMS: 2000, StableMS: 3000, VersionMS: 8000, RetryRatio: 0.2, RetrySlack: 100, RetryWindowS: 10,
+	DrainMS: 2000, StopMS: 8000, ConfigMS: 2000, StabilityMS: 3000, VersionMS: 8000, RetryRatio: 0.2, RetrySlack: 100, RetryWindowS: 10,
 }}
 
 // relayStableMS replaces the stability time in the settings of runs with relayed reads
