--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -98,7 +98,7 @@
 		s.mu.Lock()
 		ln := s.listener
 		s.mu.Unlock()
-		ln.CutAll()
+		ln.CloseAll()
 		s.tasks.Wait()
 	})
 	return nil
@@ -127,7 +127,7 @@
 	s.streams, s.waiting, s.running = make(map[string]*stream), nil, nil
 	s.samples = nil
 	s.cache.prefixes, s.cache.events, s.cache.sequence = nil, nil, 0
-	s.listener.CutAll()
+	s.listener.CloseAll()
 	s.tasks.Go(s.restart)
 }
 
@@ -141,7 +141,7 @@
 			s.serve(ln)
 			select {
 			case <-s.closed:
-				ln.CutAll()
+				ln.CloseAll()
 			default:
 			}
 			return
--- a/standin/internal/listen/tracker.go
+++ b/standin/internal/listen/tracker.go
@@ -48,8 +48,8 @@
 	return c, nil
 }
 
-// CutAll closes the listener and all its connections.
-func (t *Tracker) CutAll() {
+// CloseAll closes the listener and all its connections.
+func (t *Tracker) CloseAll() {
 	_ = t.Close()
 	t.mu.Lock()
 	t.closed = true
--- a/standin/service/server.go
+++ b/standin/service/server.go
@@ -59,7 +59,7 @@
 func (s *Server) Close() error {
 	s.once.Do(func() {
 		close(s.closed)
-		s.ln.CutAll()
+		s.ln.CloseAll()
 		s.tasks.Wait()
 	})
 	return nil
