--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	s.listener, s.down = ln, false
 	s.mu.Unlock()
-	h := ln.Hertz()
+	h := ln.NewServer()
 	s.routes(h)
 	s.tasks.Go(func() { _ = h.Run() })
 }
--- a/standin/internal/listen/tracker.go
+++ b/standin/internal/listen/tracker.go
@@ -80,9 +80,9 @@
 	return c.Conn.Close()
 }
 
-// Hertz returns an HTTP server on the listener. The caller registers routes and calls
+// NewServer returns an HTTP server on the listener. The caller registers routes and calls
 // Run, which blocks until CutAll.
-func (t *Tracker) Hertz(opts ...config.Option) *server.Hertz {
+func (t *Tracker) NewServer(opts ...config.Option) *server.Hertz {
 	return server.New(append([]config.Option{
 		server.WithListener(t),
 		server.WithTransport(standard.NewTransporter),
--- a/standin/service/server.go
+++ b/standin/service/server.go
@@ -42,7 +42,7 @@
 		return nil, merry.Prepend(err, "start service stand-in")
 	}
 	s := &Server{cfg: cfg, ln: ln, closed: make(chan struct{}), runs: make(map[string]int)}
-	h := ln.Hertz()
+	h := ln.NewServer()
 	h.GET("/v1/load", s.handleLoad)
 	h.POST("/*path", s.handleCall)
 	s.tasks.Go(func() { _ = h.Run() })
