--- a/cmd/auburnbend-standins/main.go
+++ b/cmd/auburnbend-standins/main.go
@@ -52,7 +52,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&listen, "listen", listen, "IP address and port to listen on; port 0 chooses a free port")
-	flags.Int64Var(&cfg.OriginLink, "origin-link", 0, "bandwidth of the origin's link in bytes per second; 0 is unlimited")
+	flags.Int64Var(&cfg.OriginLinkRate, "origin-link", 0, "bandwidth of the origin's link in bytes per second; 0 is unlimited")
 	flags.Int64Var(&cfg.WeightStoreRate, "weight-store-rate", 0, "rate limit of the weight store in bytes per second; 0 is unlimited")
 	flags.StringSliceVar(&servers.engines, "engine", nil, "IP address and port of a model engine to serve; may be repeated")
 	flags.StringSliceVar(&servers.services, "service", nil, "IP address and port of a plain service to serve; may be repeated")
--- a/standin/platform/config.go
+++ b/standin/platform/config.go
@@ -8,9 +8,9 @@
 
 // Config configures the stand-ins of a Platform.
 type Config struct {
-	// OriginLink is the bandwidth of the origin's link in bytes per second; 0 means
+	// OriginLinkRate is the bandwidth of the origin's link in bytes per second; 0 means
 	// unlimited.
-	OriginLink int64
+	OriginLinkRate int64
 	// WeightStoreRate is the rate limit of the weight store in bytes per second; 0 means
 	// unlimited.
 	WeightStoreRate int64
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -35,7 +35,7 @@
 	return &Platform{
 		Table:       table.New(),
 		Objects:     object.New(),
-		Origin:      origin.New(origin.Config{LinkBytesPerSecond: cfg.OriginLink, Clock: cfg.Clock}),
+		Origin:      origin.New(origin.Config{LinkBytesPerSecond: cfg.OriginLinkRate, Clock: cfg.Clock}),
 		WeightStore: origin.New(origin.Config{BytesPerSecond: cfg.WeightStoreRate, Clock: cfg.Clock}),
 		Instances:   instances.New(instances.Config{Lag: cfg.InstanceLag, Clock: cfg.Clock}),
 	}
