--- a/cmd/auburnbend-standins/main.go
+++ b/cmd/auburnbend-standins/main.go
@@ -56,7 +56,7 @@
 	flags.Int64Var(&cfg.WeightStoreRate, "weight-store-rate", 0, "rate limit of the weight store in bytes per second; 0 is unlimited")
 	flags.StringSliceVar(&servers.engines, "engine", nil, "IP address and port of a model engine to serve; may be repeated")
 	flags.StringSliceVar(&servers.services, "service", nil, "IP address and port of a plain service to serve; may be repeated")
-	flags.DurationVar(&cfg.InstanceLag, "instance-lag", 0, "delay until the instance list shows a change")
+	flags.DurationVar(&cfg.InstanceListLag, "instance-lag", 0, "delay until the instance list shows a change")
 	return cmd
 }
 
--- a/standin/platform/config.go
+++ b/standin/platform/config.go
@@ -14,8 +14,8 @@
 	// WeightStoreRate is the rate limit of the weight store in bytes per second; 0 means
 	// unlimited.
 	WeightStoreRate int64
-	// InstanceLag is the time until a change of the instance list becomes visible.
-	InstanceLag time.Duration
+	// InstanceListLag is the time until a change of the instance list becomes visible.
+	InstanceListLag time.Duration
 	// Clock is the clock of all stand-ins. It defaults to the system clock.
 	Clock clock.Clock
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -37,7 +37,7 @@
 		Objects:     object.New(),
 		Origin:      origin.New(origin.Config{LinkBytesPerSecond: cfg.OriginLinkRate, Clock: cfg.Clock}),
 		WeightStore: origin.New(origin.Config{BytesPerSecond: cfg.WeightStoreRate, Clock: cfg.Clock}),
-		Instances:   instances.New(instances.Config{Lag: cfg.InstanceLag, Clock: cfg.Clock}),
+		Instances:   instances.New(instances.Config{Lag: cfg.InstanceListLag, Clock: cfg.Clock}),
 	}
 }
 
