--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -80,7 +80,7 @@
 	runs := 0
 	for _, a := range d.Agents {
 		if a.Service != nil {
-			runs += a.Service.Runs(key)
+			runs += a.Service.RunCount(key)
 		}
 	}
 	return runs
--- a/lib/engine/plain_client_test.go
+++ b/lib/engine/plain_client_test.go
@@ -41,7 +41,7 @@
 		_, err := client.Call(ctx, req)
 		Expect(err).To(HaveOccurred())
 		Expect(engine.NotStarted(err)).To(Equal(notStarted))
-		Expect(server.Runs("k1")).To(Equal(runs))
+		Expect(server.RunCount("k1")).To(Equal(runs))
 	},
 		Entry("rejected before the run", service.Faults{Refuse: 1}, true, 0),
 		Entry("response dropped after the run", service.Faults{DropReply: 1}, false, 1),
@@ -63,7 +63,7 @@
 		server.SetFaults(service.Faults{DropReply: 1})
 		_, err := client.Call(ctx, req)
 		Expect(errors.Is(err, engine.ErrMayHaveRun)).To(BeTrue())
-		Expect(server.Runs("k1")).To(Equal(21))
+		Expect(server.RunCount("k1")).To(Equal(21))
 	})
 
 	It("reports a call that exceeds its deadline as possibly run", func() {
--- a/standin/service/server.go
+++ b/standin/service/server.go
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// Runs returns the number of runs of calls with the given idempotency key or, for calls
+// RunCount returns the number of runs of calls with the given idempotency key or, for calls
 // without a key, with the given body.
-func (s *Server) Runs(keyOrBody string) int {
+func (s *Server) RunCount(keyOrBody string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[keyOrBody]
