--- a/lib/engine/plain_client_test.go
+++ b/lib/engine/plain_client_test.go
@@ -45,7 +45,7 @@
 	},
 		Entry("rejected before the run", service.Faults{Refuse: 1}, true, 0),
 		Entry("response dropped after the run", service.Faults{DropReply: 1}, false, 1),
-		Entry("response truncated", service.Faults{CutReply: 1}, false, 1),
+		Entry("response truncated", service.Faults{TruncateReply: 1}, false, 1),
 	)
 
 	It("returns an error status of the service as a response", func() {
--- a/standin/service/faults.go
+++ b/standin/service/faults.go
@@ -13,9 +13,9 @@
 	// DropReply is the number of calls that run and then close the connection without a
 	// reply.
 	DropReply int
-	// CutReply is the number of calls that run and then close the connection halfway
+	// TruncateReply is the number of calls that run and then close the connection halfway
 	// through the body of the reply.
-	CutReply int
+	TruncateReply int
 	// Delay is added to the duration of each call that runs.
 	Delay time.Duration
 }
--- a/standin/service/server.go
+++ b/standin/service/server.go
@@ -103,7 +103,7 @@
 		plan.fail = true
 	case consumeFault(&s.faults.DropReply):
 		plan.drop = true
-	case consumeFault(&s.faults.CutReply):
+	case consumeFault(&s.faults.TruncateReply):
 		plan.truncate = true
 	}
 	s.runs[runKey]++
