--- a/internal/processes/settings_test.go
+++ b/internal/processes/settings_test.go
@@ -64,7 +64,7 @@
 	files, ok := f.certificates[name]
 	if !ok {
 		var err error
-		files, err = f.authority.Write(f.dir, name)
+		files, err = f.authority.WriteFiles(f.dir, name)
 		Expect(err).NotTo(HaveOccurred())
 		f.certificates[name] = files
 	}
--- a/internal/processes/tls_test.go
+++ b/internal/processes/tls_test.go
@@ -54,7 +54,7 @@
 	It("refuse a connection to an agent without the certificate of an entry", func() {
 		otherAuthority, err := pki.New()
 		Expect(err).NotTo(HaveOccurred())
-		untrusted, err := otherAuthority.Write(GinkgoT().TempDir(), entryName)
+		untrusted, err := otherAuthority.WriteFiles(GinkgoT().TempDir(), entryName)
 		Expect(err).NotTo(HaveOccurred())
 		// The client trusts the agent's authority, so that only the agent's check can
 		// fail.
--- a/lib/security/policy_test.go
+++ b/lib/security/policy_test.go
@@ -16,7 +16,7 @@
 
 // newPolicy returns the policy of a process whose certificate has the given name.
 func newPolicy(a *pki.Authority, name string) *security.Policy {
-	f, err := a.Write(GinkgoT().TempDir(), name)
+	f, err := a.WriteFiles(GinkgoT().TempDir(), name)
 	Expect(err).NotTo(HaveOccurred())
 	p, err := security.New(settings.Transport{
 		Kind: settings.TransportTLS, Certificate: f.Certificate, Key: f.Key, CA: f.CA,
--- a/standin/pki/authority.go
+++ b/standin/pki/authority.go
@@ -80,9 +80,9 @@
 	return encodePEM("CERTIFICATE", der), encodePEM("EC PRIVATE KEY", keyDER), nil
 }
 
-// Write issues a certificate for a name and writes it, its key and the authority's
+// WriteFiles issues a certificate for a name and writes it, its key and the authority's
 // certificate to files in a directory.
-func (a *Authority) Write(dir, name string) (Files, error) {
+func (a *Authority) WriteFiles(dir, name string) (Files, error) {
 	certificate, key, err := a.Issue(name)
 	if err != nil {
 		return Files{}, err
