--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -171,9 +171,9 @@
 	g.announceTargets()
 }
 
-// SetWantedVersion sets the declared version of a model. fresh is set if it was
+// SetTargetVersion sets the declared version of a model. fresh is set if it was
 // declared just now; otherwise its age is unknown.
-func (g *Gateway) SetWantedVersion(model string, version int, fresh bool) {
+func (g *Gateway) SetTargetVersion(model string, version int, fresh bool) {
 	defer g.announceTargets()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/gateway_sinks.go
+++ b/internal/node/gateway_sinks.go
@@ -29,7 +29,7 @@
 }
 
 func (o *operatorSink) TargetVersion(v platform.TargetVersion, fresh bool) {
-	o.gateway.SetWantedVersion(v.Model, v.Version, fresh)
+	o.gateway.SetTargetVersion(v.Model, v.Version, fresh)
 	o.log.Log(eventlog.VersionDeclared, "model", v.Model, "version", v.Version, "fresh", fresh)
 }
 
