--- a/lib/directory/directory.go
+++ b/lib/directory/directory.go
@@ -54,8 +54,8 @@
 	// Server is the server that the row describes; nil if the row is deleted or
 	// unreadable.
 	Server *Server
-	// Unreadable is set if the row exists and does not describe a usable server.
-	Unreadable bool
+	// Invalid is set if the row exists and does not describe a usable server.
+	Invalid bool
 }
 
 // Apply applies changes in order. recovered has the same meaning as in Replace.
@@ -72,7 +72,7 @@
 		case c.Server != nil:
 			d.Put(c.Server)
 		case s != nil:
-			d.remove(c.ID, recovered && !c.Unreadable && scan.mayHaveExpired(s.Domain), now)
+			d.remove(c.ID, recovered && !c.Invalid && scan.mayHaveExpired(s.Domain), now)
 		}
 	}
 }
