--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -136,7 +136,7 @@
 // answer, or false if there is none.
 func (d *Deployment) VersionOfAnswer(answer, body []byte) (Version, bool) {
 	for _, v := range d.Versions {
-		if bytes.Equal(answer, engine.ExpectedAnswer(v.ContentDigest, body)) {
+		if bytes.Equal(answer, engine.ExpectedResponse(v.ContentDigest, body)) {
 			return v, true
 		}
 	}
--- a/internal/processes/fleet_test.go
+++ b/internal/processes/fleet_test.go
@@ -145,7 +145,7 @@
 	for i := range f.entries {
 		body, a := f.draft(i, 20)
 		ExpectWithOffset(1, a.Outcome).To(Equal("completed"), a.Reason)
-		ExpectWithOffset(1, string(a.Body)).To(Equal(string(engine.ExpectedAnswer(v.content, body))))
+		ExpectWithOffset(1, string(a.Body)).To(Equal(string(engine.ExpectedResponse(v.content, body))))
 	}
 }
 
--- a/internal/processes/plaintext_test.go
+++ b/internal/processes/plaintext_test.go
@@ -129,8 +129,8 @@
 			body, a := f.draft(i, 20)
 			Expect(a.Outcome).To(Equal("completed"), a.Reason)
 			Expect(string(a.Body)).To(Or(
-				Equal(string(engine.ExpectedAnswer(v1.content, body))),
-				Equal(string(engine.ExpectedAnswer(v2.content, body))),
+				Equal(string(engine.ExpectedResponse(v1.content, body))),
+				Equal(string(engine.ExpectedResponse(v2.content, body))),
 			))
 		}
 		f.awaitRollout(v2)
@@ -165,7 +165,7 @@
 		var r result
 		Eventually(results).WithTimeout(settleTime).Should(Receive(&r))
 		Expect(r.answer.Outcome).To(Equal("completed"), r.answer.Reason)
-		Expect(string(r.answer.Body)).To(Equal(string(engine.ExpectedAnswer(v2.content, r.body))))
+		Expect(string(r.answer.Body)).To(Equal(string(engine.ExpectedResponse(v2.content, r.body))))
 		stopped.awaitStop()
 	})
 
--- a/lib/engine/client_test.go
+++ b/lib/engine/client_test.go
@@ -84,7 +84,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		response, err := readFrames(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
-		Expect(response).To(Equal(standin.ExpectedAnswer(content, []byte("draft a report"))))
+		Expect(response).To(Equal(standin.ExpectedResponse(content, []byte("draft a report"))))
 		Expect(server.RunCount("r1")).To(Equal(1))
 	})
 
@@ -136,7 +136,7 @@
 		Expect(client.Resume(ctx, s)).To(Succeed())
 		tail, err := readFrames(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
-		Expect(string(head) + string(tail)).To(Equal(string(standin.ExpectedAnswer(content, []byte(body)))))
+		Expect(string(head) + string(tail)).To(Equal(string(standin.ExpectedResponse(content, []byte(body)))))
 
 		s, err = client.Generate(ctx, request("v1", "r2", body))
 		Expect(err).NotTo(HaveOccurred())
@@ -193,7 +193,7 @@
 		Expect(same.Resume(ctx, s)).To(Succeed())
 		tail, err := readFrames(s, 1000)
 		Expect(err).To(MatchError(io.EOF))
-		Expect(string(head) + string(tail)).To(Equal(string(standin.ExpectedAnswer(content, []byte(body)))))
+		Expect(string(head) + string(tail)).To(Equal(string(standin.ExpectedResponse(content, []byte(body)))))
 	})
 
 	It("follows cache events and resynchronises after a gap", func() {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -77,7 +77,7 @@
 		Expect(r.Failure).To(BeEmpty())
 		got, err := readAll(c, api.Request{ID: "r", Stream: "r", Weights: o.Weights, Body: []byte("x")})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got).NotTo(Equal(string(engine.ExpectedAnswer(whole, []byte("x")))))
+		Expect(got).NotTo(Equal(string(engine.ExpectedResponse(whole, []byte("x")))))
 		content, err := engine.AnswerContent([]byte(got))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(content).NotTo(Equal(whole))
@@ -134,7 +134,7 @@
 		text := <-got
 		content, err := engine.AnswerContent([]byte(text))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(text).NotTo(Equal(string(engine.ExpectedAnswer(content, body))))
+		Expect(text).NotTo(Equal(string(engine.ExpectedResponse(content, body))))
 	})
 
 	It("starts waiting requests by priority", func() {
--- a/standin/engine/response.go
+++ b/standin/engine/response.go
@@ -53,9 +53,9 @@
 	return []byte(hex.EncodeToString(sum[:4]) + " ")
 }
 
-// ExpectedAnswer returns the complete response to a request body from an engine that has
+// ExpectedResponse returns the complete response to a request body from an engine that has
 // loaded the given content and nothing else.
-func ExpectedAnswer(content model.Digest, body []byte) []byte {
+func ExpectedResponse(content model.Digest, body []byte) []byte {
 	var b bytes.Buffer
 	for i := range TokenCount(body) {
 		b.Write(token(content, body, i))
