--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -78,7 +78,7 @@
 		got, err := readAll(c, api.Request{ID: "r", Stream: "r", Weights: o.Weights, Body: []byte("x")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).NotTo(Equal(string(engine.ExpectedResponse(whole, []byte("x")))))
-		content, err := engine.AnswerContent([]byte(got))
+		content, err := engine.ResponseContent([]byte(got))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(content).NotTo(Equal(whole))
 	})
@@ -132,7 +132,7 @@
 		_, err = c.Order(ctx, second)
 		Expect(err).NotTo(HaveOccurred())
 		text := <-got
-		content, err := engine.AnswerContent([]byte(text))
+		content, err := engine.ResponseContent([]byte(text))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).NotTo(Equal(string(engine.ExpectedResponse(content, body))))
 	})
--- a/standin/engine/response.go
+++ b/standin/engine/response.go
@@ -63,8 +63,8 @@
 	return b.Bytes()
 }
 
-// AnswerContent returns the content digest from a response.
-func AnswerContent(answer []byte) (model.Digest, error) {
+// ResponseContent returns the content digest from a response.
+func ResponseContent(answer []byte) (model.Digest, error) {
 	rest, ok := bytes.CutPrefix(answer, []byte(answerPrefix))
 	if !ok || len(rest) < 2*model.DigestSize {
 		return model.Digest{}, merry.New("response has no weights digest")
