--- a/internal/processes/plaintext_test.go
+++ b/internal/processes/plaintext_test.go
@@ -50,7 +50,7 @@
 			key := "plate-" + strconv.Itoa(i)
 			body, a := f.order(i, key)
 			Expect(a.Outcome).To(Equal("completed"), a.Reason)
-			Expect(string(a.Body)).To(Equal(string(service.ExpectedAnswer("/orders", key, body))))
+			Expect(string(a.Body)).To(Equal(string(service.ExpectedResponse("/orders", key, body))))
 			// The answer of the stand-in contains the number of runs, so that of a
 			// second run would differ.
 			_, repeated := f.order((i+1)%len(f.entries), key)
--- a/lib/engine/plain_client_test.go
+++ b/lib/engine/plain_client_test.go
@@ -32,7 +32,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Status).To(Equal(200))
 		Expect(response.ContentType).To(HavePrefix("application/json"))
-		Expect(response.Body).To(Equal(service.ExpectedAnswer("/orders", "k1", req.Body)))
+		Expect(response.Body).To(Equal(service.ExpectedResponse("/orders", "k1", req.Body)))
 	})
 
 	// Guards against retrying a call that may have run.
--- a/standin/service/response.go
+++ b/standin/service/response.go
@@ -18,8 +18,8 @@
 	Run int `json:"run"`
 }
 
-// ExpectedAnswer returns the response body to the first run of a call.
-func ExpectedAnswer(path, key string, body []byte) []byte {
+// ExpectedResponse returns the response body to the first run of a call.
+func ExpectedResponse(path, key string, body []byte) []byte {
 	data, _ := json.Marshal(Response{Path: path, Key: key, Digest: model.Sum(body), Run: 1}) //nolint:errchkjson // always encodes
 	return data
 }
