--- a/entry/caller/parse.go
+++ b/entry/caller/parse.go
@@ -70,7 +70,7 @@
 		return nil, refused
 	}
 	if limit := bodyLimit(service); int64(len(raw.body)) > limit {
-		return nil, refuse(outcome.ReasonTooLarge, "body has %d bytes, service %q allows at most %d", len(raw.body), service.Name, limit)
+		return nil, refuse(outcome.ReasonTooLarge, "body has %d bytes, service %q allows %d", len(raw.body), service.Name, limit)
 	}
 	return &Request{
 		ID:             model.RequestID(raw.requestID),
@@ -92,11 +92,11 @@
 		{HeaderIdempotencyKey, raw.idempotencyKey},
 	} {
 		if len(header.value) > maxIDLength {
-			return refuse(outcome.ReasonInvalid, "header %s has %d bytes, at most %d are allowed", header.name, len(header.value), maxIDLength)
+			return refuse(outcome.ReasonInvalid, "header %s has %d bytes, allowed are %d", header.name, len(header.value), maxIDLength)
 		}
 	}
 	if len(raw.claimProof) > maxProofLength {
-		return refuse(outcome.ReasonInvalid, "header %s has %d bytes, at most %d are allowed", HeaderClaimProof, len(raw.claimProof), maxProofLength)
+		return refuse(outcome.ReasonInvalid, "header %s has %d bytes, allowed are %d", HeaderClaimProof, len(raw.claimProof), maxProofLength)
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 	}
 	millis, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || millis < 1 || millis > maxDeadline.Milliseconds() {
-		return 0, refuse(outcome.ReasonInvalid, "header %s: %q is not an integer number of milliseconds from 1 to %d", HeaderDeadlineMillis, value, maxDeadline.Milliseconds())
+		return 0, refuse(outcome.ReasonInvalid, "header %s: %q is not a number of milliseconds from 1 to %d", HeaderDeadlineMillis, value, maxDeadline.Milliseconds())
 	}
 	return time.Duration(millis) * time.Millisecond, nil
 }
--- a/entry/dispatch/claims.go
+++ b/entry/dispatch/claims.go
@@ -107,7 +107,7 @@
 		ContentType: stored.ContentType,
 	}
 	if stored.BodyOmitted {
-		result.Detail = "the request was run earlier with this idempotency key, but its answer was too large to be stored"
+		result.Detail = "the request ran; its answer was too large to be stored"
 	} else if r.response.Write(stored.Body) != nil {
 		return
 	}
--- a/lib/config/conflict.go
+++ b/lib/config/conflict.go
@@ -16,7 +16,7 @@
 }
 
 func (e *RevisionConflictError) Error() string {
-	return fmt.Sprintf("configuration conflict: request is based on revision %d, current revision is %d by %s", e.Expected, e.Current.Number, e.Author)
+	return fmt.Sprintf("expected revision %d, current is %d by %s", e.Expected, e.Current.Number, e.Author)
 }
 
 // UnknownOutcomeError reports that the store did not confirm whether the request
--- a/lib/config/errors.go
+++ b/lib/config/errors.go
@@ -21,5 +21,5 @@
 	ErrRevisionNotFound = merry.New("configuration revision not found")
 	// ErrOperationReused means that the operation ID belongs to another change or
 	// was abandoned. The operator has to choose a new one.
-	ErrOperationReused = merry.New("operation ID already used")
+	ErrOperationReused = merry.New("operation id already used")
 )
--- a/lib/config/validate.go
+++ b/lib/config/validate.go
@@ -137,7 +137,7 @@
 	if value >= 0 && value <= 1 && (allowZero || value > 0) {
 		return
 	}
-	allowed := "greater than 0 and at most 1"
+	allowed := "over 0 and up to 1"
 	if allowZero {
 		allowed = "0 to 1"
 	}
--- a/lib/listen/server.go
+++ b/lib/listen/server.go
@@ -76,7 +76,7 @@
 	defer func() { _ = conn.Close() }()
 	if !allowsRole(roles, peer.Role) {
 		s.cfg.Log.Log(eventlog.PeerRefused, "remote", remote, "instance", peer.Identity.Instance, "role", peer.Role)
-		_ = conn.Send(&wire.ConnectionReject{Reason: "certificate is not authorised for the role"})
+		_ = conn.Send(&wire.ConnectionReject{Reason: "certificate does not allow the role"})
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -82,7 +82,7 @@
 	m.queueTime, errs[0] = seconds("request.queue_time", "Time that a request waited before it was dispatched.", requestBuckets)
 	m.firstToken, errs[1] = seconds("request.first_token", "Time from arrival to the first token.", requestBuckets)
 	m.betweenTokens, errs[2] = seconds("request.between_tokens", "Time between two tokens.", requestBuckets)
-	m.totalTime, errs[3] = seconds("request.total_time", "Time from arrival to the end of the response.", requestBuckets)
+	m.totalTime, errs[3] = seconds("request.total_time", "Time from arrival to the end of the answer.", requestBuckets)
 	m.transferTime, errs[4] = seconds("transfer.time", "Time from the request for a version to all of its chunks verified.", transferBuckets)
 	m.transferBytes, errs[5] = meter.Int64Counter("transfer.bytes", metric.WithUnit("By"), metric.WithDescription("Bytes of weights received, by source."))
 	m.outcomes, errs[6] = meter.Int64Counter("request.outcomes", metric.WithDescription("Requests that ended, by outcome and reason."))
