--- a/agent/gate/active_attempt.go
+++ b/agent/gate/active_attempt.go
@@ -6,8 +6,8 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// activeAttempt holds the connection over which an attempt is answered. All fields but
-// the channels are guarded by Gate.mu.
+// activeAttempt holds the connection over which the response of an attempt is sent. All
+// fields but the channels are guarded by Gate.mu.
 type activeAttempt struct {
 	id     model.AttemptID
 	cancel context.CancelFunc
--- a/agent/gate/attach.go
+++ b/agent/gate/attach.go
@@ -9,10 +9,10 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Reattach handles a Reattach message. It returns nil if the answer continues at the
+// Reattach handles a Reattach message. It returns nil if the response continues at the
 // requested sequence number. Otherwise it returns the message to reply with: a refusal
-// if the attempt never ran and never will, or an end with outcome Unknown if its answer
-// has been dropped.
+// if the attempt never ran and never will, or an end with outcome Unknown if its
+// response has been dropped.
 func (c *Core) Reattach(now time.Time, m *wire.Reattach) wire.Message {
 	if r, ok := c.records[m.Attempt]; ok {
 		r.detached = false
@@ -58,14 +58,14 @@
 }
 
 // Expire returns the repeatable attempts to cancel, because their deadline has passed
-// or no entry reattached in time. It also drops answers whose retention has ended.
+// or no entry reattached in time. It also drops responses whose retention has ended.
 func (c *Core) Expire(now time.Time) (cancel []model.AttemptID) {
 	c.window.expire(now)
 	c.crashed = slices.DeleteFunc(c.crashed, func(r crashedRequest) bool { return now.Sub(r.at) > crashedRetention })
 	for id, r := range c.records {
 		switch {
 		case !r.running:
-			if now.Sub(r.endedAt) > c.config.AnswerRetention {
+			if now.Sub(r.endedAt) > c.config.ResponseRetention {
 				delete(c.records, id)
 			}
 		case !r.repeatable:
@@ -77,7 +77,7 @@
 }
 
 // CrashReport returns the report on a crash of the backend server. It lists the
-// attempts that are running or that failed in the crash.
+// requests whose attempts are running or failed in the crash.
 func (c *Core) CrashReport(now time.Time, incarnation uint64) *wire.CrashReport {
 	report := &wire.CrashReport{Incarnation: incarnation}
 	added := make(map[model.Fingerprint]struct{})
--- a/agent/gate/backend.go
+++ b/agent/gate/backend.go
@@ -21,7 +21,7 @@
 
 // Backend runs requests on the backend server.
 type Backend interface {
-	// Run runs one request and passes its answer in pieces to emit, which copies them
+	// Run runs one request and passes its response in pieces to emit, which copies them
 	// and blocks while the replay buffer is full. Run returns only when the backend
 	// server no longer works on the request, even if ctx ends earlier. status is an
 	// HTTP status.
--- a/agent/gate/config.go
+++ b/agent/gate/config.go
@@ -12,11 +12,11 @@
 	// defaultDuplicateWindow is twice the time for which entries rely on the statement
 	// that an attempt was never seen.
 	defaultDuplicateWindow = 10 * time.Minute
-	// defaultMaxWindowIDs limits the window to about 13 MB, at about 100 bytes per id.
-	defaultMaxWindowIDs    = 128 << 10
-	defaultReattachTimeout = 10 * time.Second
-	defaultAnswerRetention = 30 * time.Second
-	defaultRetryAfter      = 500 * time.Millisecond
+	// defaultMaxWindowIDs limits the window to about 13 MB, at about 100 bytes per ID.
+	defaultMaxWindowIDs      = 128 << 10
+	defaultReattachTimeout   = 10 * time.Second
+	defaultResponseRetention = 30 * time.Second
+	defaultRetryAfter        = 500 * time.Millisecond
 	// crashedRetention is the time for which the fingerprints of attempts that failed in a
 	// crash are kept until the crash is reported.
 	crashedRetention = 5 * time.Second
@@ -30,17 +30,17 @@
 	Capacity int
 	// ReplayBytes is the maximum size of the unconfirmed frames of one attempt in bytes.
 	ReplayBytes int
-	// DuplicateWindow is the time for which attempt ids are remembered, in order to
+	// DuplicateWindow is the time for which attempt IDs are remembered, in order to
 	// recognize duplicates.
 	DuplicateWindow time.Duration
-	// MaxWindowIDs is the maximum number of remembered attempt ids.
+	// MaxWindowIDs is the maximum number of remembered attempt IDs.
 	MaxWindowIDs int
 	// ReattachTimeout is the time after the loss of a connection within which an entry
 	// must reattach before its repeatable attempts are canceled.
 	ReattachTimeout time.Duration
-	// AnswerRetention is the time for which the answer of an ended attempt is kept for
+	// ResponseRetention is the time for which the response of an ended attempt is kept for
 	// an entry that has not confirmed it.
-	AnswerRetention time.Duration
+	ResponseRetention time.Duration
 	// RetryAfter is the delay recommended with refusals for lack of capacity.
 	RetryAfter time.Duration
 	// OnChange is called after the set of admitted weights changed, so that entries can
@@ -72,7 +72,7 @@
 	setInt(&c.MaxWindowIDs, defaultMaxWindowIDs)
 	setDuration(&c.DuplicateWindow, defaultDuplicateWindow)
 	setDuration(&c.ReattachTimeout, defaultReattachTimeout)
-	setDuration(&c.AnswerRetention, defaultAnswerRetention)
+	setDuration(&c.ResponseRetention, defaultResponseRetention)
 	setDuration(&c.RetryAfter, defaultRetryAfter)
 	return c
 }
--- a/agent/gate/core.go
+++ b/agent/gate/core.go
@@ -59,7 +59,7 @@
 // Running returns the number of attempts that are running on the backend server.
 func (c *Core) Running() int { return c.running }
 
-// Empty reports whether no attempt is running and every answer was confirmed or
+// Empty reports whether no attempt is running and every response was confirmed or
 // dropped.
 func (c *Core) Empty() bool { return len(c.records) == 0 }
 
@@ -115,7 +115,7 @@
 	case start.Suspect && c.runsSuspect():
 		// Two entries may pick this instance for a suspect at the same time.
 		return outcome.ReasonOverloaded, c.config.RetryAfter
-	case c.running >= c.config.Capacity || c.window.full():
+	case c.running >= c.config.Capacity || c.window.nearlyFull():
 		return outcome.ReasonOverloaded, c.config.RetryAfter
 	default:
 		return outcome.ReasonNone, 0
@@ -137,7 +137,7 @@
 	}}
 }
 
-// AppendFrame adds data to the answer of an attempt. It returns false if the replay
+// AppendFrame adds data to the response of an attempt. It returns false if the replay
 // buffer is full. It keeps data, which must not be modified afterwards. Data of an
 // attempt that is unknown, ended or truncated is discarded.
 func (c *Core) AppendFrame(now time.Time, attempt model.AttemptID, data []byte) bool {
@@ -149,7 +149,7 @@
 		if !r.detached || now.Sub(r.detachedAt) < c.config.ReattachTimeout {
 			return false
 		}
-		// No entry receives the answer, but the call must still run to its end.
+		// No entry receives the response, but the call must still run to its end.
 		r.truncated = true
 		return true
 	}
@@ -171,9 +171,9 @@
 	r.finish(now, o, reason, status, contentType)
 }
 
-// MessageAt returns the message of an answer at a sequence number. This is a frame, the
-// end if sequence is the number of frames, or nil if there is no message yet. If the
-// frame has been dropped, it is an end with ReasonIncomplete.
+// MessageAt returns the message of a response at a sequence number. This is a frame,
+// the end if sequence is the number of frames, or nil if there is no message yet. If
+// the frame has been dropped, it is an end with ReasonIncomplete.
 func (c *Core) MessageAt(attempt model.AttemptID, sequence uint64) wire.Message {
 	r, ok := c.records[attempt]
 	if !ok {
@@ -215,7 +215,7 @@
 // HasFrames reports whether the attempt has produced any frame.
 func (c *Core) HasFrames(attempt model.AttemptID) bool { return c.FrameCount(attempt) > 0 }
 
-// HasRecord reports whether the attempt is running or its answer is still kept.
+// HasRecord reports whether the attempt is running or its response is still kept.
 func (c *Core) HasRecord(attempt model.AttemptID) bool {
 	_, ok := c.records[attempt]
 	return ok
--- a/agent/gate/core_test.go
+++ b/agent/gate/core_test.go
@@ -60,7 +60,7 @@
 
 	// Guards against a run of an attempt that was refused before, and against a refusal
 	// of an attempt that is running or has run.
-	It("refuses a refused id permanently and ignores duplicates of an admitted one", func() {
+	It("refuses a refused ID permanently and ignores duplicates of an admitted one", func() {
 		c.Drain()
 		c.Admit(now, requestStart("a"))
 		c.draining = false
@@ -74,7 +74,7 @@
 		Expect(c.Reattach(now, &wire.Reattach{Attempt: "b"})).To(BeAssignableToTypeOf(&wire.ResponseEnd{}))
 	})
 
-	It("refuses ids for which a Reattach or RequestCancel arrived before the start", func() {
+	It("refuses IDs for which a Reattach or RequestCancel arrived before the start", func() {
 		Expect(c.Reattach(now, &wire.Reattach{Attempt: "a"})).To(BeAssignableToTypeOf(&wire.RequestRefused{}))
 		c.Cancel(now, "b")
 		Expect(reason(c.Admit(now, requestStart("a")))).To(Equal(outcome.ReasonConnectionLost))
@@ -101,7 +101,7 @@
 		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeFalse())
 		c.Ack("a", 1)
 		Expect(c.AppendFrame(now, "a", []byte("abc"))).To(BeTrue())
-		Expect(c.MessageAt("a", 0)).To(HaveField("Outcome", outcome.Unknown), "the frame is gone")
+		Expect(c.MessageAt("a", 0)).To(HaveField("Outcome", outcome.Unknown), "the frame was dropped")
 		Expect(c.MessageAt("a", 1)).To(HaveField("Data", []byte("abc")))
 		c.End(now, "a", outcome.Completed, "", 200, "text/plain")
 		Expect(c.MessageAt("a", 2)).To(HaveField("Digest", model.Sum([]byte("12345678abc"))))
@@ -122,7 +122,7 @@
 		Expect(c.Expire(now.Add(10 * time.Second))).To(Equal([]model.AttemptID{"a"}))
 		Expect(c.AppendFrame(now.Add(10*time.Second), "b", []byte("x"))).To(BeTrue())
 		c.End(now, "b", outcome.Completed, "", 200, "")
-		Expect(c.MessageAt("b", 1)).To(HaveField("Outcome", outcome.Unknown), "the answer is truncated")
+		Expect(c.MessageAt("b", 1)).To(HaveField("Outcome", outcome.Unknown), "the response is truncated")
 	})
 
 	It("runs one suspect at a time", func() {
--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -11,7 +11,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// Gate runs the attempts that a Core admits and sends their answers in order. It is
+// Gate runs the attempts that a Core admits and sends their responses in order. It is
 // safe for concurrent use. No message is sent while its mutex is held.
 type Gate struct {
 	clock     clock.Clock
@@ -91,7 +91,7 @@
 	return true
 }
 
-// Tick cancels expired attempts and drops old answers. It should be called about once
+// Tick cancels expired attempts and drops old responses. It should be called about once
 // per second.
 func (g *Gate) Tick() {
 	g.mu.Lock()
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, a := range g.attempts {
-		notify(a.bufferSpace) // AppendFrame truncates answers that no entry receives.
+		notify(a.bufferSpace) // AppendFrame truncates responses that no entry receives.
 	}
 	g.removeFinished()
 }
@@ -122,7 +122,7 @@
 }
 
 // Drain refuses all further requests. The returned channel is closed when no attempt
-// is running and every answer was confirmed or dropped.
+// is running and every response was confirmed or dropped.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,7 +145,8 @@
 const crashReportTimeout = 100 * time.Millisecond
 
 // ReportCrash sends all entries a report of the requests that were in flight when the
-// backend server crashed. incarnation is the number of the start that ended.
+// backend server crashed. incarnation identifies the run of the backend server that
+// ended.
 func (g *Gate) ReportCrash(incarnation uint64) {
 	g.mu.Lock()
 	report := g.core.CrashReport(g.clock.Now(), incarnation)
--- a/agent/gate/gate_test.go
+++ b/agent/gate/gate_test.go
@@ -72,7 +72,7 @@
 	BeforeEach(func() {
 		clk = clock.NewFake(time.Unix(1_800_000_000, 0))
 		backend = &fakeBackend{run: func(_ context.Context, start wire.RequestStart, emit func([]byte) error) (int, string, error) {
-			return 200, "text/plain", emit([]byte("answer to " + start.Attempt))
+			return 200, "text/plain", emit([]byte("response to " + start.Attempt))
 		}}
 		engine = &fakeEngine{backend: backend}
 		g = New(Config{}, clk, backend, nil)
@@ -88,10 +88,10 @@
 
 	It("sends frames and an end with their digest, and is empty once the end is confirmed", func() {
 		g.Handle(a, requestStart("x"))
-		Expect(next(a)).To(Equal(&wire.ResponseFrame{Attempt: "x", Data: []byte("answer to x")}))
+		Expect(next(a)).To(Equal(&wire.ResponseFrame{Attempt: "x", Data: []byte("response to x")}))
 		end := next(a).(*wire.ResponseEnd)
 		Expect(end.Frames).To(Equal(uint64(1)))
-		Expect(end.Digest).To(Equal(model.Sum([]byte("answer to x"))))
+		Expect(end.Digest).To(Equal(model.Sum([]byte("response to x"))))
 		empty := g.Drain()
 		Consistently(empty, "20ms").ShouldNot(BeClosed())
 		g.Handle(a, &wire.ResponseAck{Attempt: "x", NextSequence: 2})
@@ -101,7 +101,7 @@
 	})
 
 	// Guards against the loss of a non-repeatable call if its connection is lost.
-	It("continues an attempt without its entry and replays the answer on the next connection", func() {
+	It("continues an attempt without its entry and replays the response on the next connection", func() {
 		release := make(chan struct{})
 		backend.run = func(_ context.Context, _ wire.RequestStart, emit func([]byte) error) (int, string, error) {
 			_ = emit([]byte("first"))
--- a/agent/gate/quarantine.go
+++ b/agent/gate/quarantine.go
@@ -6,7 +6,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Quarantine is the agent's view of requests that crash backend servers.
+// Quarantine knows which requests crash backend servers.
 // poison.Monitor implements it.
 type Quarantine interface {
 	// Quarantined reports whether requests with this fingerprint must not run.
--- a/agent/gate/record.go
+++ b/agent/gate/record.go
@@ -10,7 +10,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// record holds the state of an admitted attempt until its answer is confirmed or
+// record holds the state of an admitted attempt until its response is confirmed or
 // dropped.
 type record struct {
 	attempt     model.AttemptID
@@ -22,7 +22,7 @@
 	replay  replayBuffer
 	hash    *blake3.Hasher // over the data of all frames
 	running bool
-	// truncated is true if frames were dropped, so that the answer is incomplete.
+	// truncated is true if frames were dropped, so that the response is incomplete.
 	truncated bool
 
 	end     *wire.ResponseEnd // nil while running
@@ -33,7 +33,7 @@
 	detachedAt time.Time
 }
 
-// finish records the end of the answer.
+// finish records the end of the response.
 func (r *record) finish(now time.Time, o outcome.Outcome, reason outcome.Reason, status int, contentType string) {
 	if r.truncated && (o == outcome.Completed || o == outcome.Failed) {
 		o, reason = outcome.Unknown, outcome.ReasonIncomplete
--- a/agent/gate/replay.go
+++ b/agent/gate/replay_buffer.go
@@ -1,6 +1,6 @@
 package gate
 
-// replayBuffer holds the frames of an answer that the entry has not confirmed.
+// replayBuffer holds the frames of a response that the entry has not confirmed.
 type replayBuffer struct {
 	firstSequence uint64 // sequence number of frames[0]
 	frames        [][]byte
--- a/agent/gate/run.go
+++ b/agent/gate/run.go
@@ -28,7 +28,7 @@
 		g.detach(a)
 	}
 	go g.runAttempt(ctx, a, *m)
-	go g.sendAnswer(a)
+	go g.sendResponse(a)
 	return nil
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// emit adds data to the answer. It blocks while the replay buffer is full.
+// emit adds data to the response. It blocks while the replay buffer is full.
 func (g *Gate) emit(ctx context.Context, a *activeAttempt, data []byte) error {
 	for piece := range slices.Chunk(data, maxFrameData) {
 		piece = slices.Clone(piece)
@@ -92,9 +92,9 @@
 	return true
 }
 
-// sendAnswer sends the messages of an answer from the cursor on until the record is
+// sendResponse sends the messages of a response from the cursor on until the record is
 // removed. It is the only goroutine that sends them, so they are sent in order.
-func (g *Gate) sendAnswer(a *activeAttempt) {
+func (g *Gate) sendResponse(a *activeAttempt) {
 	for {
 		m, sender, epoch, removed := g.nextMessage(a)
 		switch {
