--- a/agent/backend/action.go
+++ b/agent/backend/action.go
@@ -15,7 +15,7 @@
 	// ActionCancelFetch cancels the fetch of Weights.
 	ActionCancelFetch
 	// ActionPermit requests a permit to replace the live weights with Weights. The
-	// answer goes to HandlePermit.
+	// result goes to HandlePermit.
 	ActionPermit
 	// ActionQuiesce refuses new requests and waits until none is running.
 	// HandleQuiesced is called then.
--- a/agent/backend/observe.go
+++ b/agent/backend/check_state.go
@@ -12,7 +12,7 @@
 func (m *Machine) checkState(s engine.State, err error) {
 	if err != nil {
 		m.failedReads++
-		// An engine that refuses connections is down. One that does not answer in
+		// An engine that refuses connections is down. One that does not respond in
 		// time may only be busy with requests.
 		if errors.Is(err, engine.ErrNotStarted) || m.failedReads >= m.cfg.MaxFailedReads {
 			m.candidate = candidate{}
@@ -63,8 +63,8 @@
 	}
 }
 
-// superseded reports whether the engine has accepted an order of a newer agent
-// generation.
+// superseded reports whether the engine has accepted an order with a higher
+// epoch than this agent's.
 func (m *Machine) superseded(s engine.State) bool {
 	epoch := m.guard.Fence().Epoch
 	return epoch != 0 && s.Accepted.Epoch > epoch
--- a/agent/backend/config.go
+++ b/agent/backend/config.go
@@ -13,7 +13,7 @@
 	defaultMinBackoff          = time.Second
 	defaultMaxBackoff          = time.Minute
 	defaultPermitRetryInterval = time.Second
-	// defaultMaxFailedReads is greater than 1 because a single slow answer does not
+	// defaultMaxFailedReads is greater than 1 because a single slow response does not
 	// prove that the engine is down.
 	defaultMaxFailedReads = 3
 )
@@ -28,7 +28,7 @@
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 	// PermitRetryInterval is the wait before a denied permit is requested again if the
-	// answer gives no time.
+	// tracker gave no time.
 	PermitRetryInterval time.Duration
 	// AdoptAfter is the time for which the engine must report the same weights before
 	// an agent that did not load them considers them live. Within that time, the engine
--- a/agent/backend/enter.go
+++ b/agent/backend/enter.go
@@ -62,9 +62,9 @@
 	m.reportPhase(wire.PhaseLive, nil)
 }
 
-// enterFailed schedules the next attempt. The backoff doubles with each failure. It is
-// chosen at random between half and all of that time, so that instances that failed
-// at the same time do not retry at the same time.
+// enterFailed schedules the next attempt. The maximum wait doubles with each
+// failure. The wait is chosen at random between half and all of it, so that instances
+// that failed at the same time do not retry at the same time.
 func (m *Machine) enterFailed() {
 	wait := min(m.cfg.MinBackoff<<min(m.failures, 16), m.cfg.MaxBackoff)
 	wait = wait/2 + time.Duration(m.random.Int63n(int64(wait/2)+1))
--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -10,8 +10,8 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ErrOrderRefused means that SubmitOrder did not accept an order because a load is imminent or
-// another order is outstanding.
+// ErrOrderRefused means that SubmitOrder did not accept an order because a load is
+// imminent or another order is outstanding.
 var ErrOrderRefused = merry.New("load imminent or another order outstanding")
 
 // SetWanted sets the version that should become live. If it is zero, the live weights
@@ -49,7 +49,7 @@
 	m.advance()
 }
 
-// HandlePermit handles the answer to a permit request for w. If the permit is denied,
+// HandlePermit handles the result of a permit request for w. If the permit is denied,
 // retry is the time after which to request it again; 0 means the default.
 func (m *Machine) HandlePermit(now time.Time, w model.Weights, granted bool, retry time.Duration) {
 	m.now = now
--- a/agent/backend/harness_test.go
+++ b/agent/backend/harness_test.go
@@ -138,7 +138,8 @@
 	h.state.Busy, h.running, h.finished = false, nil, true
 }
 
-// reply answers the outstanding order, or loses or refuses it if err is not nil.
+// reply delivers the reply to the outstanding order. If err is not nil, the reply is
+// lost or the order refused.
 func (h *harness) reply(err error) {
 	if !h.awaitingReply {
 		return
--- a/agent/backend/runner.go
+++ b/agent/backend/runner.go
@@ -68,8 +68,7 @@
 
 // SubmitOrder submits an order other than a load. The result goes to Host.OrderDone.
 // It returns ErrOrderRefused if the machine does not accept the order, and
-// context.Canceled if the runner
-// has stopped.
+// context.Canceled if the runner has stopped.
 func (r *Runner) SubmitOrder(o engine.Order) error {
 	submitted := make(chan error, 1)
 	r.post(func(m *Machine, now time.Time) { submitted <- m.SubmitOrder(now, o) })
