--- a/agent/transfer/actions.go
+++ b/agent/transfer/actions.go
@@ -30,13 +30,13 @@
 	}
 	if a.Announce != nil && r.conn != nil {
 		a.Announce.ActiveUploads = len(r.service.uploadSlots)
-		_ = r.conn.TrySend(a.Announce) // the heartbeat repeats lost announcements
+		_ = r.conn.TrySend(a.Announce) // a lost announcement is repeated within a second
 	}
 	r.service.counters.chunks.Store(int64(len(r.target.parsed.manifest.Chunks)))
 	r.service.counters.held.Store(int64(len(r.target.parsed.manifest.Chunks) - r.downloader.Missing()))
 	if r.conn != nil && r.downloader.TrackerSilence(now) > r.service.cfg.TrackerTimeout/2 {
-		// Announcements are repeated several times per second and each one is
-		// answered, so the tracker does not receive them, even if its own
+		// Announcements are repeated at least once per second and each one is
+		// acknowledged, so the tracker does not receive them, even if its own
 		// messages still arrive. Reconnect.
 		_ = r.conn.Close()
 	}
@@ -82,7 +82,7 @@
 	if r.target == nil || m.Manifest != r.target.digest {
 		return
 	}
-	// Without a tracker, the phase is sent with the next report.
+	// The phase is kept even without a tracker, for the next report.
 	r.phase = m.Phase
 	if r.conn == nil {
 		return
--- a/agent/transfer/config.go
+++ b/agent/transfer/config.go
@@ -53,7 +53,7 @@
 	// TickInterval is the time between two checks of progress and deadlines.
 	TickInterval time.Duration
 	// DialTimeout is the time limit for opening a connection, for a bitmap
-	// query and for the first answer of a tracker that is probed.
+	// query and for the first reply of a tracker that is probed.
 	DialTimeout time.Duration
 	// TrackerTimeout is the time without a message after which a tracker counts
 	// as unreachable.
--- a/agent/transfer/dial.go
+++ b/agent/transfer/dial.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// wire.Handshake has a deadline of its own, but a cancelled fetch must not
+	// wire.Handshake has a deadline of its own, but a canceled fetch must not
 	// wait for it.
 	stop := context.AfterFunc(ctx, func() { _ = nc.Close() })
 	conn, _, err := wire.Handshake(nc, wire.Hello{Role: wire.RoleAgent, Identity: s.cfg.Identity, Pool: s.cfg.Pool})
--- a/agent/transfer/manifest.go
+++ b/agent/transfer/manifest.go
@@ -56,18 +56,18 @@
 }
 
 // tryManifestSources asks entries and peers one after the other and the origin
-// last. A request that has not been answered after manifestHedgeDelay continues
+// last. A request without a response after manifestHedgeDelay continues
 // while the next source is asked. A refusal sends this agent to the origin at
 // once.
 func (s *Service) tryManifestSources(ctx context.Context, digest model.Digest, object string, attempt int) (*parsedManifest, error) {
 	ctx, cancel := context.WithTimeout(ctx, manifestRoundTimeout)
 	defer cancel()
-	type answer struct {
+	type response struct {
 		parsed *parsedManifest
 		err    error
 	}
 	sources := s.manifestSources(digest)
-	answers := make(chan answer, len(sources)+1)
+	responses := make(chan response, len(sources)+1)
 	running := 0
 	for next := 0; ; {
 		if next <= len(sources) {
@@ -80,19 +80,19 @@
 			running++
 			go func() {
 				parsed, err := ask()
-				answers <- answer{parsed, err}
+				responses <- response{parsed, err}
 			}()
 		}
 		select {
-		case a := <-answers:
-			if running--; a.err == nil {
-				return a.parsed, nil
+		case res := <-responses:
+			if running--; res.err == nil {
+				return res.parsed, nil
 			}
-			if errors.Is(a.err, errAbsent) {
+			if errors.Is(res.err, errAbsent) {
 				next = max(next, len(sources))
 			}
 			if running == 0 && next > len(sources) || ctx.Err() != nil {
-				return nil, a.err
+				return nil, res.err
 			}
 		case <-time.After(manifestHedgeDelay):
 		}
--- a/agent/transfer/peer_query.go
+++ b/agent/transfer/peer_query.go
@@ -9,7 +9,7 @@
 )
 
 // queryPeer asks a peer in the background which chunks of a version it holds,
-// for use in trackerless mode. The answer is sent to bitmaps; if the query
+// for use in trackerless mode. The reply is sent to bitmaps; if the query
 // fails, nothing is sent.
 func (s *Service) queryPeer(address string, version model.Digest, bitmaps chan<- peerBitmap) {
 	s.wg.Add(1)
--- a/agent/transfer/permit.go
+++ b/agent/transfer/permit.go
@@ -12,13 +12,13 @@
 // ErrNoTracker is returned if no tracker is reachable to grant a load permit.
 var ErrNoTracker = merry.New("no tracker reachable")
 
-// permitRequest is a request for a load permit. answer is buffered.
+// permitRequest is a request for a load permit. reply is buffered.
 type permitRequest struct {
 	manifest model.Digest
-	answer   chan permitAnswer
+	reply    chan permitReply
 }
 
-type permitAnswer struct {
+type permitReply struct {
 	permit wire.LoadPermit
 	err    error
 }
@@ -28,35 +28,35 @@
 // reachable; the instance must then keep its version, because the number of
 // other instances that have stopped is unknown.
 func (s *Service) RequestPermit(ctx context.Context, manifest model.Digest) (wire.LoadPermit, error) {
-	request := permitRequest{manifest: manifest, answer: make(chan permitAnswer, 1)}
+	request := permitRequest{manifest: manifest, reply: make(chan permitReply, 1)}
 	select {
 	case s.permitRequests <- request:
 	case <-ctx.Done():
 		return wire.LoadPermit{}, ctx.Err()
 	}
 	select {
-	case a := <-request.answer:
-		return a.permit, a.err
+	case res := <-request.reply:
+		return res.permit, res.err
 	case <-ctx.Done():
 		return wire.LoadPermit{}, ctx.Err()
 	}
 }
 
 // requestPermit sends a request to the tracker. It fails an earlier request
-// that has not been answered, because the tracker may have gone.
+// that has no reply yet, because the tracker may be gone.
 func (r *runner) requestPermit(request permitRequest) {
-	r.answerPermit(permitAnswer{err: ErrNoTracker})
+	r.replyToPermitRequest(permitReply{err: ErrNoTracker})
 	if r.conn == nil || r.conn.TrySend(&wire.LoadPermitFetch{Manifest: request.manifest}) != nil {
-		request.answer <- permitAnswer{err: ErrNoTracker}
+		request.reply <- permitReply{err: ErrNoTracker}
 		return
 	}
 	r.pendingPermit = &request
 }
 
-// answerPermit answers the pending request, if any.
-func (r *runner) answerPermit(a permitAnswer) {
+// replyToPermitRequest replies to the pending request, if any.
+func (r *runner) replyToPermitRequest(reply permitReply) {
 	if r.pendingPermit != nil {
-		r.pendingPermit.answer <- a
+		r.pendingPermit.reply <- reply
 		r.pendingPermit = nil
 	}
 }
--- a/agent/transfer/progress.go
+++ b/agent/transfer/progress.go
@@ -3,7 +3,7 @@
 import "sync/atomic"
 
 // Progress is the state of the transfer of the target version. Byte counts are
-// cumulative since the service started and include corrupt and cancelled
+// cumulative since the service started and include corrupt and canceled
 // transfers.
 type Progress struct {
 	TotalChunks, HeldChunks int
--- a/agent/transfer/runner.go
+++ b/agent/transfer/runner.go
@@ -36,7 +36,7 @@
 	phase      wire.Phase
 }
 
-// peerBitmap is a peer's answer to a bitmap query.
+// peerBitmap is a peer's reply to a bitmap query.
 type peerBitmap struct {
 	address string
 	version model.Digest
@@ -172,7 +172,7 @@
 	switch m := e.message.(type) {
 	case nil:
 		r.conn = e.conn
-		r.answerPermit(permitAnswer{err: ErrNoTracker})
+		r.replyToPermitRequest(permitReply{err: ErrNoTracker})
 		if e.conn == nil {
 			if r.service.counters.hasTracker.Swap(false) {
 				r.service.cfg.Log.Log(eventlog.TrackerUnreachable)
@@ -186,7 +186,7 @@
 	case *wire.Assign:
 		r.downloader.HandleAssign(now, m)
 	case *wire.LoadPermit:
-		r.answerPermit(permitAnswer{permit: *m})
+		r.replyToPermitRequest(permitReply{permit: *m})
 	case *wire.ManifestFetch:
 		_ = e.conn.TrySend(r.service.manifestReply(m.Manifest))
 	}
--- a/agent/transfer/seed.go
+++ b/agent/transfer/seed.go
@@ -61,7 +61,7 @@
 				_ = e.conn.TrySend(s.manifestReply(m.Manifest))
 			}
 			if e.message != nil {
-				continue // answers to announcements must not trigger another one
+				continue // replies to announcements must not trigger another one
 			}
 			conn = e.conn
 		case <-ticker.C:
--- a/agent/transfer/serve.go
+++ b/agent/transfer/serve.go
@@ -8,7 +8,7 @@
 	"github.com/auburnbend/auburnbend/lib/wire"
 )
 
-// ServePeer answers a peer's requests for chunks, manifests and bitmaps, one
+// ServePeer serves a peer's requests for chunks, manifests and bitmaps, one
 // after the other, until the connection fails or the service is closed. It
 // closes the connection. The handshake must be complete.
 func (s *Service) ServePeer(conn *wire.Conn) error {
@@ -26,7 +26,7 @@
 	}
 }
 
-// HandlePeerMessage answers one message of a peer. It returns false if the
+// HandlePeerMessage replies to one message of a peer. It returns false if the
 // message is not part of the transfer protocol. It blocks while a chunk is sent.
 func (s *Service) HandlePeerMessage(conn *wire.Conn, m wire.Message) (bool, error) {
 	switch m := m.(type) {
--- a/agent/transfer/tracker_link.go
+++ b/agent/transfer/tracker_link.go
@@ -36,7 +36,7 @@
 	wait  time.Duration
 }
 
-// increase doubles the wait, starting at initial. The first answer of the entry
+// increase doubles the wait, starting at initial. The first reply of the entry
 // resets it.
 func (b entryBackoff) increase(initial time.Duration) entryBackoff {
 	b.wait = min(max(b.wait*2, initial), maxEntryBackoff)
@@ -62,7 +62,7 @@
 	return l
 }
 
-// run stays connected to the first entry in rendezvous order that answers, and
+// run stays connected to the first entry in rendezvous order that responds, and
 // periodically tries higher-ranked entries.
 func (l *trackerLink) run(ctx context.Context) {
 	backoffs := make(map[string]entryBackoff)
@@ -80,9 +80,9 @@
 		}
 		for conn != nil {
 			address := order[rank]
-			var answered bool
-			conn, rank, answered = l.receive(ctx, conn, order, rank, backoffs)
-			if answered {
+			var acknowledged bool
+			conn, rank, acknowledged = l.receive(ctx, conn, order, rank, backoffs)
+			if acknowledged {
 				delete(backoffs, address)
 			} else {
 				backoffs[address] = backoffs[address].increase(l.service.cfg.FailbackInterval)
@@ -116,11 +116,12 @@
 }
 
 // receive passes on messages from a connection until it fails or is silent.
-// Announcements are repeated every second and each one is answered, so silence
-// means that the tracker is unreachable. If a higher-ranked entry answers in
-// the meantime, its connection and rank are returned. answered reports whether
-// the tracker answered an announcement.
-func (l *trackerLink) receive(ctx context.Context, conn *wire.Conn, order []string, rank int, backoffs map[string]entryBackoff) (next *wire.Conn, nextRank int, answered bool) {
+// Announcements are repeated at least once per second and each one is
+// acknowledged, so silence means that the tracker is unreachable. If a
+// higher-ranked entry responds in the meantime, its connection and rank are
+// returned. acknowledged reports whether the tracker acknowledged an
+// announcement.
+func (l *trackerLink) receive(ctx context.Context, conn *wire.Conn, order []string, rank int, backoffs map[string]entryBackoff) (next *wire.Conn, nextRank int, acknowledged bool) {
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -149,16 +150,16 @@
 			break
 		}
 		if a, ok := m.(*wire.Assign); ok && a.Sequence > 0 {
-			answered = true
+			acknowledged = true
 		}
 		l.emit(ctx, linkEvent{link: l, conn: conn, message: m})
 	}
 	cancel()
-	return <-higherRanked, nextRank, answered
+	return <-higherRanked, nextRank, acknowledged
 }
 
 // findHigherRankedEntry periodically tries the given entries and returns a connection
-// to the first one that answers, and its rank. It returns nil when ctx ends.
+// to the first one that responds, and its rank. It returns nil when ctx ends.
 func (l *trackerLink) findHigherRankedEntry(ctx context.Context, order []string, backoffs map[string]entryBackoff) (*wire.Conn, int) {
 	for {
 		select {
@@ -177,9 +178,9 @@
 	}
 }
 
-// probe reports whether the tracker answers an empty announcement on a new
+// probe reports whether the tracker replies to an empty announcement on a new
 // connection, so that a working tracker is not abandoned for a silent one. It
-// closes the connection if there is no answer.
+// closes the connection if there is no reply.
 func (l *trackerLink) probe(conn *wire.Conn) bool {
 	_ = conn.SetReadDeadline(time.Now().Add(l.service.cfg.DialTimeout))
 	err := conn.Send(&wire.Announce{Manifest: l.digest, Sequence: 1})
