--- a/agent/agent.go
+++ b/agent/agent.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// handleCrash is called when the engine has crashed or restarted. incarnation is the
-// one that ended.
+// handleCrash is called when the engine has crashed or restarted. incarnation
+// identifies the run of the engine that ended.
 func (a *Agent) handleCrash(incarnation uint64) {
 	a.cfg.Log.Log(eventlog.BackendServerCrashed, "incarnation", incarnation)
 	a.gate.ReportCrash(incarnation)
@@ -187,7 +187,7 @@
 }
 
 // Drain refuses new requests, notifies all entries immediately, and waits for running
-// attempts to end and their answers to be confirmed or dropped. It returns the error
+// attempts to end and their responses to be confirmed or dropped. It returns the error
 // of ctx if that ends first.
 func (a *Agent) Drain(ctx context.Context) error {
 	empty := a.gate.Drain()
@@ -213,7 +213,7 @@
 // LiveWeights returns the weights that the agent currently admits requests for.
 func (a *Agent) LiveWeights() []model.Weights { return a.gate.Live() }
 
-// runTicker calls the periodic work until ctx ends.
+// runTicker does the periodic work until ctx ends.
 func (a *Agent) runTicker(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -34,7 +34,7 @@
 }
 
 // refreshCacheFeed applies the engine's new cache events to feed. If the engine does
-// not answer, the next tick tries again.
+// not respond, the next tick tries again.
 func (a *Agent) refreshCacheFeed(ctx context.Context, feed *cachefeed.Feed) {
 	batch, err := a.cache.CacheEvents(ctx, feed.After())
 	if err != nil || !feed.Accept(batch) {
--- a/agent/engine_server.go
+++ b/agent/engine_server.go
@@ -19,7 +19,7 @@
 const (
 	// cancelTimeout bounds the call that cancels a stream.
 	cancelTimeout = 2 * time.Second
-	// streamContentType is the content type of an engine's answers.
+	// streamContentType is the content type of an engine's responses.
 	streamContentType = "text/plain; charset=utf-8"
 )
 
@@ -78,8 +78,8 @@
 	return http.StatusOK, streamContentType, nil
 }
 
-// copyStream passes the frames of an answer to emit. If the connection breaks during
-// the answer, copyStream resumes the stream once at the same offset.
+// copyStream passes the frames of a response to emit. If the connection breaks during
+// the response, copyStream resumes the stream once at the same offset.
 func (e *engineServer) copyStream(ctx context.Context, stream *engine.Stream, emit func([]byte) error) error {
 	resumed := false
 	for {
@@ -146,7 +146,7 @@
 func (e *engineServer) poll(ctx context.Context) { e.reports.poll(ctx, e.detectRestart) }
 
 // detectRestart detects a restart that affected no request. It ignores an engine that
-// does not answer, which may only be slow; if it is down, requests will detect that.
+// does not respond, which may only be slow; if it is down, requests will detect that.
 func (e *engineServer) detectRestart(ctx context.Context) {
 	state, err := e.client.State(ctx)
 	if err != nil {
--- a/agent/host.go
+++ b/agent/host.go
@@ -19,8 +19,7 @@
 // configuration.
 var errNotDeclared = merry.New("manifest belongs to no declared model")
 
-// host implements backend.Host: transfers, load permits, and the admission of
-// requests.
+// host implements backend.Host with the agent's transfer service and gate.
 type host struct{ agent *Agent }
 
 var _ backend.Host = host{}
--- a/agent/load_reader.go
+++ b/agent/load_reader.go
@@ -47,7 +47,7 @@
 }
 
 // readOnce reads the load report. It keeps the previous report if the server does not
-// answer, and drops it if the server no longer reports its load.
+// respond, and drops it if the server no longer reports its load.
 func (l *loadReader) readOnce(ctx context.Context) {
 	report, err := l.read(ctx)
 	l.mu.Lock()
