--- a/lib/wire/codec.go
+++ b/lib/wire/codec.go
@@ -1,6 +1,7 @@
-// Package wire implements the protocol between entries and agents. Over TCP, optionally
-// with TLS, they exchange frames that consist of the length of the body as four bytes
-// in big-endian order, one byte for the message type, and a body in msgpack.
+// Package wire implements the protocol that entries and agents use with each other and
+// among themselves. Over TCP, optionally with TLS, they exchange frames that consist of
+// the length of the body as four bytes in big-endian order, one byte for the message
+// type, and a body in msgpack.
 package wire
 
 import (
--- a/lib/wire/crash_report.go
+++ b/lib/wire/crash_report.go
@@ -6,7 +6,7 @@
 
 // CrashReport lists the requests that were in flight when a backend server crashed.
 type CrashReport struct {
-	// Incarnation identifies the start of the backend server that ended in the crash.
+	// Incarnation identifies the run of the backend server that ended in the crash.
 	Incarnation uint64              `msgpack:"n"`
 	InFlight    []model.Fingerprint `msgpack:"f"`
 }
--- a/lib/wire/reattach.go
+++ b/lib/wire/reattach.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// Reattach requests the answer of an attempt on a new connection.
+// Reattach requests the response of an attempt on a new connection.
 type Reattach struct {
 	Attempt model.AttemptID `msgpack:"a"`
 	// NextSequence is the sequence number of the first frame to send.
--- a/lib/wire/request_start.go
+++ b/lib/wire/request_start.go
@@ -16,8 +16,8 @@
 	RemainingMillis int64             `msgpack:"d"` // time until the deadline
 	Hop             int               `msgpack:"h"`
 	Priority        int               `msgpack:"p"`
-	// Repeatable allows the agent to run the request again after a failure, even if
-	// the backend server may already have run it.
+	// Repeatable means that the request may run more than once. The agent cancels only
+	// repeatable attempts; others always run to their end.
 	Repeatable  bool   `msgpack:"e"`
 	ContentType string `msgpack:"y"`
 	// Suspect means that the request was in flight when a backend server crashed. An
--- a/lib/wire/response_ack.go
+++ b/lib/wire/response_ack.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ResponseAck confirms the frames of an answer, so that the agent can drop them from
+// ResponseAck confirms the frames of a response, so that the agent can drop them from
 // its replay buffer.
 type ResponseAck struct {
 	Attempt model.AttemptID `msgpack:"a"`
--- a/lib/wire/response_end.go
+++ b/lib/wire/response_end.go
@@ -5,7 +5,7 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// ResponseEnd ends an answer. An answer without it is incomplete.
+// ResponseEnd ends a response. A response without it is incomplete.
 type ResponseEnd struct {
 	Attempt     model.AttemptID `msgpack:"a"`
 	Outcome     outcome.Outcome `msgpack:"o"`
--- a/lib/wire/response_frame.go
+++ b/lib/wire/response_frame.go
@@ -4,7 +4,7 @@
 	"github.com/auburnbend/auburnbend/lib/model"
 )
 
-// ResponseFrame carries a piece of an answer. Sequence numbers start at 0.
+// ResponseFrame carries a piece of a response. Sequence numbers start at 0.
 type ResponseFrame struct {
 	Attempt  model.AttemptID `msgpack:"a"`
 	Sequence uint64          `msgpack:"s"`
