--- a/entry/caller/buffered_response.go
+++ b/entry/caller/buffered_response.go
@@ -10,14 +10,14 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// maxBufferedBytes is the maximum size of an answer that is not streamed.
+// maxBufferedBytes is the maximum size of a response that is not streamed.
 const maxBufferedBytes = 64 << 20
 
-// errResponseTooLarge is returned by Write if the answer exceeds
+// errResponseTooLarge is returned by Write if the response exceeds
 // maxBufferedBytes.
-var errResponseTooLarge = merry.New("answer too large to buffer; request a stream with Accept: text/event-stream")
+var errResponseTooLarge = merry.New("response too large to buffer; request a stream with Accept: text/event-stream")
 
-// bufferedResponse buffers the answer and sends it only when it is complete.
+// bufferedResponse buffers the response and sends it only when it is complete.
 type bufferedResponse struct {
 	ctx     *app.RequestContext
 	request string
@@ -41,8 +41,8 @@
 }
 
 func (w *bufferedResponse) End(r Result) {
-	answered := r.Outcome == outcome.Completed || r.Outcome == outcome.Failed && len(w.data) > 0
-	if !answered {
+	hasResponse := r.Outcome == outcome.Completed || r.Outcome == outcome.Failed && len(w.data) > 0
+	if !hasResponse {
 		writeOutcomeOnly(w.ctx, w.request, r)
 		return
 	}
--- a/entry/caller/parse_test.go
+++ b/entry/caller/parse_test.go
@@ -25,10 +25,10 @@
 		func(change func(*rawRequest), reason outcome.Reason, detail string) {
 			raw := rawRequest{service: "draft", tenant: "huye"}
 			change(&raw)
-			_, bad := parse(raw, cfg, now)
-			Expect(bad).NotTo(BeNil())
-			Expect(bad.reason).To(Equal(reason))
-			Expect(bad.detail).To(ContainSubstring(detail))
+			_, refused := parse(raw, cfg, now)
+			Expect(refused).NotTo(BeNil())
+			Expect(refused.reason).To(Equal(reason))
+			Expect(refused.detail).To(ContainSubstring(detail))
 		},
 		Entry("unknown service", func(r *rawRequest) { r.service = "x" }, outcome.ReasonUnknownService, `"x"`),
 		Entry("unknown tenant", func(r *rawRequest) { r.tenant = "y" }, outcome.ReasonUnknownTenant, HeaderTenant),
@@ -41,8 +41,8 @@
 	)
 
 	It("uses defaults for omitted headers", func() {
-		r, bad := parse(rawRequest{service: "draft", tenant: "huye"}, cfg, now)
-		Expect(bad).To(BeNil())
+		r, refused := parse(rawRequest{service: "draft", tenant: "huye"}, cfg, now)
+		Expect(refused).To(BeNil())
 		Expect(r.Class.Name).To(BeEquivalentTo("interactive"))
 		Expect(r.Deadline).To(Equal(now.Add(5 * time.Second)))
 	})
--- a/entry/caller/request.go
+++ b/entry/caller/request.go
@@ -13,12 +13,12 @@
 	Tenant  config.Tenant
 	Class   config.Class
 	Service config.Service
-	// Deadline is the time after which the caller no longer needs the answer.
+	// Deadline is the time after which the caller no longer needs the response.
 	Deadline       time.Time
 	Received       time.Time
 	IdempotencyKey string
-	// ClaimProof is the proof that the caller received with an earlier answer and
-	// sends with a retry under the same key.
+	// ClaimProof is the proof that the caller received with an earlier response
+	// and sends with a retry under the same key.
 	ClaimProof  string
 	ContentType string
 	Body        []byte
--- a/entry/caller/server.go
+++ b/entry/caller/server.go
@@ -1,5 +1,5 @@
 // Package caller serves callers over HTTP: it validates each request against
-// the configuration in force, passes it to a Handler, and sends the answer as
+// the configuration in force, passes it to a Handler, and sends the response as
 // server-sent events or as a single body. The outcome is in a header or in the
 // final event.
 package caller
--- a/entry/caller/server_test.go
+++ b/entry/caller/server_test.go
@@ -20,14 +20,14 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// script is the answer of a fakeHandler.
+// script is the response of a fakeHandler.
 type script struct {
 	parts  []string
 	result Result
 }
 
-// fakeHandler sends a scripted answer. The script is atomic because the server
-// calls handlers on its own goroutines.
+// fakeHandler sends a scripted response. The script is atomic because the
+// server calls handlers on its own goroutines.
 type fakeHandler struct{ script atomic.Pointer[script] }
 
 func (f *fakeHandler) Handle(_ context.Context, _ *Request, w ResponseWriter) {
@@ -95,7 +95,7 @@
 		return response, string(body)
 	}
 
-	It("streams the answer and sends the outcome in the final event", func() {
+	It("streams the response and sends the outcome in the final event", func() {
 		handler.script.Store(&script{
 			parts:  []string{"a", "b"},
 			result: Result{Outcome: outcome.Completed, Frames: 2, Digest: model.Sum([]byte("ab"))},
@@ -111,9 +111,9 @@
 		Expect(body).To(ContainSubstring(`"outcome":"completed"`))
 	})
 
-	// Guards against corrupting answers whose parts end inside a character or are
-	// not text.
-	It("forwards every byte however the answer is split", func() {
+	// Guards against corrupting responses whose parts end inside a character or
+	// are not text.
+	It("forwards every byte however the response is split", func() {
 		handler.script.Store(&script{
 			parts:  []string{"caf\xc3", "\xa9", "\xff\xfe"},
 			result: Result{Outcome: outcome.Completed},
@@ -124,8 +124,8 @@
 		Expect(body).To(ContainSubstring("event: binary\ndata: \"//4=\""))
 	})
 
-	// Guards against a truncated answer that looks like a success.
-	It("does not send a buffered answer that is incomplete", func() {
+	// Guards against a truncated response that looks like a success.
+	It("does not send a buffered response that is incomplete", func() {
 		handler.script.Store(&script{
 			parts:  []string{"partial"},
 			result: Result{Outcome: outcome.Unknown, Reason: outcome.ReasonConnectionLost},
--- a/entry/caller/stream_response.go
+++ b/entry/caller/stream_response.go
@@ -13,7 +13,7 @@
 
 // Names of the server-sent events.
 const (
-	// EventChunk carries a part of the answer as a JSON string.
+	// EventChunk carries a part of the response as a JSON string.
 	EventChunk = "chunk"
 	// EventBinary carries a part that is not valid UTF-8 as a JSON string in
 	// base64.
