--- a/entry/dispatch/claims.go
+++ b/entry/dispatch/claims.go
@@ -29,7 +29,7 @@
 )
 
 // claim acquires the key of a non-repeatable request. It returns false if the
-// request already has its final answer.
+// request already has its final response.
 func (r *run) claim(ctx context.Context) bool {
 	if r.request.Service.Repeatable || r.request.IdempotencyKey == "" {
 		return true
@@ -74,7 +74,7 @@
 
 // awaitResult waits for the result of another request with the same key that
 // may be running, so that a caller that sends again after a lost connection
-// gets the answer of its first call. The intervals between lookups double, so
+// gets the response of its first call. The intervals between lookups double, so
 // that a claim without a result costs few reads of the store.
 func (r *run) awaitResult(ctx context.Context, decision claim.Decision) claim.Decision {
 	d := r.dispatcher
@@ -97,7 +97,7 @@
 	return decision
 }
 
-// sendStoredResult answers with the stored result of the earlier run with the
+// sendStoredResult responds with the stored result of the earlier run with the
 // same key.
 func (r *run) sendStoredResult(stored *claim.Result) {
 	result := caller.Result{
--- a/entry/dispatch/dispatch_test.go
+++ b/entry/dispatch/dispatch_test.go
@@ -24,10 +24,10 @@
 
 		BeforeEach(func() { a = h.agent("runner-a") })
 
-		// Guards against a second run of an order that was already answered.
+		// Guards against a second run of an order that has already run.
 		It("runs the first request and returns its result to later ones", func() {
 			first := h.send("k", "plate")
-			answer(started(a), "engraved")
+			respond(started(a), "engraved")
 			expectBody(first, "engraved")
 			expectBody(h.send("k", "plate"), "engraved")
 			Expect(a.RequestStarts).To(BeEmpty())
@@ -40,7 +40,7 @@
 			run := started(a)
 			second := h.send("k", "plate")
 			Consistently(second.ended).WithTimeout(300 * time.Millisecond).ShouldNot(Receive())
-			answer(run, "engraved")
+			respond(run, "engraved")
 			expectBody(first, "engraved")
 			expectBody(second, "engraved")
 			Expect(a.RequestStarts).To(BeEmpty())
@@ -53,7 +53,7 @@
 			second := h.send("k", "plate")
 			refuse(run, outcome.ReasonDeadline)
 			expectResult(first, outcome.NotRun, outcome.ReasonDeadline)
-			answer(started(a), "engraved")
+			respond(started(a), "engraved")
 			expectBody(second, "engraved")
 		})
 
@@ -68,19 +68,19 @@
 			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
-		// Guards against a final answer that is delayed by a store that does not
+		// Guards against a final response that is delayed by a store that does not
 		// respond.
-		It("answers at the deadline if the store does not respond", func() {
+		It("responds at the deadline if the store does not respond", func() {
 			h.table.Faults.Set(fault.Faults{Stall: true})
 			c := h.send("k", "plate", within(200*time.Millisecond))
 			Eventually(c.ended).WithTimeout(time.Second).Should(Receive(HaveField("Outcome", outcome.NotRun)))
 			Expect(a.RequestStarts).To(BeEmpty())
 		})
 
-		// Guards against returning the answer of a different request.
+		// Guards against returning the response of a different request.
 		It("refuses a key that was used with different content", func() {
 			first := h.send("k", "plate")
-			answer(started(a), "engraved")
+			respond(started(a), "engraved")
 			expectBody(first, "engraved")
 			expectResult(h.send("k", "goblet"), outcome.NotRun, outcome.ReasonInvalid)
 			Expect(a.RequestStarts).To(BeEmpty())
@@ -93,7 +93,7 @@
 			run := started(a)
 			first.disconnect()
 			expectResult(first, outcome.Unknown, outcome.ReasonCanceled)
-			answer(run, "engraved")
+			respond(run, "engraved")
 			expectBody(h.send("k", "plate"), "engraved")
 			Expect(a.RequestStarts).To(BeEmpty())
 		})
@@ -107,7 +107,7 @@
 			drained := make(chan error, 1)
 			go func() { drained <- h.dispatcher.Drain(context.Background()) }()
 			Consistently(drained).WithTimeout(100 * time.Millisecond).ShouldNot(Receive())
-			answer(run, "engraved")
+			respond(run, "engraved")
 			Eventually(drained).WithTimeout(testTimeout).Should(Receive(BeNil()))
 		})
 
@@ -123,7 +123,7 @@
 			expectResult(first, outcome.Unknown, outcome.ReasonCanceled)
 			Expect(a.Listen(address)).To(Succeed())
 			again := reattached(a, run)
-			answer(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
+			respond(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
 			expectBody(h.send("k", "plate"), "engraved")
 			Expect(a.RequestStarts).To(BeEmpty())
 		})
@@ -131,7 +131,7 @@
 
 	// Guards against losing a result because the agent was unreachable for longer
 	// than the caller waits.
-	It("completes the claim after the caller was answered with connection_lost", func() {
+	It("completes the claim after the caller received connection_lost", func() {
 		a := h.agent("runner-a")
 		first := h.send("k", "plate")
 		run := started(a)
@@ -140,14 +140,14 @@
 		expectResult(first, outcome.Unknown, outcome.ReasonConnectionLost)
 		Expect(a.Listen(address)).To(Succeed())
 		again := reattached(a, run)
-		answer(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
+		respond(agenttest.Received{Conn: again.Conn, Message: run.Message}, "engraved")
 		expectBody(h.send("k", "plate"), "engraved")
 		Expect(a.RequestStarts).To(BeEmpty())
 	})
 
 	// Guards against a request that is queued past its deadline, and against the
 	// outcome unknown for a request that was never sent.
-	It("answers not_run at the deadline of a queued request", func() {
+	It("responds with not_run at the deadline of a queued request", func() {
 		c := h.send("", "plate", within(200*time.Millisecond))
 		sent := time.Now()
 		expectResult(c, outcome.NotRun, outcome.ReasonDeadline)
@@ -166,7 +166,7 @@
 			first, second = second, first
 		}
 		refuse(run, outcome.ReasonDraining)
-		answer(started(second), "engraved")
+		respond(started(second), "engraved")
 		expectBody(c, "engraved")
 		Expect(first.RequestStarts).To(BeEmpty())
 	})
--- a/entry/dispatch/dispatcher.go
+++ b/entry/dispatch/dispatcher.go
@@ -1,6 +1,6 @@
 // Package dispatch runs callers' requests at an entry: it queues them, claims
 // the keys of non-repeatable requests, sends attempts to agents, and gives each
-// caller exactly one final answer.
+// caller exactly one final response.
 package dispatch
 
 import (
@@ -19,7 +19,7 @@
 	cfg       Config
 	admission *admission
 	budget    *attempt.Budget
-	// outcomePending counts the requests whose callers have their final answer
+	// outcomePending counts the requests whose callers have their final response
 	// while an attempt may still be running.
 	outcomePending atomic.Int64
 }
@@ -36,7 +36,8 @@
 	}
 }
 
-// Run processes the queues and unconfirmed claims until ctx ends.
+// Run processes the queues, retries unconfirmed claim updates and deletes
+// expired claims until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	go d.maintainClaims(ctx)
 	d.admission.run(ctx, d.cfg.Fleet.CapacityChanged(), d.cfg.QueuePollInterval)
@@ -70,7 +71,7 @@
 	}
 }
 
-// Handle runs one request until its final answer is sent.
+// Handle runs one request until its final response is sent.
 func (d *Dispatcher) Handle(ctx context.Context, r *caller.Request, w caller.ResponseWriter) {
 	run := newRun(d, r, w)
 	if !run.claim(ctx) {
--- a/entry/dispatch/harness_test.go
+++ b/entry/dispatch/harness_test.go
@@ -27,7 +27,7 @@
 
 const (
 	pool = "orders"
-	// testTimeout limits waits in the tests; it is not a limit of the product.
+	// testTimeout limits waits in the tests.
 	testTimeout = 10 * time.Second
 )
 
@@ -42,7 +42,7 @@
 func (noMetrics) ObserveTotal(model.Tenant, model.Class, time.Duration, outcome.Outcome, outcome.Reason) {
 }
 
-// call is one request with its answer. It implements caller.ResponseWriter.
+// call is one request with its response. It implements caller.ResponseWriter.
 type call struct {
 	caller.Request
 	disconnect context.CancelFunc
@@ -62,7 +62,7 @@
 func (c *call) Reset()              { c.body = "" }
 func (c *call) End(r caller.Result) { c.ended <- r }
 
-// result waits for the final answer.
+// result waits for the final response.
 func (c *call) result() caller.Result {
 	var r caller.Result
 	EventuallyWithOffset(1, c.ended).WithTimeout(testTimeout).Should(Receive(&r))
@@ -146,7 +146,7 @@
 	return r
 }
 
-func answer(r agenttest.Received, body string) {
+func respond(r agenttest.Received, body string) {
 	r.SendFrame(0, body)
 	r.SendEnd(1, body)
 }
--- a/entry/dispatch/run.go
+++ b/entry/dispatch/run.go
@@ -23,12 +23,12 @@
 
 const (
 	// followTimeout limits the wait for the outcome of an attempt after the
-	// caller got its final answer.
+	// caller got its final response.
 	followTimeout = 10 * time.Minute
 	// bytesPerToken is used to estimate the tokens of a prompt from its length.
 	bytesPerToken = 4
-	// defaultAnswerTokens is the assumed length of an answer.
-	defaultAnswerTokens = 64
+	// defaultResponseTokens is the assumed length of a response.
+	defaultResponseTokens = 64
 )
 
 // run holds the state of one request. It is used by one goroutine at a time.
@@ -41,7 +41,8 @@
 	claimID     model.AttemptID
 	key         claim.Key
 	claimed     bool
-	// body collects the answer of a claimed request, to be stored with the claim.
+	// body collects the response of a claimed request, to be stored with the
+	// claim.
 	body []byte
 
 	slot    *fleet.Slot
@@ -67,7 +68,7 @@
 		response:    w,
 		fingerprint: model.FingerprintOf(r.Tenant.Name, r.Service.Name, r.Body),
 		claimID:     model.AttemptID(uuid.NewString()),
-		tokens:      len(r.Body)/bytesPerToken + defaultAnswerTokens,
+		tokens:      len(r.Body)/bytesPerToken + defaultResponseTokens,
 		machine: attempt.New(d.cfg.Attempt, attempt.Request{
 			ID:         r.ID,
 			Tenant:     r.Tenant.Name,
@@ -80,9 +81,9 @@
 
 func (r *run) now() time.Time { return r.dispatcher.cfg.Clock.Now() }
 
-// serve runs the request until the caller has its final answer. An attempt that
-// may still be running is followed to its end in the background, because its
-// outcome determines what becomes of the claim.
+// serve runs the request until the caller has its final response. An attempt
+// that may still be running is followed to its end in the background, because
+// its outcome determines what becomes of the claim.
 func (r *run) serve(ctx context.Context) {
 	step := r.machine.Queued(r.now())
 	for {
@@ -102,7 +103,7 @@
 	r.release()
 }
 
-// followAttempt follows an attempt after the final answer.
+// followAttempt follows an attempt after the final response.
 func (r *run) followAttempt() {
 	ctx, cancel := context.WithTimeout(context.Background(), followTimeout)
 	defer cancel()
--- a/entry/dispatch/run_end.go
+++ b/entry/dispatch/run_end.go
@@ -8,7 +8,7 @@
 	"github.com/auburnbend/auburnbend/lib/outcome"
 )
 
-// finish sends the final answer to the caller.
+// finish sends the final response to the caller.
 func (r *run) finish(step attempt.Step) {
 	result := caller.Result{
 		Outcome:     step.Outcome,
--- a/entry/dispatch/run_events.go
+++ b/entry/dispatch/run_events.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// forwardFrame passes a frame of the answer on to the caller.
+// forwardFrame passes a frame of the response on to the caller.
 func (r *run) forwardFrame(m *wire.ResponseFrame) attempt.Step {
 	step := r.machine.Frame(r.now(), m.Attempt, m.Sequence, m.Data)
 	if !step.Forward {
@@ -135,11 +135,11 @@
 }
 
 // reattach waits for a new connection to the same agent and requests the rest
-// of the answer.
+// of the response.
 func (r *run) reattach(ctx context.Context, step attempt.Step) attempt.Step {
 	waitCtx := ctx
 	if !r.outcomePending {
-		// No timeout once the caller has its final answer: a late result is just as
+		// No timeout once the caller has its final response: a late result is just as
 		// useful for the claim.
 		var cancel context.CancelFunc
 		waitCtx, cancel = context.WithTimeout(ctx, r.dispatcher.cfg.ReattachTimeout)
