--- a/lib/attempt/action.go
+++ b/lib/attempt/action.go
@@ -14,7 +14,7 @@
 	// a live connection to the same generation of the agent. The entry then
 	// reports Reattached or ReattachFailed.
 	ActionReattach
-	// ActionFinish sends the caller its final answer.
+	// ActionFinish sends the caller its final response.
 	ActionFinish
 	// ActionRecord follows an ActionFinish with Step.OutcomePending set, once the
 	// outcome of the attempt is known. The entry completes the claim of the
--- a/lib/attempt/attempt.go
+++ b/lib/attempt/attempt.go
@@ -10,5 +10,5 @@
 // instance with exactly the weights in Step.Weights. The Machine hashes the new
 // bytes up to the number already forwarded, compares the digest with that of
 // the forwarded bytes and forwards only the bytes that follow. If the digests
-// differ, the caller's answer ends as incomplete.
+// differ, the caller's response ends as incomplete.
 package attempt
--- a/lib/attempt/budget.go
+++ b/lib/attempt/budget.go
@@ -110,8 +110,8 @@
 	return true
 }
 
-// success adds the retries that a successful request allows.
-func (b *Budget) success(tenant model.Tenant, now time.Time) {
+// addSuccess adds the retries that a successful request allows.
+func (b *Budget) addSuccess(tenant model.Tenant, now time.Time) {
 	if b == nil {
 		return
 	}
--- a/lib/attempt/budget_test.go
+++ b/lib/attempt/budget_test.go
@@ -23,7 +23,7 @@
 				retries++
 			}
 			if i%2 == 0 {
-				b.success("a", at)
+				b.addSuccess("a", at)
 			}
 		}
 		// The burst, a tenth of 5,000 successes, and half a retry per second.
--- a/lib/attempt/event.go
+++ b/lib/attempt/event.go
@@ -92,7 +92,7 @@
 	return m.fire(triggerDeadline, event{now: now})
 }
 
-// Canceled reports that the caller disconnected or cancelled the request.
+// Canceled reports that the caller disconnected or canceled the request.
 func (m *Machine) Canceled(now time.Time) Step {
 	return m.fire(triggerCanceled, event{now: now})
 }
--- a/lib/attempt/handlers.go
+++ b/lib/attempt/handlers.go
@@ -24,7 +24,7 @@
 		return m.finish(outcome.ReasonDeadline, 0)
 	}
 	if m.forwardedBytes > 0 && m.event.dispatch.Weights != m.current.Weights {
-		// An answer never mixes bytes generated with different weights.
+		// A response never mixes bytes generated with different weights.
 		return m.finish(outcome.ReasonWeightsMismatch, 0)
 	}
 	m.current = m.event.dispatch
@@ -128,14 +128,14 @@
 	m.step.Status = end.Status
 	m.step.ContentType = end.ContentType
 	if end.Outcome == outcome.Completed {
-		m.budget.success(m.req.Tenant, m.event.now)
+		m.budget.addSuccess(m.req.Tenant, m.event.now)
 	}
 	return stateFinished
 }
 
 func (m *Machine) onConnectionLost() state { return m.detach() }
 
-// detach requests the rest of the answer over another connection. Beyond
+// detach requests the rest of the response over another connection. Beyond
 // Config.MaxReattach it ends the attempt instead.
 func (m *Machine) detach() state {
 	m.replaying = false
@@ -158,8 +158,8 @@
 }
 
 // onReattachFailed ends the attempt. A non-repeatable attempt may have run to
-// completion, and its agent may come back: the caller gets its answer now, and
-// the result is still recorded.
+// completion, and its agent may come back: the caller gets its response now,
+// and the result is still recorded.
 func (m *Machine) onReattachFailed() state {
 	if !m.req.Repeatable {
 		m.mayHaveRun = true
--- a/lib/attempt/machine.go
+++ b/lib/attempt/machine.go
@@ -31,7 +31,7 @@
 	replaying bool
 
 	response        response
-	forwardedBytes  int64 // bytes of the answer forwarded to the caller
+	forwardedBytes  int64 // bytes of the response forwarded to the caller
 	forwardedDigest model.Digest
 }
 
@@ -90,7 +90,7 @@
 }
 
 // retryOrFinish decides whether to retry after an attempt without a complete
-// answer. ran indicates that this attempt may have run.
+// response. ran indicates that this attempt may have run.
 func (m *Machine) retryOrFinish(ran bool, reason outcome.Reason, retryAfter time.Duration) state {
 	m.mayHaveRun = m.mayHaveRun || ran
 	if m.forwardedBytes > 0 && m.response.bytes == m.forwardedBytes {
--- a/lib/attempt/pending.go
+++ b/lib/attempt/pending.go
@@ -6,8 +6,8 @@
 
 func (m *Machine) onCanceled() state { return m.finishEarly(outcome.ReasonCanceled) }
 
-// finishEarly answers the caller immediately. A repeatable attempt is
-// cancelled; a non-repeatable one continues to run and its result is recorded.
+// finishEarly ends the caller's request immediately. A repeatable attempt is
+// canceled; a non-repeatable one continues to run and its result is recorded.
 func (m *Machine) finishEarly(reason outcome.Reason) state {
 	outstanding := m.state != stateNew && m.state != stateQueued
 	m.mayHaveRun = m.mayHaveRun || outstanding
--- a/lib/attempt/replay_test.go
+++ b/lib/attempt/replay_test.go
@@ -25,7 +25,7 @@
 	Reason     outcome.Reason  `json:"reason"`
 	Sequence   uint64          `json:"seq"`
 	Data       string          `json:"data"`
-	Text       string          `json:"text"` // complete answer, from which the digest of an end is computed
+	Text       string          `json:"text"` // complete response, from which the digest of an end is computed
 	Frames     uint64          `json:"frames"`
 	Outcome    string          `json:"outcome"`
 	Weights    string          `json:"weights"`
@@ -62,8 +62,8 @@
 	return t
 }
 
-// Guards against changes that give the caller a different answer for a recorded
-// sequence of events.
+// Guards against changes that give the caller a different response for a
+// recorded sequence of events.
 var _ = Describe("Machine with recorded traces", func() {
 	files, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(files) == 0 {
--- a/lib/attempt/request.go
+++ b/lib/attempt/request.go
@@ -16,12 +16,12 @@
 	Hop int
 	// Repeatable allows another run after an attempt that may have run.
 	Repeatable bool
-	// Buffered indicates that the entry buffers the answer until ActionFinish, so
-	// that no byte of an abandoned attempt reaches the caller. Plain services
+	// Buffered indicates that the entry buffers the response until ActionFinish,
+	// so that no byte of an abandoned attempt reaches the caller. Plain services
 	// require it, because their HTTP status arrives with the end.
 	Buffered bool
 	// Continue allows a stream to continue with another attempt after bytes have
-	// reached the caller. It is meant for services with reproducible answers.
+	// reached the caller. It is meant for services with reproducible responses.
 	Continue bool
 }
 
--- a/lib/attempt/step.go
+++ b/lib/attempt/step.go
@@ -13,7 +13,7 @@
 	Action Action
 
 	// Forward indicates that the data of the reported frame belongs to the
-	// answer, starting at byte SkipBytes. The entry passes it to the caller, or
+	// response, starting at byte SkipBytes. The entry passes it to the caller, or
 	// buffers it if the request is buffered.
 	Forward bool
 	// SkipBytes is the number of leading bytes of the frame that the caller
@@ -30,19 +30,19 @@
 	NextSequence uint64
 
 	// Weights restricts a dispatch to instances with exactly these weights if
-	// Pinned is set, because the answer continues a stream that they started.
+	// Pinned is set, because the response continues a stream that they started.
 	Weights model.Weights
 	Pinned  bool
 
-	// Outcome, Reason and RetryAfter form the final answer.
+	// Outcome, Reason and RetryAfter form the final response.
 	Outcome    outcome.Outcome
 	Reason     outcome.Reason
 	RetryAfter time.Duration
-	// Status and ContentType are those of the backend server, if it answered.
+	// Status and ContentType are those of the backend server, if it responded.
 	Status      int
 	ContentType string
 	// OutcomePending indicates that the attempt may still complete although the
-	// caller has its final answer. The entry must continue to report events until
-	// a step with ActionRecord is returned.
+	// caller has its final response. The entry must continue to report events
+	// until a step with ActionRecord is returned.
 	OutcomePending bool
 }
--- a/lib/attempt/transitions.go
+++ b/lib/attempt/transitions.go
@@ -20,7 +20,7 @@
 	// stateDetached: the connection to the agent is lost and a reattach is in
 	// progress.
 	stateDetached
-	// stateOutcomePending: the caller has its final answer, the outcome of a
+	// stateOutcomePending: the caller has its final response, the outcome of a
 	// non-repeatable attempt is still unknown.
 	stateOutcomePending
 	stateFinished
