--- a/lib/claim/batcher.go
+++ b/lib/claim/batcher.go
@@ -115,7 +115,7 @@
 	b.mu.Lock()
 	b.close(g)
 	b.mu.Unlock()
-	// The leader's request may be cancelled; the other writes must still be
+	// The leader's request may be canceled; the other writes must still be
 	// committed.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.config.CommitTimeout)
 	defer cancel()
--- a/lib/claim/batcher_test.go
+++ b/lib/claim/batcher_test.go
@@ -68,7 +68,7 @@
 		Expect(errs).To(ContainElement(Satisfy(isConflict)))
 	})
 
-	// Guards against a cancelled request failing the whole batch.
+	// Guards against a canceled request failing the whole batch.
 	It("commits the other writes if the leader's context ends", func() {
 		table := tabletest.New()
 		b := NewBatcher(BatcherConfig{Size: 2, After: never}, table)
--- a/lib/claim/claim.go
+++ b/lib/claim/claim.go
@@ -10,7 +10,7 @@
 //
 // A row of an undispatched attempt can remain if the reply to the claim is lost
 // and reading it back fails. The entry then never dispatches the request and
-// answers not_run, which remains true. The row may nevertheless exist, or
+// responds with not_run, which remains true. The row may nevertheless exist, or
 // appear later when the delayed write is applied. Three measures keep the key
 // usable:
 //
--- a/lib/claim/claim_operation.go
+++ b/lib/claim/claim_operation.go
@@ -9,7 +9,8 @@
 	"github.com/auburnbend/auburnbend/lib/backing"
 )
 
-// maxProofs is the maximum number of proofs that a caller carries for one key.
+// maxProofs is the maximum number of proofs that a caller may present for one
+// key.
 const maxProofs = 24
 
 // claimOperation is the state of one call of Ledger.Claim.
@@ -24,8 +25,8 @@
 	// mayBeWritten is set once a write of this attempt may have been applied or
 	// may be applied later.
 	mayBeWritten bool
-	// otherHolds is set while the row is known to belong to another attempt.
-	otherHolds bool
+	// heldByOther is set while the row is known to belong to another attempt.
+	heldByOther bool
 }
 
 // try writes the claim once and reads it back if the reply does not tell the
@@ -48,7 +49,7 @@
 	case err == nil:
 		return o.acquired()
 	case isConflict(err):
-		o.otherHolds = !o.mayBeWritten
+		o.heldByOther = !o.mayBeWritten
 	case errors.Is(err, backing.ErrNotApplied):
 		return Decision{}, false
 	default:
@@ -58,11 +59,11 @@
 }
 
 func (o *claimOperation) readBack(ctx context.Context) (Decision, bool) {
-	row, err := o.ledger.table.Get(ctx, Table, o.key.row())
+	row, err := o.ledger.table.Get(ctx, Table, o.key.rowKey())
 	if errors.Is(err, backing.ErrNotFound) {
 		// The write has not been applied yet. If it is applied later, it conflicts
 		// with the row inserted by the next try.
-		o.version, o.otherHolds = 0, false
+		o.version, o.heldByOther = 0, false
 		return Decision{}, false
 	}
 	if err != nil {
@@ -70,14 +71,14 @@
 	}
 	r, err := decodeRecord(row.Value)
 	if err != nil {
-		o.otherHolds = true
+		o.heldByOther = true
 		return Decision{}, false
 	}
 	if r.Attempt == o.intent.Attempt && r.Phase == phaseClaimed {
 		return o.acquired()
 	}
 	if o.mayReplace(r) {
-		o.version, o.otherHolds = row.Version, false
+		o.version, o.heldByOther = row.Version, false
 		return Decision{}, false
 	}
 	o.queueRelease()
@@ -122,7 +123,7 @@
 // result. The attempt is never dispatched afterwards.
 func (o *claimOperation) unresolved() Decision {
 	switch {
-	case o.mayBeWritten && o.otherHolds:
+	case o.mayBeWritten && o.heldByOther:
 		o.queueRelease()
 		return o.ledger.decision(StatusUnknown)
 	case o.mayBeWritten:
@@ -131,7 +132,7 @@
 		d.Proofs = append(slices.Clone(o.intent.Proofs), o.intent.Attempt)
 		d.Proofs = d.Proofs[max(0, len(d.Proofs)-maxProofs):]
 		return d
-	case o.otherHolds:
+	case o.heldByOther:
 		return o.ledger.decision(StatusUnknown)
 	default:
 		return o.ledger.decision(StatusNotRun)
--- a/lib/claim/decision.go
+++ b/lib/claim/decision.go
@@ -49,7 +49,7 @@
 	Status Status
 	// Result is set for StatusEarlierResult.
 	Result *Result
-	// Outcome, Reason and RetryAfter form the answer to the caller unless Status
+	// Outcome, Reason and RetryAfter form the response to the caller unless Status
 	// is StatusHeld or StatusEarlierResult.
 	Outcome    outcome.Outcome
 	Reason     outcome.Reason
--- a/lib/claim/key.go
+++ b/lib/claim/key.go
@@ -12,8 +12,8 @@
 	IdempotencyKey string
 }
 
-// row returns the row key. The idempotency key is hashed, so that its length
+// rowKey returns the row key. The idempotency key is hashed, so that its length
 // and characters do not matter.
-func (k Key) row() string {
+func (k Key) rowKey() string {
 	return string(k.Service) + "/" + string(k.Tenant) + "/" + model.Sum([]byte(k.IdempotencyKey)).String()
 }
--- a/lib/claim/ledger.go
+++ b/lib/claim/ledger.go
@@ -95,9 +95,9 @@
 
 // Lookup returns the state of key without claiming it: a result, a claim
 // without a result, StatusNotRun if there is no claim, or StatusUnknown if the
-// store does not answer. now is wall-clock time.
+// store does not respond. now is wall-clock time.
 func (l *Ledger) Lookup(ctx context.Context, now time.Time, key Key) Decision {
-	row, err := l.table.Get(ctx, Table, key.row())
+	row, err := l.table.Get(ctx, Table, key.rowKey())
 	if errors.Is(err, backing.ErrNotFound) {
 		return l.decision(StatusNotRun)
 	}
@@ -119,5 +119,5 @@
 
 func newWrite(key Key, r record) (backing.Write, error) {
 	value, err := r.encode()
-	return backing.Write{Table: Table, Key: key.row(), Condition: backing.IfAbsent, Value: value}, err
+	return backing.Write{Table: Table, Key: key.rowKey(), Condition: backing.IfAbsent, Value: value}, err
 }
--- a/lib/claim/ledger_test.go
+++ b/lib/claim/ledger_test.go
@@ -189,7 +189,7 @@
 		Expect(ParseProofs("")).To(BeEmpty())
 	})
 
-	It("classifies an unspecific error as a lost reply", func() {
+	It("classifies an unrecognized error as a lost reply", func() {
 		Expect(classify(errors.New("reset"))).To(MatchError(ContainSubstring("unknown")))
 	})
 })
--- a/lib/claim/result.go
+++ b/lib/claim/result.go
@@ -2,7 +2,7 @@
 
 import "github.com/auburnbend/auburnbend/lib/outcome"
 
-// Result is the stored answer of a request that ran.
+// Result is the stored response of a request that ran.
 type Result struct {
 	Outcome     outcome.Outcome `msgpack:"o"`
 	Reason      outcome.Reason  `msgpack:"r"`
@@ -10,6 +10,6 @@
 	ContentType string          `msgpack:"c"`
 	Body        []byte          `msgpack:"b"`
 	// BodyOmitted indicates that the body exceeded Config.MaxResultBytes and was
-	// not stored: the outcome is known, but the answer cannot be sent again.
+	// not stored: the outcome is known, but the response cannot be sent again.
 	BodyOmitted bool `msgpack:"x"`
 }
--- a/lib/claim/update.go
+++ b/lib/claim/update.go
@@ -67,7 +67,7 @@
 // done reports whether the update needs no further try. If a write was applied
 // but its reply was lost, the next apply finds the row already updated.
 func (l *Ledger) apply(ctx context.Context, u pendingUpdate) (done bool, err error) {
-	row, err := l.table.Get(ctx, Table, u.key.row())
+	row, err := l.table.Get(ctx, Table, u.key.rowKey())
 	if errors.Is(err, backing.ErrNotFound) {
 		if u.result != nil {
 			// Only Prune removes a claimed row: the result comes too late to be
