--- a/entry/operatorrpc/config.go
+++ b/entry/operatorrpc/config.go
@@ -11,9 +11,9 @@
 const (
 	// defaultCallTimeout limits one call of the store including its retries.
 	defaultCallTimeout = 8 * time.Second
-	// defaultHistory is the number of revisions that History returns if the request has
+	// defaultHistoryLimit is the number of revisions that History returns if the request has
 	// no limit.
-	defaultHistory = 20
+	defaultHistoryLimit = 20
 
 	// defaultInterval, minInterval and maxInterval apply to the time between two
 	// messages of RolloutStatus.
--- a/entry/operatorrpc/server.go
+++ b/entry/operatorrpc/server.go
@@ -37,9 +37,9 @@
 
 // Apply implements pb.OperatorServer.
 func (s *Server) Apply(ctx context.Context, m *pb.ApplyRequest) (*pb.ApplyResponse, error) {
-	c, faults := convert.ConfigFromMessage(m.GetConfig())
-	if len(faults) > 0 {
-		return nil, convert.ErrorToStatus(&config.InvalidError{Violations: faults})
+	c, violations := convert.ConfigFromMessage(m.GetConfig())
+	if len(violations) > 0 {
+		return nil, convert.ErrorToStatus(&config.InvalidError{Violations: violations})
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
@@ -86,7 +86,7 @@
 }
 
 // prune removes old operation ids from the store once every RevisionsPerSnapshot
-// revisions. The entry that had the revision accepted does so, so that no leader is
+// revisions. The entry that served the change does this, so that no leader is
 // needed. If it fails, the next run removes them.
 func (s *Server) prune(ctx context.Context, number uint64) {
 	if number%config.RevisionsPerSnapshot == 0 {
@@ -142,7 +142,7 @@
 func (s *Server) History(ctx context.Context, m *pb.HistoryRequest) (*pb.HistoryResponse, error) {
 	limit := int(m.GetLimit())
 	if limit == 0 {
-		limit = defaultHistory
+		limit = defaultHistoryLimit
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
