--- a/entry/distribution.go
+++ b/entry/distribution.go
@@ -140,7 +140,7 @@
 type senderFunc func(wire.Message) error
 
 // TrySend implements tracker.Sender.
-func (r senderFunc) TrySend(m wire.Message) error { return r(m) }
+func (f senderFunc) TrySend(m wire.Message) error { return f(m) }
 
 // trackerInstance returns the entry that tracks a manifest: the first one in the
 // rendezvous order, which agents compute from the addresses in the same way.
