--- a/operator/cli/config_command.go
+++ b/operator/cli/config_command.go
@@ -44,8 +44,8 @@
 	return req
 }
 
-// print prints the result of a change.
-func (c *changeFlags) print(p *printer, req config.Request, result config.Result) error {
+// printResult prints the result of a change.
+func (c *changeFlags) printResult(p *printer, req config.Request, result config.Result) error {
 	m := &pb.ApplyResponse{
 		Revision: convert.HeadToMessage(result.Head), Differences: convert.DifferencesToMessage(result.Differences),
 		Unchanged: result.Unchanged, Replayed: result.Replayed,
@@ -84,7 +84,7 @@
 				if err != nil {
 					return err
 				}
-				return c.print(p, req, result)
+				return c.printResult(p, req, result)
 			})
 		},
 	}
@@ -115,7 +115,7 @@
 		Example: "  auburnctl config rollback 40 --expect 42",
 		Args:    usageArgs(cobra.ExactArgs(1)),
 		RunE: func(cmd *cobra.Command, values []string) error {
-			to, err := revision(values[0])
+			to, err := parseRevision(values[0])
 			if err != nil {
 				return err
 			}
@@ -125,7 +125,7 @@
 				if err != nil {
 					return err
 				}
-				return c.print(p, req, result)
+				return c.printResult(p, req, result)
 			})
 		},
 	}
@@ -162,8 +162,8 @@
 	return cmd
 }
 
-// revision parses the number of a revision.
-func revision(text string) (uint64, error) {
+// parseRevision parses the number of a revision.
+func parseRevision(text string) (uint64, error) {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || number == 0 {
 		return 0, usagef("invalid revision %q: must be a positive integer", text)
--- a/operator/cli/config_reads.go
+++ b/operator/cli/config_reads.go
@@ -20,7 +20,7 @@
 		RunE: func(cmd *cobra.Command, values []string) error {
 			numbers := make([]uint64, 2)
 			for i, text := range values {
-				number, err := revision(text)
+				number, err := parseRevision(text)
 				if err != nil {
 					return err
 				}
--- a/operator/cli/exit.go
+++ b/operator/cli/exit.go
@@ -57,8 +57,8 @@
 	case errors.As(err, &usage):
 		return printError(w, exitUsage, "error: %v\n", err)
 	case errors.As(err, &invalid):
-		for _, f := range invalid.Violations {
-			_, _ = fmt.Fprintln(w, f)
+		for _, v := range invalid.Violations {
+			_, _ = fmt.Fprintln(w, v)
 		}
 		return printError(w, exitInvalid, "error: invalid configuration, %d violations\n", len(invalid.Violations))
 	case errors.As(err, &conflict):
--- a/operator/cli/options.go
+++ b/operator/cli/options.go
@@ -41,33 +41,33 @@
 	flags.StringVarP(&o.output, "output", "o", "table", "output format: table or json")
 }
 
-// connect validates the flags and returns a client.
-func (o *options) connect() (*operator.Client, error) {
+// newClient validates the flags and returns a client, which is not connected yet.
+func (o *options) newClient() (*operator.Client, error) {
 	if o.output != "table" && o.output != "json" {
 		return nil, usagef("invalid --output %q: must be table or json", o.output)
 	}
 	cfg := operator.Config{Addresses: o.addresses, Plaintext: o.plaintext, Timeout: o.timeout, Author: o.author}
 	if !o.plaintext {
-		settings, err := o.tls()
+		tlsConfig, err := o.tlsConfig()
 		if err != nil {
 			return nil, err
 		}
-		cfg.TLS = settings
+		cfg.TLS = tlsConfig
 	} else if o.ca != "" || o.cert != "" || o.key != "" {
 		return nil, usagef("--plaintext cannot be combined with --ca, --cert or --key")
 	}
 	return operator.New(cfg)
 }
 
-func (o *options) tls() (*tls.Config, error) {
-	settings := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: o.serverName}
+func (o *options) tlsConfig() (*tls.Config, error) {
+	cfg := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: o.serverName}
 	if o.ca != "" {
 		pem, err := os.ReadFile(o.ca)
 		if err != nil {
 			return nil, usagef("--ca: %v", err)
 		}
-		settings.RootCAs = x509.NewCertPool()
-		if !settings.RootCAs.AppendCertsFromPEM(pem) {
+		cfg.RootCAs = x509.NewCertPool()
+		if !cfg.RootCAs.AppendCertsFromPEM(pem) {
 			return nil, usagef("--ca: no certificate found in %s", o.ca)
 		}
 	}
@@ -79,14 +79,14 @@
 		if err != nil {
 			return nil, usagef("--cert and --key: %v", err)
 		}
-		settings.Certificates = []tls.Certificate{pair}
+		cfg.Certificates = []tls.Certificate{pair}
 	}
-	return settings, nil
+	return cfg, nil
 }
 
 // run calls f with a client and a printer for the command.
 func (o *options) run(cmd *cobra.Command, f func(*operator.Client, *printer) error) error {
-	client, err := o.connect()
+	client, err := o.newClient()
 	if err != nil {
 		return err
 	}
--- a/operator/cli/plan_command.go
+++ b/operator/cli/plan_command.go
@@ -13,9 +13,9 @@
 	"github.com/auburnbend/auburnbend/operator"
 )
 
-// defaultPlanChunk is the chunk size in bytes that plans assume. Declarations contain
+// assumedChunkSize is the chunk size in bytes that plans assume. Declarations contain
 // only the digest of the manifest, not the chunk size.
-const defaultPlanChunk = 4 << 20
+const assumedChunkSize = 4 << 20
 
 func newRolloutPlanCommand(o *options) *cobra.Command {
 	links := planLinks{}
@@ -90,8 +90,8 @@
 			continue
 		}
 		plan := distribute.MakePlan(distribute.PlanInput{
-			Size: m.Bytes, ChunkSize: min(m.Bytes, defaultPlanChunk), Domains: domains,
-			OriginRate: links.origin, InterRegionRate: links.region * c.Deployment.TransferShare,
+			Size: m.Bytes, ChunkSize: min(m.Bytes, assumedChunkSize), Domains: domains,
+			OriginRate: links.originRate, InterRegionRate: links.regionRate * c.Deployment.TransferShare,
 			MaxCopies: c.Deployment.OriginCopies, TimeWeight: c.Deployment.TimeWeight, TargetTime: links.target,
 		})
 		v := versionPlan{
--- a/operator/cli/plan_instances.go
+++ b/operator/cli/plan_instances.go
@@ -13,13 +13,13 @@
 // domainsOf returns the failure domains where a version is placed, with the number of
 // instances and the rates of their links in bytes per second.
 func (known instances) domainsOf(c *config.Config, m config.Model, links planLinks) []distribute.DomainInput {
-	rate := links.instance * c.Deployment.TransferShare
+	rate := links.instanceRate * c.Deployment.TransferShare
 	var domains []distribute.DomainInput
 	for _, p := range c.Placements {
 		if p.Model != m.Name || p.Version != m.Version {
 			continue
 		}
-		region, count := known.pool(p)
+		region, count := known.countAgents(p)
 		if p.Replicas > 0 {
 			count = p.Replicas
 		}
@@ -33,10 +33,10 @@
 	return domains
 }
 
-// pool returns the region of a placement's failure domain and the number of agents in
-// its pool that are neither draining nor gone. If no instance of the domain is known,
-// the name of the domain is used as region.
-func (known instances) pool(p config.Placement) (region model.Region, count int) {
+// countAgents returns the region of a placement's failure domain and the number of
+// agents in its pool that are neither draining nor gone. If no instance of the domain is
+// known, the name of the domain is used as region.
+func (known instances) countAgents(p config.Placement) (region model.Region, count int) {
 	region = model.Region(p.FailureDomain)
 	for _, i := range known {
 		if i.GetFailureDomain() != string(p.FailureDomain) {
--- a/operator/cli/plan_links.go
+++ b/operator/cli/plan_links.go
@@ -13,7 +13,7 @@
 // second, from their flags.
 type planLinks struct {
 	originFlag, instanceFlag, regionFlag string
-	origin, instance, region             float64
+	originRate, instanceRate, regionRate float64
 	target                               time.Duration
 }
 
@@ -31,7 +31,7 @@
 	for _, rate := range []struct {
 		name, text string
 		dst        *float64
-	}{{"origin", l.originFlag, &l.origin}, {"instance", l.instanceFlag, &l.instance}, {"region", l.regionFlag, &l.region}} {
+	}{{"origin", l.originFlag, &l.originRate}, {"instance", l.instanceFlag, &l.instanceRate}, {"region", l.regionFlag, &l.regionRate}} {
 		parsed, err := settings.ParseRate(rate.text)
 		if err != nil {
 			return merry.Prependf(err, "--%s", rate.name)
