--- a/operator/reads.go
+++ b/operator/reads.go
@@ -21,9 +21,9 @@
 	if err != nil {
 		return config.View{}, convert.ErrorFromStatus(err)
 	}
-	parsed, faults := convert.ConfigFromMessage(m.GetConfig())
-	if len(faults) > 0 {
-		return config.View{}, merry.Wrap(&config.InvalidError{Violations: faults})
+	parsed, violations := convert.ConfigFromMessage(m.GetConfig())
+	if len(violations) > 0 {
+		return config.View{}, merry.Wrap(&config.InvalidError{Violations: violations})
 	}
 	return config.View{Config: parsed, Head: convert.HeadFromMessage(m.GetRevision()), Accepted: m.GetAccepted().AsTime()}, nil
 }
@@ -37,8 +37,8 @@
 	return m, convert.ErrorFromStatus(err)
 }
 
-// History returns up to limit revisions before the given one, newest first. A before of
-// 0 means from the newest one.
+// History returns up to limit revisions before the given one, newest first. If before
+// is 0, the list starts with the newest one.
 func (c *Client) History(ctx context.Context, before uint64, limit int) (*pb.HistoryResponse, error) {
 	m, err := tryEntries(ctx, c, func(ctx context.Context, entry pb.OperatorClient) (*pb.HistoryResponse, error) {
 		return entry.History(ctx, &pb.HistoryRequest{Before: before, Limit: int32(limit)})
