--- a/lib/telemetry/config.go
+++ b/lib/telemetry/config.go
@@ -1,7 +1,7 @@
 package telemetry
 
 const (
-	// defaultMaxLabelNames is far above need: a deployment has about ten teams.
+	// defaultMaxLabelNames is far above what is needed: a deployment has about ten teams.
 	defaultMaxLabelNames = 200
 	// maxSeriesPerInstrument limits the label sets of one instrument. The SDK
 	// counts further ones under an overflow label.
@@ -12,8 +12,8 @@
 
 // Config configures Metrics.
 type Config struct {
-	// MaxLabelNames limits the tenants, the classes and the models that ever get a
-	// label value of their own.
+	// MaxLabelNames is the maximum number of tenants, and likewise of classes and of
+	// models, that get a label value of their own while the process runs.
 	MaxLabelNames int
 }
 
--- a/lib/telemetry/names.go
+++ b/lib/telemetry/label_names.go
@@ -15,10 +15,10 @@
 	return &labelNames{limit: limit, declared: make(map[string]bool)}
 }
 
-func (n *labelNames) add(all []string) {
+func (n *labelNames) add(names []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, name := range all {
+	for _, name := range names {
 		if !n.declared[name] && len(n.declared) < n.limit {
 			n.declared[name] = true
 		}
--- a/lib/telemetry/metrics.go
+++ b/lib/telemetry/metrics.go
@@ -75,15 +75,15 @@
 
 func (m *Metrics) createInstruments() error {
 	meter := m.provider.Meter(meterName)
-	seconds := func(name, description string, buckets []float64) (metric.Float64Histogram, error) {
+	histogram := func(name, description string, buckets []float64) (metric.Float64Histogram, error) {
 		return meter.Float64Histogram(name, metric.WithUnit("s"), metric.WithDescription(description), metric.WithExplicitBucketBoundaries(buckets...))
 	}
 	var errs [8]error
-	m.queueTime, errs[0] = seconds("request.queue_time", "Time that a request waited before it was dispatched.", requestBuckets)
-	m.firstToken, errs[1] = seconds("request.first_token", "Time from arrival to the first token.", requestBuckets)
-	m.betweenTokens, errs[2] = seconds("request.between_tokens", "Time between two tokens.", requestBuckets)
-	m.totalTime, errs[3] = seconds("request.total_time", "Time from arrival to the end of the answer.", requestBuckets)
-	m.transferTime, errs[4] = seconds("transfer.time", "Time from the request for a version to all of its chunks verified.", transferBuckets)
+	m.queueTime, errs[0] = histogram("request.queue_time", "Time that a request waited before it was dispatched.", requestBuckets)
+	m.firstToken, errs[1] = histogram("request.first_token", "Time from arrival to the first token.", requestBuckets)
+	m.betweenTokens, errs[2] = histogram("request.between_tokens", "Time between two tokens.", requestBuckets)
+	m.totalTime, errs[3] = histogram("request.total_time", "Time from arrival to the end of the answer.", requestBuckets)
+	m.transferTime, errs[4] = histogram("transfer.time", "Time from the request for a version to all of its chunks verified.", transferBuckets)
 	m.transferBytes, errs[5] = meter.Int64Counter("transfer.bytes", metric.WithUnit("By"), metric.WithDescription("Bytes of weights received, by source."))
 	m.outcomes, errs[6] = meter.Int64Counter("request.outcomes", metric.WithDescription("Requests that ended, by outcome and reason."))
 	m.invalidInputs, errs[7] = meter.Int64Counter("input.invalid", metric.WithDescription("Malformed input, by kind."))
--- a/lib/telemetry/source.go
+++ b/lib/telemetry/source.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// Source is the origin of received weight bytes, used as a metric label.
+// Source is where weight bytes were received from, used as a metric label.
 type Source uint8
 
 // Sources of weights.
