--- a/lib/daemon/exit.go
+++ b/lib/daemon/exit.go
@@ -1,7 +1,7 @@
 package daemon
 
 // Exit codes of a daemon. They let a service manager distinguish failures that a
-// restart may fix (1) from those that it does not (2).
+// restart may fix (1) from those that it cannot fix (2).
 const (
 	// ExitOK means that the process stopped as requested, with no work left.
 	ExitOK = 0
