--- a/lib/security/dial.go
+++ b/lib/security/dial.go
@@ -38,7 +38,7 @@
 		_ = nc.Close()
 		return nil, nil, merry.Wrap(err)
 	}
-	held := p.PeerRoles(conn.ConnectionState())
-	held = slices.DeleteFunc(held, func(r Role) bool { return !slices.Contains(roles, r) })
-	return conn, held, nil
+	authorised := p.PeerRoles(conn.ConnectionState())
+	authorised = slices.DeleteFunc(authorised, func(r Role) bool { return !slices.Contains(roles, r) })
+	return conn, authorised, nil
 }
--- a/lib/security/policy_test.go
+++ b/lib/security/policy_test.go
@@ -26,9 +26,9 @@
 	return p
 }
 
-// connect connects client to server. The client requires the role as, the server
-// accepts the given roles. It returns the client's roles and the error of each side.
-func connect(server, client *security.Policy, as security.Role, accepts ...security.Role) (roles []security.Role, atServer, atClient error) {
+// connect connects client to server. The client requires the role serverRole, the
+// server one of clientRoles. It returns the client's roles and the error of each side.
+func connect(server, client *security.Policy, serverRole security.Role, clientRoles ...security.Role) (roles []security.Role, atServer, atClient error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = ln.Close() }()
@@ -41,14 +41,14 @@
 			return
 		}
 		var conn net.Conn
-		if conn, roles, atServer = server.ServerHandshake(nc, accepts...); atServer == nil {
+		if conn, roles, atServer = server.ServerHandshake(nc, clientRoles...); atServer == nil {
 			_, _ = conn.Write([]byte("x"))
 			_ = conn.Close()
 		}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	conn, err := client.Dial(ctx, ln.Addr().String(), as)
+	conn, err := client.Dial(ctx, ln.Addr().String(), serverRole)
 	if err == nil {
 		// With TLS 1.3 a rejection by the server shows up at the first read.
 		_, err = conn.Read(make([]byte, 1))
