--- a/lib/serving/table.go
+++ b/lib/serving/table.go
@@ -8,10 +8,10 @@
 
 // Table is an index of one configuration. It is immutable and safe for concurrent use.
 type Table struct {
-	config   *Config
-	hosts    map[string]map[string]*Route
-	teams    map[string]*Team
-	services map[string]*Service
+	config       *Config
+	routesByHost map[string]map[string]*Route
+	teamsByKey   map[string]*Team
+	services     map[string]*Service
 	// minTargets contains the lowest target latency of the routes to each service.
 	minTargets map[string]time.Duration
 }
@@ -19,25 +19,25 @@
 // NewTable indexes a configuration, which must not be modified afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{
-		config:     c,
-		hosts:      make(map[string]map[string]*Route),
-		teams:      make(map[string]*Team),
-		services:   make(map[string]*Service, len(c.Services)),
-		minTargets: make(map[string]time.Duration),
+		config:       c,
+		routesByHost: make(map[string]map[string]*Route),
+		teamsByKey:   make(map[string]*Team),
+		services:     make(map[string]*Service, len(c.Services)),
+		minTargets:   make(map[string]time.Duration),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		prefixes := t.hosts[r.Host]
+		prefixes := t.routesByHost[r.Host]
 		if prefixes == nil {
 			prefixes = make(map[string]*Route)
-			t.hosts[r.Host] = prefixes
+			t.routesByHost[r.Host] = prefixes
 		}
 		prefixes[r.Prefix] = r
 		t.updateMinTarget(r)
 	}
 	for i := range c.Teams {
 		for _, key := range c.Teams[i].APIKeys {
-			t.teams[key] = &c.Teams[i]
+			t.teamsByKey[key] = &c.Teams[i]
 		}
 	}
 	for i := range c.Services {
@@ -48,8 +48,8 @@
 
 func (t *Table) updateMinTarget(r *Route) {
 	for _, target := range r.Targets {
-		least, known := t.minTargets[target.Service]
-		if r.TargetLatency > 0 && (!known || r.TargetLatency < least) {
+		lowest, known := t.minTargets[target.Service]
+		if r.TargetLatency > 0 && (!known || r.TargetLatency < lowest) {
 			t.minTargets[target.Service] = r.TargetLatency
 		}
 	}
@@ -66,7 +66,7 @@
 // Route prefixes end with a slash, so only prefixes of path that end with a slash are
 // looked up.
 func (t *Table) Route(host, path string) *Route {
-	prefixes := t.hosts[host]
+	prefixes := t.routesByHost[host]
 	if prefixes == nil {
 		return nil
 	}
@@ -79,7 +79,7 @@
 }
 
 // TeamByKey returns the team that owns an API key, or nil.
-func (t *Table) TeamByKey(key string) *Team { return t.teams[key] }
+func (t *Table) TeamByKey(key string) *Team { return t.teamsByKey[key] }
 
 // Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
