--- a/lib/msgstream/check.go
+++ b/lib/msgstream/check.go
@@ -31,8 +31,9 @@
 // lengthsFit reports whether the declared lengths of a message fit into data and its
 // nesting is at most maxDepth. Data after the message is ignored, as in the library.
 func lengthsFit(data []byte) bool {
-	// open contains the number of missing items of each enclosing array or map.
-	open := make([]int, 0, maxDepth)
+	// missing contains the number of items still to come of each enclosing array or
+	// map.
+	missing := make([]int, 0, maxDepth)
 	for {
 		size, items := parseHeader(data)
 		if size < 0 || size > len(data) || items > len(data)-size {
@@ -40,21 +41,21 @@
 		}
 		data = data[size:]
 		if items > 0 {
-			if len(open) == maxDepth {
+			if len(missing) == maxDepth {
 				return false
 			}
-			open = append(open, items)
+			missing = append(missing, items)
 			continue
 		}
-		for len(open) > 0 {
-			last := len(open) - 1
-			open[last]--
-			if open[last] > 0 {
+		for len(missing) > 0 {
+			last := len(missing) - 1
+			missing[last]--
+			if missing[last] > 0 {
 				break
 			}
-			open = open[:last]
+			missing = missing[:last]
 		}
-		if len(open) == 0 {
+		if len(missing) == 0 {
 			return true
 		}
 	}
@@ -90,9 +91,9 @@
 	case c < bin8:
 		return 1, 0
 	case c < ext8:
-		return byteLength(data, 1<<(c-bin8)), 0
+		return valueSize(data, 1<<(c-bin8)), 0
 	case c < float32Value:
-		return 1 + byteLength(data, 1<<(c-ext8)), 0
+		return 1 + valueSize(data, 1<<(c-ext8)), 0
 	case c < uint8Value:
 		return 1 + 4<<(c-float32Value), 0
 	case c < int8Value:
@@ -102,7 +103,7 @@
 	case c < string8:
 		return 2 + 1<<(c-fixExt1), 0
 	case c < array16:
-		return byteLength(data, 1<<(c-string8)), 0
+		return valueSize(data, 1<<(c-string8)), 0
 	case c < map16:
 		return itemCount(data, 2<<(c-array16), 1)
 	default:
@@ -110,9 +111,9 @@
 	}
 }
 
-// byteLength returns the size of a string, binary or extension value whose length field
+// valueSize returns the size of a string, binary or extension value whose length field
 // has the given width in bytes.
-func byteLength(data []byte, width int) int {
+func valueSize(data []byte, width int) int {
 	if n, ok := readLength(data, width); ok {
 		return 1 + width + n
 	}
--- a/lib/msgstream/decoder_test.go
+++ b/lib/msgstream/decoder_test.go
@@ -22,18 +22,18 @@
 }
 
 type message struct {
-	Have  []int          `msgpack:"h"`
-	Data  []byte         `msgpack:"d"`
-	Names []string       `msgpack:"n"`
-	Parts []part         `msgpack:"p"`
-	By    map[string]int `msgpack:"m"`
-	Share float64        `msgpack:"f"`
-	Next  *message       `msgpack:"x"`
+	Numbers []int          `msgpack:"h"`
+	Data    []byte         `msgpack:"d"`
+	Names   []string       `msgpack:"n"`
+	Parts   []part         `msgpack:"p"`
+	Counts  map[string]int `msgpack:"m"`
+	Ratio   float64        `msgpack:"f"`
+	Nested  *message       `msgpack:"x"`
 }
 
 type part struct {
-	Key  string `msgpack:"k"`
-	Born int64  `msgpack:"b"`
+	Key    string `msgpack:"k"`
+	Number int64  `msgpack:"b"`
 }
 
 const limit = 64 << 10
@@ -42,13 +42,13 @@
 	It("are read one after another", func() {
 		var b bytes.Buffer
 		for i := range 3 {
-			Expect(msgstream.Encode(&b, &message{Have: []int{i}, Data: bytes.Repeat([]byte{byte(i)}, 50_000)})).To(Succeed())
+			Expect(msgstream.Encode(&b, &message{Numbers: []int{i}, Data: bytes.Repeat([]byte{byte(i)}, 50_000)})).To(Succeed())
 		}
 		d := msgstream.NewDecoder(&b, 1<<10, limit)
 		for i := range 3 {
 			var m message
 			Expect(d.Decode(&m)).To(Succeed())
-			Expect(m.Have).To(Equal([]int{i}))
+			Expect(m.Numbers).To(Equal([]int{i}))
 			Expect(m.Data).To(HaveLen(50_000))
 		}
 		Expect(d.Decode(&message{})).To(MatchError(io.EOF))
@@ -59,13 +59,13 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			long := rapid.SampledFrom([]int{0, 1, 15, 16, 31, 32, 255, 256, 70_000})
 			m := message{
-				Have: rapid.SliceOfN(rapid.Int(), 0, 40).Draw(t, "have"), Data: make([]byte, long.Draw(t, "data")),
-				Share: rapid.Float64().Draw(t, "share"), By: rapid.MapOfN(rapid.String(), rapid.Int(), 0, 20).Draw(t, "by"),
+				Numbers: rapid.SliceOfN(rapid.Int(), 0, 40).Draw(t, "have"), Data: make([]byte, long.Draw(t, "data")),
+				Ratio: rapid.Float64().Draw(t, "share"), Counts: rapid.MapOfN(rapid.String(), rapid.Int(), 0, 20).Draw(t, "by"),
 			}
 			for range rapid.IntRange(0, 20).Draw(t, "parts") {
-				m.Parts = append(m.Parts, part{Key: strings.Repeat("x", long.Draw(t, "key")), Born: rapid.Int64().Draw(t, "born")})
+				m.Parts = append(m.Parts, part{Key: strings.Repeat("x", long.Draw(t, "key")), Number: rapid.Int64().Draw(t, "born")})
 			}
-			m.Next = &message{Names: []string{rapid.String().Draw(t, "name")}}
+			m.Nested = &message{Names: []string{rapid.String().Draw(t, "name")}}
 			data, err := msgpack.Marshal(&m)
 			if err != nil {
 				t.Fatal(err)
@@ -74,7 +74,7 @@
 			if err := msgstream.Unmarshal(data, &got); err != nil {
 				t.Fatal(err)
 			}
-			if len(got.Parts) != len(m.Parts) || len(got.Data) != len(m.Data) || len(got.By) != len(m.By) {
+			if len(got.Parts) != len(m.Parts) || len(got.Data) != len(m.Data) || len(got.Counts) != len(m.Counts) {
 				t.Fatalf("got %+v", got)
 			}
 			cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
@@ -104,8 +104,8 @@
 	)
 
 	It("over the size limit are rejected", func() {
-		claim := binary.BigEndian.AppendUint32(nil, 1<<31)
-		d := msgstream.NewDecoder(bytes.NewReader(claim), 1<<10, limit)
+		header := binary.BigEndian.AppendUint32(nil, 1<<31)
+		d := msgstream.NewDecoder(bytes.NewReader(header), 1<<10, limit)
 		Expect(d.Decode(&message{})).To(MatchError(msgstream.ErrTooLong))
 	})
 })
