--- a/lib/sse/reader.go
+++ b/lib/sse/reader.go
@@ -83,8 +83,8 @@
 }
 
 // eventLength returns the length of the first event in b, or 0 if it is incomplete. The
-// first from bytes were already searched; only a line end at their end may be continued
-// by the bytes that follow.
+// first from bytes were searched before; only a blank line that begins in their last
+// three bytes may be completed by the bytes that follow.
 func eventLength(b []byte, from int) int {
 	i := max(0, from-3)
 	for {
