--- a/lib/listen/server.go
+++ b/lib/listen/server.go
@@ -35,8 +35,8 @@
 
 // Server accepts connections until its context ends.
 type Server struct {
-	cfg         Config
-	connections sync.WaitGroup
+	cfg      Config
+	handlers sync.WaitGroup
 }
 
 // New returns a server that starts accepting connections when Run is called.
@@ -56,9 +56,9 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		s.connections.Go(func() { s.handle(ctx, nc) })
+		s.handlers.Go(func() { s.handle(ctx, nc) })
 	}
-	s.connections.Wait()
+	s.handlers.Wait()
 }
 
 func (s *Server) handle(ctx context.Context, nc net.Conn) {
