--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -25,7 +25,7 @@
 	poisonBody = "content that crashes every server"
 	// restartDelay is the time after which a crashed server serves again.
 	restartDelay = 500 * time.Millisecond
-	// stabilityTime is the time after a fault from which on bounds hold again.
+	// stabilityTime is the time after a fault until the bounds hold again.
 	stabilityTime = time.Second
 	serverSlots   = 6
 )
@@ -98,8 +98,8 @@
 // Kinds of serverEvent.
 const (
 	eventArrived    = "arrived"
-	eventDraining   = "leaving"
-	eventRetryAfter = "pause"
+	eventDraining   = "draining"
+	eventRetryAfter = "retry-after"
 )
 
 func (s *deployment) recordEvent(server, attempt, kind string) {
@@ -221,7 +221,7 @@
 	// Goroutines of the daemon may close their ports shortly after it has returned.
 	Eventually(func() error { return checkPortsFree(s.entries[i].settings) }, time.Second, time.Millisecond).Should(Succeed())
 	s.entries[i] = s.startEntry(i)
-	Eventually(func() int { return s.send(i, "/status/", fmt.Sprint("again-", i)).Status }, 5*time.Second).Should(Equal(http.StatusOK))
+	Eventually(func() int { return s.send(i, "/status/", fmt.Sprint("restart-", i)).Status }, 5*time.Second).Should(Equal(http.StatusOK))
 }
 
 // checkPortsFree returns an error unless a daemon can listen on its own port.
@@ -250,7 +250,7 @@
 func (s *deployment) send(entry int, prefix, content string) platformtest.Response {
 	attemptCounter.Lock()
 	attemptCounter.last++
-	id := fmt.Sprintf("try-%d", attemptCounter.last)
+	id := fmt.Sprintf("attempt-%d", attemptCounter.last)
 	attemptCounter.Unlock()
 	call := platformtest.Call{Host: testHost, Path: prefix + "x", AttemptID: id, APIKey: testAPIKey, Timeout: 2 * time.Second, LastEventID: -1, Body: content}
 	if prefix == "/draft/" {
--- a/internal/node/gateway.go
+++ b/internal/node/gateway.go
@@ -29,9 +29,9 @@
 	// agents report the actual number. If it is too high, the entry's share of the
 	// budget is only smaller than necessary.
 	assumedEntries = 16
-	// bodyMemoryDivisor determines the part of the process's memory that buffered
+	// bufferMemoryDivisor determines the part of the process's memory that buffered
 	// responses may take together: one eighth.
-	bodyMemoryDivisor = 8
+	bufferMemoryDivisor = 8
 	// headerTimeout limits reading the header of a request, and idleTimeout the time
 	// between two requests on a connection. Both are above the declared limits;
 	// callers keep connections idle for up to four fifths of the declared one.
@@ -59,7 +59,7 @@
 		Dialect: platform.Dialect{}, Clock: clock.System{}, Log: env.Log, Observe: requests.observe,
 		Retry:   retryConfig(&s.Bounds),
 		Entries: assumedEntries, Seed: rand.Uint64(), MaxRolloutTime: s.Bounds.VersionTime,
-		MaxBufferedBytes: s.MemoryLimit / bodyMemoryDivisor,
+		MaxBufferedBytes: s.MemoryLimit / bufferMemoryDivisor,
 		Placement:        placement.Config{Domain: s.Domain, Regions: s.Regions},
 	})
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -36,7 +36,7 @@
 // crashedRowExpiry is the time after a crash until the row of the server is removed.
 const crashedRowExpiry = time.Second
 
-// maxLateRuns is the maximum number of late runs that the deployment allows.
+// maxLateRuns is the maximum number of late runs, as countLateRuns counts them.
 const maxLateRuns = 3
 
 var _ = Describe("A request that crashes each server that runs it", func() {
@@ -73,18 +73,18 @@
 		s.expectFewRuns()
 	})
 
-	It("is not sent on by restarted entries, whether one or all of them restart", func() {
-		// Guards against knowledge that is lost when the process that has it ends.
+	It("is not sent to further servers by restarted entries, whether one or all of them restart", func() {
+		// Guards against quarantines that are lost when an entry restarts.
 		s := newDeployment(45, 2, 2, 8)
-		askAll := func() {
+		sendRepeatedly := func() {
 			for i := range 4 {
 				s.send(i%len(s.entries), "/status/", poisonBody)
 				time.Sleep(200 * time.Millisecond)
 			}
 		}
-		askAll()
+		sendRepeatedly()
 		s.restart(0)
-		askAll()
+		sendRepeatedly()
 		before := len(s.runsOf(poisonBody))
 		var restarts sync.WaitGroup
 		for i := range s.entries {
@@ -96,7 +96,7 @@
 			}()
 		}
 		restarts.Wait()
-		askAll()
+		sendRepeatedly()
 		Expect(s.runsOf(poisonBody)).To(HaveLen(before))
 		s.expectFewRuns()
 	})
@@ -109,9 +109,9 @@
 		}
 		runs := len(s.runsOf(poisonBody))
 		start := time.Now()
-		a := s.send(0, "/order/", poisonBody)
-		Expect(a.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(a.RetryAfter).To(BeNumerically(">", time.Minute))
+		resp := s.send(0, "/order/", poisonBody)
+		Expect(resp.Status).To(Equal(http.StatusServiceUnavailable))
+		Expect(resp.RetryAfter).To(BeNumerically(">", time.Minute))
 		Expect(time.Since(start)).To(BeNumerically("<", 500*time.Millisecond))
 		Expect(s.runsOf(poisonBody)).To(HaveLen(runs))
 		Expect(s.send(0, "/order/", "another order").Status).To(Equal(http.StatusOK))
@@ -147,9 +147,9 @@
 			time.Sleep(700 * time.Millisecond)
 		}
 		work.Wait()
-		poison := regexp.MustCompile(`event=7206 .*content=(\w+)`).FindAllStringSubmatch(s.logs.String(), -1)
+		quarantines := regexp.MustCompile(`event=7206 .*content=(\w+)`).FindAllStringSubmatch(s.logs.String(), -1)
 		contents := make(map[string]bool)
-		for _, match := range poison {
+		for _, match := range quarantines {
 			contents[match[1]] = true
 		}
 		Expect(len(contents)).To(BeNumerically("<=", 1), "%v", contents)
--- a/internal/node/follow.go
+++ b/internal/node/relay_config.go
@@ -13,12 +13,12 @@
 	// table and for applying it.
 	applyReserve = 500 * time.Millisecond
 	// batchDelayFraction is the part of DrainTime for which changes of servers are
-	// collected before they are read. Each call of the store is paid for, and agents
-	// report the state of their engines without the store.
+	// collected before they are read. Each store call is billed, and agents report the
+	// state of their engines without the store.
 	batchDelayFraction = 0.25
 )
 
-// maxStoreWait returns how long a call of the store may wait for a change. A
+// maxStoreWait returns how long a store call may wait for a change. A
 // connection that no longer delivers anything is detected only when the call ends.
 // After such a fault, bounds hold again only after StallTime, so a call may take up
 // to StallTime and the bound together.
--- a/internal/node/follow_test.go
+++ b/internal/node/relay_config_test.go
@@ -15,7 +15,7 @@
 	DescribeTable("detects a lost connection before the bounds apply again",
 		// Guards against a configuration that comes into force too late because a call
 		// waited on a connection that no longer delivered anything, and against calls
-		// that are shorter than the bounds require, as each call is paid for.
+		// that are shorter than the bounds require, as each call is billed.
 		func(stall, bound time.Duration) {
 			b := platform.Bounds{StallTime: stall, ConfigTime: bound, DrainTime: bound}
 			for _, c := range []relay.Config{operatorRelayConfig(&b), serversRelayConfig(&b)} {
--- a/internal/node/server_signals_test.go
+++ b/internal/node/server_signals_test.go
@@ -26,13 +26,13 @@
 			go func() {
 				defer callers.Done()
 				defer GinkgoRecover()
-				s.send(i%len(s.entries), prefix, fmt.Sprint("request at once ", i))
+				s.send(i%len(s.entries), prefix, fmt.Sprint("concurrent request ", i))
 			}()
 		}
 		callers.Wait()
 	}
 
-	DescribeTable("gets no more requests once one entry of the region knows, even without the store",
+	DescribeTable("gets no more requests once one entry of the region has received its signal, even without the store",
 		// Guards against entries that keep sending requests to a server because they
 		// cannot read its row during an outage of the store.
 		func(subnet int, prefix string, server int) {
@@ -54,7 +54,8 @@
 	)
 
 	It("gets no requests from a restarted entry, nor after the placing entry has changed", func() {
-		// Guards against knowledge that is lost when the process that has it ends.
+		// Guards against drain signals that are lost when the entry that received them
+		// restarts.
 		s := newDeployment(53, 4, 4, 4)
 		id := s.backends[0].SignalDraining()
 		Eventually(func() int {
@@ -72,7 +73,7 @@
 })
 
 var _ = Describe("Engines that respond with Retry-After", func() {
-	It("get at most two more requests of each entry until it has passed", func() {
+	It("get at most two more requests from each entry until it has passed", func() {
 		// Guards against a placing entry that sends the requests of another entry to an
 		// engine which has asked that entry for a pause.
 		s := newDeployment(54, 4, 4, 2)
--- a/internal/node/state_metrics.go
+++ b/internal/node/state_metrics.go
@@ -26,7 +26,7 @@
 	age := gauge("config_age", "time since the configuration came into force here", "s")
 	servers := gauge("backend_servers", "backend servers by service and condition", "")
 	engines := gauge("engines", "engines by model and version of the weights", "")
-	repeats := gauge("repeats_left", "repeats that the retry budget leaves to this entry", "")
+	retriesLeft := gauge("repeats_left", "repeats that the retry budget leaves to this entry", "")
 	open := gauge("requests_open", "requests that are being served", "")
 	granted := gauge("places_granted", "requests of other entries that were placed here and are being served", "")
 	quarantined := gauge("contents_quarantined", "contents that are refused because backend servers ended while they ran them", "")
@@ -51,10 +51,10 @@
 				attribute.String("model", version.Model), attribute.String("version", strconv.Itoa(version.Version))))
 		}
 		for service, left := range s.RetriesLeft {
-			o.ObserveFloat64(repeats, left, metric.WithAttributes(attribute.String("service", service)))
+			o.ObserveFloat64(retriesLeft, left, metric.WithAttributes(attribute.String("service", service)))
 		}
 		return nil
-	}, config, age, servers, engines, repeats, open, granted, quarantined, store)
+	}, config, age, servers, engines, retriesLeft, open, granted, quarantined, store)
 	return err
 }
 
