--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// firstPoisonCaller is added to the number of callers that send poison requests. Each
-// step has callers of its own.
+// firstPoisonCaller is the lowest number of a caller that sends poison requests. The
+// start of the step is added to it, so that each step uses other request ids.
 const firstPoisonCaller = 100
 
 // sendPoison sends poison requests, which crash each server that runs them, to the
--- a/internal/soak/check_signals.go
+++ b/internal/soak/check_signals.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// retryAfterNotice is the time after a response with Retry-After in which requests
+	// retryAfterSlack is the time after a response with Retry-After in which requests
 	// may still arrive that were sent before the entry received it.
-	retryAfterNotice = 500 * time.Millisecond
+	retryAfterSlack = 500 * time.Millisecond
 	// maxDuringRetryAfter is the maximum number of later requests of an entry until the
 	// Retry-After has passed.
 	maxDuringRetryAfter = 2
@@ -23,7 +23,7 @@
 )
 
 // checkSignals checks that servers get no requests after they have signaled that they
-// drain or want a pause.
+// drain or have asked for a pause.
 func (c *checker) checkSignals() {
 	outcomes := make(map[string]*outcome, len(c.recorder.outcomes))
 	for i := range c.recorder.outcomes {
@@ -67,12 +67,12 @@
 // for a pause.
 func (c *checker) checkRetryAfter(e serverEvent, o *outcome, arrivals []serverEvent, outcomes map[string]*outcome) {
 	end := e.at + e.retryAfter
-	if !undisturbed(c.steps, e.at-retryAfterNotice, end, 0) || c.entryInterrupted(o.entry, e.at, end) {
+	if !undisturbed(c.steps, e.at-retryAfterSlack, end, 0) || c.entryInterrupted(o.entry, e.at, end) {
 		return
 	}
 	sent := 0
 	for _, a := range arrivals {
-		if later := outcomes[a.attempt]; later != nil && later.entry == o.entry && a.at > e.at+retryAfterNotice && a.at < end {
+		if later := outcomes[a.attempt]; later != nil && later.entry == o.entry && a.at > e.at+retryAfterSlack && a.at < end {
 			sent++
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -52,9 +52,9 @@
 	return f
 }
 
-// brokenRules returns the violated rules except RECOVER, which a single request cannot
+// violatedRules returns the violated rules except RECOVER, which a single request cannot
 // satisfy.
-func (f *fixture) brokenRules(runs ...platformtest.Run) []string {
+func (f *fixture) violatedRules(runs ...platformtest.Run) []string {
 	f.check.recorder.outcomes = append([]outcome{f.outcome}, f.otherOutcomes...)
 	for _, r := range runs {
 		f.check.recorder.RunStarted(r)
@@ -72,7 +72,7 @@
 	It("reports no violation for a correct run", func() {
 		for _, r := range routes {
 			f := newFixture(r.Prefix)
-			Expect(f.brokenRules(f.run)).To(BeEmpty(), r.Prefix)
+			Expect(f.violatedRules(f.run)).To(BeEmpty(), r.Prefix)
 		}
 	})
 
@@ -85,7 +85,7 @@
 			for range extraRuns {
 				runs = append(runs, f.run)
 			}
-			Expect(f.brokenRules(runs...)).To(ContainElement(rule))
+			Expect(f.violatedRules(runs...)).To(ContainElement(rule))
 		},
 		Entry("request run twice", "TWICE", "/order/", func(*fixture) {}, 1),
 		Entry("stream run twice", "TWICE", "/once/", func(*fixture) {}, 1),
@@ -143,14 +143,14 @@
 		f := newFixture("/once/")
 		f.check.steps = []Step{{Kind: ServerLink, Start: 19 * time.Second, Duration: time.Second}}
 		f.outcome.response.Complete = false
-		Expect(f.brokenRules(f.run)).To(BeEmpty())
+		Expect(f.violatedRules(f.run)).To(BeEmpty())
 	})
 
 	It("reports violations during planned work", func() {
 		f := newFixture("/once/")
 		f.check.steps = []Step{{Kind: StopEntry, Start: 19 * time.Second, Duration: time.Second}}
 		f.outcome.response.Complete = false
-		Expect(f.brokenRules(f.run)).To(ConsistOf("LOST"))
+		Expect(f.violatedRules(f.run)).To(ConsistOf("LOST"))
 	})
 })
 
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -94,7 +94,7 @@
 		s.Duration = minStepDuration + time.Duration(rng.Int64N(int64(maxStepDuration-minStepDuration)))
 		s.Start = firstStepStart + time.Duration(rng.Int64N(int64(window-firstStepStart-s.Duration)))
 		if i > 0 && rng.IntN(3) == 0 {
-			// Some steps start while the previous one lasts.
+			// Some steps start before the previous one has ended.
 			s.Start = min(steps[i-1].Start+time.Duration(rng.Int64N(int64(steps[i-1].Duration))), window-s.Duration)
 		}
 		steps[i] = s
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -119,10 +119,10 @@
 }
 
 // LoadOrdered implements platformtest.Recorder.
-func (rec *recorder) LoadOrdered(server string, version int, whole bool) {
+func (rec *recorder) LoadOrdered(server string, version int, intact bool) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	rec.loads = append(rec.loads, load{server: server, version: version, intact: whole, at: rec.now()})
+	rec.loads = append(rec.loads, load{server: server, version: version, intact: intact, at: rec.now()})
 }
 
 func (rec *recorder) addOutcome(o outcome) {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -19,7 +19,7 @@
 	Binaries Binaries
 	// StepWindow is the time from the start of traffic within which all steps end.
 	StepWindow time.Duration
-	// Steps replaces the random steps of the seed; nil keeps these.
+	// Steps are the steps to run; nil means the random steps of Seed.
 	Steps []Step
 	// Trace receives a line for each step; nil disables it.
 	Trace io.Writer
@@ -40,9 +40,9 @@
 	// startupTime is the time between the start of the processes and the start of
 	// traffic.
 	startupTime = time.Second
-	// recoveredTime is how long traffic continues after recoveryTime. Requests sent in
-	// its first seconds end within it.
-	recoveredTime = 6 * time.Second
+	// recoveryCheckTime is how long traffic continues after recoveryTime. It is longer than
+	// the timeouts of requests, so that checkRecovery finds requests that have ended.
+	recoveryCheckTime = 6 * time.Second
 )
 
 // Run runs the daemons with the traffic and the steps of one seed and checks the
@@ -60,7 +60,7 @@
 		steps = NewPlan(o.Seed, o.StepWindow)
 	}
 	t.recorder.update(func(rec *recorder, _ time.Duration) { rec.started = time.Now() })
-	end := o.StepWindow + recoveryTime + recoveredTime
+	end := o.StepWindow + recoveryTime + recoveryCheckTime
 	traffic, stop := context.WithTimeout(ctx, end)
 	defer stop()
 	var running sync.WaitGroup
--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -28,8 +28,9 @@
 	// serverLinks are the links to the backend servers.
 	storeLinks, serverLinks []*proxy
 	originLink              *proxy
-	config, version         int
-	// poisonCount counts the turns for sending a poison request.
+	// configVersion and weightsVersion are the newest declared versions.
+	configVersion, weightsVersion int
+	// poisonCount determines the entry that gets the next poison request.
 	poisonCount atomic.Uint64
 	// relayStore makes the entries of a region read the store through one of them.
 	relayStore bool
@@ -39,7 +40,7 @@
 
 // newTestbed starts a testbed. On an error, it closes what it has started.
 func newTestbed(slot int, seed uint64, dir string, b Binaries) (*testbed, error) {
-	t := &testbed{slot: slot, recorder: newRecorder(), store: platformtest.NewStore(), config: 1, version: 1, relayStore: seed%2 == 1}
+	t := &testbed{slot: slot, recorder: newRecorder(), store: platformtest.NewStore(), configVersion: 1, weightsVersion: 1, relayStore: seed%2 == 1}
 	t.closers = append(t.closers, t.store.Close)
 	for _, start := range []func() error{
 		func() error { return t.startOrigin(seed) },
@@ -63,8 +64,8 @@
 	if t.originLink, err = t.newLink(address(t.slot, groupOrigin, 0, serverPort), upstream); err != nil {
 		return err
 	}
-	t.store.PutLiveConfig(liveConfig(t.config, address(t.slot, groupOrigin, 0, serverPort)))
-	t.recorder.configs = append(t.recorder.configs, declaredVersion{version: t.config})
+	t.store.PutLiveConfig(liveConfig(t.configVersion, address(t.slot, groupOrigin, 0, serverPort)))
+	t.recorder.configs = append(t.recorder.configs, declaredVersion{version: t.configVersion})
 	return nil
 }
 
@@ -81,7 +82,7 @@
 	for i := range engineCount + plainCount {
 		group, number := groupEngine, i
 		c := platformtest.BackendConfig{
-			ID: fmt.Sprintf("engine-%d", i), Service: engineService, Slots: engineSlots, Weights: &weights, Version: t.version,
+			ID: fmt.Sprintf("engine-%d", i), Service: engineService, Slots: engineSlots, Weights: &weights, Version: t.weightsVersion,
 			WorkTime: eventInterval, Events: eventsPerStream,
 		}
 		if i >= engineCount {
@@ -138,7 +139,7 @@
 	i.StoreAddress = address(t.slot, groupStore, len(t.storeLinks), storePort)
 	i.Region, i.Regions, i.FirstPort, i.Bounds = regions[i.Domain], regions, peerPort, bounds.Bounds
 	if t.relayStore {
-		i.Bounds.StabilityMS = relayStableMS
+		i.Bounds.StabilityMS = relayStabilityMS
 	}
 	link, err := t.newLink(i.StoreAddress, t.store.Address())
 	if err != nil {
@@ -222,16 +223,16 @@
 		wait(ctx, s.Duration)
 		t.origin.SetCorruptShare(0)
 	case ChangeConfig:
-		t.config++
-		t.store.PutLiveConfig(liveConfig(t.config, address(t.slot, groupOrigin, 0, serverPort)))
+		t.configVersion++
+		t.store.PutLiveConfig(liveConfig(t.configVersion, address(t.slot, groupOrigin, 0, serverPort)))
 		t.recorder.update(func(rec *recorder, now time.Duration) {
-			rec.configs = append(rec.configs, declaredVersion{t.config, now})
+			rec.configs = append(rec.configs, declaredVersion{t.configVersion, now})
 		})
 	case DeclareVersion:
-		t.version++
-		t.store.PutTargetVersion(model, t.version)
+		t.weightsVersion++
+		t.store.PutTargetVersion(model, t.weightsVersion)
 		t.recorder.update(func(rec *recorder, now time.Duration) {
-			rec.weights = append(rec.weights, declaredVersion{t.version, now})
+			rec.weights = append(rec.weights, declaredVersion{t.weightsVersion, now})
 		})
 	}
 }
--- a/internal/soak/topology.go
+++ b/internal/soak/topology.go
@@ -47,20 +47,20 @@
 // timeBounds are the bounds that the daemons must meet.
 type timeBounds struct{ platformtest.Bounds }
 
-func (l timeBounds) drainTime() time.Duration { return time.Duration(l.DrainMS) * time.Millisecond }
+func (b timeBounds) drainTime() time.Duration { return time.Duration(b.DrainMS) * time.Millisecond }
 
-func (l timeBounds) configTime() time.Duration { return time.Duration(l.ConfigMS) * time.Millisecond }
+func (b timeBounds) configTime() time.Duration { return time.Duration(b.ConfigMS) * time.Millisecond }
 
-func (l timeBounds) versionTime() time.Duration { return time.Duration(l.VersionMS) * time.Millisecond }
+func (b timeBounds) versionTime() time.Duration { return time.Duration(b.VersionMS) * time.Millisecond }
 
 var bounds = timeBounds{platformtest.Bounds{
 	DrainMS: 2000, StopMS: 8000, ConfigMS: 2000, StabilityMS: 3000, VersionMS: 8000, RetryRatio: 0.2, RetrySlack: 100, RetryWindowS: 10,
 }}
 
-// relayStableMS replaces the stability time in the settings of runs with relayed reads
-// of the store. It makes calls of the store so short that relaying already saves calls
+// relayStabilityMS replaces the stability time in the settings of runs with relayed
+// reads of the store. It makes store calls so short that relaying already saves calls
 // with two entries per region. The checks still use stabilityTime.
-const relayStableMS = 500
+const relayStabilityMS = 500
 
 const (
 	// stabilityTime is the time after a fault in which bounds need not hold.
@@ -87,7 +87,7 @@
 // movingService returns the service of the route with movingPrefix.
 func movingService(version int) string { return plainServices[version%len(plainServices)] }
 
-// route is a route and its share of the traffic.
+// route is a declared route with its share of the traffic.
 type route struct {
 	platformtest.Route
 	// share is the fraction of the requests that use the route.
@@ -109,9 +109,9 @@
 	{platformtest.Route{Host: host, Prefix: movingPrefix, Kind: "idempotent", TimeoutMS: 1500, TargetMS: 150, MaxServers: 2}, 0.15},
 }
 
-// liveConfig is a version of the configuration.
+// liveConfig returns a version of the live configuration.
 func liveConfig(version int, origin string) platformtest.LiveConfig {
-	d := platformtest.LiveConfig{
+	c := platformtest.LiveConfig{
 		Version: version, EngineService: engineService, Slots: engineSlots, Weights: weights, Origin: origin, OriginMbps: originMbps,
 		PlainServices: plainServices, Team: team, APIKey: key,
 	}
@@ -119,9 +119,9 @@
 		if r.Prefix == movingPrefix {
 			r.Service = movingService(version)
 		}
-		d.Routes = append(d.Routes, r.Route)
+		c.Routes = append(c.Routes, r.Route)
 	}
-	return d
+	return c
 }
 
 // address returns an address of the form host:port. The loopback addresses of each slot
