--- a/internal/configsim/fuzz_test.go
+++ b/internal/configsim/machine_test.go
@@ -39,8 +39,8 @@
 	return d.TableService.Commit(ctx, tx)
 }
 
-// machine is the state machine that rapid drives: a small deployment with
-// several operators.
+// machine is a small deployment with several operators, on which rapid performs
+// random actions.
 type machine struct {
 	sim      *configsim.Sim
 	oracle   *oracle
@@ -107,7 +107,7 @@
 func (m *machine) restart(n *configsim.Node) {
 	m.sim.Restart(n)
 	m.oracle.nodeRestarted(n)
-	m.oracle.relaxStarting()
+	m.oracle.relaxStartingNodes()
 }
 
 // resolveUnknown settles every operation with an unknown outcome. From then on the
@@ -178,7 +178,7 @@
 			d := rapid.IntRange(0, 2).Draw(t, "domain")
 			m.sim.StoreUnreachable[d] = rapid.IntRange(0, 2).Draw(t, "from store") > 0
 			m.sim.PeersUnreachable[d] = rapid.IntRange(0, 2).Draw(t, "from peers") > 0
-			m.oracle.relaxStarting()
+			m.oracle.relaxStartingNodes()
 		},
 		"restart": func(t *rapid.T) {
 			if rapid.Bool().Draw(t, "heal first") {
--- a/internal/configsim/merged_revisions_test.go
+++ b/internal/configsim/merged_revisions_test.go
@@ -36,9 +36,10 @@
 	return [][]byte{data}
 }
 
-// foreignMerged returns a merged revision of another history. It leads from the
-// number in force to a configuration that was never accepted. Its digests are
-// consistent with its own history, so that only the base digest gives it away.
+// foreignMerged returns a merged revision of another history. It starts at the
+// revision number in force and results in a configuration that was never accepted.
+// Its digests are consistent with its own history, so that only a check of the base
+// digest can reject it.
 func foreignMerged(t *rapid.T, view *config.View) [][]byte {
 	next := view.Config.Canonical()
 	next.Tenants[0].MaxQueued = 9999
--- a/internal/configsim/node.go
+++ b/internal/configsim/node.go
@@ -25,12 +25,12 @@
 	rng    *rand.Rand
 
 	// Running is false while the process is stopped.
-	Running     bool
-	Replica     *config.Replica
-	peers       *config.Peers
-	store       *config.Store
-	storeClient *storeClient
-	schedule    pollSchedule
+	Running      bool
+	Replica      *config.Replica
+	peers        *config.Peers
+	store        *config.Store
+	storeClient  *storeClient
+	pollSchedule pollSchedule
 	// inForceSince holds the time at which each revision came into force, by
 	// number.
 	inForceSince map[uint64]time.Time
@@ -62,7 +62,7 @@
 	if !n.agent {
 		n.storeClient = &storeClient{TableService: n.sim.Table, sim: n.sim, node: n}
 		n.store = config.NewStore(n.storeClient, config.StoreConfig{Clock: n.sim.clock})
-		n.schedule = n.newPollSchedule(now)
+		n.pollSchedule = n.newPollSchedule(now)
 		n.schedulePoll(generation)
 	}
 	for _, other := range n.conns {
@@ -114,7 +114,7 @@
 }
 
 func (n *Node) schedulePoll(generation model.Generation) {
-	n.sim.after(n.schedule.Next().Sub(n.sim.Now()), func() {
+	n.sim.after(n.pollSchedule.Next().Sub(n.sim.Now()), func() {
 		if !n.Running || n.id.Generation != generation {
 			return
 		}
@@ -131,7 +131,7 @@
 					_, _ = n.Replica.ObserveHead(poll.Head, 0, now)
 				}
 			}
-			n.schedule.PollDone(err, poll.More, n.sim.fleetSize(), now)
+			n.pollSchedule.PollDone(err, poll.More, n.sim.fleetSize(), now)
 			n.schedulePoll(generation)
 		})
 	})
--- a/internal/configsim/oracle_test.go
+++ b/internal/configsim/oracle_test.go
@@ -14,9 +14,9 @@
 	refused  bool
 }
 
-// oracle knows which revisions were accepted, which it reads from the store's rows
-// regardless of faults. It compares them with the outcomes reported to operators
-// and the configurations in force at the nodes.
+// oracle reads the accepted revisions from the store's rows, bypassing injected
+// faults. It compares them with the outcomes reported to operators and the
+// configurations in force at the nodes.
 type oracle struct {
 	sim             *configsim.Sim
 	accepted        []config.Change // index is the revision number minus 1
@@ -91,14 +91,14 @@
 	}
 }
 
-// nodeRestarted sets the lower bound of a restarted node to what its new process
+// nodeRestarted sets minNumber of a restarted node to what its new process
 // can fetch: the highest revision held by a reachable peer.
 func (o *oracle) nodeRestarted(n *configsim.Node) { o.minNumber[n] = o.reachableHead(n) }
 
-// relaxStarting lowers the bound of nodes that have no configuration yet, in case
+// relaxStartingNodes lowers minNumber of nodes that have no configuration yet, in case
 // the peer that held the newest revision restarted or became unreachable before
 // they could fetch from it.
-func (o *oracle) relaxStarting() {
+func (o *oracle) relaxStartingNodes() {
 	for _, n := range o.sim.Nodes {
 		if n.Running && n.Replica.Current() == nil {
 			o.minNumber[n] = min(o.minNumber[n], o.reachableHead(n))
@@ -128,7 +128,7 @@
 	o.checkReports(t)
 }
 
-// checkReports checks that no reported outcome is wrong, also in hindsight, and
+// checkReports checks that no outcome reported so far has turned out wrong, and
 // that at most one request became the revision after the one it expected.
 func (o *oracle) checkReports(t *rapid.T) {
 	applied := make(map[string]uint64)
--- a/internal/configsim/poll_schedule.go
+++ b/internal/configsim/poll_schedule.go
@@ -10,7 +10,7 @@
 	// fixedInterval is the polling interval of the baseline. It is that of a small
 	// deployment and does not grow with the number of entries.
 	fixedInterval = 2 * time.Second
-	// fixedRetry is the time of the baseline from a failed poll to the next.
+	// fixedRetry is the time from a failed poll of the baseline to the next poll.
 	fixedRetry = time.Second
 )
 
--- a/internal/configsim/store_client.go
+++ b/internal/configsim/store_client.go
@@ -32,38 +32,38 @@
 }
 
 // Get implements backing.TableService.
-func (l *storeClient) Get(ctx context.Context, table, key string) (backing.Row, error) {
-	if err := l.read(); err != nil {
+func (c *storeClient) Get(ctx context.Context, table, key string) (backing.Row, error) {
+	if err := c.read(); err != nil {
 		return backing.Row{}, err
 	}
-	return l.TableService.Get(ctx, table, key)
+	return c.TableService.Get(ctx, table, key)
 }
 
 // Scan implements backing.TableService.
-func (l *storeClient) Scan(ctx context.Context, table, prefix, after string, limit int) ([]backing.Row, error) {
-	if err := l.read(); err != nil {
+func (c *storeClient) Scan(ctx context.Context, table, prefix, after string, limit int) ([]backing.Row, error) {
+	if err := c.read(); err != nil {
 		return nil, err
 	}
-	return l.TableService.Scan(ctx, table, prefix, after, limit)
+	return c.TableService.Scan(ctx, table, prefix, after, limit)
 }
 
-func (l *storeClient) read() error {
-	if l.sim.StoreUnreachable[l.node.domain] {
-		l.elapsed += l.sim.cfg.StoreTimeout
+func (c *storeClient) read() error {
+	if c.sim.StoreUnreachable[c.node.domain] {
+		c.elapsed += c.sim.cfg.StoreTimeout
 		return merry.Wrap(backing.ErrUnavailable)
 	}
-	l.sim.recordRead()
-	switch l.sim.StoreState {
+	c.sim.recordRead()
+	switch c.sim.StoreState {
 	case StoreDown:
 		return merry.Wrap(backing.ErrUnavailable)
 	case StoreSlow:
-		d := 500*time.Millisecond + time.Duration(l.sim.rng.Int63n(int64(3500*time.Millisecond)))
-		l.elapsed += min(d, l.sim.cfg.StoreTimeout)
-		if d > l.sim.cfg.StoreTimeout {
+		d := 500*time.Millisecond + time.Duration(c.sim.rng.Int63n(int64(3500*time.Millisecond)))
+		c.elapsed += min(d, c.sim.cfg.StoreTimeout)
+		if d > c.sim.cfg.StoreTimeout {
 			return merry.Wrap(backing.ErrUnavailable)
 		}
 	default:
-		l.elapsed += l.sim.cfg.StoreLatency
+		c.elapsed += c.sim.cfg.StoreLatency
 	}
 	return nil
 }
--- a/internal/configsim/suite_test.go
+++ b/internal/configsim/suite_test.go
@@ -14,8 +14,8 @@
 	RunSpecs(t, "configsim")
 }
 
-// A fixed seed gives every run the same result. 250 checks are enough for the
-// oracle to detect each rule that was broken deliberately as a trial.
+// A fixed seed makes runs reproducible. 250 checks suffice for the oracle
+// to detect a deliberate violation of any one rule.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261204", "rapid.checks": "250", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
