--- a/internal/requestsim/fuzz_test.go
+++ b/internal/requestsim/actions_test.go
@@ -42,8 +42,8 @@
 		"work":          sim.emitOnce,
 		"work much":     sim.emitMany,
 		"swap":          sim.swapMessages,
-		"silence":       sim.blackholeLink,
-		"close":         sim.closeLink,
+		"silence":       sim.blackholeConn,
+		"close":         sim.closeConn,
 		"store":         sim.changeStoreFault,
 		"land":          sim.table.ApplyDelayed,
 		"time":          sim.advanceTime,
@@ -119,39 +119,39 @@
 }
 
 func (sim *simulation) deliver(toAgent bool) {
-	links := sim.linksWithMessages(toAgent)
-	if len(links) == 0 {
+	conns := sim.connsWithMessages(toAgent)
+	if len(conns) == 0 {
 		return
 	}
-	l := links[sim.draw("link", len(links))]
+	c := conns[sim.draw("link", len(conns))]
 	duplicate := sim.chance("duplicate", 8)
 	if toAgent {
-		m := l.toAgent[0]
+		m := c.toAgent[0]
 		if start, ok := m.(*wire.RequestStart); ok && sim.chance("late copy", 3) {
-			sim.delayedStarts = append(sim.delayedStarts, delayedStart{l, l.agent.generation, start})
+			sim.delayedStarts = append(sim.delayedStarts, delayedStart{c, c.agent.generation, start})
 		}
 		if !duplicate {
-			l.toAgent = l.toAgent[1:]
+			c.toAgent = c.toAgent[1:]
 		}
-		l.agent.handle(l, m)
+		c.agent.handle(c, m)
 		return
 	}
-	m := l.toEntry[0]
+	m := c.toEntry[0]
 	if !duplicate {
-		l.toEntry = l.toEntry[1:]
+		c.toEntry = c.toEntry[1:]
 	}
-	l.entry.handle(m)
+	c.entry.handle(m)
 }
 
-// deliverDelayedStart delivers a second copy of a RequestStart, at any later time
-// at which the agent process that was meant still runs.
+// deliverDelayedStart delivers a second copy of a RequestStart at any later time,
+// as long as the agent process that it was sent to is still running.
 func (sim *simulation) deliverDelayedStart() {
 	if len(sim.delayedStarts) == 0 {
 		return
 	}
-	c := sim.delayedStarts[sim.draw("copy", len(sim.delayedStarts))]
-	if c.generation == c.link.agent.generation {
-		c.link.agent.handle(c.link, c.start)
+	d := sim.delayedStarts[sim.draw("copy", len(sim.delayedStarts))]
+	if d.generation == d.conn.agent.generation {
+		d.conn.agent.handle(d.conn, d.start)
 	}
 }
 
--- a/internal/requestsim/agent_test.go
+++ b/internal/requestsim/agent_test.go
@@ -22,10 +22,10 @@
 
 // servedAttempt is an admitted attempt.
 type servedAttempt struct {
-	run    *run
-	link   *link  // nil while detached
-	cursor uint64 // sequence number of the next frame to send
-	ended  bool
+	run          *run
+	conn         *conn  // nil while detached
+	nextSequence uint64 // sequence number of the next frame to send
+	ended        bool
 }
 
 func newAgent(sim *simulation, i int, live model.Weights) *agent {
@@ -40,9 +40,9 @@
 	a.core = gate.NewCore(gate.Config{Capacity: 3, ReplayBytes: 64}, nil)
 	a.core.SetLive([]model.Weights{a.live, {}})
 	a.attempts = nil
-	for _, l := range a.sim.links {
-		if l.agent == a {
-			l.toAgent, l.toEntry, l.blackholed = nil, nil, true
+	for _, c := range a.sim.conns {
+		if c.agent == a {
+			c.toAgent, c.toEntry, c.blackholed = nil, nil, true
 		}
 	}
 }
@@ -56,25 +56,25 @@
 	return nil
 }
 
-func (a *agent) handle(l *link, m wire.Message) {
+func (a *agent) handle(c *conn, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.RequestStart:
 		switch ad := a.core.Admit(a.sim.now, m); ad.Decision {
 		case gate.Refuse:
-			l.sendToEntry(ad.Refusal)
+			c.sendToEntry(ad.Refusal)
 		case gate.Admit:
 			r := &run{submission: a.sim.submissionOf[m.Attempt], attempt: m.Attempt}
 			r.response = a.sim.response(r.submission, m.Weights, len(a.sim.runs))
 			a.sim.runs = append(a.sim.runs, r)
-			a.attempts = append(a.attempts, &servedAttempt{run: r, link: l})
+			a.attempts = append(a.attempts, &servedAttempt{run: r, conn: c})
 		}
 	case *wire.Reattach:
 		if reply := a.core.Reattach(a.sim.now, m); reply != nil {
-			l.sendToEntry(reply)
+			c.sendToEntry(reply)
 			return
 		}
 		s := a.find(m.Attempt)
-		s.link, s.cursor = l, m.NextSequence
+		s.conn, s.nextSequence = c, m.NextSequence
 		a.sendFrames(s)
 	case *wire.ResponseAck:
 		a.core.Ack(m.Attempt, m.NextSequence)
@@ -88,13 +88,13 @@
 // sendFrames sends the frames that the core holds for an attempt and that have not
 // been sent yet.
 func (a *agent) sendFrames(s *servedAttempt) {
-	for s.link != nil && s.cursor <= a.core.FrameCount(s.run.attempt) {
-		m := a.core.MessageAt(s.run.attempt, s.cursor)
+	for s.conn != nil && s.nextSequence <= a.core.FrameCount(s.run.attempt) {
+		m := a.core.MessageAt(s.run.attempt, s.nextSequence)
 		if m == nil {
 			return
 		}
-		s.link.sendToEntry(m)
-		s.cursor++
+		s.conn.sendToEntry(m)
+		s.nextSequence++
 	}
 }
 
@@ -130,7 +130,7 @@
 	a.core.CrashReport(a.sim.now, 1)
 }
 
-// tick does what the gate's shell does once per second.
+// tick does what gate.Gate does once per second.
 func (a *agent) tick() {
 	for _, id := range a.core.Expire(a.sim.now) {
 		a.end(a.find(id), outcome.Unknown, outcome.ReasonCanceled, 0)
@@ -138,17 +138,17 @@
 }
 
 // connectionLost detaches the attempts of a lost connection.
-func (a *agent) connectionLost(l *link, now time.Time) {
+func (a *agent) connectionLost(c *conn, now time.Time) {
 	for _, s := range a.attempts {
-		if s.link == l {
-			s.link = nil
+		if s.conn == c {
+			s.conn = nil
 			a.core.Detach(now, s.run.attempt)
 		}
 	}
 }
 
-// switchWeights replaces the live weights if no request is running, as the gate's
-// shell does.
+// switchWeights replaces the live weights if no request is running, as gate.Gate
+// does.
 func (a *agent) switchWeights(live model.Weights) {
 	if a.core.Running() == 0 {
 		a.live = live
--- a/internal/requestsim/entry_test.go
+++ b/internal/requestsim/entry_test.go
@@ -177,7 +177,7 @@
 }
 
 // forEachCandidate calls handle for every request that ever had the attempt id. This
-// is the worst case of a lookup by a reused or mixed-up id: the state machines must
+// is the worst case of a lookup by a reused or wrong id: the state machines must
 // ignore messages of other attempts.
 func (e *entry) forEachCandidate(id model.AttemptID, handle func(*activeRequest)) {
 	for _, r := range e.active {
@@ -188,10 +188,10 @@
 }
 
 // connectionLost closes a connection at the entry.
-func (e *entry) connectionLost(l *link) {
-	l.closed = true
+func (e *entry) connectionLost(c *conn) {
+	c.closed = true
 	for _, r := range e.active {
-		if r.agent == l.agent {
+		if r.agent == c.agent {
 			e.applyStep(r, r.machine.ConnectionLost(e.sim.now, r.machine.Attempt()), nil)
 		}
 	}
@@ -204,8 +204,8 @@
 	for _, r := range e.active {
 		r.submission.connectionError = r.submission.connectionError || !r.submission.answered
 	}
-	for _, l := range e.sim.links {
-		l.closed = l.closed || l.entry == e
+	for _, c := range e.sim.conns {
+		c.closed = c.closed || c.entry == e
 	}
 	*e = *newEntry(e.sim, e.id)
 }
--- a/internal/requestsim/faults_test.go
+++ b/internal/requestsim/faults_test.go
@@ -8,20 +8,20 @@
 
 // swapMessages swaps two adjacent messages to an entry.
 func (sim *simulation) swapMessages() {
-	for _, l := range sim.linksWithMessages(false) {
-		if n := len(l.toEntry); n > 1 {
+	for _, c := range sim.connsWithMessages(false) {
+		if n := len(c.toEntry); n > 1 {
 			i := sim.draw("position", n-1)
-			l.toEntry[i], l.toEntry[i+1] = l.toEntry[i+1], l.toEntry[i]
+			c.toEntry[i], c.toEntry[i+1] = c.toEntry[i+1], c.toEntry[i]
 			return
 		}
 	}
 }
 
-func (sim *simulation) drawOpenLink() *link {
-	var open []*link
-	for _, l := range sim.links {
-		if !l.closed {
-			open = append(open, l)
+func (sim *simulation) drawOpenConn() *conn {
+	var open []*conn
+	for _, c := range sim.conns {
+		if !c.closed {
+			open = append(open, c)
 		}
 	}
 	if len(open) == 0 {
@@ -30,18 +30,18 @@
 	return open[sim.draw("link", len(open))]
 }
 
-func (sim *simulation) blackholeLink() {
-	if l := sim.drawOpenLink(); l != nil && sim.chance("really", 2) {
-		l.blackholed = true
-		l.toEntry = nil
+func (sim *simulation) blackholeConn() {
+	if c := sim.drawOpenConn(); c != nil && sim.chance("really", 2) {
+		c.blackholed = true
+		c.toEntry = nil
 	}
 }
 
-func (sim *simulation) closeLink() {
-	if l := sim.drawOpenLink(); l != nil && sim.chance("really", 2) {
-		l.entry.connectionLost(l)
+func (sim *simulation) closeConn() {
+	if c := sim.drawOpenConn(); c != nil && sim.chance("really", 2) {
+		c.entry.connectionLost(c)
 		if sim.chance("agent notices", 2) {
-			l.agent.connectionLost(l, sim.now)
+			c.agent.connectionLost(c, sim.now)
 		}
 	}
 }
@@ -96,16 +96,16 @@
 
 // pauseEntries pauses all entries for longer than agents remember attempt ids. The
 // agents miss the heartbeats and close the connections within seconds, so no
-// message of before the pause arrives after it.
+// message sent before the pause arrives after it.
 func (sim *simulation) pauseEntries() {
 	if !sim.chance("really", 10) {
 		return
 	}
 	sim.now = sim.now.Add(11 * time.Minute)
 	sim.delayedStarts = nil
-	for _, l := range sim.links {
-		l.toAgent, l.blackholed = nil, true
-		l.agent.connectionLost(l, sim.now)
+	for _, c := range sim.conns {
+		c.toAgent, c.blackholed = nil, true
+		c.agent.connectionLost(c, sim.now)
 	}
 	for _, a := range sim.agents {
 		a.tick()
--- a/internal/requestsim/simulation_test.go
+++ b/internal/requestsim/simulation_test.go
@@ -35,8 +35,7 @@
 	{name: "call"},
 	{name: "chat", repeatable: true},
 	{name: "draft", repeatable: true, continues: true, deterministic: true},
-	// Declared as one that continues streams although its responses differ from
-	// run to run.
+	// Declared to continue streams although its responses differ between runs.
 	{name: "sketch", repeatable: true, continues: true},
 }
 
@@ -74,7 +73,7 @@
 	fault         func(write bool) tabletest.Fault
 	entries       []*entry
 	agents        []*agent
-	links         []*link
+	conns         []*conn
 	submissions   []*submission
 	runs          []*run
 	submissionOf  map[model.AttemptID]*submission
@@ -87,7 +86,7 @@
 
 // delayedStart is a second copy of a RequestStart, to be delivered later.
 type delayedStart struct {
-	link       *link
+	conn       *conn
 	generation model.Generation
 	start      *wire.RequestStart
 }
@@ -140,8 +139,8 @@
 	return fmt.Appendf(nil, "%d<%s on %s>", number, sub.body, weights)
 }
 
-// link is a connection between an entry and an agent.
-type link struct {
+// conn is a connection between an entry and an agent.
+type conn struct {
 	entry      *entry
 	agent      *agent
 	toAgent    []wire.Message
@@ -150,37 +149,37 @@
 	closed     bool // at the entry; the agent still reads what was sent before
 }
 
-func (l *link) sendToAgent(m wire.Message) {
-	if !l.closed && !l.blackholed {
-		l.toAgent = append(l.toAgent, m)
+func (c *conn) sendToAgent(m wire.Message) {
+	if !c.closed && !c.blackholed {
+		c.toAgent = append(c.toAgent, m)
 	}
 }
 
-func (l *link) sendToEntry(m wire.Message) {
-	if !l.closed && !l.blackholed {
-		l.toEntry = append(l.toEntry, m)
+func (c *conn) sendToEntry(m wire.Message) {
+	if !c.closed && !c.blackholed {
+		c.toEntry = append(c.toEntry, m)
 	}
 }
 
 // connection returns the open connection between an entry and an agent, or a new
 // one.
-func (sim *simulation) connection(e *entry, a *agent) *link {
-	for _, l := range sim.links {
-		if l.entry == e && l.agent == a && !l.closed {
-			return l
+func (sim *simulation) connection(e *entry, a *agent) *conn {
+	for _, c := range sim.conns {
+		if c.entry == e && c.agent == a && !c.closed {
+			return c
 		}
 	}
-	l := &link{entry: e, agent: a}
-	sim.links = append(sim.links, l)
-	return l
+	c := &conn{entry: e, agent: a}
+	sim.conns = append(sim.conns, c)
+	return c
 }
 
-// linksWithMessages returns the connections with undelivered messages in the given
+// connsWithMessages returns the connections with undelivered messages in the given
 // direction.
-func (sim *simulation) linksWithMessages(toAgent bool) (out []*link) {
-	for _, l := range sim.links {
-		if toAgent && len(l.toAgent) > 0 || !toAgent && len(l.toEntry) > 0 && !l.closed {
-			out = append(out, l)
+func (sim *simulation) connsWithMessages(toAgent bool) (out []*conn) {
+	for _, c := range sim.conns {
+		if toAgent && len(c.toAgent) > 0 || !toAgent && len(c.toEntry) > 0 && !c.closed {
+			out = append(out, c)
 		}
 	}
 	return out
--- a/internal/requestsim/stats_test.go
+++ b/internal/requestsim/stats_test.go
@@ -15,23 +15,23 @@
 	byOutcome                                                         [4]int
 }
 
-func (t *stats) add(sim *simulation) {
-	t.runs += len(sim.runs)
-	t.continuedStreams += sim.continuedStreams
+func (s *stats) add(sim *simulation) {
+	s.runs += len(sim.runs)
+	s.continuedStreams += sim.continuedStreams
 	for _, sub := range sim.submissions {
-		t.submissions++
+		s.submissions++
 		switch {
 		case sub.answered:
-			t.byOutcome[sub.outcome]++
+			s.byOutcome[sub.outcome]++
 		case sub.connectionError:
-			t.connectionErrors++
+			s.connectionErrors++
 		default:
-			t.unanswered++
+			s.unanswered++
 		}
 	}
 }
 
-func (t stats) String() string {
+func (s stats) String() string {
 	return fmt.Sprintf("submissions %d, runs %d: completed %d, failed %d, not run %d, unknown %d, connection error %d, unanswered %d, continued streams %d",
-		t.submissions, t.runs, t.byOutcome[outcome.Completed], t.byOutcome[outcome.Failed], t.byOutcome[outcome.NotRun], t.byOutcome[outcome.Unknown], t.connectionErrors, t.unanswered, t.continuedStreams)
+		s.submissions, s.runs, s.byOutcome[outcome.Completed], s.byOutcome[outcome.Failed], s.byOutcome[outcome.NotRun], s.byOutcome[outcome.Unknown], s.connectionErrors, s.unanswered, s.continuedStreams)
 }
