--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -36,9 +36,9 @@
 	results    *results
 	rng        *rand.Rand
 	started    time.Time
-	// rollouts holds the duration of each rollout.
-	rollouts []time.Duration
-	killed   int
+	// rolloutTimes holds the duration of each rollout.
+	rolloutTimes []time.Duration
+	killed       int
 }
 
 // Run runs the demo and writes its progress and a summary to out. It returns
@@ -108,13 +108,13 @@
 	}
 	s.print("version %s accepted through the operator interface", name)
 	last := -1
-	err = s.deployment.WaitLive(ctx, v, progressInterval, func(live, of int) {
+	err = s.deployment.WaitLive(ctx, v, progressInterval, func(live, total int) {
 		if live != last {
-			s.print("version %s: live on %d of %d instances, %.2f copies read from the origin", name, live, of, s.originCopies())
+			s.print("version %s: live on %d of %d instances, %.2f copies read from the origin", name, live, total, s.originCopies())
 			last = live
 		}
 	})
-	s.rollouts = append(s.rollouts, time.Since(started))
+	s.rolloutTimes = append(s.rolloutTimes, time.Since(started))
 	return err
 }
 
--- a/internal/demo/results.go
+++ b/internal/demo/results.go
@@ -18,19 +18,19 @@
 	// wrongAnswers counts completed drafts that are not the complete answer of one
 	// version to the request.
 	wrongAnswers int
-	// notRun holds the ids of drafts that were reported as not_run.
-	notRun           []string
-	timesToFirstByte []time.Duration
-	// orderKeys holds, for each key, whether all answers so far were not_run.
-	orderKeys map[string]bool
+	// notRunDrafts holds the ids of drafts that were reported as not_run.
+	notRunDrafts      []string
+	timesToFirstToken []time.Duration
+	// onlyNotRun holds, for each key, whether all answers so far were not_run.
+	onlyNotRun map[string]bool
 }
 
 func newResults() *results {
 	return &results{
-		drafts:    make(map[string]int),
-		orders:    make(map[string]int),
-		byVersion: make(map[string]int),
-		orderKeys: make(map[string]bool),
+		drafts:     make(map[string]int),
+		orders:     make(map[string]int),
+		byVersion:  make(map[string]int),
+		onlyNotRun: make(map[string]bool),
 	}
 }
 
@@ -41,8 +41,8 @@
 	r.drafts[outcomeWithReason(a)]++
 	switch a.Outcome {
 	case "completed":
-		if a.TimeToFirstByte > 0 {
-			r.timesToFirstByte = append(r.timesToFirstByte, a.TimeToFirstByte)
+		if a.TimeToFirstEvent > 0 {
+			r.timesToFirstToken = append(r.timesToFirstToken, a.TimeToFirstEvent)
 		}
 		if !ok {
 			r.wrongAnswers++
@@ -50,7 +50,7 @@
 		}
 		r.byVersion[version.Name]++
 	case "not_run":
-		r.notRun = append(r.notRun, a.RequestID)
+		r.notRunDrafts = append(r.notRunDrafts, a.RequestID)
 	}
 }
 
@@ -58,8 +58,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.orders[outcomeWithReason(a)]++
-	onlyNotRun, known := r.orderKeys[key]
-	r.orderKeys[key] = a.Outcome == "not_run" && (onlyNotRun || !known)
+	onlyNotRun, known := r.onlyNotRun[key]
+	r.onlyNotRun[key] = a.Outcome == "not_run" && (onlyNotRun || !known)
 }
 
 // outcomeWithReason returns the outcome of an answer, followed by its reason if there
--- a/internal/demo/summary.go
+++ b/internal/demo/summary.go
@@ -14,25 +14,25 @@
 	r := s.results
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	duplicates, ranAfterNotRun := s.checkOrders()
-	ranAfterNotRun += s.checkDrafts()
+	duplicates, ranDespiteNotRun := s.checkOrders()
+	ranDespiteNotRun += s.checkDrafts()
 	s.print("summary")
 	row := func(name string, format string, args ...any) {
 		fmt.Fprintf(s.out, "         %-34s %s\n", name, fmt.Sprintf(format, args...))
 	}
 	row("instances", "%d, of which 1 was stopped and %d were killed", len(s.deployment.ModelAgents()), s.killed)
-	for i, d := range s.rollouts {
+	for i, d := range s.rolloutTimes {
 		row(fmt.Sprintf("duration of rollout %d", i+1), "%s", d.Round(time.Millisecond))
 	}
 	row("read from the origin", "%.2f copies for %d versions in %d failure domains", s.originCopies(), len(s.deployment.Versions), len(domains))
 	row("drafts by outcome", "%s", formatCounts(r.drafts))
 	row("completed drafts by version", "%s", formatCounts(r.byVersion))
 	row("orders by outcome", "%s", formatCounts(r.orders))
-	row("time to first token", "%s", formatQuantiles(r.timesToFirstByte))
+	row("time to first token", "%s", formatQuantiles(r.timesToFirstToken))
 	row("wrong or mixed-version answers", "%d", r.wrongAnswers)
 	row("orders that ran more than once", "%d", duplicates)
-	row("requests run despite not_run", "%d", ranAfterNotRun)
-	if r.wrongAnswers+duplicates+ranAfterNotRun > 0 {
+	row("requests run despite not_run", "%d", ranDespiteNotRun)
+	if r.wrongAnswers+duplicates+ranDespiteNotRun > 0 {
 		return merry.Wrap(ErrPropertyViolated)
 	}
 	if r.drafts["completed"] == 0 || r.orders["completed"] == 0 {
@@ -43,27 +43,27 @@
 
 // checkOrders counts the keys that ran more than once, and the keys that ran although
 // all their answers were not_run.
-func (s *scenario) checkOrders() (duplicates, afterNotRun int) {
-	for key, onlyNotRun := range s.results.orderKeys {
+func (s *scenario) checkOrders() (duplicates, ranDespiteNotRun int) {
+	for key, onlyNotRun := range s.results.onlyNotRun {
 		runs := s.deployment.OrderRuns(key)
 		if runs > 1 {
 			duplicates++
 		}
 		if runs > 0 && onlyNotRun {
-			afterNotRun++
+			ranDespiteNotRun++
 		}
 	}
-	return duplicates, afterNotRun
+	return duplicates, ranDespiteNotRun
 }
 
-// checkDrafts counts the drafts that ran although their answer was not_run.
-func (s *scenario) checkDrafts() (afterNotRun int) {
-	for _, id := range s.results.notRun {
+// checkDrafts counts the drafts that ran although they were reported as not_run.
+func (s *scenario) checkDrafts() (ranDespiteNotRun int) {
+	for _, id := range s.results.notRunDrafts {
 		if s.deployment.DraftRuns(id) > 0 {
-			afterNotRun++
+			ranDespiteNotRun++
 		}
 	}
-	return afterNotRun
+	return ranDespiteNotRun
 }
 
 func formatCounts(m map[string]int) string {
--- a/internal/deployment/cache_test.go
+++ b/internal/deployment/cache_test.go
@@ -21,7 +21,7 @@
 const (
 	// prefixCount is the number of prefixes with which the hit share is measured.
 	prefixCount = 40
-	// minHitShare is the least share of requests that must run on the one engine
+	// minHitShare is the minimum share of requests that must run on the one engine
 	// that has their prefix cached, while all instances are idle.
 	minHitShare = 0.9
 )
@@ -126,18 +126,17 @@
 			return count
 		}
 		Eventually(unannounced).WithTimeout(settleTime).Should(BeZero())
-		found := measureHitShare()
-		AddReportEntry("share of hits with cache events", found)
-		Expect(found).To(BeNumerically(">=", minHitShare))
+		hitShare := measureHitShare()
+		AddReportEntry("hit share with cache events", hitShare)
+		Expect(hitShare).To(BeNumerically(">=", minHitShare))
 	})
 
-	// Guards against a test that reaches the hit share without cache events, and so
-	// proves nothing about them.
+	// Guards against a setup in which the spec above would pass without cache events.
 	It("are needed to reach the hit share", func() {
 		start(true)
 		warmAll()
-		found := measureHitShare()
-		AddReportEntry("share of hits without cache events", found)
-		Expect(found).To(BeNumerically("<", minHitShare))
+		hitShare := measureHitShare()
+		AddReportEntry("hit share without cache events", hitShare)
+		Expect(hitShare).To(BeNumerically("<", minHitShare))
 	})
 })
--- a/internal/deployment/callers.go
+++ b/internal/deployment/callers.go
@@ -22,14 +22,14 @@
 	Outcome   string
 	Reason    string
 	Body      []byte
-	// TimeToFirstByte is the time from sending to the first event of a streamed
+	// TimeToFirstEvent is the time from sending to the first event of a streamed
 	// answer; 0 for other answers.
-	TimeToFirstByte time.Duration
+	TimeToFirstEvent time.Duration
 	// Entry is the index of the entry that answered.
 	Entry int
 }
 
-// Outcomes. The outcome of an answer without an end is outcomeBroken.
+// Outcomes of an Answer. outcomeBroken means that the answer has no end.
 const (
 	outcomeBroken    = "connection_broken"
 	outcomeCompleted = "completed"
@@ -107,8 +107,8 @@
 		if !ok {
 			continue
 		}
-		if a.TimeToFirstByte == 0 {
-			a.TimeToFirstByte = time.Since(sent)
+		if a.TimeToFirstEvent == 0 {
+			a.TimeToFirstEvent = time.Since(sent)
 		}
 		switch event {
 		case caller.EventChunk:
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -93,8 +93,8 @@
 			body := deployment.DraftBody(rng, 20)
 			a := draft(i, body)
 			Expect(a.Outcome).To(Equal(completed))
-			version, whole := d.VersionOfAnswer(a.Body, body)
-			Expect(whole).To(BeTrue())
+			version, complete := d.VersionOfAnswer(a.Body, body)
+			Expect(complete).To(BeTrue())
 			Expect(version.Name).To(Equal("v2"))
 		}
 	})
@@ -151,8 +151,8 @@
 			return a.Outcome
 		}).WithTimeout(settleTime).WithPolling(50 * time.Millisecond).Should(Equal(completed))
 		Expect(time.Since(blackholed)).To(BeNumerically("<", 5*time.Second))
-		_, whole := d.VersionOfAnswer(a.Body, body)
-		Expect(whole).To(BeTrue())
+		_, complete := d.VersionOfAnswer(a.Body, body)
+		Expect(complete).To(BeTrue())
 		Eventually(func() int { return d.Entries[0].Entry.UsableAgents() }).
 			WithTimeout(settleTime).Should(Equal(len(d.Agents)))
 	})
@@ -238,8 +238,8 @@
 		d.Entries[0].Kill()
 		rollOut("v2")
 		Expect(draft(1, deployment.DraftBody(rng, 5)).Outcome).To(Equal(completed))
-		a := order(1, "after-death")
+		a := order(1, "after-kill")
 		Expect(a.Outcome).To(Equal(completed))
-		Expect(d.OrderRuns("after-death")).To(Equal(1))
+		Expect(d.OrderRuns("after-kill")).To(Equal(1))
 	})
 })
--- a/internal/deployment/entry_process.go
+++ b/internal/deployment/entry_process.go
@@ -24,20 +24,20 @@
 	OperatorAddress string
 	Metrics         *telemetry.Metrics
 
-	identity   model.Identity
-	deployment *Deployment
-	peers      *trackedListener
-	closeOnce  sync.Once
+	identity     model.Identity
+	deployment   *Deployment
+	peerListener *trackedListener
+	closeOnce    sync.Once
 }
 
 // BlackholeConnections blackholes all open connections to agents and other entries;
 // new ones work.
-func (p *EntryProcess) BlackholeConnections() { p.peers.blackholeAll() }
+func (p *EntryProcess) BlackholeConnections() { p.peerListener.blackholeAll() }
 
 // Kill ends the entry at once: all its connections break.
 func (p *EntryProcess) Kill() {
 	p.deployment.InstanceList.Remove(p.identity.Instance)
-	p.peers.closeAll()
+	p.peerListener.closeAll()
 	p.close()
 }
 
@@ -92,7 +92,7 @@
 	p := &EntryProcess{
 		Entry: e, URL: "http://" + callers.Addr().String(), Metrics: metrics,
 		OperatorAddress: operators.Addr().String(),
-		identity:        identity, deployment: d, peers: peers,
+		identity:        identity, deployment: d, peerListener: peers,
 	}
 	d.Entries = append(d.Entries, p)
 	d.InstanceList.Set(backing.Instance{ID: identity.Instance, Role: backing.RoleEntry, Location: identity.Location, Address: identity.Address})
--- a/internal/deployment/queries.go
+++ b/internal/deployment/queries.go
@@ -12,13 +12,13 @@
 // CountServing returns the number of agents of model engines that have not been
 // stopped and serve a version.
 func (d *Deployment) CountServing(v Version) int {
-	live := 0
+	serving := 0
 	for _, a := range d.Agents {
 		if a.Pool == ModelPool && !a.Stopped() && a.Serves(v) {
-			live++
+			serving++
 		}
 	}
-	return live
+	return serving
 }
 
 // CountRunning returns the number of agents of model engines that have not been
@@ -35,21 +35,21 @@
 
 // WaitLive waits until all running agents of model engines serve a version, or ctx
 // ends. It checks and calls progress, if not nil, once per tick.
-func (d *Deployment) WaitLive(ctx context.Context, v Version, tick time.Duration, progress func(live, of int)) error {
+func (d *Deployment) WaitLive(ctx context.Context, v Version, tick time.Duration, progress func(live, total int)) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for {
-		live, of := d.CountServing(v), d.CountRunning()
+		live, total := d.CountServing(v), d.CountRunning()
 		if progress != nil {
-			progress(live, of)
+			progress(live, total)
 		}
-		if live == of {
+		if live == total {
 			return nil
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return errors.Join(ctx.Err(), fmt.Errorf("%d of %d instances serve version %s", live, of, v.Name))
+			return errors.Join(ctx.Err(), fmt.Errorf("%d of %d instances serve version %s", live, total, v.Name))
 		}
 	}
 }
--- a/internal/deployment/tracked_listener.go
+++ b/internal/deployment/tracked_listener.go
@@ -67,7 +67,7 @@
 	l.conns = nil
 }
 
-// blackholeHalf blackholes the inbound ones among every second tracked connection.
+// blackholeHalf blackholes every second tracked connection if it is inbound.
 func (l *trackedListener) blackholeHalf() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
