--- a/internal/processes/settings_test.go
+++ b/internal/processes/settings_test.go
@@ -77,7 +77,7 @@
 	var b strings.Builder
 	b.WriteString("[deployment]\ntime_weight = 1\norigin_copies = 3\n")
 	for _, v := range f.versions {
-		fmt.Fprintf(&b, "[model crest %s]\n%smanifest_object = %s\n", v.name, v.declared, v.manifestObject())
+		fmt.Fprintf(&b, "[model crest %s]\n%smanifest_object = %s\n", v.name, v.declarationLines, v.manifestObject())
 	}
 	for _, domain := range f.domains {
 		fmt.Fprintf(&b, "[placement %s %s]\nmodel = crest\nversion = %s\n", draftPool, domain, placed)
--- a/internal/processes/tls_test.go
+++ b/internal/processes/tls_test.go
@@ -85,8 +85,8 @@
 	})
 
 	It("refuse an operator whose name is not authorised", func() {
-		own := f.certificates[operatorName]
-		DeferCleanup(func() { f.certificates[operatorName] = own })
+		original := f.certificates[operatorName]
+		DeferCleanup(func() { f.certificates[operatorName] = original })
 		f.certificates[operatorName] = f.certificate("stranger.test")
 		code, out := f.ctl("config", "get")
 		Expect(code).To(Equal(exitUnavailable), out)
--- a/internal/processes/version_test.go
+++ b/internal/processes/version_test.go
@@ -23,9 +23,9 @@
 // version is a published version of the model.
 type version struct {
 	name string
-	// declared holds the lines that auburnctl prints for the declaration file.
-	declared string
-	weights  model.Weights
+	// declarationLines holds the lines that auburnctl prints for the declaration file.
+	declarationLines string
+	weights          model.Weights
 	// content is the digest in the answers of an engine that has loaded this version.
 	content model.Digest
 }
@@ -43,7 +43,7 @@
 	file := filepath.Join(f.dir, name+".weights")
 	Expect(os.WriteFile(file, data, 0o600)).To(Succeed())
 	out := filepath.Join(f.dir, name+".manifest")
-	v.declared = f.mustCtl("manifest", "create", file, "--object", v.object(), "--out", out, "--chunk-size", chunkSizeText)
+	v.declarationLines = f.mustCtl("manifest", "create", file, "--object", v.object(), "--out", out, "--chunk-size", chunkSizeText)
 	encoded, err := os.ReadFile(out)
 	Expect(err).NotTo(HaveOccurred())
 	f.platform.putObject(v.object(), data)
