--- a/internal/agenttest/agent.go
+++ b/internal/agenttest/agent.go
@@ -98,8 +98,8 @@
 	a.hello.Identity.Instance = id
 }
 
-// SetLoad changes the load in heartbeats. An entry's fleet that shows the new load has
-// handled all messages that were sent before.
+// SetLoad changes the load in heartbeats. Once an entry's fleet shows the new load, it
+// has handled all messages that were sent before.
 func (a *Agent) SetLoad(l wire.Load) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
