--- a/internal/measure/capacity/fitted_costs.go
+++ b/internal/measure/capacity/fitted_costs.go
@@ -23,21 +23,21 @@
 	entryCPU, entryMemory, agentCPU, agentMemory, bytes linearFit
 }
 
-func (l fittedCosts) print(p *figure.Printer) error {
+func (c fittedCosts) print(p *figure.Printer) error {
 	const domainAgents = float64(plannedAgents) / plannedDomains
 	figures := []figure.Figure{
-		{Name: "entry_core_share_per_connection", Value: l.entryCPU.slope, Unit: "core"},
-		{Name: "entry_memory_per_connection", Value: l.entryMemory.slope, Unit: "B"},
-		{Name: "bytes_per_second_per_connection", Value: l.bytes.slope, Unit: "B/s"},
-		{Name: "agent_core_share_with_one_connection", Value: l.agentCPU.slope, Unit: "core"},
-		{Name: "agent_memory_with_one_connection", Value: l.agentMemory.slope, Unit: "B"},
-		extrapolate("entry_core_share", l.entryCPU, entryConnections, domainAgents, "core", maxCoreShare),
-		extrapolate("entry_bytes_per_second", l.bytes, entryConnections, domainAgents, "B/s", maxBytesPerSecond),
-		extrapolate("entry_memory", l.entryMemory, entryConnections, domainAgents, "B", maxMemoryBytes),
+		{Name: "entry_core_share_per_connection", Value: c.entryCPU.slope, Unit: "core"},
+		{Name: "entry_memory_per_connection", Value: c.entryMemory.slope, Unit: "B"},
+		{Name: "bytes_per_second_per_connection", Value: c.bytes.slope, Unit: "B/s"},
+		{Name: "agent_core_share_with_one_connection", Value: c.agentCPU.slope, Unit: "core"},
+		{Name: "agent_memory_with_one_connection", Value: c.agentMemory.slope, Unit: "B"},
+		extrapolate("entry_core_share", c.entryCPU, entryConnections, domainAgents, "core", maxCoreShare),
+		extrapolate("entry_bytes_per_second", c.bytes, entryConnections, domainAgents, "B/s", maxBytesPerSecond),
+		extrapolate("entry_memory", c.entryMemory, entryConnections, domainAgents, "B", maxMemoryBytes),
 		// Counting each connection as a whole agent gives an upper bound.
-		extrapolate("agent_core_share", linearFit{slope: l.agentCPU.slope}, agentConnections, plannedEntries, "core", maxCoreShare),
-		extrapolate("agent_bytes_per_second", linearFit{slope: l.bytes.slope}, agentConnections, plannedEntries, "B/s", maxBytesPerSecond),
-		extrapolate("agent_memory", l.agentMemory, agentConnections, plannedEntries, "B", maxMemoryBytes),
+		extrapolate("agent_core_share", linearFit{slope: c.agentCPU.slope}, agentConnections, plannedEntries, "core", maxCoreShare),
+		extrapolate("agent_bytes_per_second", linearFit{slope: c.bytes.slope}, agentConnections, plannedEntries, "B/s", maxBytesPerSecond),
+		extrapolate("agent_memory", c.agentMemory, agentConnections, plannedEntries, "B", maxMemoryBytes),
 	}
 	for _, f := range figures {
 		if err := p.Print(f); err != nil {
--- a/internal/measure/distribute/command.go
+++ b/internal/measure/distribute/command.go
@@ -4,7 +4,7 @@
 // failure domain.
 //
 // Link rates are derived from a distribution window, so that a run takes seconds
-// and keeps the proportions of the stated target: the origin's link carries about
+// and keeps the proportions of the target deployment: the origin's link carries about
 // four copies in a window and an instance's link two. Each region reaches the
 // origin directly; only traffic between instances uses the links between regions.
 package distribute
@@ -18,12 +18,12 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// Bounds of the stated target.
+// Performance targets.
 const (
 	maxTimeFactor               = 1.25 // of the lower bound
 	maxCopiesPerDomain          = 1.05
 	maxDisturbedTimeFactor      = 2.0 // of the time without faults
-	maxDisturbedCopiesPerDomain = 1.2 // per failure domain
+	maxDisturbedCopiesPerDomain = 1.2
 )
 
 // NewCommand returns the distribute subcommand.
--- a/internal/measure/distribute/origin.go
+++ b/internal/measure/distribute/origin.go
@@ -27,7 +27,7 @@
 	instance *node
 }
 
-// ReadRange opens a byte range of an object, cut at the end of the object. It
+// ReadRange opens a byte range of an object, limited to the end of the object. It
 // returns backing.ErrNotFound for an unknown object.
 func (o originClient) ReadRange(ctx context.Context, object string, offset, length int64) (io.ReadCloser, error) {
 	data, ok := o.objects[object]
--- a/internal/measure/distribute/swarm.go
+++ b/internal/measure/distribute/swarm.go
@@ -12,8 +12,9 @@
 // runTimeout limits one run, so that the experiment ends even if a run hangs.
 const runTimeout = 30 * time.Second
 
-// runSwarm runs the system. The share killShare of the instances is killed at
-// random times within f.stallWindow after the start.
+// runSwarm distributes the weights with the real tracker and transfer code. The
+// share killShare of the instances is killed at random times within f.stallWindow
+// after the start.
 func runSwarm(o *Options, name string, timeWeight, killShare float64, f faults) (*result, libdistribute.Plan, error) {
 	fl, err := newFleet(o, timeWeight, f, true)
 	if err != nil {
--- a/internal/measure/drain/drain.go
+++ b/internal/measure/drain/drain.go
@@ -80,7 +80,7 @@
 }
 
 func measure(ctx context.Context, d *deployment.Deployment, o options, p *figure.Printer) error {
-	load := newLoad(d, o)
+	load := newLoadGenerator(d, o)
 	load.start(ctx)
 	if err := measurerun.Sleep(ctx, 2*time.Second); err != nil {
 		return err
--- a/internal/measure/drain/load.go
+++ b/internal/measure/drain/load.go
@@ -21,35 +21,35 @@
 	wrongResponse
 )
 
-// load runs callers that send draft requests until they are stopped.
-type load struct {
-	d       *deployment.Deployment
-	o       options
-	client  *deployment.Client
-	stopped chan struct{}
-	callers sync.WaitGroup
+// loadGenerator runs callers that send draft requests until they are stopped.
+type loadGenerator struct {
+	d           *deployment.Deployment
+	o           options
+	client      *deployment.Client
+	stopped     chan struct{}
+	callersDone sync.WaitGroup
 
 	mu     sync.Mutex
 	counts map[requestResult]int
 }
 
-func newLoad(d *deployment.Deployment, o options) *load {
-	return &load{d: d, o: o, client: deployment.NewClient(), stopped: make(chan struct{}), counts: make(map[requestResult]int)}
+func newLoadGenerator(d *deployment.Deployment, o options) *loadGenerator {
+	return &loadGenerator{d: d, o: o, client: deployment.NewClient(), stopped: make(chan struct{}), counts: make(map[requestResult]int)}
 }
 
-func (l *load) start(ctx context.Context) {
+func (l *loadGenerator) start(ctx context.Context) {
 	for i := range l.o.callers {
-		l.callers.Go(func() { l.call(ctx, i) })
+		l.callersDone.Go(func() { l.runCaller(ctx, i) })
 	}
 }
 
-func (l *load) stop() {
+func (l *loadGenerator) stop() {
 	close(l.stopped)
-	l.callers.Wait()
+	l.callersDone.Wait()
 	l.client.Close()
 }
 
-func (l *load) call(ctx context.Context, caller int) {
+func (l *loadGenerator) runCaller(ctx context.Context, caller int) {
 	rng := rand.New(rand.NewSource(l.o.seed + int64(caller)))
 	for n := 0; ctx.Err() == nil; n++ {
 		select {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (l *load) classify(response deployment.Answer, body []byte) requestResult {
+func (l *loadGenerator) classify(response deployment.Answer, body []byte) requestResult {
 	switch response.Outcome {
 	case "completed":
 		if _, ok := l.d.VersionOfAnswer(response.Body, body); !ok {
@@ -80,13 +80,13 @@
 	}
 }
 
-func (l *load) record(r requestResult) {
+func (l *loadGenerator) record(r requestResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[r]++
 }
 
-func (l *load) count(r requestResult) int {
+func (l *loadGenerator) count(r requestResult) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[r]
--- a/internal/measure/figure/figure.go
+++ b/internal/measure/figure/figure.go
@@ -10,7 +10,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Bound is the range that a stated target allows for a figure. Both limits are
+// Bound is the range that a target allows for a figure. Both limits are
 // inclusive.
 type Bound struct {
 	Max *float64 `json:"max,omitempty"`
@@ -30,7 +30,7 @@
 	Unit  string  `json:"unit"`
 	// Bound is nil for a figure without a target.
 	Bound *Bound `json:"bound"`
-	// Baseline is the same figure for the method compared with, or nil.
+	// Baseline is the same figure for the baseline method, or nil.
 	Baseline *float64 `json:"baseline"`
 }
 
--- a/internal/measure/fleet/cache_feed.go
+++ b/internal/measure/fleet/cache_feed.go
@@ -35,21 +35,21 @@
 		f.sequence++
 		event := route.CacheEvent{Sequence: f.sequence, Stored: stored, Removed: removed}
 		if f.rng.Float64() >= cfg.CacheEventLoss {
-			sim.clock.after(cfg.CacheEventDelay, func() { f.deliver(event) })
+			sim.scheduler.after(cfg.CacheEventDelay, func() { f.deliver(event) })
 		}
 	}
-	sim.clock.after(cfg.CacheEventDelay, f.publish)
+	sim.scheduler.after(cfg.CacheEventDelay, f.publish)
 }
 
 func (f *cacheFeed) deliver(event route.CacheEvent) {
 	sim := f.entry.sim
-	if !f.entry.picker.ApplyCacheEvent(sim.clock.now, f.key, event) || f.syncing {
+	if !f.entry.picker.ApplyCacheEvent(sim.scheduler.now, f.key, event) || f.syncing {
 		return
 	}
 	f.syncing = true
 	snapshot := route.CacheSnapshot{Sequence: f.sequence, Blocks: f.entry.engines[f.key].cache.all()}
-	sim.clock.after(sim.cfg.Engine.CacheEventDelay, func() {
+	sim.scheduler.after(sim.cfg.Engine.CacheEventDelay, func() {
 		f.syncing = false
-		f.entry.picker.ApplyCacheSnapshot(sim.clock.now, f.key, snapshot)
+		f.entry.picker.ApplyCacheSnapshot(sim.scheduler.now, f.key, snapshot)
 	})
 }
--- a/internal/measure/fleet/engine.go
+++ b/internal/measure/fleet/engine.go
@@ -24,12 +24,12 @@
 // engine models continuous batching: each step generates one token for each
 // decoding sequence and prefills up to one chunk of prompt tokens.
 type engine struct {
-	cfg      EngineConfig
-	clock    *scheduler
-	cache    *blockCache
-	waiting  []*sequence
-	running  []*sequence
-	stepping bool
+	cfg       EngineConfig
+	scheduler *scheduler
+	cache     *blockCache
+	waiting   []*sequence
+	running   []*sequence
+	stepping  bool
 
 	// prefilledTokens and cachedTokens count the prompt tokens of all sequences.
 	prefilledTokens, cachedTokens int
@@ -38,11 +38,11 @@
 }
 
 func newEngine(cfg EngineConfig, s *scheduler) *engine {
-	return &engine{cfg: cfg, clock: s, cache: newBlockCache(cfg.CacheBlocks)}
+	return &engine{cfg: cfg, scheduler: s, cache: newBlockCache(cfg.CacheBlocks)}
 }
 
 func (e *engine) submit(q *sequence) {
-	q.submittedAt = e.clock.now
+	q.submittedAt = e.scheduler.now
 	e.waiting = append(e.waiting, q)
 	if !e.stepping {
 		e.stepping = true
@@ -87,7 +87,7 @@
 	}
 	elapsed := e.cfg.stepTime(decoding, e.cfg.PrefillChunk-budget)
 	e.sequenceTime += elapsed * time.Duration(len(e.running)+len(e.waiting))
-	e.clock.after(elapsed, func() {
+	e.scheduler.after(elapsed, func() {
 		for _, q := range prefilled {
 			e.cache.store(q.job.blocks)
 		}
@@ -99,7 +99,7 @@
 // decode generates one token for each sequence whose prompt is prefilled and
 // removes the completed sequences from the batch.
 func (e *engine) decode() {
-	now := e.clock.now
+	now := e.scheduler.now
 	kept := e.running[:0]
 	for _, q := range e.running {
 		if q.prefillRemaining > 0 {
--- a/internal/measure/fleet/entry.go
+++ b/internal/measure/fleet/entry.go
@@ -47,7 +47,7 @@
 		e.keys = append(e.keys, key)
 		e.engines[key] = eng
 		e.limiters[key] = admit.NewLimiter(admit.LimiterConfig{})
-		e.picker.Update(s.clock.now, route.Instance{ID: key.Instance, Generation: key.Generation, Pool: poolName})
+		e.picker.Update(s.scheduler.now, route.Instance{ID: key.Instance, Generation: key.Generation, Pool: poolName})
 	}
 	return e
 }
@@ -57,13 +57,13 @@
 	var tick func()
 	tick = func() {
 		e.dispatchQueued()
-		e.sim.clock.after(entryTickInterval, tick)
+		e.sim.scheduler.after(entryTickInterval, tick)
 	}
 	tick()
 	for i, key := range e.keys {
 		// Spread the reports of the engines over the interval.
 		offset := e.sim.cfg.Engine.ReportInterval * time.Duration(i) / time.Duration(len(e.keys))
-		e.sim.clock.after(offset, func() { e.reportLoad(key) })
+		e.sim.scheduler.after(offset, func() { e.reportLoad(key) })
 	}
 	if !e.sim.cfg.NoAffinity {
 		e.startCacheFeeds()
@@ -75,13 +75,13 @@
 func (e *entry) reportLoad(key route.Key) {
 	cfg, eng := e.sim.cfg.Engine, e.engines[key]
 	r := route.LoadReport{Running: len(eng.running), Queued: len(eng.waiting), Capacity: cfg.MaxBatch, Age: cfg.ReportDelay}
-	e.sim.clock.after(cfg.ReportDelay, func() { e.picker.RecordLoad(e.sim.clock.now, key, r) })
-	e.sim.clock.after(cfg.ReportInterval, func() { e.reportLoad(key) })
+	e.sim.scheduler.after(cfg.ReportDelay, func() { e.picker.RecordLoad(e.sim.scheduler.now, key, r) })
+	e.sim.scheduler.after(cfg.ReportInterval, func() { e.reportLoad(key) })
 }
 
 // arrive queues a request from the load balancer, or refuses it.
 func (e *entry) arrive(j *job) {
-	now := e.sim.clock.now
+	now := e.sim.scheduler.now
 	r := admit.Request{
 		ID: j.id, Tenant: j.tenant, Class: "interactive", Tokens: estimatedTokens,
 		StartBy: e.startEstimator.StartBy(now, FirstTokenTarget),
@@ -97,7 +97,7 @@
 // dispatchQueued refuses the queued requests that can no longer start in time
 // and dispatches those that can run now.
 func (e *entry) dispatchQueued() {
-	now := e.sim.clock.now
+	now := e.sim.scheduler.now
 	for _, refusal := range e.queue.Expire(now) {
 		e.sim.recordRefusal(e.removeJob(refusal.Request.ID))
 	}
@@ -119,7 +119,7 @@
 // place picks an engine and sends the request to it. It is the callback of
 // admit.Queue.Next.
 func (e *entry) place(r admit.Request) admit.Placement {
-	now, j := e.sim.clock.now, e.jobs[r.ID]
+	now, j := e.sim.scheduler.now, e.jobs[r.ID]
 	request := route.Request{
 		Pool: poolName, OfferedAt: r.OfferedAt,
 		HasCapacity: func(k route.Key) bool { return e.limiters[k].CanAcquire() },
@@ -136,27 +136,27 @@
 	}
 	e.limiters[choice.Key].Acquire()
 	e.picker.Started(now, choice.Key, request.Prefix)
-	e.sim.clock.after(oneWayDelay, func() { e.send(choice.Key, j, now) })
+	e.sim.scheduler.after(oneWayDelay, func() { e.send(choice.Key, j, now) })
 	return admit.Placed
 }
 
 func (e *entry) send(key route.Key, j *job, dispatched time.Time) {
 	limiter := e.limiters[key]
 	q := &sequence{job: j}
-	afterDelay := func(f func()) { e.sim.clock.after(oneWayDelay, f) }
+	afterDelay := func(f func()) { e.sim.scheduler.after(oneWayDelay, f) }
 	q.onFirstToken = func() {
 		afterDelay(func() {
-			now := e.sim.clock.now
+			now := e.sim.scheduler.now
 			e.startEstimator.Observe(now.Sub(dispatched))
 			limiter.ObserveFirstToken(now, now.Sub(dispatched))
 		})
 	}
 	q.onProgress = func(tokens int, elapsed time.Duration) {
-		afterDelay(func() { limiter.ObserveBetweenTokens(e.sim.clock.now, elapsed/time.Duration(tokens)) })
+		afterDelay(func() { limiter.ObserveBetweenTokens(e.sim.scheduler.now, elapsed/time.Duration(tokens)) })
 	}
 	q.onDone = func() {
 		afterDelay(func() {
-			now := e.sim.clock.now
+			now := e.sim.scheduler.now
 			limiter.Release()
 			e.picker.Finished(now, key, route.ResultOK)
 			e.queue.CorrectCharge(j.tenant, estimatedTokens, j.promptTokens+j.outputTokens)
--- a/internal/measure/fleet/round_robin.go
+++ b/internal/measure/fleet/round_robin.go
@@ -31,11 +31,11 @@
 	firstToken := false
 	q.onFirstToken = func() { firstToken = true }
 	q.onDone = func() { r.sim.recordResponse(j, q.firstTokenAt.Add(oneWayDelay), q.lastTokenAt.Add(oneWayDelay)) }
-	r.sim.clock.after(oneWayDelay, func() { eng.submit(q) })
+	r.sim.scheduler.after(oneWayDelay, func() { eng.submit(q) })
 	if retries == baselineRetries {
 		return
 	}
-	r.sim.clock.after(baselineFirstTokenTimeout, func() {
+	r.sim.scheduler.after(baselineFirstTokenTimeout, func() {
 		if !firstToken && !j.recorded {
 			r.attempt(j, retries+1)
 		}
--- a/internal/measure/fleet/run.go
+++ b/internal/measure/fleet/run.go
@@ -61,7 +61,7 @@
 // simulation holds the state of one run.
 type simulation struct {
 	cfg         Config
-	clock       scheduler
+	scheduler   scheduler
 	workload    *workload
 	engines     []*engine
 	entries     []entryNode
@@ -76,7 +76,7 @@
 	cfg.applyDefaults()
 	s := &simulation{cfg: cfg, workload: newWorkload(cfg.Seed)}
 	start := time.Unix(0, 0)
-	s.clock.now = start
+	s.scheduler.now = start
 	s.windowStart = start.Add(cfg.Warmup)
 	s.windowEnd = s.windowStart.Add(cfg.Window)
 	s.result = Result{Tenants: make(map[model.Tenant]Counts), Window: cfg.Window}
@@ -85,7 +85,7 @@
 		if cfg.UnevenEngines && i%3 == 0 {
 			engine = engine.slower()
 		}
-		s.engines = append(s.engines, newEngine(engine, &s.clock))
+		s.engines = append(s.engines, newEngine(engine, &s.scheduler))
 	}
 	for i := range cfg.Entries {
 		if cfg.Baseline {
@@ -100,9 +100,9 @@
 	for _, t := range sortedTenants(cfg.Rates) {
 		s.startArrivals(t, cfg.Rates[t])
 	}
-	s.clock.runUntil(s.windowEnd)
+	s.scheduler.runUntil(s.windowEnd)
 	s.collectEngineStats()
-	s.clock.runUntil(s.windowEnd.Add(drainTime))
+	s.scheduler.runUntil(s.windowEnd.Add(drainTime))
 	s.countUnanswered()
 	return s.result
 }
@@ -114,19 +114,19 @@
 	}
 	var next func()
 	next = func() {
-		if s.clock.now.After(s.windowEnd) {
+		if s.scheduler.now.After(s.windowEnd) {
 			return
 		}
-		j := s.workload.newJob(s.clock.now, tenant)
+		j := s.workload.newJob(s.scheduler.now, tenant)
 		if s.inWindow(j) {
 			s.updateCounts(j, func(c *Counts) { c.Offered++ })
 		}
 		// The platform's load balancer spreads requests evenly.
 		s.entries[s.nextEntry%len(s.entries)].arrive(j)
 		s.nextEntry++
-		s.clock.after(s.workload.drawInterval(perSecond), next)
+		s.scheduler.after(s.workload.drawInterval(perSecond), next)
 	}
-	s.clock.after(s.workload.drawInterval(perSecond), next)
+	s.scheduler.after(s.workload.drawInterval(perSecond), next)
 }
 
 func (s *simulation) inWindow(j *job) bool {
@@ -167,7 +167,7 @@
 		return
 	}
 	j.recorded = true
-	s.result.RefusalDelay = append(s.result.RefusalDelay, s.clock.now.Sub(j.arrival))
+	s.result.RefusalDelay = append(s.result.RefusalDelay, s.scheduler.now.Sub(j.arrival))
 	s.updateCounts(j, func(c *Counts) { c.Refused++ })
 }
 
--- a/internal/measure/fleet/workload.go
+++ b/internal/measure/fleet/workload.go
@@ -9,7 +9,7 @@
 )
 
 // A response is in time when its time to first token and its mean time between
-// tokens are within these targets of the design size.
+// tokens are within these targets for the planned deployment size.
 const (
 	FirstTokenTarget    = 1400 * time.Millisecond
 	BetweenTokensTarget = 53 * time.Millisecond
--- a/internal/measure/poison/figure.go
+++ b/internal/measure/poison/figure.go
@@ -6,7 +6,7 @@
 	"github.com/auburnbend/auburnbend/internal/measure/figure"
 )
 
-// maxLostServers is the design bound on the backend servers lost to one
+// maxLostServers is the target for the number of backend servers lost to one
 // fingerprint.
 const maxLostServers = 2
 
--- a/internal/measure/poison/poison.go
+++ b/internal/measure/poison/poison.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// defaultEntries and defaultAgents are the sizes of the stated experiment.
+	// defaultEntries and defaultAgents are the default size of the simulated
+	// deployment.
 	defaultEntries = 4
 	defaultAgents  = 30
 	// defaultSends is the number of times that a caller sends the poison request.
--- a/internal/measure/poison/simulate.go
+++ b/internal/measure/poison/simulate.go
@@ -19,7 +19,7 @@
 	start   time.Time
 	queue   eventQueue
 	entries []*poison.Monitor
-	agents  []*backendServer
+	servers []*backendServer
 	result  Result
 }
 
@@ -44,8 +44,8 @@
 
 // runsSuspect reports whether a suspect is running. The agent's gate then rejects
 // another suspect.
-func (a *backendServer) runsSuspect() bool {
-	for r := range a.running {
+func (b *backendServer) runsSuspect() bool {
+	for r := range b.running {
 		if r.suspect {
 			return true
 		}
@@ -61,9 +61,9 @@
 		s.entries = append(s.entries, poison.New(poison.Config{Settle: p.Settle}, model.InstanceID(fmt.Sprintf("entry-%d", i)), model.Generation(i+1)))
 	}
 	for i := range p.Agents {
-		a := &backendServer{id: model.InstanceID(fmt.Sprintf("agent-%d", i)), running: make(map[*request]int)}
-		a.connectedEntries = []int{s.rng.IntN(p.Entries), s.rng.IntN(p.Entries)}
-		s.agents = append(s.agents, a)
+		server := &backendServer{id: model.InstanceID(fmt.Sprintf("agent-%d", i)), running: make(map[*request]int)}
+		server.connectedEntries = []int{s.rng.IntN(p.Entries), s.rng.IntN(p.Entries)}
+		s.servers = append(s.servers, server)
 	}
 	s.after(0, s.sendInnocent)
 	s.after(s.StartDelay, func() {
@@ -123,20 +123,20 @@
 		r.onDone(outcome.NotRun)
 		return
 	}
-	for _, i := range s.rng.Perm(len(s.agents)) {
-		a := s.agents[i]
-		if a.down || len(a.running) >= serverSlots {
+	for _, i := range s.rng.Perm(len(s.servers)) {
+		server := s.servers[i]
+		if server.down || len(server.running) >= serverSlots {
 			continue
 		}
 		v := poison.Verdict{}
 		if !s.Baseline {
-			v = s.entries[entry].Verdict(s.now, r.fingerprint, a.id)
+			v = s.entries[entry].Verdict(s.now, r.fingerprint, server.id)
 			s.broadcast(entry, v.Update)
 		}
 		switch v.Decision {
 		case poison.Run, poison.RunAlone:
 			r.suspect = v.Decision == poison.RunAlone
-			s.dispatch(entry, a, r)
+			s.dispatch(entry, server, r)
 			return
 		case poison.Hold:
 			s.queue.add(v.Until, func() { s.attempt(entry, r) })
@@ -152,60 +152,60 @@
 	s.after(maxLatency, func() { s.attempt(entry, r) })
 }
 
-func (s *simulation) dispatch(entry int, a *backendServer, r *request) {
-	s.broadcast(entry, s.entries[entry].Started(s.now, r.fingerprint, a.id))
-	if r.suspect && a.runsSuspect() {
-		s.after(s.randomDelay(2*maxLatency), func() { s.finish(entry, a, r, outcome.NotRun) })
+func (s *simulation) dispatch(entry int, server *backendServer, r *request) {
+	s.broadcast(entry, s.entries[entry].Started(s.now, r.fingerprint, server.id))
+	if r.suspect && server.runsSuspect() {
+		s.after(s.randomDelay(2*maxLatency), func() { s.finish(entry, server, r, outcome.NotRun) })
 		return
 	}
-	a.running[r] = entry
+	server.running[r] = entry
 	if r.poison && !r.suspect {
 		s.result.UnsuspectedDispatches++
 	}
-	incarnation := a.incarnation
+	incarnation := server.incarnation
 	if r.poison {
 		s.after(s.randomDelay(maxCrashDelay), func() {
-			if _, running := a.running[r]; running && a.incarnation == incarnation {
+			if _, running := server.running[r]; running && server.incarnation == incarnation {
 				s.result.LostServers++
-				s.crash(a)
+				s.crash(server)
 			}
 		})
 		return
 	}
 	s.after(s.randomDelay(maxInnocentRunTime), func() {
-		if _, running := a.running[r]; running && a.incarnation == incarnation {
-			delete(a.running, r)
-			s.after(s.randomDelay(maxLatency), func() { s.finish(entry, a, r, outcome.Completed) })
+		if _, running := server.running[r]; running && server.incarnation == incarnation {
+			delete(server.running, r)
+			s.after(s.randomDelay(maxLatency), func() { s.finish(entry, server, r, outcome.Completed) })
 		}
 	})
 }
 
 // crash ends all requests on a backend server. The end of an entry's attempts and
 // the crash report reach the entry in any order.
-func (s *simulation) crash(a *backendServer) {
-	report := wire.CrashReport{Incarnation: a.incarnation}
+func (s *simulation) crash(server *backendServer) {
+	report := wire.CrashReport{Incarnation: server.incarnation}
 	entries := make(map[int]bool)
-	for _, e := range a.connectedEntries {
+	for _, e := range server.connectedEntries {
 		entries[e] = true
 	}
-	for r, entry := range a.running {
+	for r, entry := range server.running {
 		report.InFlight = append(report.InFlight, r.fingerprint)
 		entries[entry] = true
-		s.after(s.randomDelay(maxLatency), func() { s.finish(entry, a, r, outcome.Unknown) })
+		s.after(s.randomDelay(maxLatency), func() { s.finish(entry, server, r, outcome.Unknown) })
 	}
 	for e := range s.Entries {
 		if entries[e] && !s.Baseline {
-			s.after(s.randomDelay(maxLatency), func() { s.broadcast(e, s.entries[e].Crashed(s.now, a.id, 1, report)) })
+			s.after(s.randomDelay(maxLatency), func() { s.broadcast(e, s.entries[e].Crashed(s.now, server.id, 1, report)) })
 		}
 	}
-	a.running = make(map[*request]int)
-	a.incarnation++
-	a.down = true
-	s.after(restartTime, func() { a.down = false })
+	server.running = make(map[*request]int)
+	server.incarnation++
+	server.down = true
+	s.after(restartTime, func() { server.down = false })
 }
 
-func (s *simulation) finish(entry int, a *backendServer, r *request, o outcome.Outcome) {
-	s.broadcast(entry, s.entries[entry].Finished(s.now, r.fingerprint, a.id, o))
+func (s *simulation) finish(entry int, server *backendServer, r *request, o outcome.Outcome) {
+	s.broadcast(entry, s.entries[entry].Finished(s.now, r.fingerprint, server.id, o))
 	if o == outcome.Completed || s.Baseline && r.retries >= baselineRetries {
 		r.onDone(o)
 		return
--- a/internal/measure/route/subsets.go
+++ b/internal/measure/route/subsets.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// domainEntries and domainAgents are the size of one of the 15 failure
-	// domains of the design size.
+	// domainEntries and domainAgents are the planned sizes of one of the 15
+	// failure domains.
 	domainEntries = 40
 	domainAgents  = 667
 	// membershipChanges is the number of changes over which the moved connections
