--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -28,7 +28,7 @@
 // cacheEvent is a cache event that readers can see from a given time on.
 type cacheEvent struct {
 	api.CacheEvent
-	visible time.Time
+	visibleAt time.Time
 }
 
 // lookup reports whether a prefix is cached and, if so, marks it as recently used.
@@ -66,7 +66,7 @@
 	}
 	c.events = append(c.events, cacheEvent{
 		CacheEvent: api.CacheEvent{Sequence: c.sequence, Change: change, Prefix: p, Weights: w},
-		visible:    now.Add(c.delay),
+		visibleAt:  now.Add(c.delay),
 	})
 	if len(c.events) > maxEvents {
 		c.events = slices.Clone(c.events[len(c.events)-maxEvents/2:])
@@ -76,7 +76,7 @@
 func (c *cache) after(sequence uint64, now time.Time) []api.CacheEvent {
 	var out []api.CacheEvent
 	for _, e := range c.events {
-		if e.Sequence > sequence && !now.Before(e.visible) {
+		if e.Sequence > sequence && !now.Before(e.visibleAt) {
 			out = append(out, e.CacheEvent)
 		}
 	}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -83,10 +83,10 @@
 		Expect(content).NotTo(Equal(whole))
 	})
 
-	It("mixes weights when two loads overlap, unless it checks fencing", func() {
+	It("mixes weights when two loads overlap, unless it enforces fencing", func() {
 		s, c := start(engine.Config{TimeScale: 0.02, LoadTime: 20 * time.Second, IgnoreFencing: true})
-		first, one := stageFiles("v1", 1, 10)
-		second, two := stageFiles("v2", 2, 4)
+		first, firstDigest := stageFiles("v1", 1, 10)
+		second, secondDigest := stageFiles("v2", 2, 4)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -96,9 +96,9 @@
 		_, err := c.Order(ctx, second)
 		Expect(err).NotTo(HaveOccurred())
 		<-done
-		atOnce, _ := s.OrderStats()
-		Expect(atOnce).To(Equal(2))
-		Expect(s.LoadedDigest()).NotTo(BeElementOf(one, two))
+		maxConcurrent, _ := s.OrderStats()
+		Expect(maxConcurrent).To(Equal(2))
+		Expect(s.LoadedDigest()).NotTo(BeElementOf(firstDigest, secondDigest))
 
 		s, c = start(engine.Config{TimeScale: 0.02, LoadTime: 20 * time.Second})
 		done = make(chan struct{})
@@ -110,7 +110,7 @@
 		_, err = c.Order(ctx, second)
 		Expect(api.NotStarted(err)).To(BeTrue())
 		<-done
-		Expect(s.LoadedDigest()).To(Equal(one))
+		Expect(s.LoadedDigest()).To(Equal(firstDigest))
 	})
 
 	It("mixes weights in a response that is generated during a load", func() {
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -88,11 +88,11 @@
 		return
 	}
 	s.mu.Lock()
-	delay, held := s.faults.DelayOrders, s.incarnation
+	delay, incarnation := s.faults.DelayOrders, s.incarnation
 	s.mu.Unlock()
 	s.sleep(delay)
 	s.mu.Lock()
-	if held != s.incarnation {
+	if incarnation != s.incarnation {
 		s.mu.Unlock()
 		return
 	}
@@ -103,7 +103,7 @@
 	}
 	drop := consumeFault(&s.faults.DropReplies)
 	s.mu.Unlock()
-	reply := s.executeOrder(o, held)
+	reply := s.executeOrder(o, incarnation)
 	if drop {
 		_ = c.GetConn().Close()
 		return
--- a/standin/engine/inspect.go
+++ b/standin/engine/inspect.go
@@ -56,7 +56,7 @@
 
 // OrderStats returns the maximum number of orders that ran concurrently and the number
 // of orders that ran with an outdated fencing number.
-func (s *Server) OrderStats() (atOnce, outdated int) {
+func (s *Server) OrderStats() (maxConcurrent, outdated int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxConcurrentOrders, s.outdatedOrders
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -20,11 +20,11 @@
 	report api.LoadReport
 }
 
-// updateFirstToken updates the average time to the first token, if the last token of
-// the stream was its first.
+// updateFirstToken updates the average time to the first token if the stream has produced
+// exactly one token.
 func (s *Server) updateFirstToken(st *stream, now time.Time) {
 	if len(st.frames) == 1 {
-		s.firstTokenMillis += smoothingFactor * (float64(now.Sub(st.arrived).Microseconds())/1000 - s.firstTokenMillis)
+		s.firstTokenMillis += smoothingFactor * (float64(now.Sub(st.arrivedAt).Microseconds())/1000 - s.firstTokenMillis)
 	}
 }
 
--- a/standin/engine/response.go
+++ b/standin/engine/response.go
@@ -15,8 +15,8 @@
 // max_tokens.
 const defaultTokens = 16
 
-// answerPrefix precedes the content digest in the first token of a response.
-const answerPrefix = "weights="
+// responsePrefix precedes the content digest in the first token of a response.
+const responsePrefix = "weights="
 
 // ContentDigest returns the digest that responses contain after the engine has loaded
 // files with the given digests, base before adapter. If the files are the chunks of a
@@ -44,7 +44,7 @@
 // token returns one token of a response. The first one contains the content digest.
 func token(content model.Digest, body []byte, index int) []byte {
 	if index == 0 {
-		return []byte(answerPrefix + content.String() + "\n")
+		return []byte(responsePrefix + content.String() + "\n")
 	}
 	sum := model.Sum(body)
 	buf := append(content[:], sum[:]...)
@@ -64,8 +64,8 @@
 }
 
 // ResponseContent returns the content digest from a response.
-func ResponseContent(answer []byte) (model.Digest, error) {
-	rest, ok := bytes.CutPrefix(answer, []byte(answerPrefix))
+func ResponseContent(response []byte) (model.Digest, error) {
+	rest, ok := bytes.CutPrefix(response, []byte(responsePrefix))
 	if !ok || len(rest) < 2*model.DigestSize {
 		return model.Digest{}, merry.New("response has no weights digest")
 	}
--- a/standin/engine/scheduler.go
+++ b/standin/engine/scheduler.go
@@ -67,7 +67,7 @@
 		if a.req.Priority != b.req.Priority {
 			return b.req.Priority - a.req.Priority
 		}
-		return int(a.arrival) - int(b.arrival)
+		return int(a.arrivalNumber) - int(b.arrivalNumber)
 	})
 	for len(s.waiting) > 0 && len(s.running) < s.cfg.Capacity {
 		st := s.waiting[0]
@@ -96,7 +96,7 @@
 // removeExpired removes streams that ended longer ago than the retention time.
 func (s *Server) removeExpired(now time.Time) {
 	for id, st := range s.streams {
-		if st.finished() && now.Sub(st.ended) > s.cfg.scaled(s.cfg.Retention) {
+		if st.finished() && now.Sub(st.endedAt) > s.cfg.scaled(s.cfg.Retention) {
 			delete(s.streams, id)
 		}
 	}
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -12,22 +12,22 @@
 // stream is a request and the frames of its response that were produced so far. It is
 // protected by Server.mu.
 type stream struct {
-	req         api.Request
-	arrival     uint64 // order among requests of equal priority
-	arrived     time.Time
-	deadline    time.Time
-	prefillEnd  time.Time // time at which prefill is complete
-	running     bool
-	totalTokens int
-	frames      [][]byte
-	end         *api.StreamEnd
-	abort       *api.StreamError
-	ended       time.Time
-	changed     chan struct{} // closed and replaced at each change
+	req           api.Request
+	arrivalNumber uint64 // order among requests of equal priority
+	arrivedAt     time.Time
+	deadline      time.Time
+	prefillEnd    time.Time // time at which prefill is complete
+	running       bool
+	totalTokens   int
+	frames        [][]byte
+	end           *api.StreamEnd
+	abort         *api.StreamError
+	endedAt       time.Time
+	changed       chan struct{} // closed and replaced at each change
 }
 
-func newStream(req api.Request, arrival uint64, now time.Time) *stream {
-	s := &stream{req: req, arrival: arrival, arrived: now, totalTokens: TokenCount(req.Body), changed: make(chan struct{})}
+func newStream(req api.Request, arrivalNumber uint64, now time.Time) *stream {
+	s := &stream{req: req, arrivalNumber: arrivalNumber, arrivedAt: now, totalTokens: TokenCount(req.Body), changed: make(chan struct{})}
 	if req.RemainingMillis > 0 {
 		s.deadline = now.Add(time.Duration(req.RemainingMillis) * time.Millisecond)
 	}
@@ -51,7 +51,7 @@
 		}
 		end := &api.StreamEnd{Frames: uint64(len(s.frames)), Weights: weights}
 		copy(end.Digest[:], hash.Sum(nil))
-		s.end, s.ended = end, now
+		s.end, s.endedAt = end, now
 	}
 	s.notify()
 }
@@ -60,6 +60,6 @@
 	if s.finished() {
 		return
 	}
-	s.abort, s.ended = &api.StreamError{Reason: reason, Started: s.running}, now
+	s.abort, s.endedAt = &api.StreamError{Reason: reason, Started: s.running}, now
 	s.notify()
 }
--- a/standin/fault/faults.go
+++ b/standin/fault/faults.go
@@ -11,10 +11,10 @@
 	Stall bool `json:"stall"`
 	// Delay delays every call.
 	Delay time.Duration `json:"delay"`
-	// LoseAfter is the number of next writes that take effect but whose reply is lost.
+	// LoseAfter is the number of upcoming writes that take effect but whose reply is lost.
 	LoseAfter int `json:"lose_after"`
-	// LoseBefore is the number of next writes that are lost before they take effect.
-	// They get no reply. They come before the writes counted by LoseAfter.
+	// LoseBefore is the number of upcoming writes that are lost before they take effect.
+	// They get no reply. They are lost before the writes counted by LoseAfter.
 	LoseBefore int `json:"lose_before"`
 	// StaleBy makes reads return the state before the last StaleBy writes.
 	StaleBy int `json:"stale_by"`
--- a/standin/fault/injector.go
+++ b/standin/fault/injector.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// WriteLoss is whether and when one write is lost.
+// WriteLoss tells whether and at which point one write is lost.
 type WriteLoss uint8
 
 const (
--- a/standin/internal/listen/tracker.go
+++ b/standin/internal/listen/tracker.go
@@ -31,7 +31,7 @@
 	return &Tracker{Listener: ln, conns: make(map[net.Conn]struct{})}, nil
 }
 
-// Accept waits for the next connection and tracks it. After CutAll it returns an error.
+// Accept waits for the next connection and tracks it. After CloseAll it returns an error.
 func (t *Tracker) Accept() (net.Conn, error) {
 	nc, err := t.Listener.Accept()
 	if err != nil {
@@ -81,7 +81,7 @@
 }
 
 // NewServer returns an HTTP server on the listener. The caller registers routes and calls
-// Run, which blocks until CutAll.
+// Run, which blocks until CloseAll.
 func (t *Tracker) NewServer(opts ...config.Option) *server.Hertz {
 	return server.New(append([]config.Option{
 		server.WithListener(t),
--- a/standin/origin/handler.go
+++ b/standin/origin/handler.go
@@ -14,7 +14,7 @@
 
 // Handler returns the HTTP handler of the source:
 //
-//	GET /objects/{name...}   the bytes of an object, or one Range bytes=first-last
+//	GET /objects/{name...}   the bytes of an object, or the range given by Range: bytes=first-last
 //	PUT /objects/{name...}   stores or replaces an object
 //	GET /stats               Stats
 //	GET, PUT /faults         fault.Faults
