--- a/agent/backend/events.go
+++ b/agent/backend/events.go
@@ -12,7 +12,7 @@
 
 // ErrOrderRefused means that SubmitOrder did not accept an order because a load is
 // imminent or another order is outstanding.
-var ErrOrderRefused = merry.New("load imminent or another order outstanding")
+var ErrOrderRefused = merry.New("order refused: a load is imminent or another order is outstanding")
 
 // SetWanted sets the version that should become live. If it is zero, the live weights
 // stay as they are.
--- a/agent/roles_test.go
+++ b/agent/roles_test.go
@@ -13,8 +13,8 @@
 var _ = Describe("Roles", func() {
 	now := time.Unix(1000, 0)
 
-	// Guards against requests that reach an engine while its role changes, in either
-	// direction.
+	// Guards against requests that reach an engine while its role changes, whether
+	// from mixed to another role or back to mixed.
 	It("report mixed only if it is both declared and reported by the engine", func() {
 		var r roles
 		r.setReported(engine.RoleMixed)
--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -97,8 +97,9 @@
 	}
 	if status.StartUnixMilli != 0 && server.StartUnixMilli != 0 && status.StartUnixMilli != server.StartUnixMilli {
 		if status.StartUnixMilli > server.StartUnixMilli {
-			// The row of the later incarnation has not been read yet; the listed incarnation
-			// has ended.
+			// The directory still lists an earlier incarnation at this address, because
+			// the row of the reporting one has not been read yet. The listed incarnation
+			// has ended, since a later one reports from its address.
 			g.picker.MarkSuperseded(server.Key())
 			publish = g.recordServerEnd(server.Key(), signAddressReused)
 		}
--- a/gateway/pending_placements.go
+++ b/gateway/pending_placements.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// placementTimeout bounds the wait for a placer of the same region. It is well
-	// above a round trip plus the processing time, and short against the target of a
-	// first response.
+	// placementTimeout bounds the wait for the response of a placer, an entry that
+	// places the requests of all entries of its region. It is well above a round trip
+	// plus the processing time, and short against the latency target of a first
+	// response.
 	placementTimeout = 30 * time.Millisecond
 	// minBackoff and maxBackoff bound the time for which an entry that has not
 	// responded is not asked again. It doubles with each failure.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -201,7 +201,8 @@
 	}
 	if !result.sent {
 		// The request was not sent, so neither the limit on backend servers nor the retry
-		// budget applies. The list of tried servers bounds the loop.
+		// budget applies. Each tried server is excluded from later attempts, and
+		// maxUnsentAttempts bounds their number and so the loop.
 		return len(r.triedServers) < maxUnsentAttempts
 	}
 	if limit := r.route.MaxBackendServers; limit > 0 && r.dispatched >= limit {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,7 +21,7 @@
 
 // ErrPropertyViolated means that answers or outcomes were wrong, that an order ran
 // more than once, or that no draft or no order completed.
-var ErrPropertyViolated = merry.New("a checked property was violated")
+var ErrPropertyViolated = merry.New("demo check failed: wrong results, an order that ran more than once, or no completed draft or order")
 
 // progressInterval is the interval at which the progress of a rollout is checked.
 const progressInterval = 500 * time.Millisecond
--- a/internal/measure/distribute/command.go
+++ b/internal/measure/distribute/command.go
@@ -1,6 +1,6 @@
 // Package distribute measures the distribution of weights. It runs the real
-// tracker and transfer code on loopback, over links whose rate token buckets
-// limit. The baselines are downloads from the origin only and a fixed tree in each
+// tracker and transfer code on loopback, over links that are rate-limited by token
+// buckets. The baselines are downloads from the origin only and a fixed tree in each
 // failure domain.
 //
 // Link rates are derived from a distribution window, so that a run takes seconds
--- a/internal/measure/poison/params.go
+++ b/internal/measure/poison/params.go
@@ -15,7 +15,8 @@
 	// Settle is poison.Config.Settle of the entries' monitors.
 	Settle time.Duration
 	// StartDelay is the simulated time at which the callers start. The later they
-	// start, the more innocent contents have completed before.
+	// start, the more contents of requests that do not crash servers have completed
+	// before.
 	StartDelay time.Duration
 	Seed       uint64
 	// Baseline replaces the monitors by up to baselineRetries retries of each
--- a/internal/node/targets.go
+++ b/internal/node/targets.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// announcementTimeout is the time after an announcement from an entry in which the
-	// store is not read. Entries send one announcement per second, and datagrams may be
-	// lost.
+	// announcementTimeout is the time for which the store is not read after an
+	// announcement from an entry. Entries send one announcement per second, and
+	// datagrams may be lost.
 	announcementTimeout = 3 * time.Second
 	// firstAnnouncementTimeout is the time to wait for the first announcement after a
 	// start.
--- a/lib/engine/errors.go
+++ b/lib/engine/errors.go
@@ -20,7 +20,7 @@
 	ErrIncomplete = merry.New("incomplete response")
 	// ErrWeightsMismatch means that the backend server's weights differ from
 	// those that the request, stream or KV cache names.
-	ErrWeightsMismatch = merry.New("weights mismatch")
+	ErrWeightsMismatch = merry.New("backend server has other weights than those named")
 	// ErrWrongRequest means that the response belongs to another request.
 	ErrWrongRequest = merry.New("response belongs to another request")
 	// ErrUnavailable means that a read of state, load or cache failed.
--- a/lib/engine/guard_errors.go
+++ b/lib/engine/guard_errors.go
@@ -10,7 +10,7 @@
 	ErrSuperseded = merry.New("superseded by another agent generation")
 	// ErrOrderLost means that the order provably has no lasting effect: the
 	// engine restarted, never accepted it, or ran an older order after it.
-	ErrOrderLost = merry.New("order had no effect")
+	ErrOrderLost = merry.New("engine order had no lasting effect")
 	// ErrOrderFailed means that the engine ran the order and it failed.
 	ErrOrderFailed = merry.New("order failed")
 )
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -145,7 +145,7 @@
 	var digest model.Digest
 	copy(digest[:], s.hash.Sum(nil))
 	if end.Frames != s.nextOffset || end.Digest != digest {
-		return mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessagef("got %d of %d frames, digest %s, want %s", s.nextOffset, end.Frames, digest.Short(), end.Digest.Short())))
+		return mayHaveRun(merry.Wrap(ErrIncomplete, merry.AppendMessagef("received %d of %d frames, digest of their data is %s, want %s", s.nextOffset, end.Frames, digest.Short(), end.Digest.Short())))
 	}
 	if err := s.checkWeights(end.Weights); err != nil {
 		return err
--- a/lib/eventlog/async.go
+++ b/lib/eventlog/async.go
@@ -9,7 +9,8 @@
 const (
 	// asyncQueueLines is the number of lines that may be queued for a slow writer.
 	asyncQueueLines = 512
-	// asyncBatchBytes is the size of a write from which no further lines are added.
+	// asyncBatchBytes limits a write: a batch that has reached this size gets no
+	// further lines.
 	asyncBatchBytes = 16 << 10
 	// closeTimeout bounds how long Close waits for queued lines.
 	closeTimeout = 200 * time.Millisecond
--- a/replica/load_reporter.go
+++ b/replica/load_reporter.go
@@ -121,7 +121,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d.Subscription != nil {
-		// A restarted entry has lost its state, even at the same address.
+		// A restarted entry process has lost the reports, suspects and draining servers
+		// that it had received, even if its address is the same.
 		if previous, ok := r.subscribers[from]; !ok || previous.incarnation != d.Subscription.Incarnation {
 			r.newSubscribers = append(r.newSubscribers, from)
 			r.replica.wakeReporter()
--- a/standin/table/rows.go
+++ b/standin/table/rows.go
@@ -9,7 +9,7 @@
 // maxRowStates is the number of latest states kept per row, for stale reads.
 const maxRowStates = 64
 
-// rowState is the state of a row from the transaction with the given sequence number on.
+// rowState is the state of a row, starting at the given sequence number of a transaction.
 type rowState struct {
 	sequence uint64
 	version  uint64
